--- a/tests/delivery/test_shell.py
+++ b/tests/delivery/test_shell.py
@@ -29,6 +29,8 @@
             one = made.follow("a", "none", relays=(relay,))
             await until(lambda: one.holds({"a": {"x": b"1", "y": b"2"}}), "the first state")
             assert one.absent == ["none"]
+            # The relay reports its first state at its next tick, perhaps after the follower has the state.
+            await until(lambda: bool(made.told), "the relay's report of its first state")
             made.commit(a={"x": b"1", "y": b"5"}, b={"z": b"4"})
             await until(lambda: one.holds({"a": {"x": b"1", "y": b"5"}}), "the change")
             (change,) = one.changed[-1].changes
@@ -80,7 +82,8 @@
             made.commit(**large)
             some = [made.follow(*large, relays=(relay,), rules=rules) for _ in range(20)]
             await until(lambda: all(one.holds(large) for one in some), "all of it")
-            assert len(made.told) == 1  # that the relay serves
+            await until(lambda: bool(made.told), "the relay's report that it serves")
+            assert len(made.told) == 1
 
     run(test())
 
