--- a/flintlatch/api.py
+++ b/flintlatch/api.py
@@ -218,7 +218,7 @@
     me: int
 
 
-class Part(NamedTuple):
+class LimitAllocation(NamedTuple):
     """This instance's part of a limit on requests taken, from now on. Beyond it they are refused."""
 
     limit: str  # its name
@@ -248,7 +248,7 @@
 
 Event = (
     Arrival | Outcome | StreamStarted | BodyCame | BodySent | BodyGone | ClientGone | ServerList
-    | ServiceMoved | Proxies | Part | Shun | ProbeResult | TimerFired
+    | ServiceMoved | Proxies | LimitAllocation | Shun | ProbeResult | TimerFired
 )  # fmt: skip
 
 # Actions
--- a/flintlatch/choice.py
+++ b/flintlatch/choice.py
@@ -20,7 +20,7 @@
 
 from flintlatch.api import (
     NEVER_RAN, Action, Arrival, BodyCame, BodyGone, BodySent, Cancel, ClientGone, Effect, Event, Fail, Limit,
-    ListKind, Log, Outcome, Part, Proxies, Refuse, RequestClass, Result, Scope, Send, ServerInfo, ServerList,
+    ListKind, Log, Outcome, LimitAllocation, Proxies, Refuse, RequestClass, Result, Scope, Send, ServerInfo, ServerList,
     ServerState, ServiceMoved, SetTimer, Settings, Shun, StreamStarted, TimerFired, Watch,
 )  # fmt: skip
 
@@ -172,7 +172,7 @@
     """This proxy's part of a limit on requests taken. What it was lent before is not kept beyond the new
     burst."""
 
-    def __init__(self, part: Part, now: float) -> None:
+    def __init__(self, part: LimitAllocation, now: float) -> None:
         self.part, self.tokens, self.at, self.asked = part, 0.0, now, 0
 
     def refill(self, now: float) -> float:
@@ -349,7 +349,7 @@
                 self.on_moved(now)
             elif isinstance(event, Proxies):
                 self.on_proxies(now, event)
-            elif isinstance(event, Part):
+            elif isinstance(event, LimitAllocation):
                 self.on_part(now, event)
             elif isinstance(event, Shun):
                 self.on_shun(now, event)
@@ -454,7 +454,7 @@
         known = (s for name in accused if (s := self.servers.get(name)) is not None)
         return [s.id for s in known if s.failed_at < s.good_at and now - s.good_at < OWN_MS]
 
-    def on_part(self, now: float, event: Part) -> None:
+    def on_part(self, now: float, event: LimitAllocation) -> None:
         bucket = self.buckets.setdefault(event.limit, Bucket(event, now))
         bucket.refill(now)
         bucket.part = event
--- a/flintlatch/config/__init__.py
+++ b/flintlatch/config/__init__.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from flintlatch.api import Part, Settings
+from flintlatch.api import LimitAllocation, Settings
 from flintlatch.config.reader import Problem, Reader, Unusable
 from flintlatch.config.tables import (
     CONTROL,
@@ -103,7 +103,7 @@
             fall_ms=nodes.fall_ms,
         )
 
-    def parts_alone(self) -> tuple[Part, ...]:
+    def parts_alone(self) -> tuple[LimitAllocation, ...]:
         """Of each shared limit what one instance may use while nobody says anything."""
         classes = [row.name for row in self.classes]
         tenants = [row.name for row in self.tenants]
@@ -112,7 +112,7 @@
             part = row.alone(self.terms) / self.fleet.instances
             cls = classes.index(row.cls) if row.cls else -1
             tenant = tenants.index(row.tenant) if row.tenant else -1
-            parts.append(Part(row.name, cls, tenant, part, row.burst * part / row.per_s))
+            parts.append(LimitAllocation(row.name, cls, tenant, part, row.burst * part / row.per_s))
         return tuple(parts)
 
     def wire(self) -> Wire:
--- a/flintlatch/fleet/heard.py
+++ b/flintlatch/fleet/heard.py
@@ -11,7 +11,7 @@
 from math import inf
 from typing import Any
 
-from flintlatch.api import Event, Part, Proxies, Shun
+from flintlatch.api import Event, LimitAllocation, Proxies, Shun
 
 
 class Heard:
@@ -19,7 +19,7 @@
         self,
         number: int,
         alone: Proxies,
-        limits: Iterable[Part],
+        limits: Iterable[LimitAllocation],
         clock: Callable[[], float],
         log: Callable[[str], None],
     ) -> None:
@@ -30,8 +30,8 @@
         self.lone = True
         self.life = -1  # of the module that was told
         self.fixed = {part.limit: part for part in limits}
-        self.lent: dict[str, tuple[Part, float, list[int]]] = {}  # what, until, which grant
-        self.told: dict[str, Part] = {}
+        self.lent: dict[str, tuple[LimitAllocation, float, list[int]]] = {}  # what, until, which grant
+        self.told: dict[str, LimitAllocation] = {}
         self.follows: dict[str, list[int]] = {}  # grants that the module goes by, by limit
         self.next_end, self.news = 0.0, True
         self.shunned: set[str] = set()  # as the module was told
--- a/tests/limits/test_cores.py
+++ b/tests/limits/test_cores.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from flintlatch.api import Part, Proxies, Refuse
+from flintlatch.api import LimitAllocation, Proxies, Refuse
 from flintlatch.fleet.heard import Heard
 from flintlatch.lab.explore import Broken, explore, wander
 from flintlatch.limits.api import Keeper, Limit, Malformed, Seat, Split, Terms, Vote, WhenCut, fair, over_s
@@ -208,7 +208,7 @@
     assert split.deal(0.3, 10.0, {"a": 0.0, "b": 10.0})["b"] == pytest.approx(10.0)
 
 
-LIMIT = Part("l", -1, -1, 5.0, 1.0)
+LIMIT = LimitAllocation("l", -1, -1, 5.0, 1.0)
 
 
 def heard(now: list[float], said: list[str] | None = None) -> Heard:
@@ -239,7 +239,7 @@
 
 def test_the_module_takes_no_more_than_its_part_and_says_when_there_is_room() -> None:
     driver = Driver(module_settings(retry_after=True, max_retry_after_ms=60_000.0), *fleet(10))
-    driver.step(Part("l", 0, -1, 10.0, 2.0))
+    driver.step(LimitAllocation("l", 0, -1, 10.0, 2.0))
     taken, waits, began = 0, [], driver.now
     for _ in range(500):  # 5 s at 100 a second
         request = driver.arrive()
@@ -252,8 +252,8 @@
     assert 10 * span - 2 <= taken <= 10 * span + 2
     assert len(waits) + taken == 500 and all(0 < wait <= 100.0 for wait in waits)  # the next whole one
     assert driver.balancer.buckets["l"].asked == 500
-    driver.step(Part("l", 0, -1, 0.0, 0.0))
+    driver.step(LimitAllocation("l", 0, -1, 0.0, 0.0))
     driver.beats(5000)
     assert driver.arrive() not in driver.sends  # nothing is kept beyond the new burst
-    driver.step(Part("l", 0, 3, 0.0, 0.0))
+    driver.step(LimitAllocation("l", 0, 3, 0.0, 0.0))
     assert driver.arrive() in driver.sends  # another tenant's limit is none of this one's
