--- a/bench/verdicts.py
+++ b/bench/verdicts.py
@@ -24,7 +24,7 @@
 import uvloop
 
 from bench.many import BEAT_MS, LIST_MS, PURCHASES, WORK_MS, World
-from flintlatch.api import Event, Shun
+from flintlatch.api import Event, Ejection
 from flintlatch.standin.fleets import fleets
 from flintlatch.standin.rig import MIX
 from flintlatch.verdicts.api import Rules, judge
@@ -71,8 +71,8 @@
                 wrong |= found.out.keys() - {server.name for server in struck}
                 for n in range(proxies):
                     wanted = set(found.shuns(f"p{n}", fleets_[f"p{n}"]))
-                    events: list[Event] = [Shun(name, 0.0) for name in shunned[n] - wanted]
-                    events += [Shun(name, HOLDS_MS) for name in wanted]
+                    events: list[Event] = [Ejection(name, 0.0) for name in shunned[n] - wanted]
+                    events += [Ejection(name, HOLDS_MS) for name in wanted]
                     shunned[n] = wanted
                     if events:
                         world.step(n, events)
--- a/flintlatch/api.py
+++ b/flintlatch/api.py
@@ -228,7 +228,7 @@
     burst: float  # that may come at once
 
 
-class Shun(NamedTuple):
+class Ejection(NamedTuple):
     """Others find this server bad, and some of them go on trying it: leave it to them for so long, unless it
     answers us."""
 
@@ -248,7 +248,7 @@
 
 Event = (
     Arrival | Outcome | StreamStarted | BodyCame | BodySent | BodyGone | ClientGone | ServerList
-    | ServiceMoved | Proxies | LimitAllocation | Shun | ProbeResult | TimerFired
+    | ServiceMoved | Proxies | LimitAllocation | Ejection | ProbeResult | TimerFired
 )  # fmt: skip
 
 # Actions
--- a/flintlatch/choice.py
+++ b/flintlatch/choice.py
@@ -21,7 +21,7 @@
 from flintlatch.api import (
     NEVER_RAN, Action, Arrival, BodyCame, BodyGone, BodySent, Cancel, ClientGone, Effect, Event, Fail, Limit,
     ListKind, Log, Outcome, LimitAllocation, Proxies, Refuse, RequestClass, Result, Scope, Send, ServerInfo, ServerList,
-    ServerState, ServiceMoved, SetTimer, Settings, Shun, StreamStarted, TimerFired, Watch,
+    ServerState, ServiceMoved, SetTimer, Settings, Ejection, StreamStarted, TimerFired, Watch,
 )  # fmt: skip
 
 BEAT_MS = 25.0  # ms between housekeeping rounds: expiry and recovery need no finer grain
@@ -351,7 +351,7 @@
                 self.on_proxies(now, event)
             elif isinstance(event, LimitAllocation):
                 self.on_part(now, event)
-            elif isinstance(event, Shun):
+            elif isinstance(event, Ejection):
                 self.on_shun(now, event)
             elif isinstance(event, StreamStarted):
                 self.on_stream(now, event)
@@ -434,7 +434,7 @@
             if not (self.many and self.to_cold(now, request)):
                 self.hold(request, False)
 
-    def on_shun(self, now: float, event: Shun) -> None:
+    def on_shun(self, now: float, event: Ejection) -> None:
         """What others saw is less than what we see: one that answered us a moment ago is used on. One that is
         back from it begins with one request on trial, as from a rest."""
         server = self.servers.get(event.server)
--- a/flintlatch/fleet/heard.py
+++ b/flintlatch/fleet/heard.py
@@ -11,7 +11,7 @@
 from math import inf
 from typing import Any
 
-from flintlatch.api import Event, LimitAllocation, Proxies, Shun
+from flintlatch.api import Event, LimitAllocation, Proxies, Ejection
 
 
 class Heard:
@@ -85,9 +85,9 @@
         self.shun_news = False
         left = max(until - now, 0.0) * 1000
         wanted = servers if left else set()
-        ended = [Shun(server, 0.0) for server in sorted(self.shunned - wanted)]
+        ended = [Ejection(server, 0.0) for server in sorted(self.shunned - wanted)]
         self.shunned = set(wanted)
-        return [*ended, *(Shun(server, left) for server in sorted(wanted))]
+        return [*ended, *(Ejection(server, left) for server in sorted(wanted))]
 
     def _parts(self, now: float) -> list[Event]:
         self.news, self.next_end = False, inf
--- a/tests/verdicts/test_core.py
+++ b/tests/verdicts/test_core.py
@@ -5,7 +5,7 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from flintlatch.api import Proxies, Result, Shun
+from flintlatch.api import Proxies, Result, Ejection
 from flintlatch.fleet.heard import Heard
 from flintlatch.verdicts.api import Rules, judge
 from flintlatch.verdicts.core import EACH_MOST
@@ -94,12 +94,12 @@
 def test_the_module_leaves_a_shunned_server_unless_it_answered_and_begins_with_one_on_trial() -> None:
     driver = Driver(module_settings(), *fleet(2))
     first, second = "10.0.0.0:80", "10.0.0.1:80"
-    driver.step(Shun(first, 2000.0))
+    driver.step(Ejection(first, 2000.0))
     for _ in range(20):
         request = driver.arrive()
         assert driver.sends[request] == [second]
         driver.end(request)
-    driver.step(Shun(second, 60_000.0))  # it has just answered: what we see is more
+    driver.step(Ejection(second, 60_000.0))  # it has just answered: what we see is more
     assert driver.sends[driver.arrive()] == [second]
     driver.beats(3000)
     asked = [driver.arrive() for _ in range(6)]
@@ -111,7 +111,7 @@
 
 def test_what_failed_us_is_evidence_until_it_answers_and_what_others_say_is_none() -> None:
     driver = Driver(module_settings(), *fleet(4))
-    driver.step(Shun("10.0.0.3:80", 5000.0))
+    driver.step(Ejection("10.0.0.3:80", 5000.0))
     assert not driver.balancer.found_bad(driver.now)
     request = driver.arrive()
     bad = driver.sends[request][0]
@@ -126,10 +126,10 @@
     now = [0.0]
     core = Heard(0, Proxies(1, 0), (), lambda: now[0], lambda text: None)
     core.on_word({"about": "shun", "value": ["s1", "s2"], "accused": [], "until": 2.0})
-    assert core.due(0) == [Shun("s1", 2000.0), Shun("s2", 2000.0)]
+    assert core.due(0) == [Ejection("s1", 2000.0), Ejection("s2", 2000.0)]
     core.on_word({"about": "shun", "value": ["s2"], "accused": ["s2"], "until": 2.5})
-    assert core.due(0) == [Shun("s1", 0.0), Shun("s2", 2500.0)]
-    assert core.due(1) == [Shun("s2", 2500.0)]  # a module that took over
+    assert core.due(0) == [Ejection("s1", 0.0), Ejection("s2", 2500.0)]
+    assert core.due(1) == [Ejection("s2", 2500.0)]  # a module that took over
     now[0] = 3.0
     assert core.due(1) == [] and not core.shunned
     core.on_word({"about": "shun", "value": ["s1"], "accused": [], "until": 2.9})  # old, from a buffer
