--- a/flintlatch/api.py
+++ b/flintlatch/api.py
@@ -211,7 +211,7 @@
     """Lists come from another service from now on, which has not been asked yet."""
 
 
-class Proxies(NamedTuple):
+class TierMembership(NamedTuple):
     """How many instances of this tier there are now, and which of them this one is."""
 
     proxies: int
@@ -248,7 +248,7 @@
 
 Event = (
     Arrival | Outcome | StreamStarted | BodyCame | BodySent | BodyGone | ClientGone | ServerList
-    | ServiceMoved | Proxies | LimitAllocation | Ejection | ProbeResult | TimerFired
+    | ServiceMoved | TierMembership | LimitAllocation | Ejection | ProbeResult | TimerFired
 )  # fmt: skip
 
 # Actions
--- a/flintlatch/choice.py
+++ b/flintlatch/choice.py
@@ -20,7 +20,7 @@
 
 from flintlatch.api import (
     NEVER_RAN, Action, Arrival, BodyCame, BodyGone, BodySent, Cancel, ClientGone, Effect, Event, Fail, Limit,
-    ListKind, Log, Outcome, LimitAllocation, Proxies, Refuse, RequestClass, Result, Scope, Send, ServerInfo, ServerList,
+    ListKind, Log, Outcome, LimitAllocation, TierMembership, Refuse, RequestClass, Result, Scope, Send, ServerInfo, ServerList,
     ServerState, ServiceMoved, SetTimer, Settings, Ejection, StreamStarted, TimerFired, Watch,
 )  # fmt: skip
 
@@ -347,7 +347,7 @@
                 self.on_list(now, event)
             elif isinstance(event, ServiceMoved):
                 self.on_moved(now)
-            elif isinstance(event, Proxies):
+            elif isinstance(event, TierMembership):
                 self.on_proxies(now, event)
             elif isinstance(event, LimitAllocation):
                 self.on_part(now, event)
@@ -875,7 +875,7 @@
         span = min(ASK_TURN_MS * proxies, ASK_SPAN_MS, self.settings.must_ask_ms / 2)
         return span * (me % proxies + self.rng.random()) / proxies
 
-    def on_proxies(self, now: float, event: Proxies) -> None:
+    def on_proxies(self, now: float, event: TierMembership) -> None:
         """Others have come or gone: what is a part of something that all share becomes another part of it.
         Nothing that was learned is forgotten."""
         before = self.settings
--- a/flintlatch/fleet/heard.py
+++ b/flintlatch/fleet/heard.py
@@ -11,14 +11,14 @@
 from math import inf
 from typing import Any
 
-from flintlatch.api import Event, LimitAllocation, Proxies, Ejection
+from flintlatch.api import Event, LimitAllocation, TierMembership, Ejection
 
 
 class Heard:
     def __init__(
         self,
         number: int,
-        alone: Proxies,
+        alone: TierMembership,
         limits: Iterable[LimitAllocation],
         clock: Callable[[], float],
         log: Callable[[str], None],
@@ -43,7 +43,7 @@
         """Raises KeyError, TypeError or ValueError for what is no word. One about something else is left."""
         if word["about"] == "proxies":
             proxies, first = map(int, word["value"])
-            self.place = Proxies(max(proxies, 1), max(first, 0) + self.number)
+            self.place = TierMembership(max(proxies, 1), max(first, 0) + self.number)
             self.until = float(word["until"])
         elif word["about"] == "shun":
             self.shun = set(map(str, word["value"])), float(word["until"])
--- a/flintlatch/fleet/worker.py
+++ b/flintlatch/fleet/worker.py
@@ -19,7 +19,7 @@
 
 import uvloop
 
-from flintlatch.api import Proxies
+from flintlatch.api import TierMembership
 from flintlatch.config import Config, Unusable, parse
 from flintlatch.fleet.channel import Channel, Message, open_channel
 from flintlatch.fleet.spread import REST_S, Spread
@@ -161,7 +161,7 @@
             from flintlatch.fleet.heard import Heard  # only where it is wanted
             from flintlatch.peers.clock import clock
 
-            place = Proxies(settings.proxies, settings.me)
+            place = TierMembership(settings.proxies, settings.me)
             self.heard = Heard(number, place, self.config.parts_alone(), clock, log)
             for word in message.get("words", ()):
                 self.heard.on_word(word)
--- a/flintlatch/net/engine.py
+++ b/flintlatch/net/engine.py
@@ -22,7 +22,7 @@
     Outcome,
     Probe,
     ProbeResult,
-    Proxies,
+    TierMembership,
     Refuse,
     Result,
     Send,
@@ -269,7 +269,7 @@
         if self.agreed is not None and (words := self.agreed(self.life)):
             batch = [*words, *batch]
             for word in words:
-                if isinstance(word, Proxies):  # a module that takes over after a fault begins there
+                if isinstance(word, TierMembership):  # a module that takes over after a fault begins there
                     self.settings = replace(self.settings, proxies=max(word.proxies, 1), me=word.me)
         self.news, self.events = [], []
         ended, self.ended = self.ended, []
--- a/tests/limits/test_cores.py
+++ b/tests/limits/test_cores.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from flintlatch.api import LimitAllocation, Proxies, Refuse
+from flintlatch.api import LimitAllocation, TierMembership, Refuse
 from flintlatch.fleet.heard import Heard
 from flintlatch.lab.explore import Broken, explore, wander
 from flintlatch.limits.api import Keeper, Limit, Malformed, Seat, Split, Terms, Vote, WhenCut, fair, over_s
@@ -212,7 +212,7 @@
 
 
 def heard(now: list[float], said: list[str] | None = None) -> Heard:
-    return Heard(1, Proxies(2, 1), (LIMIT,), lambda: now[0], (said if said is not None else []).append)
+    return Heard(1, TierMembership(2, 1), (LIMIT,), lambda: now[0], (said if said is not None else []).append)
 
 
 def test_an_instance_goes_by_a_word_until_its_end_and_then_by_what_it_knows_alone() -> None:
@@ -222,13 +222,13 @@
     core.on_word({"about": "proxies", "value": [9, 4], "until": 3.0})
     core.on_word({"about": "limit", "limit": "l", "value": [50.0, 7.0, 1, 4], "until": 2.0})
     lent = LIMIT._replace(per_s=50.0, burst=7.0)
-    assert core.due(0) == [lent, Proxies(9, 5)] and core.follows == {"l": [1, 4]}
+    assert core.due(0) == [lent, TierMembership(9, 5)] and core.follows == {"l": [1, 4]}
     assert core.due(0) == []
     assert core.due(1) == [lent]  # a module that took over after a fault
     now[0] = 2.0
     assert core.due(1) == [LIMIT] and core.follows == {"l": []}
     now[0] = 3.0
-    assert core.due(1) == [Proxies(2, 1)] and len(said) == 1
+    assert core.due(1) == [TierMembership(2, 1)] and len(said) == 1
     core.on_word(
         {"about": "limit", "limit": "l", "value": [50.0, 7.0, 1, 5], "until": 2.5}
     )  # old, from a buffer
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -11,7 +11,7 @@
 
 from flintlatch.api import (
     ListKind,
-    Proxies,
+    TierMembership,
     RequestClass,
     Result,
     ServerInfo,
@@ -702,7 +702,7 @@
         driver.end(driver.arrive(), after=20.0)
         driver.beat()
     before = {s.id: (s.limit, s.latency, s.payoff) for s in driver.balancer.servers.values()}
-    driver.step(Proxies(20, 7))
+    driver.step(TierMembership(20, 7))
     for server in driver.balancer.servers.values():
         limit, latency, payoff = before[server.id]
         assert server.limit == pytest.approx(limit / 10) and (server.latency, server.payoff) == (
@@ -710,7 +710,7 @@
             payoff,
         )
     assert driver.balancer.many and driver.balancer.settings.me == 7
-    driver.step(Proxies(2, 0))
+    driver.step(TierMembership(2, 0))
     for server in driver.balancer.servers.values():
         assert server.limit == pytest.approx(before[server.id][0])
     assert not driver.balancer.many
