--- a/flintlatch/api.py
+++ b/flintlatch/api.py
@@ -179,7 +179,7 @@
     result: Result = Result.OK  # as far as the head tells: OK, ERROR or INVALID
 
 
-class BodyCame(NamedTuple):
+class BodyReceived(NamedTuple):
     """The request's body is here whole."""
 
     request: str
@@ -247,7 +247,7 @@
 
 
 Event = (
-    Arrival | Outcome | StreamStarted | BodyCame | BodySent | BodyGone | ClientGone | ServerList
+    Arrival | Outcome | StreamStarted | BodyReceived | BodySent | BodyGone | ClientGone | ServerList
     | ServiceMoved | TierMembership | LimitAllocation | Ejection | ProbeResult | TimerFired
 )  # fmt: skip
 
--- a/flintlatch/net/relay.py
+++ b/flintlatch/net/relay.py
@@ -9,7 +9,7 @@
 from flintlatch.api import (
     NEVER_RAN,
     Action,
-    BodyCame,
+    BodyReceived,
     BodyGone,
     BodySent,
     ClientGone,
@@ -134,7 +134,7 @@
             raise AssertionError(f"{ask.id} was opened, and is taken")
 
     def body_came(self, exchange: Exchange) -> None:
-        self._raise(BodyCame(exchange.ask.id))
+        self._raise(BodyReceived(exchange.ask.id))
         held = self.requests.get(exchange.ask.id)
         if held is not None and not held.over:
             self._deadline_in(held, exchange.ask.budget_ms)
--- a/tests/test_transfers.py
+++ b/tests/test_transfers.py
@@ -9,7 +9,7 @@
 from flintlatch.api import (
     Action,
     Arrival,
-    BodyCame,
+    BodyReceived,
     BodySent,
     Effect,
     Fail,
@@ -87,7 +87,7 @@
     server = only(driver.balancer)
     assert all(name in driver.sends for name in names)
     assert (server.inflight, server.transfers, server.transfer_bytes) == (0, 20, 2000)
-    driver.step(BodyCame(names[0]), after=10_000.0)
+    driver.step(BodyReceived(names[0]), after=10_000.0)
     limits = of(Limit, driver.step(BodySent(names[0], 0), after=5.0))
     # The aim runs from here, and the hour that the upload had is over.
     assert [(limit.request, 1900 < limit.limit_ms <= 2000) for limit in limits] == [(names[0], True)]
@@ -114,7 +114,7 @@
 def test_whole_when_it_is_sent_an_upload_is_work_at_once() -> None:
     driver = Driver(settings(SAFE), *fleet(1))
     first = upload(driver)
-    driver.step(BodyCame(first))
+    driver.step(BodyReceived(first))
     driver.step(Outcome(first, 0, Result.CONNECT_FAILED, 5.0, False), after=5.0)
     server = only(driver.balancer)
     assert len(driver.sends[first]) == 2 and (server.inflight, server.transfers) == (1, 0)
