--- a/flintlatch/api.py
+++ b/flintlatch/api.py
@@ -192,7 +192,7 @@
     attempt: int
 
 
-class BodyGone(NamedTuple):
+class BodyDiscarded(NamedTuple):
     """A part of the request's body is no longer held: no attempt may follow the one that has it."""
 
     request: str
@@ -247,7 +247,7 @@
 
 
 Event = (
-    Arrival | Outcome | StreamStarted | BodyReceived | BodySent | BodyGone | ClientGone | ServerList
+    Arrival | Outcome | StreamStarted | BodyReceived | BodySent | BodyDiscarded | ClientGone | ServerList
     | ServiceMoved | TierMembership | LimitAllocation | Ejection | ProbeResult | TimerFired
 )  # fmt: skip
 
--- a/flintlatch/choice.py
+++ b/flintlatch/choice.py
@@ -19,7 +19,7 @@
 from zlib import crc32
 
 from flintlatch.api import (
-    NEVER_RAN, Action, Arrival, BodyReceived, BodyGone, BodySent, Cancel, ClientGone, Effect, Event, Fail, Limit,
+    NEVER_RAN, Action, Arrival, BodyReceived, BodyDiscarded, BodySent, Cancel, ClientGone, Effect, Event, Fail, Limit,
     ListKind, Log, Outcome, LimitAllocation, TierMembership, Refuse, RequestClass, Result, Scope, Send, ServerInfo, ServerList,
     ServerState, ServiceMoved, SetTimer, Settings, Ejection, StreamStarted, TimerFired, Watch,
 )  # fmt: skip
@@ -359,7 +359,7 @@
                 self.on_body_sent(now, event)
             elif isinstance(event, BodyReceived) and (request := self.requests.get(event.request)) is not None:
                 request.uploading = False
-            elif isinstance(event, BodyGone) and (request := self.requests.get(event.request)) is not None:
+            elif isinstance(event, BodyDiscarded) and (request := self.requests.get(event.request)) is not None:
                 request.sealed = True
         if self.bound:
             self.send_bound(now)
--- a/flintlatch/net/relay.py
+++ b/flintlatch/net/relay.py
@@ -10,7 +10,7 @@
     NEVER_RAN,
     Action,
     BodyReceived,
-    BodyGone,
+    BodyDiscarded,
     BodySent,
     ClientGone,
     Limit,
@@ -140,7 +140,7 @@
             self._deadline_in(held, exchange.ask.budget_ms)
 
     def body_gone(self, exchange: Exchange) -> None:
-        self._raise(BodyGone(exchange.ask.id))
+        self._raise(BodyDiscarded(exchange.ask.id))
 
     def body_sent(self, exchange: Exchange, node: NodeSide) -> None:
         found = self._attempt_of(exchange, node)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -7,7 +7,7 @@
 import pytest
 
 from flintlatch.api import (
-    BodyGone,
+    BodyDiscarded,
     Cancel,
     ClientGone,
     Effect,
@@ -142,7 +142,7 @@
         driver = Driver(settings(spec), *fleet(3))
         request = driver.arrive()
         if gone:
-            driver.step(BodyGone(request))
+            driver.step(BodyDiscarded(request))
         actions = driver.end(request, result)
         assert len(of(Send, actions)) == (not gone)
         assert bool(of(Fail, actions) + of(Refuse, actions)) is gone
