--- a/flintlatch/api.py
+++ b/flintlatch/api.py
@@ -185,7 +185,7 @@
     request: str
 
 
-class BodySent(NamedTuple):
+class BodyForwarded(NamedTuple):
     """The server of this attempt has the whole request, which was still on the way when it was sent."""
 
     request: str
@@ -247,7 +247,7 @@
 
 
 Event = (
-    Arrival | Outcome | StreamStarted | BodyReceived | BodySent | BodyDiscarded | ClientGone | ServerList
+    Arrival | Outcome | StreamStarted | BodyReceived | BodyForwarded | BodyDiscarded | ClientGone | ServerList
     | ServiceMoved | TierMembership | LimitAllocation | Ejection | ProbeResult | TimerFired
 )  # fmt: skip
 
--- a/flintlatch/choice.py
+++ b/flintlatch/choice.py
@@ -19,7 +19,7 @@
 from zlib import crc32
 
 from flintlatch.api import (
-    NEVER_RAN, Action, Arrival, BodyReceived, BodyDiscarded, BodySent, Cancel, ClientGone, Effect, Event, Fail, Limit,
+    NEVER_RAN, Action, Arrival, BodyReceived, BodyDiscarded, BodyForwarded, Cancel, ClientGone, Effect, Event, Fail, Limit,
     ListKind, Log, Outcome, LimitAllocation, TierMembership, Refuse, RequestClass, Result, Scope, Send, ServerInfo, ServerList,
     ServerState, ServiceMoved, SetTimer, Settings, Ejection, StreamStarted, TimerFired, Watch,
 )  # fmt: skip
@@ -355,7 +355,7 @@
                 self.on_shun(now, event)
             elif isinstance(event, StreamStarted):
                 self.on_stream(now, event)
-            elif isinstance(event, BodySent):
+            elif isinstance(event, BodyForwarded):
                 self.on_body_sent(now, event)
             elif isinstance(event, BodyReceived) and (request := self.requests.get(event.request)) is not None:
                 request.uploading = False
@@ -766,7 +766,7 @@
             return None
         return request, request.attempts[number]
 
-    def on_body_sent(self, now: float, event: BodySent) -> None:
+    def on_body_sent(self, now: float, event: BodyForwarded) -> None:
         """The server's work begins, and the time for it. It has a place whether or not there is one left."""
         found = self.open_attempt(event.request, event.attempt)
         if found is None or found[1].whole_at < inf:
--- a/flintlatch/net/relay.py
+++ b/flintlatch/net/relay.py
@@ -11,7 +11,7 @@
     Action,
     BodyReceived,
     BodyDiscarded,
-    BodySent,
+    BodyForwarded,
     ClientGone,
     Limit,
     Outcome,
@@ -149,7 +149,7 @@
             attempt.whole_ms = now_ms()
             if not held.over:
                 self._deadline_in(held, exchange.ask.budget_ms)
-            self._raise(BodySent(exchange.ask.id, number))
+            self._raise(BodyForwarded(exchange.ask.id, number))
 
     def begun(self, exchange: Exchange, node: NodeSide, head: Response) -> None:
         """The deadline has been met, and time is the transfer's from here on."""
