--- a/flintlatch/adapter.py
+++ b/flintlatch/adapter.py
@@ -12,7 +12,7 @@
     Action,
     Arrival,
     Cancel,
-    ClientGone,
+    ClientDisconnected,
     Event,
     Fail,
     ListKind,
@@ -91,7 +91,7 @@
 
 
 def read_gone(raw: Message, _: int) -> Event:
-    return ClientGone(text(raw["Call"], "Call"))
+    return ClientDisconnected(text(raw["Call"], "Call"))
 
 
 def read_entry(raw: Message) -> ServerInfo:
--- a/flintlatch/api.py
+++ b/flintlatch/api.py
@@ -198,7 +198,7 @@
     request: str
 
 
-class ClientGone(NamedTuple):
+class ClientDisconnected(NamedTuple):
     request: str
 
 
@@ -247,7 +247,7 @@
 
 
 Event = (
-    Arrival | Outcome | StreamStarted | BodyReceived | BodyForwarded | BodyDiscarded | ClientGone | ServerList
+    Arrival | Outcome | StreamStarted | BodyReceived | BodyForwarded | BodyDiscarded | ClientDisconnected | ServerList
     | ServiceMoved | TierMembership | LimitAllocation | Ejection | ProbeResult | TimerFired
 )  # fmt: skip
 
--- a/flintlatch/choice.py
+++ b/flintlatch/choice.py
@@ -19,7 +19,7 @@
 from zlib import crc32
 
 from flintlatch.api import (
-    NEVER_RAN, Action, Arrival, BodyReceived, BodyDiscarded, BodyForwarded, Cancel, ClientGone, Effect, Event, Fail, Limit,
+    NEVER_RAN, Action, Arrival, BodyReceived, BodyDiscarded, BodyForwarded, Cancel, ClientDisconnected, Effect, Event, Fail, Limit,
     ListKind, Log, Outcome, LimitAllocation, TierMembership, Refuse, RequestClass, Result, Scope, Send, ServerInfo, ServerList,
     ServerState, ServiceMoved, SetTimer, Settings, Ejection, StreamStarted, TimerFired, Watch,
 )  # fmt: skip
@@ -341,7 +341,7 @@
                 self.on_outcome(now, event)
             elif isinstance(event, TimerFired):
                 self.on_beat(now)
-            elif isinstance(event, ClientGone):
+            elif isinstance(event, ClientDisconnected):
                 self.on_client_gone(event)
             elif isinstance(event, ServerList):
                 self.on_list(now, event)
@@ -752,7 +752,7 @@
         if request.open == 0:
             del self.requests[request.id]
 
-    def on_client_gone(self, event: ClientGone) -> None:
+    def on_client_gone(self, event: ClientDisconnected) -> None:
         if (request := self.requests.get(event.request)) is None:
             return
         self.turned_away = min(self.turned_away + AWAY_EACH, AWAY_MOST)
--- a/flintlatch/net/engine.py
+++ b/flintlatch/net/engine.py
@@ -14,7 +14,7 @@
     Action,
     Arrival,
     Cancel,
-    ClientGone,
+    ClientDisconnected,
     Event,
     Fail,
     ListKind,
@@ -212,13 +212,13 @@
         if held is None or held.over:
             return
         self._close(held)
-        self._raise(ClientGone(request_id))
+        self._raise(ClientDisconnected(request_id))
 
     def _deadline(self, held: Held) -> None:
         """The module let the client's time run out; the client gets its one answer all the same."""
         if not held.over:
             self._answer(held, Answer(504))
-            self._raise(ClientGone(held.taken.id))
+            self._raise(ClientDisconnected(held.taken.id))
 
     def give_up_all(self) -> None:
         """The proxy ends: whatever has no answer yet gets its final one now."""
--- a/flintlatch/net/relay.py
+++ b/flintlatch/net/relay.py
@@ -12,7 +12,7 @@
     BodyReceived,
     BodyDiscarded,
     BodyForwarded,
-    ClientGone,
+    ClientDisconnected,
     Limit,
     Outcome,
     Result,
@@ -217,7 +217,7 @@
         if held.over:
             return
         unsent = all(attempt.result in NEVER_RAN for attempt in held.attempts)
-        self._raise(ClientGone(held.taken.id))
+        self._raise(ClientDisconnected(held.taken.id))
         self._answer(held, Answer(503, retry_after_ms=RETRY_MS) if unsent else Answer(504))
 
     def _tick(self) -> None:
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -12,7 +12,7 @@
     Action,
     Arrival,
     Cancel,
-    ClientGone,
+    ClientDisconnected,
     Fail,
     ListKind,
     Log,
@@ -120,7 +120,7 @@
             plain = await client.ask(x_call_id="p")
             assert plain.status == 503 and "retry-after" not in plain.headers
             assert (await client.ask(x_call_id="f")).status == 504
-            assert p.backends[0].connections == 0 and not events(ClientGone)
+            assert p.backends[0].connections == 0 and not events(ClientDisconnected)
 
     run(test())
 
@@ -130,7 +130,7 @@
         async with proxy() as p:
             client = await p.client()
             assert (await client.ask(x_budget_ms="30")).status == 504
-            await until(lambda: events(ClientGone))
+            await until(lambda: events(ClientDisconnected))
 
     run(test())
 
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -12,7 +12,7 @@
     Action,
     Arrival,
     Cancel,
-    ClientGone,
+    ClientDisconnected,
     Effect,
     Event,
     Fail,
@@ -222,7 +222,7 @@
             if what == "leave":
                 if not request.over:
                     request.over = True
-                    oracle.step([ClientGone(name)] * (2 if b else 1))
+                    oracle.step([ClientDisconnected(name)] * (2 if b else 1))
                 continue
             assert isinstance(b, Result)
             waiting = [n for n, x in enumerate(request.attempts) if x.result is None]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -9,7 +9,7 @@
 from flintlatch.api import (
     BodyDiscarded,
     Cancel,
-    ClientGone,
+    ClientDisconnected,
     Effect,
     Fail,
     ListKind,
@@ -62,21 +62,21 @@
 def test_a_client_gone_in_the_same_batch_as_the_end_is_passed_over() -> None:
     driver = Driver(settings(), *fleet(1))
     request = driver.arrive()
-    actions = driver.step(Outcome(request, 0, Result.OK, 9.0, True), ClientGone(request))
+    actions = driver.step(Outcome(request, 0, Result.OK, 9.0, True), ClientDisconnected(request))
     assert not of(Fail, actions) and not of(Cancel, actions)
 
 
 def test_nothing_is_sent_for_a_held_request_whose_client_left() -> None:
     driver = Driver(settings(proxies=4), *fleet(1))
     first, held = driver.arrive(), driver.arrive()
-    assert not of(Send, driver.step(ClientGone(held), Outcome(first, 0, Result.OK, 5.0, True)))
+    assert not of(Send, driver.step(ClientDisconnected(held), Outcome(first, 0, Result.OK, 5.0, True)))
 
 
 def test_attempts_of_a_client_that_left_are_cancelled_where_permitted() -> None:
     for allowed in (True, False):
         driver = Driver(settings(may_cancel=allowed), *fleet(1))
         request = driver.arrive()
-        assert bool(of(Cancel, driver.step(ClientGone(request)))) is allowed
+        assert bool(of(Cancel, driver.step(ClientDisconnected(request)))) is allowed
 
 
 def test_a_started_stream_is_left_alone() -> None:
--- a/tests/test_second_copies.py
+++ b/tests/test_second_copies.py
@@ -11,7 +11,7 @@
     NEVER_RAN,
     Action,
     Cancel,
-    ClientGone,
+    ClientDisconnected,
     Effect,
     Fail,
     Outcome,
@@ -167,7 +167,7 @@
     driver = copying()
     request = driver.arrive()
     driver.beats(225)
-    actions = driver.step(ClientGone(request))
+    actions = driver.step(ClientDisconnected(request))
     assert of(Cancel, actions) == [Cancel(request, 0), Cancel(request, 1)]
     for number in (0, 1):
         driver.step(Outcome(request, number, Result.CANCELLED, 200.0, True))
