--- a/flintlatch/api.py
+++ b/flintlatch/api.py
@@ -207,7 +207,7 @@
     entries: tuple[ServerInfo, ...] = ()
 
 
-class ServiceMoved(NamedTuple):
+class DiscoveryServiceChanged(NamedTuple):
     """Lists come from another service from now on, which has not been asked yet."""
 
 
@@ -248,7 +248,7 @@
 
 Event = (
     Arrival | Outcome | StreamStarted | BodyReceived | BodyForwarded | BodyDiscarded | ClientDisconnected | ServerList
-    | ServiceMoved | TierMembership | LimitAllocation | Ejection | ProbeResult | TimerFired
+    | DiscoveryServiceChanged | TierMembership | LimitAllocation | Ejection | ProbeResult | TimerFired
 )  # fmt: skip
 
 # Actions
--- a/flintlatch/choice.py
+++ b/flintlatch/choice.py
@@ -21,7 +21,7 @@
 from flintlatch.api import (
     NEVER_RAN, Action, Arrival, BodyReceived, BodyDiscarded, BodyForwarded, Cancel, ClientDisconnected, Effect, Event, Fail, Limit,
     ListKind, Log, Outcome, LimitAllocation, TierMembership, Refuse, RequestClass, Result, Scope, Send, ServerInfo, ServerList,
-    ServerState, ServiceMoved, SetTimer, Settings, Ejection, StreamStarted, TimerFired, Watch,
+    ServerState, DiscoveryServiceChanged, SetTimer, Settings, Ejection, StreamStarted, TimerFired, Watch,
 )  # fmt: skip
 
 BEAT_MS = 25.0  # ms between housekeeping rounds: expiry and recovery need no finer grain
@@ -345,7 +345,7 @@
                 self.on_client_gone(event)
             elif isinstance(event, ServerList):
                 self.on_list(now, event)
-            elif isinstance(event, ServiceMoved):
+            elif isinstance(event, DiscoveryServiceChanged):
                 self.on_moved(now)
             elif isinstance(event, TierMembership):
                 self.on_proxies(now, event)
--- a/flintlatch/net/engine.py
+++ b/flintlatch/net/engine.py
@@ -27,7 +27,7 @@
     Result,
     Send,
     ServerList,
-    ServiceMoved,
+    DiscoveryServiceChanged,
     SetTimer,
     Settings,
     TimerFired,
@@ -177,7 +177,7 @@
         if self.discovery is not None and self.discovery.move(address):
             log(f"list: now from {address}")
             if self.settings.ask_for_list:
-                self._raise(ServiceMoved())
+                self._raise(DiscoveryServiceChanged())
             else:
                 self.discovery.watch()
 
--- a/tests/test_list_service.py
+++ b/tests/test_list_service.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from flintlatch.api import ListKind, ServerList, ServiceMoved, TimerFired, Watch
+from flintlatch.api import ListKind, ServerList, DiscoveryServiceChanged, TimerFired, Watch
 from tests.support import Driver, fleet, settings
 from tests.test_many import AskedOne
 
@@ -38,7 +38,7 @@
                 driver.now = float(now)
                 events: list[Any] = []
                 if moved and me not in begun:
-                    events.append(ServiceMoved())
+                    events.append(DiscoveryServiceChanged())
                 begun.add(me)
                 for _, caller, found in answers:
                     if caller != me:
@@ -84,4 +84,4 @@
 def test_a_proxy_with_few_others_asks_a_new_service_at_once() -> None:
     driver = Driver(settings(proxies=3, me=2, **ASKED), *fleet(6))
     driver.step(ServerList(ListKind.FULL, tuple(fleet(6))))
-    assert Watch() in driver.step(ServiceMoved())
+    assert Watch() in driver.step(DiscoveryServiceChanged())
--- a/tests/test_notice.py
+++ b/tests/test_notice.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from flintlatch.api import ListKind, ServerList, ServiceMoved, Watch
+from flintlatch.api import ListKind, ServerList, DiscoveryServiceChanged, Watch
 from flintlatch.net.discovery import (
     FIRST_GRACE_MS,
     FIRST_WAIT_MS,
@@ -59,7 +59,7 @@
         driver = asking(proxies, me)
         assert wait(driver) + CALL_MS <= NOTICE_MS
         driver.step(ServerList(ListKind.FULL, tuple(fleet(3))))
-        if not of(Watch, driver.step(ServiceMoved())):
+        if not of(Watch, driver.step(DiscoveryServiceChanged())):
             assert wait(driver) + CALL_MS <= NOTICE_MS
 
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -16,7 +16,7 @@
     Send,
     ServerList,
     ServerState,
-    ServiceMoved,
+    DiscoveryServiceChanged,
     Watch,
 )
 from tests.support import Driver, fleet, of, settings
@@ -112,7 +112,7 @@
     driver = Driver(settings(ask_for_list=True), *fleet(2))
     for _ in range(6):
         driver.step(ServerList(ListKind.FAILED))
-    assert of(Watch, driver.step(ServiceMoved()))
+    assert of(Watch, driver.step(DiscoveryServiceChanged()))
     for _ in range(3):
         driver.step(ServerList(ListKind.FAILED))
         assert of(Watch, driver.beats(250))
