--- a/flintlatch/adapter.py
+++ b/flintlatch/adapter.py
@@ -27,7 +27,7 @@
     ServerList,
     ServerState,
     SetTimer,
-    StreamStarted,
+    ResponseStarted,
     TimerFired,
     Watch,
 )
@@ -87,7 +87,7 @@
 
 def read_started(raw: Message, _: int) -> Event:
     delay = number(raw["DelaySeenMs"], "DelaySeenMs")
-    return StreamStarted(text(raw["Call"], "Call"), whole(raw["Leg"], "Leg"), delay)
+    return ResponseStarted(text(raw["Call"], "Call"), whole(raw["Leg"], "Leg"), delay)
 
 
 def read_gone(raw: Message, _: int) -> Event:
--- a/flintlatch/api.py
+++ b/flintlatch/api.py
@@ -170,7 +170,7 @@
     finished: bool  # the request is over, by this outcome or before it
 
 
-class StreamStarted(NamedTuple):
+class ResponseStarted(NamedTuple):
     """The answer has begun: the server's work on a request that it has whole is over, a transfer follows."""
 
     request: str
@@ -247,7 +247,7 @@
 
 
 Event = (
-    Arrival | Outcome | StreamStarted | BodyReceived | BodyForwarded | BodyDiscarded | ClientDisconnected | ServerList
+    Arrival | Outcome | ResponseStarted | BodyReceived | BodyForwarded | BodyDiscarded | ClientDisconnected | ServerList
     | DiscoveryServiceChanged | TierMembership | LimitAllocation | Ejection | ProbeResult | TimerFired
 )  # fmt: skip
 
--- a/flintlatch/choice.py
+++ b/flintlatch/choice.py
@@ -21,7 +21,7 @@
 from flintlatch.api import (
     NEVER_RAN, Action, Arrival, BodyReceived, BodyDiscarded, BodyForwarded, Cancel, ClientDisconnected, Effect, Event, Fail, Limit,
     ListKind, Log, Outcome, LimitAllocation, TierMembership, Refuse, RequestClass, Result, Scope, Send, ServerInfo, ServerList,
-    ServerState, DiscoveryServiceChanged, SetTimer, Settings, Ejection, StreamStarted, TimerFired, Watch,
+    ServerState, DiscoveryServiceChanged, SetTimer, Settings, Ejection, ResponseStarted, TimerFired, Watch,
 )  # fmt: skip
 
 BEAT_MS = 25.0  # ms between housekeeping rounds: expiry and recovery need no finer grain
@@ -353,7 +353,7 @@
                 self.on_part(now, event)
             elif isinstance(event, Ejection):
                 self.on_shun(now, event)
-            elif isinstance(event, StreamStarted):
+            elif isinstance(event, ResponseStarted):
                 self.on_stream(now, event)
             elif isinstance(event, BodyForwarded):
                 self.on_body_sent(now, event)
@@ -784,7 +784,7 @@
             request.time_from(now, now)
             self.out.append(Limit(request.id, event.attempt, self.limit_ms(now, request)))
 
-    def on_stream(self, now: float, event: StreamStarted) -> None:
+    def on_stream(self, now: float, event: ResponseStarted) -> None:
         found = self.open_attempt(event.request, event.attempt)
         if found is None or found[1].begun:
             return
--- a/flintlatch/net/relay.py
+++ b/flintlatch/net/relay.py
@@ -18,7 +18,7 @@
     Result,
     Send,
     Settings,
-    StreamStarted,
+    ResponseStarted,
 )
 from flintlatch.exchange import Budget, Ending, Exchange, NodeSide, Own, Phase, Response, Terms
 from flintlatch.net.backends import Attempt, Backend, Backends, Connection
@@ -54,7 +54,7 @@
         super().__init__(uid, b"", b"", limit_ms, done, within_ms)
         self.exchange = exchange
         self.whole_ms = self.started if exchange.upload.complete else 0.0  # when its node had all of it
-        self.told: StreamStarted | None = None  # its answer has begun
+        self.told: ResponseStarted | None = None  # its answer has begun
         self.node: NodeSide | None = None  # the connection that has carried it
 
     def wanted(self) -> bool:
@@ -160,7 +160,7 @@
         if attempt.timer is not None:
             attempt.timer.cancel()
         delay = now_ms() - attempt.whole_ms if attempt.whole_ms else 0.0
-        attempt.told = StreamStarted(exchange.ask.id, number, delay, result_of(head))
+        attempt.told = ResponseStarted(exchange.ask.id, number, delay, result_of(head))
         self._raise(attempt.told)
         self._close(held)
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -23,7 +23,7 @@
     ServerInfo,
     ServerList,
     ServerState,
-    StreamStarted,
+    ResponseStarted,
     Watch,
 )
 from tests.support import Driver, fleet, of, settings
@@ -82,7 +82,7 @@
 def test_a_started_stream_is_left_alone() -> None:
     driver = Driver(settings(RequestClass(100.0, 1000.0, stream=True)), *fleet(2))
     request = driver.arrive()
-    driver.step(StreamStarted(request, 0, 5.0))
+    driver.step(ResponseStarted(request, 0, 5.0))
     assert not of(Cancel, driver.beats(500)) and not of(Fail, driver.beats(1000))
 
 
--- a/tests/test_second_copies.py
+++ b/tests/test_second_copies.py
@@ -21,7 +21,7 @@
     Scope,
     Send,
     ServerInfo,
-    StreamStarted,
+    ResponseStarted,
 )
 from tests.support import Driver, of, settings
 
@@ -180,7 +180,7 @@
     driver = copying()
     request = driver.arrive()
     driver.beats(225)
-    actions = driver.step(StreamStarted(request, begun, 200.0, Result.OK))
+    actions = driver.step(ResponseStarted(request, begun, 200.0, Result.OK))
     assert of(Cancel, actions) == [Cancel(request, 1 - begun)]
     actions = driver.step(Outcome(request, 1 - begun, Result.OK, 200.0, True))
     actions += driver.beats(500)
--- a/tests/test_transfers.py
+++ b/tests/test_transfers.py
@@ -19,7 +19,7 @@
     RequestClass,
     Result,
     Send,
-    StreamStarted,
+    ResponseStarted,
 )
 from flintlatch.choice import Balancer, Server
 from tests.support import Driver, fleet, of, settings
@@ -44,7 +44,7 @@
     """One that is sent, and whose answer begins after 5 ms."""
     name = driver.arrive(wait=60_000.0)
     if name in driver.sends:
-        driver.step(StreamStarted(name, 0, 5.0), after=5.0)
+        driver.step(ResponseStarted(name, 0, 5.0), after=5.0)
     return name, driver.last
 
 
