--- a/flintlatch/api.py
+++ b/flintlatch/api.py
@@ -261,7 +261,7 @@
     within_ms: float = inf  # written later than this it must not be: it never ran then
 
 
-class Limit(NamedTuple):
+class SetAttemptTimeout(NamedTuple):
     """The attempt that is out may take so long from now on."""
 
     request: str
@@ -304,4 +304,4 @@
     text: str
 
 
-Action = Send | Limit | Refuse | Fail | Cancel | Probe | Watch | SetTimer | Log
+Action = Send | SetAttemptTimeout | Refuse | Fail | Cancel | Probe | Watch | SetTimer | Log
--- a/flintlatch/choice.py
+++ b/flintlatch/choice.py
@@ -19,7 +19,7 @@
 from zlib import crc32
 
 from flintlatch.api import (
-    NEVER_RAN, Action, Arrival, BodyReceived, BodyDiscarded, BodyForwarded, Cancel, ClientDisconnected, Effect, Event, Fail, Limit,
+    NEVER_RAN, Action, Arrival, BodyReceived, BodyDiscarded, BodyForwarded, Cancel, ClientDisconnected, Effect, Event, Fail, SetAttemptTimeout,
     ListKind, Log, Outcome, LimitAllocation, TierMembership, Refuse, RequestClass, Result, Scope, Send, ServerInfo, ServerList,
     ServerState, DiscoveryServiceChanged, SetTimer, Settings, Ejection, ResponseStarted, TimerFired, Watch,
 )  # fmt: skip
@@ -782,7 +782,7 @@
             self.enter(request, attempt)
         if not request.over:
             request.time_from(now, now)
-            self.out.append(Limit(request.id, event.attempt, self.limit_ms(now, request)))
+            self.out.append(SetAttemptTimeout(request.id, event.attempt, self.limit_ms(now, request)))
 
     def on_stream(self, now: float, event: ResponseStarted) -> None:
         found = self.open_attempt(event.request, event.attempt)
--- a/flintlatch/net/relay.py
+++ b/flintlatch/net/relay.py
@@ -13,7 +13,7 @@
     BodyDiscarded,
     BodyForwarded,
     ClientDisconnected,
-    Limit,
+    SetAttemptTimeout,
     Outcome,
     Result,
     Send,
@@ -231,7 +231,7 @@
     # The module's actions
 
     def _carry_out(self, action: Action) -> None:
-        if isinstance(action, Limit):
+        if isinstance(action, SetAttemptTimeout):
             held = self.requests.get(action.request)
             if held is not None and action.attempt < len(held.attempts):
                 self.backends.limit(held.attempts[action.attempt], action.limit_ms)
--- a/tests/test_transfers.py
+++ b/tests/test_transfers.py
@@ -13,7 +13,7 @@
     BodyForwarded,
     Effect,
     Fail,
-    Limit,
+    SetAttemptTimeout,
     Outcome,
     Refuse,
     RequestClass,
@@ -88,7 +88,7 @@
     assert all(name in driver.sends for name in names)
     assert (server.inflight, server.transfers, server.transfer_bytes) == (0, 20, 2000)
     driver.step(BodyReceived(names[0]), after=10_000.0)
-    limits = of(Limit, driver.step(BodyForwarded(names[0], 0), after=5.0))
+    limits = of(SetAttemptTimeout, driver.step(BodyForwarded(names[0], 0), after=5.0))
     # The aim runs from here, and the hour that the upload had is over.
     assert [(limit.request, 1900 < limit.limit_ms <= 2000) for limit in limits] == [(names[0], True)]
     assert (server.inflight, server.transfers) == (1, 19)
