--- a/bench/many.py
+++ b/bench/many.py
@@ -202,7 +202,7 @@
             knew = known is not None and known.cold_until > self.now
             work_ms = WORK_MS[cls] * self.rng.lognormvariate(-0.1, 0.45)
             done = server.take(self.now, self.keys_of[action.request], work_ms, WORK_MS[cls], knew)
-            limit = self.now + action.limit_ms
+            limit = self.now + action.attempt_timeout_ms
             if server.silent or done > limit:
                 ended, result = limit, Result.TIMEOUT
                 server.free_at = min(server.free_at, max(self.now, limit))  # what is called off stops
--- a/flintlatch/adapter.py
+++ b/flintlatch/adapter.py
@@ -134,7 +134,7 @@
     "FromPeer": None,  # peers are not used
 }
 WRITERS: dict[type[Any], Callable[[Any], Message]] = {
-    Send: lambda a: {"what": "Deliver", "Call": a.request, "Backend": a.server, "LimitMs": a.limit_ms},
+    Send: lambda a: {"what": "Deliver", "Call": a.request, "Backend": a.server, "LimitMs": a.attempt_timeout_ms},
     Refuse: lambda a: {"what": "NotNow", "Call": a.request, "ComeBackMs": a.retry_after_ms},
     Fail: lambda a: {"what": "GiveUp", "Call": a.request},
     Cancel: lambda a: {"what": "AbortAttempt", "Call": a.request, "Leg": a.attempt},
--- a/flintlatch/api.py
+++ b/flintlatch/api.py
@@ -257,7 +257,7 @@
 class Send(NamedTuple):
     request: str
     server: str
-    limit_ms: float
+    attempt_timeout_ms: float
     within_ms: float = inf  # written later than this it must not be: it never ran then
 
 
@@ -266,7 +266,7 @@
 
     request: str
     attempt: int
-    limit_ms: float
+    attempt_timeout_ms: float
 
 
 class Refuse(NamedTuple):
--- a/flintlatch/net/engine.py
+++ b/flintlatch/net/engine.py
@@ -338,7 +338,7 @@
             action.server,
             taken.head,
             taken.body,
-            action.limit_ms,
+            action.attempt_timeout_ms,
             lambda ended, result, response: self._on_attempt(held, number, ended, result, response),
             action.within_ms,
         )
--- a/flintlatch/net/relay.py
+++ b/flintlatch/net/relay.py
@@ -234,7 +234,7 @@
         if isinstance(action, SetAttemptTimeout):
             held = self.requests.get(action.request)
             if held is not None and action.attempt < len(held.attempts):
-                self.backends.limit(held.attempts[action.attempt], action.limit_ms)
+                self.backends.limit(held.attempts[action.attempt], action.attempt_timeout_ms)
         else:
             super()._carry_out(action)
 
@@ -248,7 +248,7 @@
                 action.server,
                 b"",
                 b"",
-                action.limit_ms,
+                action.attempt_timeout_ms,
                 lambda ended, result, _: self._on_attempt(held, number, ended, result, None),
             )
             held.attempts.append(late)
@@ -257,7 +257,7 @@
         attempt = RelayAttempt(
             action.server,
             exchange,
-            action.limit_ms,
+            action.attempt_timeout_ms,
             lambda ended, result, _: self._on_end(held, number, cast(RelayAttempt, ended), result),
             action.within_ms,
         )
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -130,8 +130,8 @@
             home = ran[0].home
             assert spec.scope is not Scope.CELL or entry.cell == home.cell
             assert spec.scope is not Scope.ZONE or entry.zone == home.zone
-        assert action.limit_ms > 0
-        request.attempts.append(Sent(entry, self.now, action.limit_ms))
+        assert action.attempt_timeout_ms > 0
+        request.attempts.append(Sent(entry, self.now, action.attempt_timeout_ms))
 
     def relist(self, kind: ListKind, entries: list[ServerInfo]) -> None:
         if kind is ListKind.FAILED:
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -53,8 +53,8 @@
         for send in of(Send, actions):
             self.sent[send.server] += 1
             result, delay = answers.get(send.server, (Result.OK, USUAL_MS))
-            if delay > send.limit_ms:
-                result, delay = Result.TIMEOUT, send.limit_ms
+            if delay > send.attempt_timeout_ms:
+                result, delay = Result.TIMEOUT, send.attempt_timeout_ms
             heappush(self.due, (now + delay, send.request, self.tries[send.request], result, delay))
             self.tries[send.request] += 1
 
--- a/tests/test_transfers.py
+++ b/tests/test_transfers.py
@@ -90,7 +90,7 @@
     driver.step(BodyReceived(names[0]), after=10_000.0)
     limits = of(SetAttemptTimeout, driver.step(BodyForwarded(names[0], 0), after=5.0))
     # The aim runs from here, and the hour that the upload had is over.
-    assert [(limit.request, 1900 < limit.limit_ms <= 2000) for limit in limits] == [(names[0], True)]
+    assert [(limit.request, 1900 < limit.attempt_timeout_ms <= 2000) for limit in limits] == [(names[0], True)]
     assert (server.inflight, server.transfers) == (1, 19)
     driver.step(Outcome(names[0], 0, Result.OK, 10_045.0, True), after=40.0)
     assert (server.inflight, server.latency) == (0, 40.0)  # not the ten seconds
@@ -107,7 +107,7 @@
     driver = Driver(settings(SAFE, most_attempts=3), *fleet(2))
     name = upload(driver)
     again = of(Send, driver.step(Outcome(name, 0, Result.RESET, 30_000.0, False), after=30_000.0))
-    assert [send.request for send in again] == [name] and again[0].limit_ms > 3_000_000
+    assert [send.request for send in again] == [name] and again[0].attempt_timeout_ms > 3_000_000
     assert driver.balancer.class_latency[0] == (0.0, 0.0)
 
 
