--- a/flintlatch/api.py
+++ b/flintlatch/api.py
@@ -258,7 +258,7 @@
     request: str
     server: str
     attempt_timeout_ms: float
-    within_ms: float = inf  # written later than this it must not be: it never ran then
+    write_within_ms: float = inf  # written later than this it must not be: it never ran then
 
 
 class SetAttemptTimeout(NamedTuple):
--- a/flintlatch/net/engine.py
+++ b/flintlatch/net/engine.py
@@ -340,7 +340,7 @@
             taken.body,
             action.attempt_timeout_ms,
             lambda ended, result, response: self._on_attempt(held, number, ended, result, response),
-            action.within_ms,
+            action.write_within_ms,
         )
         held.attempts.append(attempt)
         if held.over or number >= self.settings.most_attempts:
--- a/flintlatch/net/relay.py
+++ b/flintlatch/net/relay.py
@@ -259,7 +259,7 @@
             exchange,
             action.attempt_timeout_ms,
             lambda ended, result, _: self._on_end(held, number, cast(RelayAttempt, ended), result),
-            action.within_ms,
+            action.write_within_ms,
         )
         held.attempts.append(attempt)
         if held.over or number >= self.settings.most_attempts or exchange.upload.gone:
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -126,7 +126,7 @@
         if ran and spec.effect is Effect.KEYED:
             assert self.now <= ran[0].at + spec.window_ms, "repeat outside the window"
             # It is also to be written by then, however long its connection takes to come up.
-            assert self.now + action.within_ms <= ran[0].at + spec.window_ms + 0.001, "written too late"
+            assert self.now + action.write_within_ms <= ran[0].at + spec.window_ms + 0.001, "written too late"
             home = ran[0].home
             assert spec.scope is not Scope.CELL or entry.cell == home.cell
             assert spec.scope is not Scope.ZONE or entry.zone == home.zone
--- a/tests/test_second_copies.py
+++ b/tests/test_second_copies.py
@@ -57,7 +57,7 @@
         assert [s.request for s in sends] == [request]
         one, two = driver.sends[request]
         assert one != two and cell(one) == cell(two)
-        assert sends[0].within_ms <= 750.0
+        assert sends[0].write_within_ms <= 750.0
 
 
 def test_what_ran_nowhere_binds_no_copy_and_what_may_have_run_does() -> None:
