--- a/flintlatch/api.py
+++ b/flintlatch/api.py
@@ -166,7 +166,7 @@
     request: str
     attempt: int
     result: Result
-    delay: float
+    latency_ms: float
     finished: bool  # the request is over, by this outcome or before it
 
 
@@ -175,7 +175,7 @@
 
     request: str
     attempt: int
-    delay: float  # since the server had the whole request
+    latency_ms: float  # since the server had the whole request
     result: Result = Result.OK  # as far as the head tells: OK, ERROR or INVALID
 
 
@@ -239,7 +239,7 @@
 class ProbeResult(NamedTuple):
     server: str
     result: Result
-    delay: float
+    latency_ms: float
 
 
 class TimerFired(NamedTuple):
--- a/flintlatch/choice.py
+++ b/flintlatch/choice.py
@@ -533,7 +533,7 @@
             return
         attempt.open, attempt.maybe_ran = False, event.result not in NEVER_RAN
         request.open -= 1
-        delay = event.delay if attempt.whole_at == attempt.sent else max(now - attempt.whole_at, 0.0)
+        delay = event.latency_ms if attempt.whole_at == attempt.sent else max(now - attempt.whole_at, 0.0)
         # Also of one given up: work stops when its connection closes.
         self.leave(request, attempt, delay)
         if attempt.begun:
@@ -793,10 +793,10 @@
         attempt.begun = True
         self.call_off(request)
         if attempt.at_work:
-            self.leave(request, attempt, event.delay)
+            self.leave(request, attempt, event.latency_ms)
             attempt.at_work = False
             self.enter(request, attempt)
-            self.learn(now, request, attempt, event.result, event.delay)
+            self.learn(now, request, attempt, event.result, event.latency_ms)
 
     def on_list(self, now: float, event: ServerList) -> None:
         if event.kind is ListKind.FAILED:
--- a/flintlatch/net/relay.py
+++ b/flintlatch/net/relay.py
@@ -273,7 +273,7 @@
             exchange.detach(now_ms() / 1000, attempt.node)  # nothing, if it has finished
         if attempt.told is not None and self.events and self.events[-1] is attempt.told and attempt.whole_ms:
             self.events.pop()  # a short answer, here whole in the same turn: it never was a transfer
-            delay = attempt.told.delay
+            delay = attempt.told.latency_ms
         else:
             delay = now_ms() - (attempt.whole_ms or attempt.started)
         self._raise(Outcome(held.taken.id, number, result, delay, held.over))
