--- a/bench/verdicts.py
+++ b/bench/verdicts.py
@@ -58,7 +58,7 @@
             bad: dict[str, dict[str, int]] = {}
             good: dict[str, set[str]] = {}
             for n, one in enumerate(world.proxies):
-                for name, count in one.found_bad(world.now).items():
+                for name, count in one.failing_servers(world.now).items():
                     bad.setdefault(name, {})[f"p{n}"] = count
             for n, one in enumerate(world.proxies):
                 for name in one.found_good(world.now, bad):
--- a/flintlatch/choice.py
+++ b/flintlatch/choice.py
@@ -443,7 +443,7 @@
         if event.for_ms or server.shunned_until:
             server.shunned_until = now + event.for_ms
 
-    def found_bad(self, now: float) -> dict[str, int]:
+    def failing_servers(self, now: float) -> dict[str, int]:
         """Servers that failed ourselves and have not answered since, with how often, up to a rest."""
         own = (s for s in self.active if s.strikes and s.good_at < s.failed_at)
         mine = (s for s in own if s.rest_until > now or now - s.failed_at < EVIDENCE_MS)
--- a/flintlatch/fleet/worker.py
+++ b/flintlatch/fleet/worker.py
@@ -266,7 +266,7 @@
         engine = self.engine
         if engine is not None and self.channel.unread() <= MOST_UNREAD:
             now = now_ms()
-            bad = engine.balancer.found_bad(now)
+            bad = engine.balancer.failing_servers(now)
             accused = self.heard.accused if self.heard is not None else ()
             good = engine.balancer.found_good(now, accused)
             if bad or good or self.seen:
--- a/tests/verdicts/test_core.py
+++ b/tests/verdicts/test_core.py
@@ -112,14 +112,14 @@
 def test_what_failed_us_is_evidence_until_it_answers_and_what_others_say_is_none() -> None:
     driver = Driver(module_settings(), *fleet(4))
     driver.step(Ejection("10.0.0.3:80", 5000.0))
-    assert not driver.balancer.found_bad(driver.now)
+    assert not driver.balancer.failing_servers(driver.now)
     request = driver.arrive()
     bad = driver.sends[request][0]
     driver.end(request, Result.ERROR, done=True)
-    assert driver.balancer.found_bad(driver.now) == {bad: 1}
+    assert driver.balancer.failing_servers(driver.now) == {bad: 1}
     assert driver.balancer.found_good(driver.now, [bad, "unknown"]) == []
     driver.beats(11_000)
-    assert not driver.balancer.found_bad(driver.now)  # old by now
+    assert not driver.balancer.failing_servers(driver.now)  # old by now
 
 
 def test_a_word_to_shun_ends_for_an_instance_whose_supervisor_says_nothing_more() -> None:
