--- a/bench/verdicts.py
+++ b/bench/verdicts.py
@@ -61,7 +61,7 @@
                 for name, count in one.failing_servers(world.now).items():
                     bad.setdefault(name, {})[f"p{n}"] = count
             for n, one in enumerate(world.proxies):
-                for name in one.found_good(world.now, bad):
+                for name in one.healthy_servers(world.now, bad):
                     good.setdefault(name, set()).add(f"p{n}")
             told.append((world.now, bad, good))
             while len(told) > 1 and told[1][0] <= world.now - WORD_MS:
--- a/flintlatch/choice.py
+++ b/flintlatch/choice.py
@@ -449,7 +449,7 @@
         mine = (s for s in own if s.rest_until > now or now - s.failed_at < EVIDENCE_MS)
         return {s.id: min(s.strikes, STRIKES) for s in mine}
 
-    def found_good(self, now: float, accused: Iterable[str]) -> list[str]:
+    def healthy_servers(self, now: float, accused: Iterable[str]) -> list[str]:
         """Of those that somebody finds bad the ones that answered us a moment ago, and did not fail since."""
         known = (s for name in accused if (s := self.servers.get(name)) is not None)
         return [s.id for s in known if s.failed_at < s.good_at and now - s.good_at < OWN_MS]
--- a/flintlatch/fleet/worker.py
+++ b/flintlatch/fleet/worker.py
@@ -268,7 +268,7 @@
             now = now_ms()
             bad = engine.balancer.failing_servers(now)
             accused = self.heard.accused if self.heard is not None else ()
-            good = engine.balancer.found_good(now, accused)
+            good = engine.balancer.healthy_servers(now, accused)
             if bad or good or self.seen:
                 self.channel.say({"kind": "seen", "bad": bad, "good": good})
             self.seen = bool(bad or good)
--- a/tests/verdicts/test_core.py
+++ b/tests/verdicts/test_core.py
@@ -117,7 +117,7 @@
     bad = driver.sends[request][0]
     driver.end(request, Result.ERROR, done=True)
     assert driver.balancer.failing_servers(driver.now) == {bad: 1}
-    assert driver.balancer.found_good(driver.now, [bad, "unknown"]) == []
+    assert driver.balancer.healthy_servers(driver.now, [bad, "unknown"]) == []
     driver.beats(11_000)
     assert not driver.balancer.failing_servers(driver.now)  # old by now
 
