--- a/flintlatch/choice.py
+++ b/flintlatch/choice.py
@@ -129,7 +129,7 @@
         self.silent_from = 0.0  # its last answer, or the first send since it held nothing of ours
         self.started, self.cold_until = None, 0.0
 
-    def room(self, now: float, each: float = 0.0) -> bool:
+    def has_capacity(self, now: float, each: float = 0.0) -> bool:
         if self.rest_until > now or self.shunned_until > now:
             return False
         if self.strikes >= STRIKES or self.shunned_until:  # back from a rest: one on trial, not a full load
@@ -972,7 +972,7 @@
         """Ready servers that drop repeats of what ran there, other than those that have it."""
         group = [s for s in self.active if same_group(request.spec.scope, s, ran)]
         out = [a.server for a in request.attempts if a.open]
-        group = [s for s in group if s not in out and s.room(now, self.each)]
+        group = [s for s in group if s not in out and s.has_capacity(now, self.each)]
         return [s for s in group if not (self.many and s.cold(now)) or request.coin < s.takes]
 
     def at(self, when: float, request: Request) -> None:
@@ -1106,9 +1106,9 @@
         heads = [(e, h) for e in self.endpoints if (h := e.head()) is not None]
         if not heads:
             return
-        room = [s for s in self.near if s.room(now, self.each) and not (self.many and s.cold(now))]
+        room = [s for s in self.near if s.has_capacity(now, self.each) and not (self.many and s.cold(now))]
         if not room and self.sparse:  # nothing waits beside a ready server
-            room = [s for s in self.active if not s.cold(now) and s.room(now, self.each)]
+            room = [s for s in self.active if not s.cold(now) and s.has_capacity(now, self.each)]
         # Limits below one, the part of many proxies, add up: one each at every server would be too many. But
         # a few servers that hang must not use up the sum: a silent one takes nothing from the others.
         silent = now - SILENT * (self.all_latency or self.endpoints[-1].aim)
@@ -1133,7 +1133,7 @@
                 self.send(now, request, server)
             else:  # kept, it would stand in the way of those that fit
                 self.end(request)
-            if fit and not server.room(now, self.each):
+            if fit and not server.has_capacity(now, self.each):
                 room.remove(server)
             heads = [(e, h) for e in self.endpoints if (h := e.head()) is not None]
 
@@ -1143,7 +1143,7 @@
         if not self.colds or request.long():
             return False
         home = self.home(request)
-        if home is None or not home.cold(now) or not home.room(now, self.each):
+        if home is None or not home.cold(now) or not home.has_capacity(now, self.each):
             return False
         if request.coin >= home.takes or home.payoff <= FAIR_PAYOFF:
             return False
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -613,7 +613,7 @@
     assert away.strikes == 3 and not away.cold(now)
     driver.balancer.doubt(now + 2500, away, False)
     away.strikes = 0  # as its answer does
-    assert away.cold(now + 2500) and not away.room(now + 2500)
+    assert away.cold(now + 2500) and not away.has_capacity(now + 2500)
     for _ in range(2):
         driver.balancer.doubt(now + 2600, away, quick)
     assert away.cold(now + 2600) is not quick
@@ -641,7 +641,7 @@
     warmer = driver.balancer.servers["new:1"].takes
     driver.step(ServerList(ListKind.CHANGES, (new._replace(started=driver.now),)))
     server = driver.balancer.servers["new:1"]
-    assert server.cold_until == driver.now + 20_000 and not server.room(driver.now)
+    assert server.cold_until == driver.now + 20_000 and not server.has_capacity(driver.now)
     driver.balancer.warm_rate, driver.balancer.heads_rate = {0: 0.1}, 4.0
     driver.beat()
     assert 0 < server.takes < warmer
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -250,7 +250,7 @@
         other.rest_until = 0.0 if other is driver.balancer.active[server] else driver.now + 1e9
     for _ in range(times):
         driver.balancer.retries = 0.0
-        if not driver.balancer.active[server].room(driver.now):
+        if not driver.balancer.active[server].has_capacity(driver.now):
             break
         actions += driver.end(driver.arrive(), result)
     return actions
@@ -260,11 +260,11 @@
     driver = Driver(settings(UNSAFE), *fleet(4))
     server = driver.balancer.active[0]
     assert [a for a in fail_at(driver, 0, 10) if isinstance(a, Log)]
-    assert not server.room(driver.now)
+    assert not server.has_capacity(driver.now)
     driver.now = server.rest_until + 1
-    assert server.room(driver.now)
+    assert server.has_capacity(driver.now)
     server.inflight = 1
-    assert not server.room(driver.now)  # one on trial, not a full load
+    assert not server.has_capacity(driver.now)  # one on trial, not a full load
     server.inflight = 0
     driver.end(driver.arrive())
     assert server.strikes == 0
@@ -398,7 +398,7 @@
     server.limit, server.payoff = 9.0, 0.1
     driver.step(ServerList(ListKind.CHANGES, (ServerInfo("10.0.0.0:80", started=driver.now - 5),)))
     assert server.limit <= 1 and server.payoff == 1.0
-    assert not server.room(driver.now)
+    assert not server.has_capacity(driver.now)
 
 
 def test_nothing_more_is_sent_after_the_end() -> None:
--- a/tests/verdicts/test_core.py
+++ b/tests/verdicts/test_core.py
@@ -106,7 +106,7 @@
     trials = [r for r in asked if driver.sends.get(r) == [first]]
     assert len(trials) == 1  # one on trial
     driver.end(trials[0])
-    assert driver.balancer.servers[first].room(driver.now)
+    assert driver.balancer.servers[first].has_capacity(driver.now)
 
 
 def test_what_failed_us_is_evidence_until_it_answers_and_what_others_say_is_none() -> None:
