--- a/flintlatch/choice.py
+++ b/flintlatch/choice.py
@@ -119,7 +119,7 @@
         self.latency, self.floor, self.heard_count = 0.0, 0.0, 0
         self.crowd = 0.0  # smoothed latency as a part of the aim
         self.payoff, self.plays = 1.0, 0.0
-        self.strikes, self.rest_until, self.rest_ms = 0, 0.0, REST_MS[0]
+        self.consecutive_failures, self.rest_until, self.rest_ms = 0, 0.0, REST_MS[0]
         self.answered, self.rate, self.tokens = 0, 0.0, 0.0
         self.failing_from, self.failed_at = 0.0, -inf  # the first failure of those in a row, the last of all
         self.shunned_until, self.good_at = 0.0, -inf  # by others' word; its last answer to us
@@ -132,7 +132,7 @@
     def has_capacity(self, now: float, each: float = 0.0) -> bool:
         if self.rest_until > now or self.shunned_until > now:
             return False
-        if self.strikes >= STRIKES or self.shunned_until:  # back from a rest: one on trial, not a full load
+        if self.consecutive_failures >= STRIKES or self.shunned_until:  # back from a rest: one on trial, not a full load
             return self.inflight == 0
         if self.cold(now) and self.tokens < 1.0 and not self.takes:
             return False
@@ -380,7 +380,7 @@
     def unavailable(self, now: float) -> int:
         """Servers on the list that get nothing new for now: draining, resting, or on trial after a rest."""
         return sum(
-            s.state is not ServerState.ACTIVE or s.rest_until > now or s.strikes >= STRIKES
+            s.state is not ServerState.ACTIVE or s.rest_until > now or s.consecutive_failures >= STRIKES
             for s in self.servers.values()
         )
 
@@ -445,9 +445,9 @@
 
     def failing_servers(self, now: float) -> dict[str, int]:
         """Servers that failed ourselves and have not answered since, with how often, up to a rest."""
-        own = (s for s in self.active if s.strikes and s.good_at < s.failed_at)
+        own = (s for s in self.active if s.consecutive_failures and s.good_at < s.failed_at)
         mine = (s for s in own if s.rest_until > now or now - s.failed_at < EVIDENCE_MS)
-        return {s.id: min(s.strikes, STRIKES) for s in mine}
+        return {s.id: min(s.consecutive_failures, STRIKES) for s in mine}
 
     def healthy_servers(self, now: float, accused: Iterable[str]) -> list[str]:
         """Of those that somebody finds bad the ones that answered us a moment ago, and did not fail since."""
@@ -584,7 +584,7 @@
     def learn_end(self, now: float, server: Server, result: Result, begun: bool) -> None:
         """The end of a transfer tells whether the server holds, and nothing of its speed."""
         if result is Result.OK:
-            server.strikes, server.rest_ms = 0, REST_MS[0]
+            server.consecutive_failures, server.rest_ms = 0, REST_MS[0]
         elif result in (Result.RESET, Result.TIMEOUT, Result.CONNECT_FAILED, Result.FULL):
             server.plays = min(server.plays + 1, 1 / PAYOFF_STEP)
             self.outcomes += 1
@@ -618,7 +618,7 @@
             server.shunned_until = 0.0
             self.doubt(now, server, delay <= DOUBT_SLOW * self.class_floor[request.cls])
             if not attempt.begun:  # else its end will tell
-                server.strikes, server.rest_ms = 0, REST_MS[0]
+                server.consecutive_failures, server.rest_ms = 0, REST_MS[0]
             server.answered += 1
             endpoint = request.endpoint
             endpoint.latency = smooth(endpoint.latency, delay)
@@ -641,17 +641,17 @@
             server.signs += quick
             if server.signs >= DOUBT_SIGNS:
                 server.doubt_until = 0.0
-        elif self.many and server.strikes >= STRIKES and now - server.failing_from >= DOUBT_OUT_MS:
+        elif self.many and server.consecutive_failures >= STRIKES and now - server.failing_from >= DOUBT_OUT_MS:
             server.doubt_until, server.signs = now + DOUBT_MS, int(quick)
 
     def strike(self, now: float, server: Server, sure: bool = False) -> None:
         """`sure`: one failure is enough. What takes no connection serves nobody, and where each of many
         proxies needs three to see it, a server that has gone costs all of them a hundred."""
         server.failed_at = now
-        if not server.strikes:
+        if not server.consecutive_failures:
             server.failing_from = now
-        server.strikes = STRIKES if sure else server.strikes + 1
-        if server.strikes >= STRIKES and server.rest_until <= now:
+        server.consecutive_failures = STRIKES if sure else server.consecutive_failures + 1
+        if server.consecutive_failures >= STRIKES and server.rest_until <= now:
             self.rest(now, server, sure)
 
     def learn_crowd(self, part_of_aim: float) -> None:
@@ -684,14 +684,14 @@
 
     def rest(self, now: float, server: Server, sure: bool) -> None:
         # When all are slow the trouble is not this server: more than half never rest, nor does a usual one.
-        resting = sum(1 for s in self.active if s.strikes >= STRIKES and s is not server)
+        resting = sum(1 for s in self.active if s.consecutive_failures >= STRIKES and s is not server)
         usual = not sure and server.payoff > self.usual_payoff() / 2
         if 2 * (resting + 1) > len(self.active) or usual:
-            server.strikes = 0
+            server.consecutive_failures = 0
             return
         server.rest_until = now + server.rest_ms * self.rng.uniform(0.75, 1.25)
         server.rest_ms = min(2 * server.rest_ms, REST_MS[1])
-        self.out.append(Log(f"rest {server.id}: {server.strikes} failures in a row"))
+        self.out.append(Log(f"rest {server.id}: {server.consecutive_failures} failures in a row"))
 
     def usual_payoff(self) -> float:
         return sum(s.payoff for s in self.near) / max(len(self.near), 1)
@@ -1024,7 +1024,7 @@
             )
             mine = not self.sparse or (server.zone == self.settings.zone and server in self.near)
             # One of many has not met most of them yet: counting only those it has would overstate the rest.
-            known = server.latency or (self.many and not server.strikes)
+            known = server.latency or (self.many and not server.consecutive_failures)
             if not server.cold(now) and known and mine:
                 warm.setdefault(server.kind, []).append(server)
         # The better half tells what a server of this kind carries: slow and resting ones hide it. Not to one
--- a/tests/http/test_front.py
+++ b/tests/http/test_front.py
@@ -369,7 +369,7 @@
             assert got.startswith(b"HTTP/1.1 408 ")
             await made.nodes[0].closed.get()
             (server,) = made.engine.balancer.servers.values()
-            assert server.strikes == 0 and server.inflight == 0  # the client's fault
+            assert server.consecutive_failures == 0 and server.inflight == 0  # the client's fault
 
     run(test())
 
@@ -388,7 +388,7 @@
             await asyncio.get_running_loop().sock_sendall(sock, GET)
             await made.nodes[0].closed.get()
             (server,) = made.engine.balancer.servers.values()
-            assert server.strikes == 0
+            assert server.consecutive_failures == 0
             while made.engine.exchanges:
                 await asyncio.sleep(0.01)
             sock.close()
--- a/tests/http/test_long.py
+++ b/tests/http/test_long.py
@@ -64,7 +64,7 @@
             got = await made.whole(b"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\nhalf")
             assert got.startswith(b"HTTP/1.1 408 ")
             (server,) = made.engine.balancer.servers.values()
-            assert server.strikes == 0
+            assert server.consecutive_failures == 0
 
     run(test())
 
@@ -217,7 +217,7 @@
             while made.engine.exchanges or made.engine.requests:
                 await asyncio.sleep(0.01)
             (server,) = made.engine.balancer.servers.values()
-            assert (server.inflight, server.transfers, server.strikes) == (0, 0, 0)
+            assert (server.inflight, server.transfers, server.consecutive_failures) == (0, 0, 0)
             assert made.engine.budget.used == 0
 
     run(test())
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -284,7 +284,7 @@
             driver.end(request, after=1.0)
         assert driver.sends[inside] == [held.id]  # what it has goes on
         driver.end(inside)
-        assert held.strikes == 0  # and its answer shows that it serves
+        assert held.consecutive_failures == 0  # and its answer shows that it serves
     assert 50 <= tries <= 20 * 5
 
 
@@ -356,12 +356,12 @@
 def test_a_new_server_at_the_address_of_one_that_left_is_known_for_nothing_of_it() -> None:
     driver = keyed(0, fleet(6))
     left = driver.balancer.active[0]
-    left.payoff, left.share, left.load, left.strikes = 0.1, 0.1, 9.0, 2
+    left.payoff, left.share, left.load, left.consecutive_failures = 0.1, 0.1, 9.0, 2
     entries = (ServerInfo(left.id, state=ServerState.GONE), ServerInfo("s-new", weight=1.0))
     driver.step(ServerList(ListKind.CHANGES, entries))
     new = driver.balancer.servers["s-new"]
     assert left.id not in driver.balancer.servers
-    assert (new.payoff, new.share, new.strikes, new.inflight) == (1.0, 1.0, 0, 0)
+    assert (new.payoff, new.share, new.consecutive_failures, new.inflight) == (1.0, 1.0, 0, 0)
     assert not any(
         left.id in sends for sends in [driver.sends.get(driver.arrive(key=k), []) for k in range(20)]
     )
@@ -610,9 +610,9 @@
     now = driver.now
     for failed in (now, now + 500, now + 1500):
         driver.balancer.strike(failed, away)
-    assert away.strikes == 3 and not away.cold(now)
+    assert away.consecutive_failures == 3 and not away.cold(now)
     driver.balancer.doubt(now + 2500, away, False)
-    away.strikes = 0  # as its answer does
+    away.consecutive_failures = 0  # as its answer does
     assert away.cold(now + 2500) and not away.has_capacity(now + 2500)
     for _ in range(2):
         driver.balancer.doubt(now + 2600, away, quick)
@@ -625,7 +625,7 @@
     server = driver.balancer.active[0]
     server.payoff = 0.2
     driver.balancer.strike(driver.now, server, True)
-    assert server.strikes == 3
+    assert server.consecutive_failures == 3
     driver.balancer.doubt(driver.now + 700, server, False)
     assert not server.cold(driver.now + 700)
 
@@ -691,9 +691,9 @@
     driver.end(driver.arrive(), delay=40.0)
     server = driver.balancer.active[0]
     driver.now += 2000
-    server.strikes, server.failing_from = 3, driver.now - 1500  # rested, and on trial now
+    server.consecutive_failures, server.failing_from = 3, driver.now - 1500  # rested, and on trial now
     driver.end(driver.arrive(), delay=200.0)
-    assert server.strikes == 0 and server.cold(driver.now)
+    assert server.consecutive_failures == 0 and server.cold(driver.now)
 
 
 def test_when_others_come_its_part_is_smaller_at_once_and_nothing_is_forgotten() -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -236,9 +236,9 @@
     for _ in range(40):
         driver.end(driver.arrive(), after=50)
     server = driver.balancer.active[0]
-    before = server.limit, server.payoff, server.strikes
+    before = server.limit, server.payoff, server.consecutive_failures
     driver.end(driver.arrive(), Result.TIMEOUT, after=20)
-    assert (server.limit, server.payoff, server.strikes) == before
+    assert (server.limit, server.payoff, server.consecutive_failures) == before
 
 
 # Health
@@ -267,14 +267,14 @@
     assert not server.has_capacity(driver.now)  # one on trial, not a full load
     server.inflight = 0
     driver.end(driver.arrive())
-    assert server.strikes == 0
+    assert server.consecutive_failures == 0
 
 
 def test_never_more_than_half_rest() -> None:
     driver = Driver(settings(UNSAFE), *fleet(4))
     for n in range(4):
         fail_at(driver, n, 12)
-    assert sum(s.strikes >= 3 for s in driver.balancer.active) <= 2
+    assert sum(s.consecutive_failures >= 3 for s in driver.balancer.active) <= 2
 
 
 def test_nobody_rests_when_all_serve_alike() -> None:
@@ -422,10 +422,10 @@
 def test_what_is_not_a_servers_doing_blames_no_server(result: Result) -> None:
     # Our own lack of descriptors, or a request at fault itself, must not take a healthy server out.
     driver = Driver(settings(), *fleet(2))
-    before = [(s.payoff, s.strikes, s.limit) for s in driver.balancer.active]
+    before = [(s.payoff, s.consecutive_failures, s.limit) for s in driver.balancer.active]
     for _ in range(6):
         driver.end(driver.arrive(), result, done=True)
-    assert [(s.payoff, s.strikes, s.limit) for s in driver.balancer.active] == before
+    assert [(s.payoff, s.consecutive_failures, s.limit) for s in driver.balancer.active] == before
 
 
 def test_a_request_at_fault_itself_is_not_sent_again() -> None:
