--- a/flintlatch/choice.py
+++ b/flintlatch/choice.py
@@ -118,7 +118,7 @@
         self.limit, self.peak, self.samples = START_LIMIT / self.proxies, 0, 0
         self.latency, self.floor, self.heard_count = 0.0, 0.0, 0
         self.crowd = 0.0  # smoothed latency as a part of the aim
-        self.payoff, self.plays = 1.0, 0.0
+        self.reward, self.plays = 1.0, 0.0
         self.consecutive_failures, self.rest_until, self.rest_ms = 0, 0.0, REST_MS[0]
         self.answered, self.rate, self.tokens = 0, 0.0, 0.0
         self.failing_from, self.failed_at = 0.0, -inf  # the first failure of those in a row, the last of all
@@ -589,7 +589,7 @@
             server.plays = min(server.plays + 1, 1 / PAYOFF_STEP)
             self.outcomes += 1
             # For what was begun, once more: its beginning was taken for a win.
-            server.payoff *= (1 - PAYOFF_STEP) ** (2 if begun else 1)
+            server.reward *= (1 - PAYOFF_STEP) ** (2 if begun else 1)
             self.strike(now, server)
 
     def learn(self, now: float, request: Request, attempt: Attempt, result: Result, delay: float) -> None:
@@ -612,7 +612,7 @@
             self.learn_allow(request, server, result, delay)
         # Of few outcomes each counts for more, or one of many proxies would never tell servers apart.
         step = max(PAYOFF_STEP, self.many / (1 + server.plays))
-        server.payoff += ((1.0 if won else 0.0) - server.payoff) * step
+        server.reward += ((1.0 if won else 0.0) - server.reward) * step
         if result is Result.OK:
             server.silent_from = server.good_at = now
             server.shunned_until = 0.0
@@ -668,7 +668,7 @@
         can follow the load, and only outcomes of all servers together are enough to learn it from."""
         usual = min(CROWDED * (self.class_floor[request.cls] or 1e9), SPOILT * request.endpoint.aim)
         if result in (Result.FULL, Result.TIMEOUT) or delay > usual:
-            if server.payoff > self.usual_payoff() / 2:  # a server known to be bad tells nothing of the rest
+            if server.reward > self.usual_payoff() / 2:  # a server known to be bad tells nothing of the rest
                 self.allow = max(ALLOW_LEAST, self.allow * (1 - ALLOW_DOWN))
         elif result is Result.OK and self.allow < 2 + 2 * self.out_count:
             self.allow += ALLOW_UP * sqrt(self.allow)
@@ -685,7 +685,7 @@
     def rest(self, now: float, server: Server, sure: bool) -> None:
         # When all are slow the trouble is not this server: more than half never rest, nor does a usual one.
         resting = sum(1 for s in self.active if s.consecutive_failures >= STRIKES and s is not server)
-        usual = not sure and server.payoff > self.usual_payoff() / 2
+        usual = not sure and server.reward > self.usual_payoff() / 2
         if 2 * (resting + 1) > len(self.active) or usual:
             server.consecutive_failures = 0
             return
@@ -694,7 +694,7 @@
         self.out.append(Log(f"rest {server.id}: {server.consecutive_failures} failures in a row"))
 
     def usual_payoff(self) -> float:
-        return sum(s.payoff for s in self.near) / max(len(self.near), 1)
+        return sum(s.reward for s in self.near) / max(len(self.near), 1)
 
     def again(self, now: float, request: Request, result: Result) -> None:
         """An attempt failed and none is out: another one, a refusal or a failure."""
@@ -1016,7 +1016,7 @@
         for server in self.active:
             server.plays *= PLAYS_KEEP
             if server.plays < 1:  # under light load a server once bad would otherwise never be drawn again
-                server.payoff += max(usual - server.payoff, 0.0) * (FORGET if self.many else 1)
+                server.reward += max(usual - server.reward, 0.0) * (FORGET if self.many else 1)
             rate = server.answered / seconds  # of many the first second counts whole
             server.rate, server.answered = (
                 (server.rate + rate) / 2 if self.warm_rate or not self.many else rate,
@@ -1145,7 +1145,7 @@
         home = self.home(request)
         if home is None or not home.cold(now) or not home.has_capacity(now, self.each):
             return False
-        if request.coin >= home.takes or home.payoff <= FAIR_PAYOFF:
+        if request.coin >= home.takes or home.reward <= FAIR_PAYOFF:
             return False
         self.send(now, request, home)
         return True
@@ -1179,7 +1179,7 @@
             a = self.draw(own or room)
             b = self.draw([s for s in room if s is not a])
             if b.zone != a.zone:  # crossing has its price: neither a tie nor the wish to know is a reason
-                return b if b.payoff - self.score(a) > TIE else a
+                return b if b.reward - self.score(a) > TIE else a
         else:
             first = int(self.rng.random() * len(room))
             second = int(self.rng.random() * (len(room) - 1))
@@ -1231,7 +1231,7 @@
         return server
 
     def score(self, server: Server) -> float:
-        return server.payoff + BONUS * sqrt(log(1 + self.outcomes) / (1 + server.plays))
+        return server.reward + BONUS * sqrt(log(1 + self.outcomes) / (1 + server.plays))
 
     def send(self, now: float, request: Request, server: Server) -> None:
         ran = request.first_run() if request.attempts else None
--- a/tests/http/test_front.py
+++ b/tests/http/test_front.py
@@ -409,7 +409,7 @@
             while made.engine.exchanges:
                 await asyncio.sleep(0.01)
             (server,) = made.engine.balancer.servers.values()
-            assert server.inflight == 0 and server.payoff < 1.0
+            assert server.inflight == 0 and server.reward < 1.0
 
     run(test())
 
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -356,12 +356,12 @@
 def test_a_new_server_at_the_address_of_one_that_left_is_known_for_nothing_of_it() -> None:
     driver = keyed(0, fleet(6))
     left = driver.balancer.active[0]
-    left.payoff, left.share, left.load, left.consecutive_failures = 0.1, 0.1, 9.0, 2
+    left.reward, left.share, left.load, left.consecutive_failures = 0.1, 0.1, 9.0, 2
     entries = (ServerInfo(left.id, state=ServerState.GONE), ServerInfo("s-new", weight=1.0))
     driver.step(ServerList(ListKind.CHANGES, entries))
     new = driver.balancer.servers["s-new"]
     assert left.id not in driver.balancer.servers
-    assert (new.payoff, new.share, new.consecutive_failures, new.inflight) == (1.0, 1.0, 0, 0)
+    assert (new.reward, new.share, new.consecutive_failures, new.inflight) == (1.0, 1.0, 0, 0)
     assert not any(
         left.id in sends for sends in [driver.sends.get(driver.arrive(key=k), []) for k in range(20)]
     )
@@ -606,7 +606,7 @@
         driver.end(driver.arrive(), delay=40.0)
         driver.beats(100)
     away = driver.balancer.active[0]
-    away.payoff = 0.1
+    away.reward = 0.1
     now = driver.now
     for failed in (now, now + 500, now + 1500):
         driver.balancer.strike(failed, away)
@@ -623,7 +623,7 @@
 def test_a_server_that_lost_one_connection_is_not_held_for_one_that_started_anew() -> None:
     driver = Driver(settings(proxies=200, warm_keys=True, **COLD), *fleet(2))
     server = driver.balancer.active[0]
-    server.payoff = 0.2
+    server.reward = 0.2
     driver.balancer.strike(driver.now, server, True)
     assert server.consecutive_failures == 3
     driver.balancer.doubt(driver.now + 700, server, False)
@@ -701,11 +701,11 @@
     for _ in range(200):
         driver.end(driver.arrive(), after=20.0)
         driver.beat()
-    before = {s.id: (s.limit, s.latency, s.payoff) for s in driver.balancer.servers.values()}
+    before = {s.id: (s.limit, s.latency, s.reward) for s in driver.balancer.servers.values()}
     driver.step(TierMembership(20, 7))
     for server in driver.balancer.servers.values():
         limit, latency, payoff = before[server.id]
-        assert server.limit == pytest.approx(limit / 10) and (server.latency, server.payoff) == (
+        assert server.limit == pytest.approx(limit / 10) and (server.latency, server.reward) == (
             latency,
             payoff,
         )
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -40,7 +40,7 @@
 def test_pick_takes_the_higher_payoff() -> None:
     driver = Driver(settings(), *fleet(2))
     bad, good = driver.balancer.active
-    bad.payoff, bad.plays, good.plays = 0.2, 50.0, 50.0
+    bad.reward, bad.plays, good.plays = 0.2, 50.0, 50.0
     driver.arrive()
     assert list(driver.sends.values()) == [[good.id]]
 
@@ -49,7 +49,7 @@
     driver = Driver(settings(), *fleet(2))
     idle, busy = driver.balancer.active
     driver.balancer.outcomes = 200.0
-    idle.payoff, idle.plays, busy.plays = 0.8, 0.0, 100.0
+    idle.reward, idle.plays, busy.plays = 0.8, 0.0, 100.0
     driver.arrive()
     assert list(driver.sends.values()) == [[idle.id]]
 
@@ -94,13 +94,13 @@
 def test_payoff_is_one_inside_the_aim_and_zero_for_late_or_failed() -> None:
     driver = Driver(settings(), *fleet(1))
     server = driver.balancer.active[0]
-    server.payoff = 0.5
+    server.reward = 0.5
     driver.end(driver.arrive(), after=299)
-    assert server.payoff == pytest.approx(0.55)
+    assert server.reward == pytest.approx(0.55)
     driver.end(driver.arrive(), after=301)
-    assert server.payoff == pytest.approx(0.495)
+    assert server.reward == pytest.approx(0.495)
     driver.end(driver.arrive(), Result.ERROR)
-    assert server.payoff == pytest.approx(0.4455)
+    assert server.reward == pytest.approx(0.4455)
 
 
 def stuck(*classes: RequestClass, **more: Any) -> Driver:
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -89,7 +89,7 @@
     fair = sum(script.sent.values()) / 4
     for server in balancer.active:
         assert server.consecutive_failures == 0 and server.rest_until <= script.driver.now
-        assert server.payoff > 0.9, server.id
+        assert server.reward > 0.9, server.id
         # Room for all of the traffic at the usual latency, and its part of it.
         assert server.limit >= 2 and script.sent[server.id] > fair / 2, (server.id, server.limit, script.sent)
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -236,9 +236,9 @@
     for _ in range(40):
         driver.end(driver.arrive(), after=50)
     server = driver.balancer.active[0]
-    before = server.limit, server.payoff, server.consecutive_failures
+    before = server.limit, server.reward, server.consecutive_failures
     driver.end(driver.arrive(), Result.TIMEOUT, after=20)
-    assert (server.limit, server.payoff, server.consecutive_failures) == before
+    assert (server.limit, server.reward, server.consecutive_failures) == before
 
 
 # Health
@@ -280,7 +280,7 @@
 def test_nobody_rests_when_all_serve_alike() -> None:
     driver = Driver(settings(UNSAFE), *fleet(4))
     for server in driver.balancer.active:
-        server.payoff = 0.2
+        server.reward = 0.2
     assert not [a for a in fail_at(driver, 0, 4) if isinstance(a, Log)]
 
 
@@ -395,9 +395,9 @@
 def test_a_restart_of_a_known_server_is_cold_and_forgets_its_limit() -> None:
     driver = Driver(settings(**COLD), *fleet(2))
     server = driver.balancer.active[0]
-    server.limit, server.payoff = 9.0, 0.1
+    server.limit, server.reward = 9.0, 0.1
     driver.step(ServerList(ListKind.CHANGES, (ServerInfo("10.0.0.0:80", started=driver.now - 5),)))
-    assert server.limit <= 1 and server.payoff == 1.0
+    assert server.limit <= 1 and server.reward == 1.0
     assert not server.has_capacity(driver.now)
 
 
@@ -422,10 +422,10 @@
 def test_what_is_not_a_servers_doing_blames_no_server(result: Result) -> None:
     # Our own lack of descriptors, or a request at fault itself, must not take a healthy server out.
     driver = Driver(settings(), *fleet(2))
-    before = [(s.payoff, s.consecutive_failures, s.limit) for s in driver.balancer.active]
+    before = [(s.reward, s.consecutive_failures, s.limit) for s in driver.balancer.active]
     for _ in range(6):
         driver.end(driver.arrive(), result, done=True)
-    assert [(s.payoff, s.consecutive_failures, s.limit) for s in driver.balancer.active] == before
+    assert [(s.reward, s.consecutive_failures, s.limit) for s in driver.balancer.active] == before
 
 
 def test_a_request_at_fault_itself_is_not_sent_again() -> None:
--- a/tests/test_transfers.py
+++ b/tests/test_transfers.py
@@ -66,7 +66,7 @@
     latency = server.latency
     driver.step(Outcome(name, 0, Result.OK, 45_000.0, True), after=45_000.0)
     assert (server.latency, driver.balancer.class_latency[0]) == (latency, seen)
-    assert server.payoff == 1.0 and server.consecutive_failures == 0
+    assert server.reward == 1.0 and server.consecutive_failures == 0
 
 
 def test_a_server_that_breaks_off_what_it_begins_gets_little_more() -> None:
