--- a/bench/scale/module.py
+++ b/bench/scale/module.py
@@ -176,7 +176,7 @@
         "beats": beats,
         "requests": arrivals,
         "unsent": unsent / max(arrivals, 1),
-        "near": len(play.balancer.near),
+        "near": len(play.balancer.preferred),
     }
 
 
--- a/flintlatch/choice.py
+++ b/flintlatch/choice.py
@@ -306,7 +306,7 @@
         self.met: dict[int, float] = {}  # arrivals of late by key, as one of many proxies
         self.met_all = 0.0
         self.orders: dict[int, list[Server]] = {}  # by key, the servers that it meets first
-        self.near: list[Server] = []  # those it sends to: all active, or as one of many its own few
+        self.preferred: list[Server] = []  # those it sends to: all active, or as one of many its own few
         self.near_size, self.each = 0, 0.0  # servers of each zone among them; least limit of one
         self.allow = 1.0  # limit on all requests in flight, as one of many proxies
         self.credit, self.credit_at, self.out_count = 1e9, 0.0, 0  # ms in flight still to use; at work
@@ -484,7 +484,7 @@
             return False
         if self.transfer_bytes + request.holds > settings.all_transfer_bytes:
             return False
-        return not self.near or any(self.takes(request, server) for server in self.near)
+        return not self.preferred or any(self.takes(request, server) for server in self.preferred)
 
     def takes(self, request: Request, server: Server) -> bool:
         """A transfer goes where those in progress leave it room. What is short may always go."""
@@ -694,7 +694,7 @@
         self.out.append(Log(f"rest {server.id}: {server.consecutive_failures} failures in a row"))
 
     def usual_payoff(self) -> float:
-        return sum(s.reward for s in self.near) / max(len(self.near), 1)
+        return sum(s.reward for s in self.preferred) / max(len(self.preferred), 1)
 
     def again(self, now: float, request: Request, result: Result) -> None:
         """An attempt failed and none is out: another one, a refusal or a failure."""
@@ -824,7 +824,7 @@
         self.size_up(self.active != before)
         if self.many and self.settings.live_weights and event.kind is not ListKind.SAVED:
             self.weigh(now)
-        if not self.near:
+        if not self.preferred:
             self.allow = max(ALLOW_LEAST, START_LIMIT * len(self.active) / self.settings.proxies)
         self.choose_near(now)
 
@@ -894,14 +894,14 @@
     def choose_near(self, now: float) -> None:
         """Of many proxies each keeps to a few servers by hash, more with more traffic: few are soon known and
         have few connections each. Cold ones only of the own zone: their budget is part of the load there."""
-        self.near = self.active
+        self.preferred = self.active
         self.near_size = len(self.active)
         if self.sparse:
             zone, size = self.settings.zone, max(NEAR, int(self.allow + 1))
             ranked = sorted(self.active, key=lambda s: s.rank)
             own = [s for s in ranked if s.zone == zone][:size]
             far = [s for s in ranked if s.zone != zone and s.cold_until <= now][:size]
-            self.near, self.near_size = own + far, size
+            self.preferred, self.near_size = own + far, size
             self.each = max(1.0, self.allow / max(len(own), 1))
 
     def on_entry(self, now: float, entry: ServerInfo) -> None:
@@ -928,7 +928,7 @@
     def on_beat(self, now: float) -> None:
         self.out.append(SetTimer(BEAT_MS, 0))
         self.expire(now)
-        self.colds = [s for s in self.near if s.cold(now)]
+        self.colds = [s for s in self.preferred if s.cold(now)]
         for server in self.colds:
             self.refill(now, server)
         self.beat_at = now
@@ -1022,7 +1022,7 @@
                 (server.rate + rate) / 2 if self.warm_rate or not self.many else rate,
                 0,
             )
-            mine = not self.sparse or (server.zone == self.settings.zone and server in self.near)
+            mine = not self.sparse or (server.zone == self.settings.zone and server in self.preferred)
             # One of many has not met most of them yet: counting only those it has would overstate the rest.
             known = server.latency or (self.many and not server.consecutive_failures)
             if not server.cold(now) and known and mine:
@@ -1097,7 +1097,7 @@
         fits = (sqrt(budget + CHANCE**2 / 4) - CHANCE / 2) ** 2
         heat = COLD_OF_MANY * min(1.0, sqrt(COLD_UP_TO / settings.proxies))
         rate = max(min(heat * warm, fits / window), 1 / window)  # nothing observed yet: one a window
-        comes = self.heads_rate * self.comes.get(server, 1 / max(len(self.near), 1)) / 1000
+        comes = self.heads_rate * self.comes.get(server, 1 / max(len(self.preferred), 1)) / 1000
         server.takes = min(1.0, rate * server.share / comes) if comes else 0.0
 
     # 2. Dispatch
@@ -1106,7 +1106,7 @@
         heads = [(e, h) for e in self.endpoints if (h := e.head()) is not None]
         if not heads:
             return
-        room = [s for s in self.near if s.has_capacity(now, self.each) and not (self.many and s.cold(now))]
+        room = [s for s in self.preferred if s.has_capacity(now, self.each) and not (self.many and s.cold(now))]
         if not room and self.sparse:  # nothing waits beside a ready server
             room = [s for s in self.active if not s.cold(now) and s.has_capacity(now, self.each)]
         # Limits below one, the part of many proxies, add up: one each at every server would be too many. But
@@ -1116,7 +1116,7 @@
         if not self.sparse:
             reach = self.reach
             spare = sum(
-                max(reach * s.limit - s.inflight, -1.0 if s.silent_from > silent else 0.0) for s in self.near
+                max(reach * s.limit - s.inflight, -1.0 if s.silent_from > silent else 0.0) for s in self.preferred
             )
         while heads and room and spare > 0:
             # The one clear rule: the head that has waited the largest part of its aim goes first. So all
@@ -1152,7 +1152,7 @@
 
     def home(self, request: Request) -> Server | None:
         key = request.key
-        servers = self.near
+        servers = self.preferred
         if self.settings.warm_keys and key is not None:
             servers = self.order_of(key)[: self.width(key)]
         return self.rng.choice(servers) if servers else None
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -53,16 +53,16 @@
     counts: Counter[str] = Counter()
     for me in range(100):
         driver = Driver(settings(me=me, **MANY), *fleet(20))
-        counts.update(s.id for s in driver.balancer.near)
+        counts.update(s.id for s in driver.balancer.preferred)
     assert len(counts) == 20 and max(counts.values()) < 2 * 30 and min(counts.values()) > 30 / 2
 
 
 def test_the_few_stay_as_they_are_when_another_server_leaves() -> None:
     driver = Driver(settings(**MANY), *fleet(20))
-    before = [s.id for s in driver.balancer.near]
+    before = [s.id for s in driver.balancer.preferred]
     left = [s for s in fleet(20) if s.server != before[0]]
     driver.step(ServerList(ListKind.FULL, tuple(left)))
-    assert len({s.id for s in driver.balancer.near} & set(before)) == len(before) - 1
+    assert len({s.id for s in driver.balancer.preferred} & set(before)) == len(before) - 1
 
 
 def test_another_zone_serves_when_the_own_one_fails() -> None:
