--- a/flintlatch/choice.py
+++ b/flintlatch/choice.py
@@ -211,7 +211,7 @@
         self.last_call = self.give_up  # the last moment to send it
         self.open = 0  # attempts without an outcome
         self.coin = coin
-        self.held = self.over = self.stream = False
+        self.is_queued = self.over = self.stream = False
         self.hedge_at = inf  # when a second copy may follow the first
         self.sealed = False  # its body can't be sent again
 
@@ -260,7 +260,7 @@
             self.flagged_at = now
 
     def head(self) -> Request | None:
-        while self.queue and not self.queue[0].held:
+        while self.queue and not self.queue[0].is_queued:
             self.queue.popleft()
         return self.queue[0] if self.queue else None
 
@@ -508,7 +508,7 @@
         return 1 + sum(worth < bound for bound in LEVELS)
 
     def hold(self, request: Request, front: bool) -> None:
-        request.held, queue = True, request.endpoint.queue
+        request.is_queued, queue = True, request.endpoint.queue
         (queue.appendleft if front else queue.append)(request)
         # Sent later than this it can't be useful. At most half its time is set aside: were the usual
         # latency above the aim, nothing would ever be sent again and the latency never be corrected.
@@ -710,7 +710,7 @@
             self.hold(request, True)
         else:
             self.retries -= 1
-            request.held = True
+            request.is_queued = True
             self.bound.append(request)
             usual = min(self.class_latency[request.cls][0], spec.aim_ms / 2)
             request.last_call = min(request.useful - usual, ran.sent + spec.window_ms - BEAT_MS)
@@ -721,11 +721,11 @@
         waiting, self.bound = self.bound, []
         for request in waiting:
             ran = request.first_run()
-            if not request.held or ran is None:
+            if not request.is_queued or ran is None:
                 continue
             group = self.group_of(now, request, ran)
             if group and now < request.last_call:
-                request.held = False
+                request.is_queued = False
                 self.send(now, request, self.pick(request, group))
             else:
                 self.bound.append(request)
@@ -748,7 +748,7 @@
 
     def close(self, request: Request) -> None:
         """It is over; it is kept only until the attempts still out have ended."""
-        request.over, request.held = True, False
+        request.over, request.is_queued = True, False
         if request.open == 0:
             del self.requests[request.id]
 
@@ -789,7 +789,7 @@
         if found is None or found[1].begun:
             return
         request, attempt = found
-        request.stream, request.held = True, False
+        request.stream, request.is_queued = True, False
         attempt.begun = True
         self.call_off(request)
         if attempt.at_work:
@@ -943,7 +943,7 @@
     def expire(self, now: float) -> None:
         while self.due and self.due[0][0] <= now:
             request = heappop(self.due)[2]
-            if request.held:
+            if request.is_queued:
                 self.time_up(now, request)
             elif request.open == 1 and not request.over and now >= request.hedge_at:
                 self.hedge(now, request)
@@ -1123,7 +1123,7 @@
             # endpoints feel a shortage of servers alike, and each one's flag sheds its own.
             endpoint, request = max(heads, key=lambda eh: (now - eh[1].arrived) / eh[0].aim)
             endpoint.queue.popleft()
-            request.held = False
+            request.is_queued = False
             fit = room if not request.long() else [s for s in room if self.takes(request, s)]
             if fit:
                 if not request.attempts:
--- a/tests/capacity/test_module.py
+++ b/tests/capacity/test_module.py
@@ -111,7 +111,7 @@
     play = module.Play(module.settings(keyed), 18, 1)
     play.arrive()
     play.run(1.0)
-    waiting = sum(request.held for request in play.balancer.requests.values())
+    waiting = sum(request.is_queued for request in play.balancer.requests.values())
     assert play.arrivals > module.RATE / 2
     assert play.sent + play.final + waiting == play.arrivals
     assert len(play.rest) == 1000 / module.BEAT_MS
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -140,7 +140,7 @@
 
 def test_an_old_window_does_not_flag_an_empty_buffer() -> None:
     endpoint, now = endpoint_with_waits(*[60.0] * 20)
-    endpoint.queue[0].held = False
+    endpoint.queue[0].is_queued = False
     assert endpoint.excess(now + 5) == 0
 
 
