--- a/flintlatch/choice.py
+++ b/flintlatch/choice.py
@@ -173,7 +173,7 @@
     burst."""
 
     def __init__(self, part: LimitAllocation, now: float) -> None:
-        self.part, self.tokens, self.at, self.asked = part, 0.0, now, 0
+        self.part, self.tokens, self.at, self.demand = part, 0.0, now, 0
 
     def refill(self, now: float) -> float:
         # At least one, or none would ever be whole: the stated bound has one for each instance.
@@ -470,7 +470,7 @@
         ]
         lack = 0.0
         for bucket in under:
-            bucket.asked += 1
+            bucket.demand += 1
             if bucket.refill(now) < 1:
                 lack = max(lack, bucket.lack_ms())
         if not lack:
--- a/flintlatch/fleet/worker.py
+++ b/flintlatch/fleet/worker.py
@@ -278,7 +278,7 @@
         engine, heard = self.engine, self.heard
         if engine is None or heard is None or self.channel.unread() > MOST_UNREAD:
             return
-        asked = {name: bucket.asked for name, bucket in engine.balancer.buckets.items()}
+        asked = {name: bucket.demand for name, bucket in engine.balancer.buckets.items()}
         self.channel.say({"kind": "limits", "asked": asked, "follows": heard.follows})
 
     def _access_log(self) -> dict[str, Any] | None:
--- a/tests/limits/test_cores.py
+++ b/tests/limits/test_cores.py
@@ -251,7 +251,7 @@
     span = (driver.now - began) / 1000
     assert 10 * span - 2 <= taken <= 10 * span + 2
     assert len(waits) + taken == 500 and all(0 < wait <= 100.0 for wait in waits)  # the next whole one
-    assert driver.balancer.buckets["l"].asked == 500
+    assert driver.balancer.buckets["l"].demand == 500
     driver.step(LimitAllocation("l", 0, -1, 0.0, 0.0))
     driver.beats(5000)
     assert driver.arrive() not in driver.sends  # nothing is kept beyond the new burst
