--- a/bench/scale/module.py
+++ b/bench/scale/module.py
@@ -188,7 +188,7 @@
     kept = [Balancer(built, seed + n) for n in range(balancers)]
     for balancer in kept:
         balancer.step(1000.0, [listing(servers)])
-        balancer.out.clear()
+        balancer.actions.clear()
     gc.collect()
     held, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
--- a/flintlatch/choice.py
+++ b/flintlatch/choice.py
@@ -328,10 +328,10 @@
         self.beating, self.second_at, self.beat_at = False, 0.0, 0.0
         self.ask_at: float | None = None
         self.ask_failures, self.moved_at = 0, -inf
-        self.out: list[Action] = []
+        self.actions: list[Action] = []
 
     def step(self, now: float, events: list[Event]) -> list[Action]:
-        self.out = []
+        self.actions = []
         if not self.beating and events:
             self.start(now)
         for event in events:
@@ -365,13 +365,13 @@
             self.send_bound(now)
         self.dispatch(now)
         self.expire(now)
-        return self.out
+        return self.actions
 
     def start(self, now: float) -> None:
         self.beating = True
         self.second_at = self.beat_at = self.credit_at = now
         self.quota_at = [now] * len(self.quota_at)
-        self.out.append(SetTimer(BEAT_MS, 0))
+        self.actions.append(SetTimer(BEAT_MS, 0))
         if self.settings.ask_for_list:
             # Proxies restarted together must not call the list service in the same moment: each has its
             # turn. Past the time the settings oblige, a proxy counts as told of drains it never heard of.
@@ -555,7 +555,7 @@
         """Its answer is here, or has begun: another copy is of no more use."""
         if self.settings.may_cancel:
             rest = [n for n, a in enumerate(request.attempts) if a.open and not a.begun]
-            self.out.extend(Cancel(request.id, n) for n in rest)
+            self.actions.extend(Cancel(request.id, n) for n in rest)
 
     def enter(self, request: Request, attempt: Attempt) -> None:
         """Count it where it is now: at work at its server, or a transfer."""
@@ -691,7 +691,7 @@
             return
         server.rest_until = now + server.rest_ms * self.rng.uniform(0.75, 1.25)
         server.rest_ms = min(2 * server.rest_ms, REST_MS[1])
-        self.out.append(Log(f"rest {server.id}: {server.consecutive_failures} failures in a row"))
+        self.actions.append(Log(f"rest {server.id}: {server.consecutive_failures} failures in a row"))
 
     def usual_payoff(self) -> float:
         return sum(s.reward for s in self.preferred) / max(len(self.preferred), 1)
@@ -735,7 +735,7 @@
         if self.settings.refuse_unsent and request.first_run() is None:
             self.refuse(request)
             return
-        self.out.append(Fail(request.id))
+        self.actions.append(Fail(request.id))
         self.close(request)
 
     def refuse(self, request: Request, lack: float = 0.0) -> None:
@@ -743,7 +743,7 @@
         (`lack`): that is when to come back."""
         wait = min(lack or request.endpoint.release * request.endpoint.aim, self.settings.max_retry_after_ms)
         self.turned_away = min(self.turned_away + AWAY_EACH, AWAY_MOST)
-        self.out.append(Refuse(request.id, wait if self.settings.retry_after else 0.0))
+        self.actions.append(Refuse(request.id, wait if self.settings.retry_after else 0.0))
         self.close(request)
 
     def close(self, request: Request) -> None:
@@ -757,7 +757,7 @@
             return
         self.turned_away = min(self.turned_away + AWAY_EACH, AWAY_MOST)
         if self.settings.may_cancel:
-            self.out.extend(Cancel(request.id, n) for n, a in enumerate(request.attempts) if a.open)
+            self.actions.extend(Cancel(request.id, n) for n, a in enumerate(request.attempts) if a.open)
         self.close(request)
 
     def open_attempt(self, request_id: str, number: int) -> tuple[Request, Attempt] | None:
@@ -782,7 +782,7 @@
             self.enter(request, attempt)
         if not request.over:
             request.time_from(now, now)
-            self.out.append(SetAttemptTimeout(request.id, event.attempt, self.limit_ms(now, request)))
+            self.actions.append(SetAttemptTimeout(request.id, event.attempt, self.limit_ms(now, request)))
 
     def on_stream(self, now: float, event: ResponseStarted) -> None:
         found = self.open_attempt(event.request, event.attempt)
@@ -867,7 +867,7 @@
             self.ask_at = now + self.turn()
             return
         self.ask_at = now + self.settings.must_ask_ms / 2  # should no word come back
-        self.out.append(Watch())
+        self.actions.append(Watch())
 
     def turn(self) -> float:
         """In how many ms this proxy calls the list service, if all do so."""
@@ -926,7 +926,7 @@
                 server.tokens = 0.0
 
     def on_beat(self, now: float) -> None:
-        self.out.append(SetTimer(BEAT_MS, 0))
+        self.actions.append(SetTimer(BEAT_MS, 0))
         self.expire(now)
         self.colds = [s for s in self.preferred if s.cold(now)]
         for server in self.colds:
@@ -934,7 +934,7 @@
         self.beat_at = now
         self.usual_out += (self.out_count - self.usual_out) * OUT_STEP
         if self.ask_at is not None and now >= self.ask_at:
-            self.out.append(Watch())
+            self.actions.append(Watch())
             # Should no word come back, ask anew before this proxy counts as told of what it never heard.
             self.ask_at = now + self.settings.must_ask_ms / 2
         if now - self.second_at >= 1000:
@@ -1246,7 +1246,7 @@
         self.enter(request, attempt)
         if server.cold(now):
             server.tokens -= not self.many
-        self.out.append(Send(request.id, server.id, self.limit_ms(now, request), within))
+        self.actions.append(Send(request.id, server.id, self.limit_ms(now, request), within))
         if ran is None and self.may_hedge(request):
             request.hedge_at = now + (self.fair_chance(request) or request.endpoint.aim / 2)
             self.at(request.hedge_at, request)
