--- a/bench/many.py
+++ b/bench/many.py
@@ -134,7 +134,7 @@
             proxies=proxies,
             may_cancel=True,
             may_duplicate=True,
-            most_attempts=6,
+            max_attempts=6,
             warm_keys=True,
             live_weights=True,
             tick_ms=5.0,
--- a/bench/scale/module.py
+++ b/bench/scale/module.py
@@ -65,7 +65,7 @@
     """`keyed`: servers know keys and their weights tell of load, as in bench.many."""
     answer = RequestClass(300.0, 900.0)
     return Settings(
-        (answer,), proxies=PROXIES, me=17, zones=ZONES, quotas=quotas, most_attempts=4, may_cancel=True,
+        (answer,), proxies=PROXIES, me=17, zones=ZONES, quotas=quotas, max_attempts=4, may_cancel=True,
         ask_for_list=True, warm_keys=keyed, live_weights=keyed,
     )  # fmt: skip
 
--- a/flintlatch/choice.py
+++ b/flintlatch/choice.py
@@ -991,7 +991,7 @@
         """Whether another attempt is allowed and of use if those so far may have run."""
         spec, ran = request.spec, request.first_run()
         usual = min(self.class_latency[request.cls][0], spec.aim_ms / 2)
-        if request.sealed or len(request.attempts) >= self.settings.most_attempts:
+        if request.sealed or len(request.attempts) >= self.settings.max_attempts:
             return False
         if now + usual > request.useful:
             return False
--- a/flintlatch/config/__init__.py
+++ b/flintlatch/config/__init__.py
@@ -96,7 +96,7 @@
             may_cancel=nodes.may_cancel,
             retry_after=True,
             max_retry_after_ms=nodes.max_retry_after_ms,
-            most_attempts=nodes.attempts,
+            max_attempts=nodes.attempts,
             start_capacity=nodes.start_capacity,
             cold_ms=nodes.cold_ms,
             fall_multiple=nodes.fall_multiple,
--- a/flintlatch/net/engine.py
+++ b/flintlatch/net/engine.py
@@ -343,7 +343,7 @@
             action.write_within_ms,
         )
         held.attempts.append(attempt)
-        if held.over or number >= self.settings.most_attempts:
+        if held.over or number >= self.settings.max_attempts:
             attempt.end(Result.NOT_SENT)
         else:
             self.backends.start(attempt)
--- a/flintlatch/net/relay.py
+++ b/flintlatch/net/relay.py
@@ -262,7 +262,7 @@
             action.write_within_ms,
         )
         held.attempts.append(attempt)
-        if held.over or number >= self.settings.most_attempts or exchange.upload.gone:
+        if held.over or number >= self.settings.max_attempts or exchange.upload.gone:
             attempt.end(Result.NOT_SENT)
         else:
             self.backends.start(attempt)
--- a/flintlatch/settings.py
+++ b/flintlatch/settings.py
@@ -86,7 +86,7 @@
         may_probe=bool(limits.get("Probes")),
         retry_after=bool(limits.get("RetryAfter")),
         max_retry_after_ms=number(limits.get("MaxRetryAfterMs") or 0, "MaxRetryAfterMs"),
-        most_attempts=whole(limits.get("MostTries", 1), "MostTries"),
+        max_attempts=whole(limits.get("MostTries", 1), "MostTries"),
         warm_keys=bool(domain.get("WarmKeys")),
         live_weights=info.get("Weights") == "live",
         start_capacity=number(rules.get("StartCapacity", 1), "StartCapacity"),
--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -60,7 +60,7 @@
     assert [row.name for row in config.classes] == ["answer", "purchase", "grade"]
     settings = config.settings(3)
     settings.check()
-    assert (settings.proxies, settings.me, settings.most_attempts) == (4, 3, 3)
+    assert (settings.proxies, settings.me, settings.max_attempts) == (4, 3, 3)
     assert config.control_path == str(EXAMPLE.parent / "flintlatch.sock")
 
 
--- a/tests/http/support.py
+++ b/tests/http/support.py
@@ -109,7 +109,7 @@
     nodes = [await ScriptedNode(handler).open() for handler in handlers]
     settings = Settings(
         changes.get("classes", CLASSES),
-        most_attempts=changes.get("attempts", 3),
+        max_attempts=changes.get("attempts", 3),
         may_cancel=True,
         retry_after=True,
         max_retry_after_ms=2000.0,
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -193,7 +193,7 @@
 
 
 def test_attempts_are_capped() -> None:
-    driver = Driver(settings(most_attempts=2), *fleet(4))
+    driver = Driver(settings(max_attempts=2), *fleet(4))
     request = driver.arrive()
     driver.end(request, Result.FULL)
     assert of(Fail, driver.end(request, Result.FULL))
--- a/tests/test_transfers.py
+++ b/tests/test_transfers.py
@@ -104,7 +104,7 @@
 
 
 def test_an_attempt_that_dies_within_the_upload_is_followed_by_one_with_its_own_time() -> None:
-    driver = Driver(settings(SAFE, most_attempts=3), *fleet(2))
+    driver = Driver(settings(SAFE, max_attempts=3), *fleet(2))
     name = upload(driver)
     again = of(Send, driver.step(Outcome(name, 0, Result.RESET, 30_000.0, False), after=30_000.0))
     assert [send.request for send in again] == [name] and again[0].attempt_timeout_ms > 3_000_000
