--- a/bench/many.py
+++ b/bench/many.py
@@ -135,7 +135,7 @@
             may_cancel=True,
             may_duplicate=True,
             max_attempts=6,
-            warm_keys=True,
+            key_affinity=True,
             live_weights=True,
             tick_ms=5.0,
             start_capacity=START,
--- a/bench/scale/module.py
+++ b/bench/scale/module.py
@@ -66,7 +66,7 @@
     answer = RequestClass(300.0, 900.0)
     return Settings(
         (answer,), proxies=PROXIES, me=17, zones=ZONES, quotas=quotas, max_attempts=4, may_cancel=True,
-        ask_for_list=True, warm_keys=keyed, live_weights=keyed,
+        ask_for_list=True, key_affinity=keyed, live_weights=keyed,
     )  # fmt: skip
 
 
@@ -85,7 +85,7 @@
         self.balancer, self.rng = Balancer(config, seed), Random(seed)
         self.now, self.ids, self.order = 1000.0, count(), count()
         self.due: list[tuple[float, int, Event]] = []
-        ranks = range(1, ROUTES + 1 if config.warm_keys else 1)
+        ranks = range(1, ROUTES + 1 if config.key_affinity else 1)
         self.keys = list(accumulate(1 / rank**POPULARITY for rank in ranks))
         self.rest: list[float] = []
         self.request: list[float] = []
--- a/flintlatch/api.py
+++ b/flintlatch/api.py
@@ -92,7 +92,7 @@
     all_transfers: int = 1 << 30  # the same with all servers together
     all_transfer_bytes: int = 1 << 60
     max_attempts: int = 1
-    warm_keys: bool = False  # servers do less work for a key met recently
+    key_affinity: bool = False  # servers do less work for a key met recently
     live_weights: bool = (
         False  # a server's weight is its size / (1 + requests it holds a core), some time ago
     )
--- a/flintlatch/choice.py
+++ b/flintlatch/choice.py
@@ -287,7 +287,7 @@
         # One of many keeps to a few servers, but not where they know keys: there a key must meet the same two
         # from every proxy, which is worth more than knowing few of them well.
         self.many = settings.proxies > START_LIMIT
-        self.sparse = self.many and not settings.warm_keys
+        self.sparse = self.many and not settings.key_affinity
         by_aim = {a: Endpoint(a, settings.tick_ms) for a in sorted({c.aim_ms for c in settings.classes})}
         self.endpoints = list(by_aim.values())
         self.endpoint_of = [by_aim[c.aim_ms] for c in settings.classes]
@@ -881,7 +881,7 @@
         before = self.settings
         self.settings = settings = replace(before, proxies=max(event.proxies, 1), me=event.me)
         self.many = settings.proxies > START_LIMIT
-        self.sparse = self.many and not settings.warm_keys
+        self.sparse = self.many and not settings.key_affinity
         factor = before.proxies / settings.proxies
         for server in self.servers.values():
             server.proxies, server.limit = settings.proxies, server.limit * factor
@@ -1153,7 +1153,7 @@
     def home(self, request: Request) -> Server | None:
         key = request.key
         servers = self.preferred
-        if self.settings.warm_keys and key is not None:
+        if self.settings.key_affinity and key is not None:
             servers = self.order_of(key)[: self.width(key)]
         return self.rng.choice(servers) if servers else None
 
@@ -1172,7 +1172,7 @@
             room = [s for s in room if s not in tried] or room
         if len(room) == 1:
             return room[0]
-        if self.settings.warm_keys and (key := request.key) is not None:
+        if self.settings.key_affinity and (key := request.key) is not None:
             a, b = self.places(key, room)
         elif self.sparse:
             own = [s for s in room if s.zone == self.settings.zone]
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -179,7 +179,7 @@
     """40 proxies before 60 servers: each meets one every few seconds."""
     sent = [0, 0]
     for me in range(4):
-        driver = Driver(settings(proxies=40, me=me, warm_keys=True), *fleet(60), seed=me)
+        driver = Driver(settings(proxies=40, me=me, key_affinity=True), *fleet(60), seed=me)
         slow = driver.balancer.active[7]
         for n in range(1200):  # 24 requests a second
             request = driver.arrive(key=n * 7919 % 600)
@@ -196,7 +196,7 @@
 
 
 def keyed(me: int, servers: list[ServerInfo]) -> Driver:
-    return Driver(settings(proxies=40, me=me, warm_keys=True, live_weights=True), *servers, seed=me)
+    return Driver(settings(proxies=40, me=me, key_affinity=True, live_weights=True), *servers, seed=me)
 
 
 def keys_of(driver: Driver, server: str, keys: range) -> int:
@@ -237,7 +237,7 @@
 
 def test_weights_that_tell_of_size_alone_move_no_share() -> None:
     servers = [s._replace(weight=1.0 + i % 3) for i, s in enumerate(fleet(12))]
-    driver = Driver(settings(proxies=40, warm_keys=True), *servers)
+    driver = Driver(settings(proxies=40, key_affinity=True), *servers)
     for _ in range(10):
         smaller = [s._replace(weight=0.1) for s in servers[:6]]
         driver.step(ServerList(ListKind.CHANGES, tuple(smaller)), after=1000.0)
@@ -494,7 +494,7 @@
 
 def test_lists_without_live_weights_move_no_part() -> None:
     servers = [s._replace(weight=1.5) for s in fleet(60)]
-    driver = Driver(settings(proxies=60, warm_keys=True), *servers)
+    driver = Driver(settings(proxies=60, key_affinity=True), *servers)
     crowded(driver, servers, 1.0, 5, 3000)
     assert driver.balancer.reach == 1.0
 
@@ -559,7 +559,7 @@
 @pytest.mark.parametrize("seed", range(3))
 def test_what_a_warm_server_carries_is_not_overstated_where_each_is_met_seldom(seed: int) -> None:
     """20 requests a second over 100 servers: a second's count is none or one, and cold budgets go by it."""
-    driver = Driver(settings(proxies=100, warm_keys=True), *fleet(100), seed=seed)
+    driver = Driver(settings(proxies=100, key_affinity=True), *fleet(100), seed=seed)
     rng, rates = Random(seed), []
     for n in range(400):
         driver.end(driver.arrive(key=rng.randrange(400)), after=25.0, delay=40.0)
@@ -577,7 +577,7 @@
     parts = [4.0 if me % 10 == 3 else rng.uniform(0.3, 1.2) for me in range(200)]
     start, quiet, sent, each = 1000.0, 5000.0, [], 17.0
     for me, part in enumerate(parts):
-        driver = Driver(settings(proxies=200, me=me, warm_keys=True, **COLD), *fleet(30), seed=me)
+        driver = Driver(settings(proxies=200, me=me, key_affinity=True, **COLD), *fleet(30), seed=me)
         driver.step(ServerList(ListKind.CHANGES, (ServerInfo("new:1", started=start),)))
         rate = part * each * 31 / sum(parts) / 1000  # of requests that come to this proxy, a ms
         while driver.now < start + quiet + 4000:
@@ -601,7 +601,7 @@
 @pytest.mark.parametrize("quick", [True, False])
 def test_a_server_that_was_away_is_fed_like_a_cold_one_until_its_answers_are_quick(quick: bool) -> None:
     """Silent for seconds and back: it may have started anew, and no list has told so yet."""
-    driver = Driver(settings(proxies=200, warm_keys=True, **COLD), *fleet(2))
+    driver = Driver(settings(proxies=200, key_affinity=True, **COLD), *fleet(2))
     for _ in range(60):
         driver.end(driver.arrive(), delay=40.0)
         driver.beats(100)
@@ -621,7 +621,7 @@
 
 
 def test_a_server_that_lost_one_connection_is_not_held_for_one_that_started_anew() -> None:
-    driver = Driver(settings(proxies=200, warm_keys=True, **COLD), *fleet(2))
+    driver = Driver(settings(proxies=200, key_affinity=True, **COLD), *fleet(2))
     server = driver.balancer.active[0]
     server.reward = 0.2
     driver.balancer.strike(driver.now, server, True)
@@ -631,7 +631,7 @@
 
 
 def test_a_server_that_starts_twice_while_cold_is_as_cold_as_at_first() -> None:
-    driver = Driver(settings(proxies=200, warm_keys=True, **COLD), ServerInfo("old:1"))
+    driver = Driver(settings(proxies=200, key_affinity=True, **COLD), ServerInfo("old:1"))
     new = ServerInfo("new:1", started=driver.now)
     driver.step(ServerList(ListKind.CHANGES, (new,)))
     driver.now += 8000
@@ -651,7 +651,7 @@
     """Each of 40 proxies knows of no warm server to go by; together they send each cold one something."""
     used: Counter[str] = Counter()
     for me in range(40):
-        driver = Driver(settings(proxies=40, me=me, warm_keys=True, **COLD), seed=me)
+        driver = Driver(settings(proxies=40, me=me, key_affinity=True, **COLD), seed=me)
         driver.step(ServerList(ListKind.FULL, tuple(s._replace(started=driver.now) for s in fleet(6))))
         for n in range(200):
             driver.arrive(key=n * 31, wait=300)
@@ -665,7 +665,7 @@
 
 def test_weights_that_tell_of_size_alone_place_keys_by_each_servers_own() -> None:
     servers = [s._replace(weight=1.0 + 3.0 * (i % 2)) for i, s in enumerate(fleet(10))]
-    driver = Driver(settings(warm_keys=True), *servers)
+    driver = Driver(settings(key_affinity=True), *servers)
     firsts = Counter(
         max(driver.balancer.active, key=lambda s: place(driver, k, s)).weight for k in range(600)
     )
@@ -674,20 +674,20 @@
 
 def test_a_weight_that_is_no_number_counts_as_the_least() -> None:
     servers = [ServerInfo("a:1", weight=0.0), ServerInfo("b:1", weight=nan)]
-    driver = Driver(settings(warm_keys=True), *servers)
+    driver = Driver(settings(key_affinity=True), *servers)
     assert all(s.size > 0 for s in driver.balancer.active)
     assert driver.arrive(key=7) in driver.sends
 
 
 def test_a_request_that_comes_when_the_list_is_empty_is_held() -> None:
-    driver = Driver(settings(proxies=200, warm_keys=True, **COLD), ServerInfo("new:1", started=1000.0))
+    driver = Driver(settings(proxies=200, key_affinity=True, **COLD), ServerInfo("new:1", started=1000.0))
     driver.beats(100)
     driver.step(ServerList(ListKind.CHANGES, (ServerInfo("new:1", state=ServerState.GONE),)))
     assert driver.balancer.colds and driver.arrive(key=7) not in driver.sends
 
 
 def test_the_first_slow_answer_after_an_outage_makes_a_server_doubted() -> None:
-    driver = Driver(settings(proxies=200, warm_keys=True, **COLD), *fleet(1))
+    driver = Driver(settings(proxies=200, key_affinity=True, **COLD), *fleet(1))
     driver.end(driver.arrive(), delay=40.0)
     server = driver.balancer.active[0]
     driver.now += 2000
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -55,18 +55,18 @@
 
 
 @pytest.mark.parametrize("warm_keys", [True, False])
-def test_one_of_many_uses_all_servers_only_where_they_know_keys(warm_keys: bool) -> None:
+def test_one_of_many_uses_all_servers_only_where_they_know_keys(key_affinity: bool) -> None:
     # Guards against a key that meets other servers at each proxy, and so none that knows it.
     servers: list[ServerInfo] = fleet(24)
     met: set[str] = set()
     for me in range(14):
-        driver = Driver(settings(proxies=14, me=me, warm_keys=warm_keys), *servers, seed=me)
+        driver = Driver(settings(proxies=14, me=me, key_affinity=key_affinity), *servers, seed=me)
         for n in range(40):
             request = driver.arrive(key=1000 + n if n % 20 else 7)  # a key that is as rare as the others
             if n % 20 == 0:
                 met.update(driver.sends.get(request, ()))
             driver.end(request)
-    assert len(met) == 2 if warm_keys else len(met) > 6
+    assert len(met) == 2 if key_affinity else len(met) > 6
 
 
 def test_cold_servers_get_one_request_in_a_window_from_many_proxies_together() -> None:
@@ -321,7 +321,7 @@
 def test_where_keys_are_warm_every_proxy_draws_the_same_two_servers_for_a_key() -> None:
     used: dict[int, set[str]] = {}
     for seed in range(6):
-        driver = Driver(settings(warm_keys=True), *fleet(9), seed=seed)
+        driver = Driver(settings(key_affinity=True), *fleet(9), seed=seed)
         for key in range(20):
             request = driver.arrive(key=key)
             used.setdefault(key, set()).update(driver.sends[request])
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -41,12 +41,12 @@
     RequestClass(500.0, 900.0, Effect.KEYED, Scope.ZONE, 400.0, worth=2.0),
 )
 CONFIGS = (
-    Settings(CLASSES, proxies=40, may_cancel=True, may_duplicate=True, max_attempts=6, warm_keys=True,
+    Settings(CLASSES, proxies=40, may_cancel=True, may_duplicate=True, max_attempts=6, key_affinity=True,
              live_weights=True, start_capacity=0.1, cold_ms=5000.0, tick_ms=5.0),
     Settings(CLASSES, proxies=3, may_cancel=True, max_attempts=4, tick_ms=5.0),
     Settings(CLASSES, quotas=(5.0, 2.0), over_share_worth=0.1, max_attempts=2, ask_for_list=True),
     Settings(CLASSES, proxies=2, may_cancel=True, may_duplicate=True, may_probe=True, max_attempts=6,
-             retry_after=True, max_retry_after_ms=500.0, warm_keys=True, start_capacity=0.1,
+             retry_after=True, max_retry_after_ms=500.0, key_affinity=True, start_capacity=0.1,
              cold_ms=5000.0, tick_ms=5.0),
     Settings(CLASSES, proxies=300, me=17, zones=2, quotas=(5.0, 0.0), over_share_worth=0.1, may_cancel=True,
              max_attempts=3, ask_for_list=True, start_capacity=0.1, cold_ms=5000.0, tick_ms=5.0),
