--- a/bench/many.py
+++ b/bench/many.py
@@ -136,7 +136,7 @@
             may_duplicate=True,
             max_attempts=6,
             key_affinity=True,
-            live_weights=True,
+            weights_report_load=True,
             tick_ms=5.0,
             start_capacity=START,
             cold_ms=COLD_MS,
--- a/bench/scale/module.py
+++ b/bench/scale/module.py
@@ -66,7 +66,7 @@
     answer = RequestClass(300.0, 900.0)
     return Settings(
         (answer,), proxies=PROXIES, me=17, zones=ZONES, quotas=quotas, max_attempts=4, may_cancel=True,
-        ask_for_list=True, key_affinity=keyed, live_weights=keyed,
+        ask_for_list=True, key_affinity=keyed, weights_report_load=keyed,
     )  # fmt: skip
 
 
--- a/flintlatch/api.py
+++ b/flintlatch/api.py
@@ -93,7 +93,7 @@
     all_transfer_bytes: int = 1 << 60
     max_attempts: int = 1
     key_affinity: bool = False  # servers do less work for a key met recently
-    live_weights: bool = (
+    weights_report_load: bool = (
         False  # a server's weight is its size / (1 + requests it holds a core), some time ago
     )
     start_capacity: float = 1.0  # part of its capacity that a server starts with, at least
--- a/flintlatch/choice.py
+++ b/flintlatch/choice.py
@@ -822,7 +822,7 @@
             self.on_entry(now, entry)
         before, self.active = self.active, [s for s in self.servers.values() if s.state is ServerState.ACTIVE]
         self.size_up(self.active != before)
-        if self.many and self.settings.live_weights and event.kind is not ListKind.SAVED:
+        if self.many and self.settings.weights_report_load and event.kind is not ListKind.SAVED:
             self.weigh(now)
         if not self.preferred:
             self.allow = max(ALLOW_LEAST, START_LIMIT * len(self.active) / self.settings.proxies)
@@ -835,7 +835,7 @@
         for s in self.active:
             largest[s.kind] = max(s.nominal, largest.get(s.kind, 0.0))
         for s in self.active:
-            size = largest[s.kind] if self.settings.live_weights else s.nominal
+            size = largest[s.kind] if self.settings.weights_report_load else s.nominal
             changed, s.size = changed or size != s.size, size
         if changed:
             self.orders.clear()
--- a/flintlatch/settings.py
+++ b/flintlatch/settings.py
@@ -88,7 +88,7 @@
         max_retry_after_ms=number(limits.get("MaxRetryAfterMs") or 0, "MaxRetryAfterMs"),
         max_attempts=whole(limits.get("MostTries", 1), "MostTries"),
         key_affinity=bool(domain.get("WarmKeys")),
-        live_weights=info.get("Weights") == "live",
+        weights_report_load=info.get("Weights") == "live",
         start_capacity=number(rules.get("StartCapacity", 1), "StartCapacity"),
         cold_ms=number(rules.get("ColdMs") or 0, "ColdMs"),
         fall_multiple=number(rules.get("FallMultiple", 2), "FallMultiple"),
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -196,7 +196,7 @@
 
 
 def keyed(me: int, servers: list[ServerInfo]) -> Driver:
-    return Driver(settings(proxies=40, me=me, key_affinity=True, live_weights=True), *servers, seed=me)
+    return Driver(settings(proxies=40, me=me, key_affinity=True, weights_report_load=True), *servers, seed=me)
 
 
 def keys_of(driver: Driver, server: str, keys: range) -> int:
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -42,7 +42,7 @@
 )
 CONFIGS = (
     Settings(CLASSES, proxies=40, may_cancel=True, may_duplicate=True, max_attempts=6, key_affinity=True,
-             live_weights=True, start_capacity=0.1, cold_ms=5000.0, tick_ms=5.0),
+             weights_report_load=True, start_capacity=0.1, cold_ms=5000.0, tick_ms=5.0),
     Settings(CLASSES, proxies=3, may_cancel=True, max_attempts=4, tick_ms=5.0),
     Settings(CLASSES, quotas=(5.0, 2.0), over_share_worth=0.1, max_attempts=2, ask_for_list=True),
     Settings(CLASSES, proxies=2, may_cancel=True, may_duplicate=True, may_probe=True, max_attempts=6,
