--- a/flintlatch/api.py
+++ b/flintlatch/api.py
@@ -120,7 +120,7 @@
         if not any(spec.worth > 0 for spec in self.classes):
             raise ValueError("worth: no class is worth anything")
         limits = ("node_transfers", "node_transfer_bytes", "all_transfers", "all_transfer_bytes")
-        for name in ("proxies", "most_attempts", "zones", *limits):
+        for name in ("proxies", "max_attempts", "zones", *limits):
             if not getattr(self, name) >= 1:
                 raise ValueError(f"{name} must be at least 1")
         for name in ("tick_ms", "must_ask_ms", "fall_ms", "fall_multiple"):
--- a/tests/support.py
+++ b/tests/support.py
@@ -24,7 +24,7 @@
 
 
 def settings(*classes: RequestClass, **more: Any) -> Settings:
-    base: dict[str, Any] = {"most_attempts": 4, "may_cancel": True, "tick_ms": 1.0}
+    base: dict[str, Any] = {"max_attempts": 4, "may_cancel": True, "tick_ms": 1.0}
     return Settings(classes=classes or (RequestClass(300.0, 1000.0),), **(base | more))
 
 
--- a/tests/test_list_service.py
+++ b/tests/test_list_service.py
@@ -10,7 +10,7 @@
 from tests.support import Driver, fleet, settings
 from tests.test_many import AskedOne
 
-ASKED: dict[str, Any] = {"ask_for_list": True, "must_ask_ms": 10_000.0, "warm_keys": True}
+ASKED: dict[str, Any] = {"ask_for_list": True, "must_ask_ms": 10_000.0, "key_affinity": True}
 TICK_MS = 25
 
 
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -246,7 +246,7 @@
 
 def test_cold_servers_that_hold_nothing_yet_don_t_make_the_others_look_full() -> None:
     servers = [s._replace(weight=1.5) for s in fleet(6)]
-    more: dict[str, Any] = {"warm_keys": True, "live_weights": True, "cold_ms": 1e6, "start_capacity": 0.2}
+    more: dict[str, Any] = {"key_affinity": True, "weights_report_load": True, "cold_ms": 1e6, "start_capacity": 0.2}
     driver = Driver(settings(proxies=40, **more), *servers)
     driver.now += 1e6
     new = [ServerInfo(f"10.0.1.{i}:80", weight=1.5, started=driver.now) for i in range(10)]
@@ -328,7 +328,7 @@
 def test_proxies_killed_together_all_hear_of_the_list_from_a_service_for_few(seed: int) -> None:
     """40 start within 100 ms, at a service that one call of each fills for seven seconds."""
     service = AskedOne(7000 / 40)
-    more: dict[str, Any] = {"ask_for_list": True, "must_ask_ms": 10_000.0, "warm_keys": True}
+    more: dict[str, Any] = {"ask_for_list": True, "must_ask_ms": 10_000.0, "key_affinity": True}
     drivers = [
         Driver(settings(proxies=40, me=me, **more), *fleet(6), seed=97 * seed + me) for me in range(40)
     ]
@@ -376,7 +376,7 @@
         "fall_ms": 1500.0,
         "fall_multiple": 3.0,
     }
-    more = cold | {"warm_keys": True, "live_weights": True, "most_attempts": 6}
+    more = cold | {"key_affinity": True, "weights_report_load": True, "max_attempts": 6}
     drivers = [Driver(settings(proxies=40, me=me, **more), *fleet(12), seed=me + seed) for me in range(40)]
     rng, lost = Random(seed), {s.server for s in fleet(12)[:4]}
     busy: list[tuple[float, Driver, str, Result]] = []
@@ -474,7 +474,7 @@
 def test_one_of_many_with_several_times_the_mean_traffic_uses_servers_that_are_idle() -> None:
     """An even part of 60 servers is five requests in flight; twenty of this proxy's wait to be served."""
     servers = [s._replace(weight=1.5) for s in fleet(60)]
-    more: dict[str, Any] = {"proxies": 60, "warm_keys": True, "live_weights": True}
+    more: dict[str, Any] = {"proxies": 60, "key_affinity": True, "weights_report_load": True}
     driver = Driver(settings(**more), *servers)
     crowded(driver, servers, 1.0, 5, 4000)
     came, sent = crowded(driver, servers, 1.0, 5, 3000)
@@ -483,7 +483,7 @@
 
 def test_its_part_is_no_more_when_servers_hold_all_that_they_may() -> None:
     servers = [s._replace(weight=1.5) for s in fleet(60)]
-    more: dict[str, Any] = {"proxies": 60, "warm_keys": True, "live_weights": True}
+    more: dict[str, Any] = {"proxies": 60, "key_affinity": True, "weights_report_load": True}
     driver = Driver(settings(**more), *servers)
     crowded(driver, servers, 1.0, 5, 4000)
     most = driver.balancer.usual_out
@@ -523,7 +523,7 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_servers_replaced_at_once_get_no_more_of_all_proxies_than_they_can_bear(seed: int) -> None:
     """6 of 12 servers are new: 60 proxies with uneven traffic each have a budget, and the sum counts."""
-    more = COLD | {"warm_keys": True, "live_weights": True, "most_attempts": 6}
+    more = COLD | {"key_affinity": True, "weights_report_load": True, "max_attempts": 6}
     servers = [s._replace(weight=1.5) for s in fleet(12)]
     drivers = [Driver(settings(proxies=60, me=me, **more), *servers, seed=60 * seed + me) for me in range(60)]
     rng = Random(seed)
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -54,7 +54,7 @@
     assert list(driver.sends.values()) == [[idle.id]]
 
 
-@pytest.mark.parametrize("warm_keys", [True, False])
+@pytest.mark.parametrize("key_affinity", [True, False])
 def test_one_of_many_uses_all_servers_only_where_they_know_keys(key_affinity: bool) -> None:
     # Guards against a key that meets other servers at each proxy, and so none that knows it.
     servers: list[ServerInfo] = fleet(24)
@@ -71,7 +71,7 @@
 
 def test_cold_servers_get_one_request_in_a_window_from_many_proxies_together() -> None:
     # Guards against proxies that start together, know nothing, and each give a cold server its own first one.
-    spec: dict[str, Any] = {"warm_keys": True, "start_capacity": 0.1, "cold_ms": 20_000.0, "fall_ms": 1500.0}
+    spec: dict[str, Any] = {"key_affinity": True, "start_capacity": 0.1, "cold_ms": 20_000.0, "fall_ms": 1500.0}
     sent = 0
     for me in range(14):
         driver = Driver(settings(proxies=14, me=me, **spec), *fleet(1, started=0.0), seed=me)
@@ -310,7 +310,7 @@
 
 @pytest.mark.parametrize(
     ("name", "value"),
-    [(n, 0) for n in ("proxies", "most_attempts", "zones", "tick_ms", "must_ask_ms", "fall_ms")]
+    [(n, 0) for n in ("proxies", "max_attempts", "zones", "tick_ms", "must_ask_ms", "fall_ms")]
     + [("quotas", (1.0, -1.0)), ("cold_ms", -1.0), ("fall_multiple", float("inf")), ("me", -1)],
 )
 def test_impossible_settings_are_named(name: str, value: object) -> None:
--- a/tests/test_notice.py
+++ b/tests/test_notice.py
@@ -22,7 +22,7 @@
 
 
 def asking(proxies: int, me: int, must_ask_ms: float = 10_000.0) -> Driver:
-    more: dict[str, Any] = {"ask_for_list": True, "must_ask_ms": must_ask_ms, "warm_keys": True}
+    more: dict[str, Any] = {"ask_for_list": True, "must_ask_ms": must_ask_ms, "key_affinity": True}
     return Driver(settings(proxies=proxies, me=me, **more), *fleet(3), seed=me)
 
 
--- a/tests/test_second_copies.py
+++ b/tests/test_second_copies.py
@@ -34,7 +34,7 @@
     return [ServerInfo(f"10.0.{c}.{i}:80", cell=c) for c in range(n) for i in range(each)]
 
 
-MANY: dict[str, Any] = {"proxies": 5, "warm_keys": True, "may_duplicate": True}
+MANY: dict[str, Any] = {"proxies": 5, "key_affinity": True, "may_duplicate": True}
 
 
 def copying(*classes: RequestClass, **more: Any) -> Driver:
