--- a/flintlatch/adapter.py
+++ b/flintlatch/adapter.py
@@ -35,7 +35,7 @@
 from flintlatch.settings import (
     Malformed,
     Message,
-    choice,
+require_choice,
     listing,
     mapping,
     number,
@@ -79,7 +79,7 @@
     return Outcome(
         text(raw["Call"], "Call"),
         whole(raw["Leg"], "Leg"),
-        choice(RESULTS, raw["How"], "How"),
+        require_choice(RESULTS, raw["How"], "How"),
         number(raw["DelaySeenMs"], "DelaySeenMs"),
         raw["Finished"] is True,
     )
@@ -98,7 +98,7 @@
     started = raw.get("LastStartMs")
     return ServerInfo(
         text(raw["Backend"], "Backend"),
-        choice(STATES, raw["State"], "State"),
+        require_choice(STATES, raw["State"], "State"),
         whole(raw.get("RackZone") or 0, "RackZone"),
         whole(raw.get("Shape") or 0, "Shape"),
         whole(raw.get("Cohort") or 0, "Cohort"),
@@ -108,7 +108,7 @@
 
 
 def read_list(raw: Message, _: int) -> Event:
-    kind = choice(LIST_KINDS, raw["Mode"], "Mode")
+    kind = require_choice(LIST_KINDS, raw["Mode"], "Mode")
     entries = listing(raw.get("Records") or [], "Records")
     return ServerList(kind, tuple(read_entry(mapping(e, "Records")) for e in entries))
 
--- a/flintlatch/settings.py
+++ b/flintlatch/settings.py
@@ -16,7 +16,7 @@
     """Input that breaks the wire's rules; the text is for a person."""
 
 
-def choice(table: dict[str, Any], value: object, member: str) -> Any:
+def require_choice(table: dict[str, Any], value: object, member: str) -> Any:
     if not isinstance(value, str) or value not in table:
         raise Malformed(f"unknown {member} {value!r}")
     return table[value]
@@ -56,8 +56,8 @@
     return RequestClass(
         aim_ms=number(raw["AimMs"], "AimMs"),
         deadline_ms=number(raw["HardLimitMs"], "HardLimitMs"),
-        effect=choice(EFFECTS, raw["Effect"], "Effect"),
-        scope=choice({s.value: s for s in Scope}, raw.get("KeyScope") or "all", "KeyScope"),
+        effect=require_choice(EFFECTS, raw["Effect"], "Effect"),
+        scope=require_choice({s.value: s for s in Scope}, raw.get("KeyScope") or "all", "KeyScope"),
         window_ms=number(raw.get("KeyTtlMs") or 0, "KeyTtlMs"),
         worth=number(raw.get("Points", 1), "Points"),
         late_worth=number(raw.get("LateWorth") or 0, "LateWorth"),
