--- a/flintlatch/adapter.py
+++ b/flintlatch/adapter.py
@@ -38,7 +38,7 @@
 require_choice,
     listing,
     mapping,
-    number,
+require_number,
     read_settings,
     text,
     whole,
@@ -71,7 +71,7 @@
     if key is not None:
         key = whole(key, "Subject")
     tenant = whole(raw.get("Tenant") or 0, "Tenant")
-    give_up, bits = number(raw["GiveUpAtMs"], "GiveUpAtMs"), whole(raw.get("Bitmap") or 0, "Bitmap")
+    give_up, bits = require_number(raw["GiveUpAtMs"], "GiveUpAtMs"), whole(raw.get("Bitmap") or 0, "Bitmap")
     return Arrival(text(raw["Call"], "Call"), cls, tenant, key, give_up, bool(bits & REPEAT_BIT))
 
 
@@ -80,13 +80,13 @@
         text(raw["Call"], "Call"),
         whole(raw["Leg"], "Leg"),
         require_choice(RESULTS, raw["How"], "How"),
-        number(raw["DelaySeenMs"], "DelaySeenMs"),
+        require_number(raw["DelaySeenMs"], "DelaySeenMs"),
         raw["Finished"] is True,
     )
 
 
 def read_started(raw: Message, _: int) -> Event:
-    delay = number(raw["DelaySeenMs"], "DelaySeenMs")
+    delay = require_number(raw["DelaySeenMs"], "DelaySeenMs")
     return ResponseStarted(text(raw["Call"], "Call"), whole(raw["Leg"], "Leg"), delay)
 
 
@@ -102,8 +102,8 @@
         whole(raw.get("RackZone") or 0, "RackZone"),
         whole(raw.get("Shape") or 0, "Shape"),
         whole(raw.get("Cohort") or 0, "Cohort"),
-        number(started, "LastStartMs") if started else None,
-        number(raw.get("Rating") or 1, "Rating"),
+        require_number(started, "LastStartMs") if started else None,
+        require_number(raw.get("Rating") or 1, "Rating"),
     )
 
 
@@ -116,7 +116,7 @@
 def read_probe(raw: Message, _: int) -> Event:
     # A probe may fail for a cause with no name of its own here; only success is told apart.
     result = RESULTS.get(text(raw["How"], "How"), Result.ERROR)
-    return ProbeResult(text(raw["Backend"], "Backend"), result, number(raw["DelaySeenMs"], "DelaySeenMs"))
+    return ProbeResult(text(raw["Backend"], "Backend"), result, require_number(raw["DelaySeenMs"], "DelaySeenMs"))
 
 
 def read_ring(raw: Message, _: int) -> Event:
@@ -160,7 +160,7 @@
         for member in ("TsMs", "news"):
             if member not in message:
                 raise Malformed(f"batch without {member}")
-        now = number(message["TsMs"], "TsMs")
+        now = require_number(message["TsMs"], "TsMs")
         pending: dict[int, list[Event]] = {}
         replies: list[Message] = []
         for raw in listing(message["news"], "news"):
--- a/flintlatch/net/discovery.py
+++ b/flintlatch/net/discovery.py
@@ -11,7 +11,7 @@
 
 from flintlatch.api import ServerInfo, ServerState
 from flintlatch.net.http1 import Exchange, Response, split_address
-from flintlatch.settings import Malformed, Wire, require_choice, listing, mapping, number, text, whole
+from flintlatch.settings import Malformed, Wire, require_choice, listing, mapping, require_number, text, whole
 
 STATES = {"active": ServerState.ACTIVE, "leaving": ServerState.DRAINING, "left": ServerState.GONE}
 # A change counts as told NOTICE_MS after discovery had it, whether or not it arrived, and what a silent watch
@@ -64,8 +64,8 @@
         place(wire.zones, entry.get("az"), "az"),
         place(wire.kinds, entry.get("model"), "model"),
         whole(entry.get("pod_group") or 0, "pod_group"),
-        number(started, "boot_ms") if started else None,
-        number(entry.get("capacity_hint") or 1, "capacity_hint"),
+        require_number(started, "boot_ms") if started else None,
+        require_number(entry.get("capacity_hint") or 1, "capacity_hint"),
     )
     return Target(uid, host, port, info)
 
--- a/flintlatch/settings.py
+++ b/flintlatch/settings.py
@@ -22,7 +22,7 @@
     return table[value]
 
 
-def number(value: object, member: str) -> float:
+def require_number(value: object, member: str) -> float:
     if isinstance(value, bool) or not isinstance(value, (int, float)):
         raise Malformed(f"{member} is not a number: {value!r}")
     return float(value)
@@ -54,13 +54,13 @@
 
 def read_class(raw: Message) -> RequestClass:
     return RequestClass(
-        aim_ms=number(raw["AimMs"], "AimMs"),
-        deadline_ms=number(raw["HardLimitMs"], "HardLimitMs"),
+        aim_ms=require_number(raw["AimMs"], "AimMs"),
+        deadline_ms=require_number(raw["HardLimitMs"], "HardLimitMs"),
         effect=require_choice(EFFECTS, raw["Effect"], "Effect"),
         scope=require_choice({s.value: s for s in Scope}, raw.get("KeyScope") or "all", "KeyScope"),
-        window_ms=number(raw.get("KeyTtlMs") or 0, "KeyTtlMs"),
-        worth=number(raw.get("Points", 1), "Points"),
-        late_worth=number(raw.get("LateWorth") or 0, "LateWorth"),
+        window_ms=require_number(raw.get("KeyTtlMs") or 0, "KeyTtlMs"),
+        worth=require_number(raw.get("Points", 1), "Points"),
+        late_worth=require_number(raw.get("LateWorth") or 0, "LateWorth"),
         stream=bool(raw.get("Stream")),
     )
 
@@ -76,23 +76,23 @@
         me=whole(info.get("Me", 0), "Me"),
         zone=whole(info.get("Az") or 0, "Az"),
         zones=max(1, len(listing(info.get("Dcs") or [], "Dcs"))),
-        quotas=tuple(number(t["QuotaPerS"], "QuotaPerS") for t in tenants),
-        over_share_worth=number(info.get("OverShareWorth", 1), "OverShareWorth"),
-        tick_ms=number(info.get("TickMs", 1), "TickMs"),
+        quotas=tuple(require_number(t["QuotaPerS"], "QuotaPerS") for t in tenants),
+        over_share_worth=require_number(info.get("OverShareWorth", 1), "OverShareWorth"),
+        tick_ms=require_number(info.get("TickMs", 1), "TickMs"),
         ask_for_list=info.get("Discovery") == "ask",
-        must_ask_ms=number(rules.get("MustAskInMs", 10000), "MustAskInMs"),
+        must_ask_ms=require_number(rules.get("MustAskInMs", 10000), "MustAskInMs"),
         may_cancel=bool(limits.get("MayCancel")),
         may_duplicate=bool(limits.get("MayDuplicate")),
         may_probe=bool(limits.get("Probes")),
         retry_after=bool(limits.get("RetryAfter")),
-        max_retry_after_ms=number(limits.get("MaxRetryAfterMs") or 0, "MaxRetryAfterMs"),
+        max_retry_after_ms=require_number(limits.get("MaxRetryAfterMs") or 0, "MaxRetryAfterMs"),
         max_attempts=whole(limits.get("MostTries", 1), "MostTries"),
         key_affinity=bool(domain.get("WarmKeys")),
         weights_report_load=info.get("Weights") == "live",
-        start_capacity=number(rules.get("StartCapacity", 1), "StartCapacity"),
-        cold_ms=number(rules.get("ColdMs") or 0, "ColdMs"),
-        fall_multiple=number(rules.get("FallMultiple", 2), "FallMultiple"),
-        fall_ms=number(rules.get("OverloadForMs", 1000), "OverloadForMs"),
+        start_capacity=require_number(rules.get("StartCapacity", 1), "StartCapacity"),
+        cold_ms=require_number(rules.get("ColdMs") or 0, "ColdMs"),
+        fall_multiple=require_number(rules.get("FallMultiple", 2), "FallMultiple"),
+        fall_ms=require_number(rules.get("OverloadForMs", 1000), "OverloadForMs"),
     )
 
 
@@ -122,8 +122,8 @@
         tenants=numbered([t["Name"] for t in tenants], "Name"),
         zones=numbered(listing(info.get("Dcs") or [], "Dcs"), "Dcs"),
         kinds=numbered(listing(info.get("Kinds") or [], "Kinds"), "Kinds"),
-        connect_timeout_ms=number(limits.get("ConnectTimeoutMs", 250), "ConnectTimeoutMs"),
-        conn_idle_ms=number(limits.get("ConnIdleMs", 15000), "ConnIdleMs"),
+        connect_timeout_ms=require_number(limits.get("ConnectTimeoutMs", 250), "ConnectTimeoutMs"),
+        conn_idle_ms=require_number(limits.get("ConnIdleMs", 15000), "ConnIdleMs"),
     )
     for name in ("connect_timeout_ms", "conn_idle_ms"):
         if not 0 < getattr(wire, name) < inf:
