--- a/flintlatch/adapter.py
+++ b/flintlatch/adapter.py
@@ -41,7 +41,7 @@
 require_number,
     read_settings,
     text,
-    whole,
+require_integer,
 )
 
 RESULTS = {
@@ -69,16 +69,16 @@
     if type(cls) is not int or not 0 <= cls < classes:
         raise Malformed(f"Lane is no known class: {cls!r}")
     if key is not None:
-        key = whole(key, "Subject")
-    tenant = whole(raw.get("Tenant") or 0, "Tenant")
-    give_up, bits = require_number(raw["GiveUpAtMs"], "GiveUpAtMs"), whole(raw.get("Bitmap") or 0, "Bitmap")
+        key = require_integer(key, "Subject")
+    tenant = require_integer(raw.get("Tenant") or 0, "Tenant")
+    give_up, bits = require_number(raw["GiveUpAtMs"], "GiveUpAtMs"), require_integer(raw.get("Bitmap") or 0, "Bitmap")
     return Arrival(text(raw["Call"], "Call"), cls, tenant, key, give_up, bool(bits & REPEAT_BIT))
 
 
 def read_outcome(raw: Message, _: int) -> Event:
     return Outcome(
         text(raw["Call"], "Call"),
-        whole(raw["Leg"], "Leg"),
+        require_integer(raw["Leg"], "Leg"),
         require_choice(RESULTS, raw["How"], "How"),
         require_number(raw["DelaySeenMs"], "DelaySeenMs"),
         raw["Finished"] is True,
@@ -87,7 +87,7 @@
 
 def read_started(raw: Message, _: int) -> Event:
     delay = require_number(raw["DelaySeenMs"], "DelaySeenMs")
-    return ResponseStarted(text(raw["Call"], "Call"), whole(raw["Leg"], "Leg"), delay)
+    return ResponseStarted(text(raw["Call"], "Call"), require_integer(raw["Leg"], "Leg"), delay)
 
 
 def read_gone(raw: Message, _: int) -> Event:
@@ -99,9 +99,9 @@
     return ServerInfo(
         text(raw["Backend"], "Backend"),
         require_choice(STATES, raw["State"], "State"),
-        whole(raw.get("RackZone") or 0, "RackZone"),
-        whole(raw.get("Shape") or 0, "Shape"),
-        whole(raw.get("Cohort") or 0, "Cohort"),
+        require_integer(raw.get("RackZone") or 0, "RackZone"),
+        require_integer(raw.get("Shape") or 0, "Shape"),
+        require_integer(raw.get("Cohort") or 0, "Cohort"),
         require_number(started, "LastStartMs") if started else None,
         require_number(raw.get("Rating") or 1, "Rating"),
     )
@@ -120,7 +120,7 @@
 
 
 def read_ring(raw: Message, _: int) -> Event:
-    return TimerFired(whole(raw["Ref"], "Ref"))
+    return TimerFired(require_integer(raw["Ref"], "Ref"))
 
 
 READERS: dict[str, Callable[[Message, int], Event] | None] = {
@@ -177,7 +177,7 @@
             if type(proxy) is not int:
                 raise Malformed(f"ProxyId is not a whole number: {proxy!r}")
             if what == "Provision":
-                seed, info = whole(raw["Entropy"], "Entropy"), mapping(raw["Info"], "Info")
+                seed, info = require_integer(raw["Entropy"], "Entropy"), mapping(raw["Info"], "Info")
                 # What an instance held before a new start is void: its unread events go with it.
                 pending[proxy] = []
                 settings = read_settings(info)
--- a/flintlatch/net/discovery.py
+++ b/flintlatch/net/discovery.py
@@ -11,7 +11,7 @@
 
 from flintlatch.api import ServerInfo, ServerState
 from flintlatch.net.http1 import Exchange, Response, split_address
-from flintlatch.settings import Malformed, Wire, require_choice, listing, mapping, require_number, text, whole
+from flintlatch.settings import Malformed, Wire, require_choice, listing, mapping, require_number, text, require_integer
 
 STATES = {"active": ServerState.ACTIVE, "leaving": ServerState.DRAINING, "left": ServerState.GONE}
 # A change counts as told NOTICE_MS after discovery had it, whether or not it arrived, and what a silent watch
@@ -63,7 +63,7 @@
         require_choice(STATES, entry["state"], "state"),
         place(wire.zones, entry.get("az"), "az"),
         place(wire.kinds, entry.get("model"), "model"),
-        whole(entry.get("pod_group") or 0, "pod_group"),
+        require_integer(entry.get("pod_group") or 0, "pod_group"),
         require_number(started, "boot_ms") if started else None,
         require_number(entry.get("capacity_hint") or 1, "capacity_hint"),
     )
@@ -74,7 +74,7 @@
     try:
         data = mapping(raw, "list")
         targets = tuple(read_target(entry, wire) for entry in listing(data["targets"], "targets"))
-        return Listing(whole(data["rev"], "rev"), data["all"] is True, targets)
+        return Listing(require_integer(data["rev"], "rev"), data["all"] is True, targets)
     except KeyError as error:
         raise Malformed(f"list: {error.args[0]} is missing") from None
     except ValueError as error:
--- a/flintlatch/settings.py
+++ b/flintlatch/settings.py
@@ -28,7 +28,7 @@
     return float(value)
 
 
-def whole(value: object, member: str) -> int:
+def require_integer(value: object, member: str) -> int:
     if isinstance(value, bool) or not isinstance(value, int):
         raise Malformed(f"{member} is not a whole number: {value!r}")
     return value
@@ -72,9 +72,9 @@
     tenants = [mapping(t, "Projects") for t in listing(info.get("Projects") or [], "Projects")]
     return Settings(
         classes=tuple(read_class(mapping(c, "Lanes")) for c in listing(info["Lanes"], "Lanes")),
-        proxies=whole(info.get("Balancers", 1), "Balancers"),
-        me=whole(info.get("Me", 0), "Me"),
-        zone=whole(info.get("Az") or 0, "Az"),
+        proxies=require_integer(info.get("Balancers", 1), "Balancers"),
+        me=require_integer(info.get("Me", 0), "Me"),
+        zone=require_integer(info.get("Az") or 0, "Az"),
         zones=max(1, len(listing(info.get("Dcs") or [], "Dcs"))),
         quotas=tuple(require_number(t["QuotaPerS"], "QuotaPerS") for t in tenants),
         over_share_worth=require_number(info.get("OverShareWorth", 1), "OverShareWorth"),
@@ -86,7 +86,7 @@
         may_probe=bool(limits.get("Probes")),
         retry_after=bool(limits.get("RetryAfter")),
         max_retry_after_ms=require_number(limits.get("MaxRetryAfterMs") or 0, "MaxRetryAfterMs"),
-        max_attempts=whole(limits.get("MostTries", 1), "MostTries"),
+        max_attempts=require_integer(limits.get("MostTries", 1), "MostTries"),
         key_affinity=bool(domain.get("WarmKeys")),
         weights_report_load=info.get("Weights") == "live",
         start_capacity=require_number(rules.get("StartCapacity", 1), "StartCapacity"),
