--- a/flintlatch/__main__.py
+++ b/flintlatch/__main__.py
@@ -28,7 +28,7 @@
 from flintlatch.ops.staff import Operations
 from flintlatch.ops.succession import Succession, predecessor
 from flintlatch.platform import PlatformEngine, PlatformFrontend, build
-from flintlatch.settings import Malformed, Wire, mapping, read_settings, read_wire, text, require_integer
+from flintlatch.settings import Malformed, Wire, mapping, read_settings, read_wire, require_string, require_integer
 
 KEEP_ON_S = 1.5  # s after SIGTERM in which connections stay open where a successor accepts the new ones
 ACCEPT_ON_S = 0.55  # s after SIGTERM in which connections still come, and a little more for a busy machine
@@ -55,15 +55,15 @@
             self.settings.check()
             self.wire: Wire = read_wire(info)
             self.known: Listing = read_listing(raw["known"], self.wire)
-            self.name = env.get("LB_NAME") or text(raw["name"], "name")
-            self.listen = env.get("LB_LISTEN") or text(raw["listen"], "listen")
-            self.discovery = env.get("LB_DISCOVERY") or text(raw["discovery"], "discovery")
-            self.seed = int(text(raw["seed"], "seed"), 16)
+            self.name = env.get("LB_NAME") or require_string(raw["name"], "name")
+            self.listen = env.get("LB_LISTEN") or require_string(raw["listen"], "listen")
+            self.discovery = env.get("LB_DISCOVERY") or require_string(raw["discovery"], "discovery")
+            self.seed = int(require_string(raw["seed"], "seed"), 16)
             limits: dict[str, Any] = mapping(raw.get("limits") or {}, "limits")
             sockets = require_integer(limits.get("sockets", 1024), "sockets")
             self.memory_mb = float(require_integer(limits.get("memory_mb", 64), "memory_mb"))
             self.sockets = min(sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
-            self.admin = env.get("LB_ADMIN") or text(raw.get("admin") or "", "admin")
+            self.admin = env.get("LB_ADMIN") or require_string(raw.get("admin") or "", "admin")
             self.shared_folder = env.get("TMPDIR") or ""  # where a process and its successor meet
             for address in (self.listen, self.discovery, *filter(None, [self.admin])):
                 split_address(address)
--- a/flintlatch/adapter.py
+++ b/flintlatch/adapter.py
@@ -40,7 +40,7 @@
     mapping,
 require_number,
     read_settings,
-    text,
+require_string,
 require_integer,
 )
 
@@ -72,12 +72,12 @@
         key = require_integer(key, "Subject")
     tenant = require_integer(raw.get("Tenant") or 0, "Tenant")
     give_up, bits = require_number(raw["GiveUpAtMs"], "GiveUpAtMs"), require_integer(raw.get("Bitmap") or 0, "Bitmap")
-    return Arrival(text(raw["Call"], "Call"), cls, tenant, key, give_up, bool(bits & REPEAT_BIT))
+    return Arrival(require_string(raw["Call"], "Call"), cls, tenant, key, give_up, bool(bits & REPEAT_BIT))
 
 
 def read_outcome(raw: Message, _: int) -> Event:
     return Outcome(
-        text(raw["Call"], "Call"),
+        require_string(raw["Call"], "Call"),
         require_integer(raw["Leg"], "Leg"),
         require_choice(RESULTS, raw["How"], "How"),
         require_number(raw["DelaySeenMs"], "DelaySeenMs"),
@@ -87,17 +87,17 @@
 
 def read_started(raw: Message, _: int) -> Event:
     delay = require_number(raw["DelaySeenMs"], "DelaySeenMs")
-    return ResponseStarted(text(raw["Call"], "Call"), require_integer(raw["Leg"], "Leg"), delay)
+    return ResponseStarted(require_string(raw["Call"], "Call"), require_integer(raw["Leg"], "Leg"), delay)
 
 
 def read_gone(raw: Message, _: int) -> Event:
-    return ClientDisconnected(text(raw["Call"], "Call"))
+    return ClientDisconnected(require_string(raw["Call"], "Call"))
 
 
 def read_entry(raw: Message) -> ServerInfo:
     started = raw.get("LastStartMs")
     return ServerInfo(
-        text(raw["Backend"], "Backend"),
+        require_string(raw["Backend"], "Backend"),
         require_choice(STATES, raw["State"], "State"),
         require_integer(raw.get("RackZone") or 0, "RackZone"),
         require_integer(raw.get("Shape") or 0, "Shape"),
@@ -115,8 +115,8 @@
 
 def read_probe(raw: Message, _: int) -> Event:
     # A probe may fail for a cause with no name of its own here; only success is told apart.
-    result = RESULTS.get(text(raw["How"], "How"), Result.ERROR)
-    return ProbeResult(text(raw["Backend"], "Backend"), result, require_number(raw["DelaySeenMs"], "DelaySeenMs"))
+    result = RESULTS.get(require_string(raw["How"], "How"), Result.ERROR)
+    return ProbeResult(require_string(raw["Backend"], "Backend"), result, require_number(raw["DelaySeenMs"], "DelaySeenMs"))
 
 
 def read_ring(raw: Message, _: int) -> Event:
--- a/flintlatch/net/discovery.py
+++ b/flintlatch/net/discovery.py
@@ -11,7 +11,7 @@
 
 from flintlatch.api import ServerInfo, ServerState
 from flintlatch.net.http1 import Exchange, Response, split_address
-from flintlatch.settings import Malformed, Wire, require_choice, listing, mapping, require_number, text, require_integer
+from flintlatch.settings import Malformed, Wire, require_choice, listing, mapping, require_number, require_string, require_integer
 
 STATES = {"active": ServerState.ACTIVE, "leaving": ServerState.DRAINING, "left": ServerState.GONE}
 # A change counts as told NOTICE_MS after discovery had it, whether or not it arrived, and what a silent watch
@@ -50,13 +50,13 @@
     """The number of a zone or kind; one that the settings do not name gets the next."""
     if value is None:
         return 0
-    return value if type(value) is int else names.setdefault(text(value, member), len(names))
+    return value if type(value) is int else names.setdefault(require_string(value, member), len(names))
 
 
 def read_target(raw: object, wire: Wire) -> Target:
     entry = mapping(raw, "targets")
-    uid, started = text(entry["uid"], "uid"), entry.get("boot_ms")
-    host, port = split_address(text(entry["endpoint"], "endpoint"))
+    uid, started = require_string(entry["uid"], "uid"), entry.get("boot_ms")
+    host, port = split_address(require_string(entry["endpoint"], "endpoint"))
     ip_address(host)  # a name would have to be looked up, and there is no DNS
     info = ServerInfo(
         uid,
--- a/flintlatch/settings.py
+++ b/flintlatch/settings.py
@@ -34,7 +34,7 @@
     return value
 
 
-def text(value: object, member: str) -> str:
+def require_string(value: object, member: str) -> str:
     if not isinstance(value, str):
         raise Malformed(f"{member} is not a string: {value!r}")
     return value
@@ -110,7 +110,7 @@
 
 
 def numbered(names: list[Any], member: str) -> dict[str, int]:
-    return {text(name, member): place for place, name in enumerate(names)}
+    return {require_string(name, member): place for place, name in enumerate(names)}
 
 
 def read_wire(info: Message) -> Wire:
