--- a/flintlatch/__main__.py
+++ b/flintlatch/__main__.py
@@ -28,7 +28,7 @@
 from flintlatch.ops.staff import Operations
 from flintlatch.ops.succession import Succession, predecessor
 from flintlatch.platform import PlatformEngine, PlatformFrontend, build
-from flintlatch.settings import Malformed, Wire, mapping, read_settings, read_wire, require_string, require_integer
+from flintlatch.settings import Malformed, Wire, require_object, read_settings, read_wire, require_string, require_integer
 
 KEEP_ON_S = 1.5  # s after SIGTERM in which connections stay open where a successor accepts the new ones
 ACCEPT_ON_S = 0.55  # s after SIGTERM in which connections still come, and a little more for a busy machine
@@ -43,13 +43,13 @@
             raise Malformed("LB_CONFIG is not set")
         try:
             with open(path, "rb") as file:
-                raw = mapping(orjson.loads(file.read()), "configuration")
+                raw = require_object(orjson.loads(file.read()), "configuration")
         except OSError as error:
             raise Malformed(f"{path}: {error.strerror}") from None
         except orjson.JSONDecodeError as error:
             raise Malformed(f"{path}: not JSON: {error}") from None
         try:
-            info = mapping(raw["settings"], "settings")
+            info = require_object(raw["settings"], "settings")
             # The limit tells what the simulator's clients are given; HTTP has Retry-After for all of them.
             self.settings: Settings = replace(read_settings(info), retry_after=True)
             self.settings.check()
@@ -59,7 +59,7 @@
             self.listen = env.get("LB_LISTEN") or require_string(raw["listen"], "listen")
             self.discovery = env.get("LB_DISCOVERY") or require_string(raw["discovery"], "discovery")
             self.seed = int(require_string(raw["seed"], "seed"), 16)
-            limits: dict[str, Any] = mapping(raw.get("limits") or {}, "limits")
+            limits: dict[str, Any] = require_object(raw.get("limits") or {}, "limits")
             sockets = require_integer(limits.get("sockets", 1024), "sockets")
             self.memory_mb = float(require_integer(limits.get("memory_mb", 64), "memory_mb"))
             self.sockets = min(sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
--- a/flintlatch/adapter.py
+++ b/flintlatch/adapter.py
@@ -37,7 +37,7 @@
     Message,
 require_choice,
     listing,
-    mapping,
+require_object,
 require_number,
     read_settings,
 require_string,
@@ -110,7 +110,7 @@
 def read_list(raw: Message, _: int) -> Event:
     kind = require_choice(LIST_KINDS, raw["Mode"], "Mode")
     entries = listing(raw.get("Records") or [], "Records")
-    return ServerList(kind, tuple(read_entry(mapping(e, "Records")) for e in entries))
+    return ServerList(kind, tuple(read_entry(require_object(e, "Records")) for e in entries))
 
 
 def read_probe(raw: Message, _: int) -> Event:
@@ -156,7 +156,7 @@
             message = orjson.loads(line)
         except orjson.JSONDecodeError as error:
             raise Malformed(f"line is not JSON: {error}") from None
-        message = mapping(message, "batch")
+        message = require_object(message, "batch")
         for member in ("TsMs", "news"):
             if member not in message:
                 raise Malformed(f"batch without {member}")
@@ -164,7 +164,7 @@
         pending: dict[int, list[Event]] = {}
         replies: list[Message] = []
         for raw in listing(message["news"], "news"):
-            self.take(now, mapping(raw, "news entry"), pending, replies)
+            self.take(now, require_object(raw, "news entry"), pending, replies)
         for proxy in list(pending):
             self.flush(now, proxy, pending, replies)
         return orjson.dumps({"cmds": replies})
@@ -177,7 +177,7 @@
             if type(proxy) is not int:
                 raise Malformed(f"ProxyId is not a whole number: {proxy!r}")
             if what == "Provision":
-                seed, info = require_integer(raw["Entropy"], "Entropy"), mapping(raw["Info"], "Info")
+                seed, info = require_integer(raw["Entropy"], "Entropy"), require_object(raw["Info"], "Info")
                 # What an instance held before a new start is void: its unread events go with it.
                 pending[proxy] = []
                 settings = read_settings(info)
--- a/flintlatch/net/discovery.py
+++ b/flintlatch/net/discovery.py
@@ -11,7 +11,7 @@
 
 from flintlatch.api import ServerInfo, ServerState
 from flintlatch.net.http1 import Exchange, Response, split_address
-from flintlatch.settings import Malformed, Wire, require_choice, listing, mapping, require_number, require_string, require_integer
+from flintlatch.settings import Malformed, Wire, require_choice, listing, require_object, require_number, require_string, require_integer
 
 STATES = {"active": ServerState.ACTIVE, "leaving": ServerState.DRAINING, "left": ServerState.GONE}
 # A change counts as told NOTICE_MS after discovery had it, whether or not it arrived, and what a silent watch
@@ -54,7 +54,7 @@
 
 
 def read_target(raw: object, wire: Wire) -> Target:
-    entry = mapping(raw, "targets")
+    entry = require_object(raw, "targets")
     uid, started = require_string(entry["uid"], "uid"), entry.get("boot_ms")
     host, port = split_address(require_string(entry["endpoint"], "endpoint"))
     ip_address(host)  # a name would have to be looked up, and there is no DNS
@@ -72,7 +72,7 @@
 
 def read_listing(raw: object, wire: Wire) -> Listing:
     try:
-        data = mapping(raw, "list")
+        data = require_object(raw, "list")
         targets = tuple(read_target(entry, wire) for entry in listing(data["targets"], "targets"))
         return Listing(require_integer(data["rev"], "rev"), data["all"] is True, targets)
     except KeyError as error:
--- a/flintlatch/settings.py
+++ b/flintlatch/settings.py
@@ -40,7 +40,7 @@
     return value
 
 
-def mapping(value: object, member: str) -> Message:
+def require_object(value: object, member: str) -> Message:
     if not isinstance(value, dict):
         raise Malformed(f"{member} is not an object")
     return value
@@ -66,12 +66,12 @@
 
 
 def read_settings(info: Message) -> Settings:
-    limits = mapping(info.get("Limits") or {}, "Limits")
-    rules = mapping(info.get("Obligations") or {}, "Obligations")
-    domain = mapping(info.get("Domain") or {}, "Domain")
-    tenants = [mapping(t, "Projects") for t in listing(info.get("Projects") or [], "Projects")]
+    limits = require_object(info.get("Limits") or {}, "Limits")
+    rules = require_object(info.get("Obligations") or {}, "Obligations")
+    domain = require_object(info.get("Domain") or {}, "Domain")
+    tenants = [require_object(t, "Projects") for t in listing(info.get("Projects") or [], "Projects")]
     return Settings(
-        classes=tuple(read_class(mapping(c, "Lanes")) for c in listing(info["Lanes"], "Lanes")),
+        classes=tuple(read_class(require_object(c, "Lanes")) for c in listing(info["Lanes"], "Lanes")),
         proxies=require_integer(info.get("Balancers", 1), "Balancers"),
         me=require_integer(info.get("Me", 0), "Me"),
         zone=require_integer(info.get("Az") or 0, "Az"),
@@ -114,9 +114,9 @@
 
 
 def read_wire(info: Message) -> Wire:
-    limits = mapping(info.get("Limits") or {}, "Limits")
-    lanes = [mapping(c, "Lanes") for c in listing(info["Lanes"], "Lanes")]
-    tenants = [mapping(t, "Projects") for t in listing(info.get("Projects") or [], "Projects")]
+    limits = require_object(info.get("Limits") or {}, "Limits")
+    lanes = [require_object(c, "Lanes") for c in listing(info["Lanes"], "Lanes")]
+    tenants = [require_object(t, "Projects") for t in listing(info.get("Projects") or [], "Projects")]
     wire = Wire(
         classes=numbered([c["Name"] for c in lanes], "Name"),
         tenants=numbered([t["Name"] for t in tenants], "Name"),
