--- a/flintlatch/adapter.py
+++ b/flintlatch/adapter.py
@@ -36,7 +36,7 @@
     Malformed,
     Message,
 require_choice,
-    listing,
+require_array,
 require_object,
 require_number,
     read_settings,
@@ -109,7 +109,7 @@
 
 def read_list(raw: Message, _: int) -> Event:
     kind = require_choice(LIST_KINDS, raw["Mode"], "Mode")
-    entries = listing(raw.get("Records") or [], "Records")
+    entries = require_array(raw.get("Records") or [], "Records")
     return ServerList(kind, tuple(read_entry(require_object(e, "Records")) for e in entries))
 
 
@@ -163,7 +163,7 @@
         now = require_number(message["TsMs"], "TsMs")
         pending: dict[int, list[Event]] = {}
         replies: list[Message] = []
-        for raw in listing(message["news"], "news"):
+        for raw in require_array(message["news"], "news"):
             self.take(now, require_object(raw, "news entry"), pending, replies)
         for proxy in list(pending):
             self.flush(now, proxy, pending, replies)
--- a/flintlatch/net/discovery.py
+++ b/flintlatch/net/discovery.py
@@ -11,7 +11,7 @@
 
 from flintlatch.api import ServerInfo, ServerState
 from flintlatch.net.http1 import Exchange, Response, split_address
-from flintlatch.settings import Malformed, Wire, require_choice, listing, require_object, require_number, require_string, require_integer
+from flintlatch.settings import Malformed, Wire, require_choice, require_array, require_object, require_number, require_string, require_integer
 
 STATES = {"active": ServerState.ACTIVE, "leaving": ServerState.DRAINING, "left": ServerState.GONE}
 # A change counts as told NOTICE_MS after discovery had it, whether or not it arrived, and what a silent watch
@@ -73,7 +73,7 @@
 def read_listing(raw: object, wire: Wire) -> Listing:
     try:
         data = require_object(raw, "list")
-        targets = tuple(read_target(entry, wire) for entry in listing(data["targets"], "targets"))
+        targets = tuple(read_target(entry, wire) for entry in require_array(data["targets"], "targets"))
         return Listing(require_integer(data["rev"], "rev"), data["all"] is True, targets)
     except KeyError as error:
         raise Malformed(f"list: {error.args[0]} is missing") from None
--- a/flintlatch/settings.py
+++ b/flintlatch/settings.py
@@ -46,7 +46,7 @@
     return value
 
 
-def listing(value: object, member: str) -> list[Any]:
+def require_array(value: object, member: str) -> list[Any]:
     if not isinstance(value, list):
         raise Malformed(f"{member} is not an array")
     return value
@@ -69,13 +69,13 @@
     limits = require_object(info.get("Limits") or {}, "Limits")
     rules = require_object(info.get("Obligations") or {}, "Obligations")
     domain = require_object(info.get("Domain") or {}, "Domain")
-    tenants = [require_object(t, "Projects") for t in listing(info.get("Projects") or [], "Projects")]
+    tenants = [require_object(t, "Projects") for t in require_array(info.get("Projects") or [], "Projects")]
     return Settings(
-        classes=tuple(read_class(require_object(c, "Lanes")) for c in listing(info["Lanes"], "Lanes")),
+        classes=tuple(read_class(require_object(c, "Lanes")) for c in require_array(info["Lanes"], "Lanes")),
         proxies=require_integer(info.get("Balancers", 1), "Balancers"),
         me=require_integer(info.get("Me", 0), "Me"),
         zone=require_integer(info.get("Az") or 0, "Az"),
-        zones=max(1, len(listing(info.get("Dcs") or [], "Dcs"))),
+        zones=max(1, len(require_array(info.get("Dcs") or [], "Dcs"))),
         quotas=tuple(require_number(t["QuotaPerS"], "QuotaPerS") for t in tenants),
         over_share_worth=require_number(info.get("OverShareWorth", 1), "OverShareWorth"),
         tick_ms=require_number(info.get("TickMs", 1), "TickMs"),
@@ -115,13 +115,13 @@
 
 def read_wire(info: Message) -> Wire:
     limits = require_object(info.get("Limits") or {}, "Limits")
-    lanes = [require_object(c, "Lanes") for c in listing(info["Lanes"], "Lanes")]
-    tenants = [require_object(t, "Projects") for t in listing(info.get("Projects") or [], "Projects")]
+    lanes = [require_object(c, "Lanes") for c in require_array(info["Lanes"], "Lanes")]
+    tenants = [require_object(t, "Projects") for t in require_array(info.get("Projects") or [], "Projects")]
     wire = Wire(
         classes=numbered([c["Name"] for c in lanes], "Name"),
         tenants=numbered([t["Name"] for t in tenants], "Name"),
-        zones=numbered(listing(info.get("Dcs") or [], "Dcs"), "Dcs"),
-        kinds=numbered(listing(info.get("Kinds") or [], "Kinds"), "Kinds"),
+        zones=numbered(require_array(info.get("Dcs") or [], "Dcs"), "Dcs"),
+        kinds=numbered(require_array(info.get("Kinds") or [], "Kinds"), "Kinds"),
         connect_timeout_ms=require_number(limits.get("ConnectTimeoutMs", 250), "ConnectTimeoutMs"),
         conn_idle_ms=require_number(limits.get("ConnIdleMs", 15000), "ConnIdleMs"),
     )
