--- a/bench/scale/lists.py
+++ b/bench/scale/lists.py
@@ -19,7 +19,7 @@
 from flintlatch.choice import Balancer
 from flintlatch.net.backends import Backends
 from flintlatch.net.discovery import MAX_LIST, Discovery, Listing, read_listing
-from flintlatch.settings import Wire
+from flintlatch.settings import SocketSettings
 from flintlatch.standin.proxy import ProxyProcess, configuration, free_address, write
 from flintlatch.standin.registry import Registry
 from flintlatch.standin.rig import CLASSES
@@ -30,8 +30,8 @@
 CONNECT_MS, IDLE_MS = 1000.0, 30_000.0
 
 
-def wire() -> Wire:
-    return Wire({}, {}, {}, {"default": 0}, CONNECT_MS, IDLE_MS)
+def wire() -> SocketSettings:
+    return SocketSettings({}, {}, {}, {"default": 0}, CONNECT_MS, IDLE_MS)
 
 
 def put(registry: Registry, number: int, state: str = "active") -> None:
--- a/flintlatch/config/__init__.py
+++ b/flintlatch/config/__init__.py
@@ -43,7 +43,7 @@
     unique,
 )
 from flintlatch.limits.rows import MOST_LIMITS, Limit, Terms, WhenCut
-from flintlatch.settings import Wire
+from flintlatch.settings import SocketSettings
 from flintlatch.verdicts.rows import Rules
 
 if TYPE_CHECKING:
@@ -115,9 +115,9 @@
             parts.append(LimitAllocation(row.name, cls, tenant, part, row.burst * part / row.per_s))
         return tuple(parts)
 
-    def wire(self) -> Wire:
+    def wire(self) -> SocketSettings:
         """The names on the sockets; new ones among the nodes get the next numbers."""
-        return Wire(
+        return SocketSettings(
             classes={row.name: place for place, row in enumerate(self.classes)},
             tenants={row.name: place for place, row in enumerate(self.tenants)},
             zones={name: place for place, name in enumerate(self.nodes.zones)},
--- a/flintlatch/fleet/members.py
+++ b/flintlatch/fleet/members.py
@@ -33,7 +33,7 @@
 from flintlatch.membership.registry import RegistrySource
 from flintlatch.net.clock import now_ms
 from flintlatch.net.discovery import Listing, Target
-from flintlatch.settings import Wire
+from flintlatch.settings import SocketSettings
 
 if TYPE_CHECKING:
     from flintlatch.fleet.delivered import Followed, Supply
@@ -224,7 +224,7 @@
             source.close()
 
 
-def target_of(node: Node, wire: Wire, state: ServerState | None = None) -> Target:
+def target_of(node: Node, wire: SocketSettings, state: ServerState | None = None) -> Target:
     zone = wire.zones.setdefault(node.zone, len(wire.zones))
     kind = wire.kinds.setdefault(node.kind, len(wire.kinds))
     if state is None:
--- a/flintlatch/membership/registry.py
+++ b/flintlatch/membership/registry.py
@@ -10,7 +10,7 @@
 from flintlatch.membership.model import Node, NodeState, Version
 from flintlatch.net.clock import now_ms
 from flintlatch.net.discovery import Discovery, Listing, Target
-from flintlatch.settings import Wire
+from flintlatch.settings import SocketSettings
 
 RETRY_S = (0.1, 2.0)  # s until a failed call is made again, first and longest: doubled
 
@@ -35,7 +35,7 @@
 class RegistrySource:
     """Tells the core's events of a registry to `on_event`, on the loop, until closed."""
 
-    def __init__(self, name: str, address: str, wire: Wire, on_event: Callable[[Event], None]) -> None:
+    def __init__(self, name: str, address: str, wire: SocketSettings, on_event: Callable[[Event], None]) -> None:
         self.name, self.wire, self.on_event = name, wire, on_event
         self.nodes: dict[str, Node] = {}
         self.number, self.wait_s = 0, RETRY_S[0]
--- a/flintlatch/net/discovery.py
+++ b/flintlatch/net/discovery.py
@@ -11,7 +11,7 @@
 
 from flintlatch.api import ServerInfo, ServerState
 from flintlatch.net.http1 import Exchange, Response, split_address
-from flintlatch.settings import Malformed, Wire, require_choice, require_array, require_object, require_number, require_string, require_integer
+from flintlatch.settings import Malformed, SocketSettings, require_choice, require_array, require_object, require_number, require_string, require_integer
 
 STATES = {"active": ServerState.ACTIVE, "leaving": ServerState.DRAINING, "left": ServerState.GONE}
 # A change counts as told NOTICE_MS after discovery had it, whether or not it arrived, and what a silent watch
@@ -53,7 +53,7 @@
     return value if type(value) is int else names.setdefault(require_string(value, member), len(names))
 
 
-def read_target(raw: object, wire: Wire) -> Target:
+def read_target(raw: object, wire: SocketSettings) -> Target:
     entry = require_object(raw, "targets")
     uid, started = require_string(entry["uid"], "uid"), entry.get("boot_ms")
     host, port = split_address(require_string(entry["endpoint"], "endpoint"))
@@ -70,7 +70,7 @@
     return Target(uid, host, port, info)
 
 
-def read_listing(raw: object, wire: Wire) -> Listing:
+def read_listing(raw: object, wire: SocketSettings) -> Listing:
     try:
         data = require_object(raw, "list")
         targets = tuple(read_target(entry, wire) for entry in require_array(data["targets"], "targets"))
@@ -120,7 +120,7 @@
     def __init__(
         self,
         address: str,
-        wire: Wire,
+        wire: SocketSettings,
         rev: int | None,
         on_list: Callable[[Listing], None],
         on_failure: Callable[[str], None],
--- a/flintlatch/net/engine.py
+++ b/flintlatch/net/engine.py
@@ -38,7 +38,7 @@
 from flintlatch.net.clock import now_ms
 from flintlatch.net.discovery import Discovery, Listing
 from flintlatch.net.http1 import Response
-from flintlatch.settings import Malformed, Wire
+from flintlatch.settings import Malformed, SocketSettings
 
 MODULE_REST_S = 0.1  # s from the end of a broken module to the first step of the next
 KNOWN_AFTER_S = 1.0  # s that an agent has for its first answer before the list known from before counts
@@ -113,7 +113,7 @@
 
 
 class Engine:
-    def __init__(self, settings: Settings, wire: Wire, seed: int, most_connections: int) -> None:
+    def __init__(self, settings: Settings, wire: SocketSettings, seed: int, most_connections: int) -> None:
         self.settings, self.seed = settings, seed
         self.balancer = Balancer(settings, seed)
         self.backends = Backends(
--- a/flintlatch/net/relay.py
+++ b/flintlatch/net/relay.py
@@ -25,7 +25,7 @@
 from flintlatch.net.clock import now_ms
 from flintlatch.net.engine import Answer, Engine, Held, Taken, log
 from flintlatch.net.http1 import Response as ReadWhole
-from flintlatch.settings import Wire
+from flintlatch.settings import SocketSettings
 
 GATHER_S = 0.05  # s for the rest of a short request: most come in one or two segments, and then cost a place
 TICK_S = 0.25  # s between looks at what stalls
@@ -71,7 +71,7 @@
     def __init__(
         self,
         settings: Settings,
-        wire: Wire,
+        wire: SocketSettings,
         seed: int,
         most_connections: int,
         body_bytes: int,
--- a/flintlatch/net/request.py
+++ b/flintlatch/net/request.py
@@ -10,7 +10,7 @@
 from flintlatch.net.clock import now_ms
 from flintlatch.net.engine import Answer, Taken
 from flintlatch.net.http1 import MAX_BODY, Headers
-from flintlatch.settings import Wire
+from flintlatch.settings import SocketSettings
 
 # What goes on to a backend. Anything else is the client's own affair, and one way less to make a backend
 # hang up, and so fail a request that it was made to look guilty of.
@@ -63,7 +63,7 @@
 class Reader:
     """Knows the deployment's classes and tenants."""
 
-    def __init__(self, settings: Settings, wire: Wire) -> None:
+    def __init__(self, settings: Settings, wire: SocketSettings) -> None:
         self.settings, self.wire = settings, wire
 
     def read(self, message: Message, answer: Callable[[Answer], None], framed: bool = True) -> Taken:
--- a/flintlatch/platform/build.py
+++ b/flintlatch/platform/build.py
@@ -10,14 +10,14 @@
 from flintlatch.platform.front import PlatformFrontend
 from flintlatch.platform.limits import UPLOAD_PART
 from flintlatch.platform.node import PlatformConnection
-from flintlatch.settings import Wire
+from flintlatch.settings import SocketSettings
 
 TRANSFER_PART = 0.9  # of connections to servers, and of the uploads' memory, that transfers may take
 
 
 def build(
     settings: Settings,
-    wire: Wire,
+    wire: SocketSettings,
     seed: int,
     to_backends: int,
     to_clients: int,
--- a/flintlatch/settings.py
+++ b/flintlatch/settings.py
@@ -97,7 +97,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wire:
+class SocketSettings:
     """What only a proxy on sockets needs: the names that clients and discovery use, and connection limits."""
 
     classes: dict[str, int]
@@ -113,11 +113,11 @@
     return {require_string(name, member): place for place, name in enumerate(names)}
 
 
-def read_wire(info: Message) -> Wire:
+def read_wire(info: Message) -> SocketSettings:
     limits = require_object(info.get("Limits") or {}, "Limits")
     lanes = [require_object(c, "Lanes") for c in require_array(info["Lanes"], "Lanes")]
     tenants = [require_object(t, "Projects") for t in require_array(info.get("Projects") or [], "Projects")]
-    wire = Wire(
+    wire = SocketSettings(
         classes=numbered([c["Name"] for c in lanes], "Name"),
         tenants=numbered([t["Name"] for t in tenants], "Name"),
         zones=numbered(require_array(info.get("Dcs") or [], "Dcs"), "Dcs"),
--- a/tests/http/support.py
+++ b/tests/http/support.py
@@ -18,7 +18,7 @@
 from flintlatch.http.sockets import ANSWER_BYTES, READ_BYTES
 from flintlatch.net.discovery import Listing, Target
 from flintlatch.net.relay import RelayEngine
-from flintlatch.settings import Wire
+from flintlatch.settings import SocketSettings
 
 Handler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 CLASSES = (
@@ -125,7 +125,7 @@
         READ_BYTES,
     )
     limits = changes.get("limits", Limits())
-    wire = Wire({}, {}, {"a": 0}, {"m": 0}, 5000.0, 15_000.0)
+    wire = SocketSettings({}, {}, {"a": 0}, {"m": 0}, 5000.0, 15_000.0)
     engine = RelayEngine(
         settings,
         wire,
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -13,7 +13,7 @@
 from flintlatch.api import ServerState
 from flintlatch.net import discovery as discovery_module
 from flintlatch.net.discovery import Discovery, Listing
-from flintlatch.settings import Wire
+from flintlatch.settings import SocketSettings
 from tests.loopback import Call, Peer, listing, proxy, run, target
 
 ADDRESS = "127.0.0.9:80"
@@ -21,7 +21,7 @@
 
 class Heard:
     def __init__(self, address: str) -> None:
-        wire = Wire({}, {}, {"a": 0}, {"m": 0}, 1000.0, 1000.0)
+        wire = SocketSettings({}, {}, {"a": 0}, {"m": 0}, 1000.0, 1000.0)
         self.lists: asyncio.Queue[Listing] = asyncio.Queue()
         self.failures: asyncio.Queue[str] = asyncio.Queue()
         self.discovery = Discovery(address, wire, 41, self.lists.put_nowait, self.failures.put_nowait)
