--- a/flintlatch/__main__.py
+++ b/flintlatch/__main__.py
@@ -28,7 +28,7 @@
 from flintlatch.ops.staff import Operations
 from flintlatch.ops.succession import Succession, predecessor
 from flintlatch.platform import PlatformEngine, PlatformFrontend, build
-from flintlatch.settings import Malformed, SocketSettings, require_object, read_settings, read_wire, require_string, require_integer
+from flintlatch.settings import Malformed, SocketSettings, require_object, read_settings, read_socket_settings, require_string, require_integer
 
 KEEP_ON_S = 1.5  # s after SIGTERM in which connections stay open where a successor accepts the new ones
 ACCEPT_ON_S = 0.55  # s after SIGTERM in which connections still come, and a little more for a busy machine
@@ -53,7 +53,7 @@
             # The limit tells what the simulator's clients are given; HTTP has Retry-After for all of them.
             self.settings: Settings = replace(read_settings(info), retry_after=True)
             self.settings.check()
-            self.wire: SocketSettings = read_wire(info)
+            self.wire: SocketSettings = read_socket_settings(info)
             self.known: Listing = read_listing(raw["known"], self.wire)
             self.name = env.get("LB_NAME") or require_string(raw["name"], "name")
             self.listen = env.get("LB_LISTEN") or require_string(raw["listen"], "listen")
--- a/flintlatch/settings.py
+++ b/flintlatch/settings.py
@@ -113,7 +113,7 @@
     return {require_string(name, member): place for place, name in enumerate(names)}
 
 
-def read_wire(info: Message) -> SocketSettings:
+def read_socket_settings(info: Message) -> SocketSettings:
     limits = require_object(info.get("Limits") or {}, "Limits")
     lanes = [require_object(c, "Lanes") for c in require_array(info["Lanes"], "Lanes")]
     tenants = [require_object(t, "Projects") for t in require_array(info.get("Projects") or [], "Projects")]
