--- a/tests/limits/test_cores.py
+++ b/tests/limits/test_cores.py
@@ -15,7 +15,7 @@
 from flintlatch.lab.explore import Broken, explore, wander
 from flintlatch.limits.api import Keeper, Limit, Malformed, Seat, Split, Terms, Vote, WhenCut, fair, over_s
 from flintlatch.limits.model import Ask, Grant, Mark, read_ask, read_grant, read_vote, write_ask, write_grant
-from tests.support import Driver, fleet, of
+from tests.support import Driver, fleet, actions_of
 from tests.support import settings as module_settings
 
 TERMS = Terms(("a", "b", "c"), 3, term_s=2.0)
@@ -246,7 +246,7 @@
         if request in driver.sends:
             taken += 1
             driver.end(request, after=1.0)
-        waits += [a.retry_after_ms for a in of(Refuse, driver.last)]
+        waits += [a.retry_after_ms for a in actions_of(Refuse, driver.last)]
         driver.beat(after=10.0)
     span = (driver.now - began) / 1000
     assert 10 * span - 2 <= taken <= 10 * span + 2
--- a/tests/support.py
+++ b/tests/support.py
@@ -68,7 +68,7 @@
         return actions
 
 
-def of(kind: type[A], actions: list[Action]) -> list[A]:
+def actions_of(kind: type[A], actions: list[Action]) -> list[A]:
     return [a for a in actions if isinstance(a, kind)]
 
 
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -8,20 +8,20 @@
 
 from flintlatch.api import Arrival, Fail, Outcome, Refuse, RequestClass, Result, Send, ServerInfo, Settings
 from flintlatch.choice import Balancer, Endpoint, Server
-from tests.support import Driver, fleet, of, settings
+from tests.support import Driver, fleet, actions_of, settings
 
 
 def test_nothing_waits_beside_an_idle_ready_server() -> None:
     driver = Driver(settings(), *fleet(1))
     driver.arrive()
-    assert [s.server for s in of(Send, driver.last)] == ["10.0.0.0:80"]
+    assert [s.server for s in actions_of(Send, driver.last)] == ["10.0.0.0:80"]
 
 
 def test_gate_holds_beyond_the_limit_and_a_freed_slot_takes_the_head() -> None:
     driver = Driver(settings(proxies=4), *fleet(1))
     first, second, third = driver.arrive(), driver.arrive(), driver.arrive()
     assert list(driver.sends) == [first]
-    assert [s.request for s in of(Send, driver.end(first))] == [second]
+    assert [s.request for s in actions_of(Send, driver.end(first))] == [second]
     assert third not in driver.sends
 
 
@@ -33,7 +33,7 @@
     older = driver.arrive(0, wait=3000)
     driver.now += 10
     pressed = driver.arrive(1, wait=3000)
-    assert [s.request for s in of(Send, driver.end(first))] == [pressed]
+    assert [s.request for s in actions_of(Send, driver.end(first))] == [pressed]
     assert older not in driver.sends
 
 
@@ -158,7 +158,7 @@
     driver = stuck(*classes, retry_after=True, max_retry_after_ms=500)
     driver.now += 160  # stuck longer than a window
     driver.arrive(cls)
-    refused = of(Refuse, driver.last)
+    refused = actions_of(Refuse, driver.last)
     assert bool(refused) == (answer is Refuse)
     if refused:
         assert 0 < refused[0].retry_after_ms <= 500
@@ -173,7 +173,7 @@
         for _ in range(9):
             driver.now += 20
             endpoint.note_send(driver.now, 1.5 * 0.08 * 300)
-        counts[cls] = sum(bool(of(Refuse, driver.last)) for _ in range(20) if driver.arrive(cls))
+        counts[cls] = sum(bool(actions_of(Refuse, driver.last)) for _ in range(20) if driver.arrive(cls))
     assert counts == {1: 0, 2: 20}
 
 
@@ -182,14 +182,14 @@
     driver = stuck(*classes)
     driver.now += 160
     driver.arrive(1)
-    assert not of(Refuse, driver.last)
+    assert not actions_of(Refuse, driver.last)
 
 
 def test_a_request_that_cannot_be_useful_is_failed_while_held() -> None:
     driver = Driver(settings(proxies=4), *fleet(1))
     driver.arrive()
     held = driver.arrive()
-    assert [f.request for f in of(Fail, driver.beats(325))] == [held]
+    assert [f.request for f in actions_of(Fail, driver.beats(325))] == [held]
 
 
 def test_a_request_never_sent_is_given_up_before_half_its_wait() -> None:
@@ -197,8 +197,8 @@
     driver = Driver(settings(RequestClass(5000.0, 9000.0), proxies=4), *fleet(1))
     driver.arrive(wait=1000)
     held = driver.arrive(wait=1000)
-    assert not of(Fail, driver.beats(400))
-    assert [f.request for f in of(Fail, driver.beats(75))] == [held]
+    assert not actions_of(Fail, driver.beats(400))
+    assert [f.request for f in actions_of(Fail, driver.beats(75))] == [held]
 
 
 def test_level_four_is_let_in_beside_an_empty_buffer_unless_the_flag_keeps_returning() -> None:
@@ -208,7 +208,7 @@
         driver.balancer.endpoints[0].flagged_at = driver.now
         driver.balancer.endpoints[0].release = release
         driver.arrive(1)
-        assert bool(of(Refuse, driver.last)) is refused
+        assert bool(actions_of(Refuse, driver.last)) is refused
 
 
 def test_a_late_answer_is_waited_for_only_without_overload() -> None:
@@ -216,9 +216,9 @@
     driver = Driver(settings(spec, proxies=4), *fleet(1))
     first, held = driver.arrive(), driver.arrive()
     driver.balancer.endpoints[0].excess = lambda now: 0.0  # type: ignore[method-assign]
-    assert not of(Fail, driver.beats(400))
+    assert not actions_of(Fail, driver.beats(400))
     driver.balancer.endpoints[0].excess = lambda now: 2.0  # type: ignore[method-assign]
-    assert [f.request for f in of(Fail, driver.beats(75))] == [held]
+    assert [f.request for f in actions_of(Fail, driver.beats(75))] == [held]
     assert first in driver.sends
 
 
@@ -382,7 +382,7 @@
         driver.balancer.endpoints[0].flagged_at = driver.now
         driver.balancer.endpoints[0].release = 4.0
         driver.now += since
-        refused.append(sum(bool(of(Refuse, driver.last)) for _ in range(40) if driver.arrive(1)))
+        refused.append(sum(bool(actions_of(Refuse, driver.last)) for _ in range(40) if driver.arrive(1)))
     assert refused[0] >= 38 and 8 < refused[1] < 32 and refused[2] == 0
 
 
@@ -407,10 +407,10 @@
         driver = Driver(settings(RequestClass(300.0, 1000.0, late_worth=late_worth)), *fleet(2))
         driver.end(driver.arrive(wait=1000))
         driver.arrive(wait=690)  # its client has waited 310 ms already
-        assert bool(of(Send, driver.last)) is sent
-        assert bool(of(Fail, driver.last)) is not sent
+        assert bool(actions_of(Send, driver.last)) is sent
+        assert bool(actions_of(Fail, driver.last)) is not sent
         driver.arrive(wait=900)
-        assert of(Send, driver.last)
+        assert actions_of(Send, driver.last)
 
 
 def test_clients_that_come_with_less_time_are_no_repeats_unless_some_were_turned_away() -> None:
--- a/tests/test_notice.py
+++ b/tests/test_notice.py
@@ -14,7 +14,7 @@
     NOTICE_MS,
     WAIT_MS,
 )
-from tests.support import Driver, fleet, of, settings
+from tests.support import Driver, fleet, actions_of, settings
 from tests.test_list_service import Tier
 
 CALL_MS = FIRST_WAIT_MS + FIRST_GRACE_MS
@@ -29,7 +29,7 @@
 def wait(driver: Driver) -> float:
     """Ms until the next call."""
     start = driver.now
-    while not of(Watch, driver.beat()):
+    while not actions_of(Watch, driver.beat()):
         assert driver.now < start + 20_000
     return driver.now - start
 
@@ -59,7 +59,7 @@
         driver = asking(proxies, me)
         assert wait(driver) + CALL_MS <= NOTICE_MS
         driver.step(ServerList(ListKind.FULL, tuple(fleet(3))))
-        if not of(Watch, driver.step(DiscoveryServiceChanged())):
+        if not actions_of(Watch, driver.step(DiscoveryServiceChanged())):
             assert wait(driver) + CALL_MS <= NOTICE_MS
 
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -19,7 +19,7 @@
     DiscoveryServiceChanged,
     Watch,
 )
-from tests.support import Driver, fleet, of, settings
+from tests.support import Driver, fleet, actions_of, settings
 
 RECOVERY_MS = 12_000  # stated in docs/on-call.md: the longest rest (8 s and a quarter), then its trial
 STEP_MS = 10  # one arrival each
@@ -50,7 +50,7 @@
 
     def take(self, actions: list[Action], answers: dict[str, tuple[Result, float]]) -> None:
         now = self.driver.now
-        for send in of(Send, actions):
+        for send in actions_of(Send, actions):
             self.sent[send.server] += 1
             result, delay = answers.get(send.server, (Result.OK, USUAL_MS))
             if delay > send.attempt_timeout_ms:
@@ -112,11 +112,11 @@
     driver = Driver(settings(ask_for_list=True), *fleet(2))
     for _ in range(6):
         driver.step(ServerList(ListKind.FAILED))
-    assert of(Watch, driver.step(DiscoveryServiceChanged()))
+    assert actions_of(Watch, driver.step(DiscoveryServiceChanged()))
     for _ in range(3):
         driver.step(ServerList(ListKind.FAILED))
-        assert of(Watch, driver.beats(250))
+        assert actions_of(Watch, driver.beats(250))
     driver.step(ServerList(ListKind.FULL, tuple(fleet(2))))
-    assert not of(Watch, driver.beats(20_000))  # the watch stands
+    assert not actions_of(Watch, driver.beats(20_000))  # the watch stands
     driver.step(ServerList(ListKind.FAILED))
-    assert not of(Watch, driver.beats(200))
+    assert not actions_of(Watch, driver.beats(200))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -26,7 +26,7 @@
     ResponseStarted,
     Watch,
 )
-from tests.support import Driver, fleet, of, settings
+from tests.support import Driver, fleet, actions_of, settings
 
 SAFE = RequestClass(300.0, 1000.0)
 UNSAFE = RequestClass(300.0, 1000.0, effect=Effect.UNSAFE)
@@ -39,51 +39,51 @@
 def test_a_request_without_time_left_is_failed_at_once() -> None:
     driver = Driver(settings(), *fleet(1))
     request = driver.arrive(wait=0.0)
-    assert [f.request for f in of(Fail, driver.last)] == [request]
+    assert [f.request for f in actions_of(Fail, driver.last)] == [request]
 
 
 def test_no_server_known_fails_in_time() -> None:
     driver = Driver(settings())
     request = driver.arrive(wait=200)
-    assert [f.request for f in of(Fail, driver.beats(175))] == [request]
+    assert [f.request for f in actions_of(Fail, driver.beats(175))] == [request]
 
 
 def test_time_out_at_the_deadline_gets_its_answer_in_the_same_call() -> None:
     driver = Driver(settings(UNSAFE), *fleet(1))
     request = driver.arrive()
-    assert [f.request for f in of(Fail, driver.end(request, Result.TIMEOUT, 299.0))] == [request]
+    assert [f.request for f in actions_of(Fail, driver.end(request, Result.TIMEOUT, 299.0))] == [request]
 
 
 def test_a_moot_attempt_ends_in_a_failure() -> None:
     driver = Driver(settings(), *fleet(1))
-    assert of(Fail, driver.end(driver.arrive(), Result.NOT_SENT, 0.0))
+    assert actions_of(Fail, driver.end(driver.arrive(), Result.NOT_SENT, 0.0))
 
 
 def test_a_client_gone_in_the_same_batch_as_the_end_is_passed_over() -> None:
     driver = Driver(settings(), *fleet(1))
     request = driver.arrive()
     actions = driver.step(Outcome(request, 0, Result.OK, 9.0, True), ClientDisconnected(request))
-    assert not of(Fail, actions) and not of(Cancel, actions)
+    assert not actions_of(Fail, actions) and not actions_of(Cancel, actions)
 
 
 def test_nothing_is_sent_for_a_held_request_whose_client_left() -> None:
     driver = Driver(settings(proxies=4), *fleet(1))
     first, held = driver.arrive(), driver.arrive()
-    assert not of(Send, driver.step(ClientDisconnected(held), Outcome(first, 0, Result.OK, 5.0, True)))
+    assert not actions_of(Send, driver.step(ClientDisconnected(held), Outcome(first, 0, Result.OK, 5.0, True)))
 
 
 def test_attempts_of_a_client_that_left_are_cancelled_where_permitted() -> None:
     for allowed in (True, False):
         driver = Driver(settings(may_cancel=allowed), *fleet(1))
         request = driver.arrive()
-        assert bool(of(Cancel, driver.step(ClientDisconnected(request)))) is allowed
+        assert bool(actions_of(Cancel, driver.step(ClientDisconnected(request)))) is allowed
 
 
 def test_a_started_stream_is_left_alone() -> None:
     driver = Driver(settings(RequestClass(100.0, 1000.0, stream=True)), *fleet(2))
     request = driver.arrive()
     driver.step(ResponseStarted(request, 0, 5.0))
-    assert not of(Cancel, driver.beats(500)) and not of(Fail, driver.beats(1000))
+    assert not actions_of(Cancel, driver.beats(500)) and not actions_of(Fail, driver.beats(1000))
 
 
 def test_an_answer_without_measurable_delay_is_taken() -> None:
@@ -100,14 +100,14 @@
 def test_unsafe_that_may_have_run_is_failed_never_resent_or_refused(result: Result) -> None:
     driver = Driver(settings(UNSAFE), *fleet(3))
     actions = driver.end(driver.arrive(), result)
-    assert of(Fail, actions) and not of(Send, actions) and not of(Refuse, actions)
+    assert actions_of(Fail, actions) and not actions_of(Send, actions) and not actions_of(Refuse, actions)
 
 
 @pytest.mark.parametrize("result", [Result.FULL, Result.CONNECT_FAILED])
 def test_unsafe_that_never_ran_goes_to_another_server(result: Result) -> None:
     driver = Driver(settings(UNSAFE), *fleet(3))
     request = driver.arrive()
-    again = of(Send, driver.end(request, result))
+    again = actions_of(Send, driver.end(request, result))
     assert len(again) == 1 and again[0].server != driver.sends[request][0]
 
 
@@ -121,7 +121,7 @@
     for seed in range(10):
         driver = Driver(settings(spec), *cells(), seed=seed)
         request = driver.arrive()
-        assert len(of(Send, driver.end(request, Result.ERROR))) == 1
+        assert len(actions_of(Send, driver.end(request, Result.ERROR))) == 1
         one, two = driver.sends[request]
         assert one.split(".")[2] == two.split(".")[2] and one != two
 
@@ -144,14 +144,14 @@
         if gone:
             driver.step(BodyDiscarded(request))
         actions = driver.end(request, result)
-        assert len(of(Send, actions)) == (not gone)
-        assert bool(of(Fail, actions) + of(Refuse, actions)) is gone
+        assert len(actions_of(Send, actions)) == (not gone)
+        assert bool(actions_of(Fail, actions) + actions_of(Refuse, actions)) is gone
 
 
 def test_keyed_retry_ends_with_the_window() -> None:
     driver = Driver(settings(KEYED), *cells())
     actions = driver.end(driver.arrive(), Result.ERROR, after=201)
-    assert of(Fail, actions) and not of(Send, actions)
+    assert actions_of(Fail, actions) and not actions_of(Send, actions)
 
 
 def test_keyed_without_room_in_its_group_fails_rather_than_leave_it() -> None:
@@ -163,7 +163,7 @@
             server.rest_until = driver.now + 10_000
     driver.end(request, Result.ERROR)
     actions = driver.beats(250)
-    assert of(Fail, actions) and not of(Send, actions)
+    assert actions_of(Fail, actions) and not actions_of(Send, actions)
 
 
 def test_keyed_waits_for_room_in_its_group_within_its_window() -> None:
@@ -178,7 +178,7 @@
         driver.end(request, Result.ERROR)
         assert len(driver.sends[request]) == 1
         actions = driver.beats(250)
-        assert bool(of(Send, actions)) is sent and bool(of(Fail, actions)) is not sent
+        assert bool(actions_of(Send, actions)) is sent and bool(actions_of(Fail, actions)) is not sent
         assert {name.split(".")[2] for name in driver.sends[request]} == {home}
         assert not driver.balancer.bound
 
@@ -189,19 +189,19 @@
     request = driver.arrive()
     driver.balancer.active[0].rest_until = driver.now + 150
     driver.end(request, Result.ERROR)
-    assert not of(Send, driver.beats(250))
+    assert not actions_of(Send, driver.beats(250))
 
 
 def test_attempts_are_capped() -> None:
     driver = Driver(settings(max_attempts=2), *fleet(4))
     request = driver.arrive()
     driver.end(request, Result.FULL)
-    assert of(Fail, driver.end(request, Result.FULL))
+    assert actions_of(Fail, driver.end(request, Result.FULL))
 
 
 def test_retries_of_what_may_have_run_are_budgeted() -> None:
     driver = Driver(settings(), *fleet(40))
-    resent = sum(len(of(Send, driver.end(driver.arrive(), Result.ERROR))) for _ in range(100))
+    resent = sum(len(actions_of(Send, driver.end(driver.arrive(), Result.ERROR))) for _ in range(100))
     assert resent <= 10 + 0.1 * 100 + 1
 
 
@@ -212,7 +212,7 @@
     """Servers go on with cancelled work: a second attempt beside it adds load where there is least room."""
     driver = Driver(settings(), *fleet(2))
     request = driver.arrive()
-    assert not of(Cancel, driver.beats(275)) and len(driver.sends[request]) == 1
+    assert not actions_of(Cancel, driver.beats(275)) and len(driver.sends[request]) == 1
 
 
 def test_attempts_given_up_raise_the_usual_latency() -> None:
@@ -312,42 +312,42 @@
     driver.step(change("10.0.0.0:80", ServerState.GONE))
     driver.end(request)
     driver.arrive()
-    assert not of(Send, driver.last)
+    assert not actions_of(Send, driver.last)
 
 
 def test_the_list_is_asked_for_soon_and_again_before_its_news_counts_as_told() -> None:
     driver = Driver(settings(ask_for_list=True, proxies=3, must_ask_ms=10_000.0), *fleet(1))
-    assert of(Watch, driver.beats(350))
+    assert actions_of(Watch, driver.beats(350))
     gaps = []
     for _ in range(8):
         driver.step(ServerList(ListKind.FAILED))
         start = driver.now
-        while not of(Watch, driver.beat()):
+        while not actions_of(Watch, driver.beat()):
             pass
         gaps.append(driver.now - start)
     assert gaps[0] < 300 and gaps[-1] >= 400 and max(gaps) <= 825
     driver.step(ServerList(ListKind.FULL, tuple(fleet(1))))
-    assert not of(Watch, driver.beats(30_000))
+    assert not actions_of(Watch, driver.beats(30_000))
 
 
 @pytest.mark.parametrize("me", [0, 342, 684])
 def test_hundreds_of_proxies_ask_for_the_list_in_the_obliged_time(me: int) -> None:
     """Past it a proxy counts as told of drains it has not heard of (incident i7da933)."""
     driver = Driver(settings(ask_for_list=True, proxies=685, me=me, must_ask_ms=10_000.0), *fleet(1))
-    assert of(Watch, driver.beats(3_050))
+    assert actions_of(Watch, driver.beats(3_050))
 
 
 def test_after_a_failed_call_hundreds_of_proxies_leave_the_list_service_room() -> None:
     driver = Driver(settings(ask_for_list=True, proxies=600, must_ask_ms=10_000.0), *fleet(1))
     driver.beats(4_000)
     driver.step(ServerList(ListKind.FAILED))
-    assert not of(Watch, driver.beats(375))  # all of them call over the same span, not as one
-    assert of(Watch, driver.beats(450))
+    assert not actions_of(Watch, driver.beats(375))  # all of them call over the same span, not as one
+    assert actions_of(Watch, driver.beats(450))
 
 
 def test_a_call_without_any_word_is_made_again() -> None:
     driver = Driver(settings(ask_for_list=True, must_ask_ms=10_000.0), *fleet(1))
-    assert len(of(Watch, driver.beats(12_000))) >= 2
+    assert len(actions_of(Watch, driver.beats(12_000))) >= 2
 
 
 # Rule 4
@@ -406,7 +406,7 @@
     request = driver.arrive()
     driver.end(request, Result.ERROR)
     driver.end(request, Result.OK)
-    assert not of(Send, driver.beats(2000))
+    assert not actions_of(Send, driver.beats(2000))
     assert driver.balancer.requests == {}
 
 
@@ -431,7 +431,7 @@
 def test_a_request_at_fault_itself_is_not_sent_again() -> None:
     driver = Driver(settings(), *fleet(2))
     request = driver.arrive()
-    assert of(Fail, driver.end(request, Result.INVALID)) and len(driver.sends[request]) == 1
+    assert actions_of(Fail, driver.end(request, Result.INVALID)) and len(driver.sends[request]) == 1
 
 
 def test_one_that_found_no_connection_is_sent_again_whatever_its_class() -> None:
--- a/tests/test_second_copies.py
+++ b/tests/test_second_copies.py
@@ -23,7 +23,7 @@
     ServerInfo,
     ResponseStarted,
 )
-from tests.support import Driver, of, settings
+from tests.support import Driver, actions_of, settings
 
 PURCHASE = RequestClass(400.0, 1500.0, Effect.KEYED, Scope.CELL, 750.0)
 ANSWER = RequestClass(400.0, 1500.0, Effect.UNSAFE)
@@ -52,8 +52,8 @@
     for _ in range(10):
         driver = copying()
         request = driver.arrive()
-        assert not of(Send, driver.beats(25))
-        sends = of(Send, driver.beats(250))
+        assert not actions_of(Send, driver.beats(25))
+        sends = actions_of(Send, driver.beats(250))
         assert [s.request for s in sends] == [request]
         one, two = driver.sends[request]
         assert one != two and cell(one) == cell(two)
@@ -157,7 +157,7 @@
                 answered = True
                 actions += driver.step(Outcome(request, number, Result.OK, 20.0, True))
         actions += driver.beat()
-    finals = of(Fail, actions) + of(Refuse, actions)
+    finals = actions_of(Fail, actions) + actions_of(Refuse, actions)
     assert len(finals) == (0 if answered else 1)
     assert request not in driver.balancer.requests
     assert sum(s.inflight for s in driver.balancer.active) == 0
@@ -168,7 +168,7 @@
     request = driver.arrive()
     driver.beats(225)
     actions = driver.step(ClientDisconnected(request))
-    assert of(Cancel, actions) == [Cancel(request, 0), Cancel(request, 1)]
+    assert actions_of(Cancel, actions) == [Cancel(request, 0), Cancel(request, 1)]
     for number in (0, 1):
         driver.step(Outcome(request, number, Result.CANCELLED, 200.0, True))
     assert request not in driver.balancer.requests
@@ -181,9 +181,9 @@
     request = driver.arrive()
     driver.beats(225)
     actions = driver.step(ResponseStarted(request, begun, 200.0, Result.OK))
-    assert of(Cancel, actions) == [Cancel(request, 1 - begun)]
+    assert actions_of(Cancel, actions) == [Cancel(request, 1 - begun)]
     actions = driver.step(Outcome(request, 1 - begun, Result.OK, 200.0, True))
     actions += driver.beats(500)
-    assert not of(Cancel, actions) and not of(Send, actions) and not of(Fail, actions)
+    assert not actions_of(Cancel, actions) and not actions_of(Send, actions) and not actions_of(Fail, actions)
     actions = driver.step(Outcome(request, begun, Result.OK, 700.0, True))
-    assert not of(Fail, actions) and request not in driver.balancer.requests
+    assert not actions_of(Fail, actions) and request not in driver.balancer.requests
--- a/tests/test_transfers.py
+++ b/tests/test_transfers.py
@@ -22,7 +22,7 @@
     ResponseStarted,
 )
 from flintlatch.choice import Balancer, Server
-from tests.support import Driver, fleet, of, settings
+from tests.support import Driver, fleet, actions_of, settings
 
 SAFE = RequestClass(2000.0, 60_000.0)
 KEYED = RequestClass(2000.0, 60_000.0, effect=Effect.KEYED, window_ms=60_000.0)
@@ -88,7 +88,7 @@
     assert all(name in driver.sends for name in names)
     assert (server.inflight, server.transfers, server.transfer_bytes) == (0, 20, 2000)
     driver.step(BodyReceived(names[0]), after=10_000.0)
-    limits = of(SetAttemptTimeout, driver.step(BodyForwarded(names[0], 0), after=5.0))
+    limits = actions_of(SetAttemptTimeout, driver.step(BodyForwarded(names[0], 0), after=5.0))
     # The aim runs from here, and the hour that the upload had is over.
     assert [(limit.request, 1900 < limit.attempt_timeout_ms <= 2000) for limit in limits] == [(names[0], True)]
     assert (server.inflight, server.transfers) == (1, 19)
@@ -106,7 +106,7 @@
 def test_an_attempt_that_dies_within_the_upload_is_followed_by_one_with_its_own_time() -> None:
     driver = Driver(settings(SAFE, max_attempts=3), *fleet(2))
     name = upload(driver)
-    again = of(Send, driver.step(Outcome(name, 0, Result.RESET, 30_000.0, False), after=30_000.0))
+    again = actions_of(Send, driver.step(Outcome(name, 0, Result.RESET, 30_000.0, False), after=30_000.0))
     assert [send.request for send in again] == [name] and again[0].attempt_timeout_ms > 3_000_000
     assert driver.balancer.class_latency[0] == (0.0, 0.0)
 
@@ -128,7 +128,7 @@
     driver = Driver(settings(SAFE, retry_after=True, max_retry_after_ms=500.0, **limit), *fleet(1))
     for _ in range(5):
         assert upload(driver) in driver.sends
-    refused = of(
+    refused = actions_of(
         Refuse, driver.step(Arrival("one more", 0, 0, None, driver.now + 1e6, False, 1e4, True, 100))
     )
     assert [r.request for r in refused] == ["one more"] and refused[0].retry_after_ms > 0
@@ -147,7 +147,7 @@
     driver = Driver(settings(RequestClass(2000.0, 60_000.0, stream=True), node_transfers=1), *fleet(1))
     export(driver)
     _, last = export(driver)
-    assert len(of(Refuse, last)) == 1
+    assert len(actions_of(Refuse, last)) == 1
 
 
 @pytest.mark.parametrize("told", [False, True])
@@ -159,9 +159,9 @@
         driver.arrive()
     waiting = next(iter(set(driver.balancer.requests) - set(driver.sends)))
     actions = driver.beats(600)
-    refused = {r.request: r.retry_after_ms for r in of(Refuse, actions)}
-    assert (waiting in refused, waiting in {f.request for f in of(Fail, actions)}) == (told, not told)
+    refused = {r.request: r.retry_after_ms for r in actions_of(Refuse, actions)}
+    assert (waiting in refused, waiting in {f.request for f in actions_of(Fail, actions)}) == (told, not told)
     assert all(wait > 0 for wait in refused.values())
     sent = next(iter(driver.sends))
     ended = driver.step(Outcome(sent, 0, Result.TIMEOUT, 900.0, False), after=1.0)
-    assert sent in {f.request for f in of(Fail, ended)}
+    assert sent in {f.request for f in actions_of(Fail, ended)}
