--- a/tests/limits/test_cores.py
+++ b/tests/limits/test_cores.py
@@ -15,7 +15,7 @@
 from flintlatch.lab.explore import Broken, explore, wander
 from flintlatch.limits.api import Keeper, Limit, Malformed, Seat, Split, Terms, Vote, WhenCut, fair, over_s
 from flintlatch.limits.model import Ask, Grant, Mark, read_ask, read_grant, read_vote, write_ask, write_grant
-from tests.support import Driver, fleet, actions_of
+from tests.support import Driver, server_entries, actions_of
 from tests.support import settings as module_settings
 
 TERMS = Terms(("a", "b", "c"), 3, term_s=2.0)
@@ -238,7 +238,7 @@
 
 
 def test_the_module_takes_no_more_than_its_part_and_says_when_there_is_room() -> None:
-    driver = Driver(module_settings(retry_after=True, max_retry_after_ms=60_000.0), *fleet(10))
+    driver = Driver(module_settings(retry_after=True, max_retry_after_ms=60_000.0), *server_entries(10))
     driver.step(LimitAllocation("l", 0, -1, 10.0, 2.0))
     taken, waits, began = 0, [], driver.now
     for _ in range(500):  # 5 s at 100 a second
--- a/tests/support.py
+++ b/tests/support.py
@@ -72,5 +72,5 @@
     return [a for a in actions if isinstance(a, kind)]
 
 
-def fleet(n: int, **more: Any) -> list[ServerInfo]:
+def server_entries(n: int, **more: Any) -> list[ServerInfo]:
     return [ServerInfo(f"10.0.0.{i}:80", **more) for i in range(n)]
--- a/tests/test_list_service.py
+++ b/tests/test_list_service.py
@@ -7,7 +7,7 @@
 import pytest
 
 from flintlatch.api import ListKind, ServerList, DiscoveryServiceChanged, TimerFired, Watch
-from tests.support import Driver, fleet, settings
+from tests.support import Driver, server_entries, settings
 from tests.test_many import AskedOne
 
 ASKED: dict[str, Any] = {"ask_for_list": True, "must_ask_ms": 10_000.0, "key_affinity": True}
@@ -20,7 +20,7 @@
     def __init__(self, proxies: int, each_ms: float, seed: int, callers: range) -> None:
         self.service = AskedOne(each_ms)
         self.drivers = {
-            me: Driver(settings(proxies=proxies, me=me, **ASKED), *fleet(6), seed=97 * seed + me)
+            me: Driver(settings(proxies=proxies, me=me, **ASKED), *server_entries(6), seed=97 * seed + me)
             for me in callers
         }
         self.told: dict[int, float] = {}
@@ -47,7 +47,7 @@
                     if found:
                         self.told.setdefault(me, now - begin[me])
                     kind = ListKind.FULL if found else ListKind.FAILED
-                    events.append(ServerList(kind, tuple(fleet(6)) if found else ()))
+                    events.append(ServerList(kind, tuple(server_entries(6)) if found else ()))
                 for action in driver.step(TimerFired(0), *events):
                     if isinstance(action, Watch) and me not in self.told and me not in self.pending:
                         self.pending.add(me)
@@ -62,7 +62,7 @@
     """200 hear of it within 100 ms; the service takes 5 to 8 s for one call of each."""
     tier = Tier(200, each_ms, seed, range(200))
     for driver in tier.drivers.values():  # they have had the list from the old one
-        driver.step(ServerList(ListKind.FULL, tuple(fleet(6))))
+        driver.step(ServerList(ListKind.FULL, tuple(server_entries(6))))
     tier.play({me: 3000.0 + (me * 37 + seed) % 100 for me in range(200)}, True, 12_000)
     assert len(tier.told) == 200
     assert max(tier.told.values()) < each_ms * 200 + 600  # no later than a service that never idles can
@@ -82,6 +82,6 @@
 
 
 def test_a_proxy_with_few_others_asks_a_new_service_at_once() -> None:
-    driver = Driver(settings(proxies=3, me=2, **ASKED), *fleet(6))
-    driver.step(ServerList(ListKind.FULL, tuple(fleet(6))))
+    driver = Driver(settings(proxies=3, me=2, **ASKED), *server_entries(6))
+    driver.step(ServerList(ListKind.FULL, tuple(server_entries(6))))
     assert Watch() in driver.step(DiscoveryServiceChanged())
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -21,7 +21,7 @@
     Watch,
 )
 from flintlatch.choice import affinity
-from tests.support import Driver, fleet, settings
+from tests.support import Driver, server_entries, settings
 
 MANY = {"proxies": 300, "zones": 2}
 COLD: dict[str, Any] = {
@@ -52,15 +52,15 @@
 def test_the_few_are_spread_evenly_over_the_proxies() -> None:
     counts: Counter[str] = Counter()
     for me in range(100):
-        driver = Driver(settings(me=me, **MANY), *fleet(20))
+        driver = Driver(settings(me=me, **MANY), *server_entries(20))
         counts.update(s.id for s in driver.balancer.preferred)
     assert len(counts) == 20 and max(counts.values()) < 2 * 30 and min(counts.values()) > 30 / 2
 
 
 def test_the_few_stay_as_they_are_when_another_server_leaves() -> None:
-    driver = Driver(settings(**MANY), *fleet(20))
+    driver = Driver(settings(**MANY), *server_entries(20))
     before = [s.id for s in driver.balancer.preferred]
-    left = [s for s in fleet(20) if s.server != before[0]]
+    left = [s for s in server_entries(20) if s.server != before[0]]
     driver.step(ServerList(ListKind.FULL, tuple(left)))
     assert len({s.id for s in driver.balancer.preferred} & set(before)) == len(before) - 1
 
@@ -80,7 +80,7 @@
 
 
 def test_one_failure_of_a_server_seldom_used_is_remembered() -> None:
-    driver = Driver(settings(proxies=8), *fleet(2))
+    driver = Driver(settings(proxies=8), *server_entries(2))
     bad = driver.sends[driver.arrive()][0]
     driver.end("r0", Result.ERROR, done=True)
     for _ in range(10):
@@ -99,7 +99,7 @@
 
 
 def test_the_limit_on_all_in_flight_falls_when_answers_come_late_and_rises_again() -> None:
-    driver = Driver(settings(RequestClass(300.0, 5000.0, late_worth=0.5), **MANY), *fleet(40))
+    driver = Driver(settings(RequestClass(300.0, 5000.0, late_worth=0.5), **MANY), *server_entries(40))
     crowd(driver, 20, 50.0)
     calm = driver.balancer.allow
     crowd(driver, 60, 290.0)
@@ -110,7 +110,7 @@
 
 def test_where_work_varies_much_idle_servers_do_not_look_crowded() -> None:
     """One in three answers takes several times as long as the rest, with nobody in the way."""
-    driver = Driver(settings(RequestClass(400.0, 5000.0, late_worth=0.5), **MANY), *fleet(40))
+    driver = Driver(settings(RequestClass(400.0, 5000.0, late_worth=0.5), **MANY), *server_entries(40))
     limits: list[float] = []
     for n in range(120):
         crowd(driver, 1, 360.0 if n % 3 == 0 else 60.0)
@@ -119,14 +119,14 @@
 
 
 def test_two_that_come_together_after_idling_do_not_wait_for_each_other() -> None:
-    driver = Driver(settings(**MANY), *fleet(40))
+    driver = Driver(settings(**MANY), *server_entries(40))
     crowd(driver, 10, 50.0)
     names = [driver.arrive(wait=5000), driver.arrive(wait=5000)]
     assert all(name in driver.sends for name in names)
 
 
 def test_under_a_small_limit_a_burst_is_held() -> None:
-    driver = Driver(settings(**MANY), *fleet(40))
+    driver = Driver(settings(**MANY), *server_entries(40))
     crowd(driver, 10, 50.0)
     driver.balancer.allow = 0.1
     names = [driver.arrive(wait=5000) for _ in range(20)]
@@ -160,7 +160,7 @@
 
 
 def test_chance_is_no_excess_of_a_tenant_that_a_proxy_sees_little_of() -> None:
-    driver = Driver(settings(quotas=(300.0,), over_share_worth=0.1, proxies=300), *fleet(9))
+    driver = Driver(settings(quotas=(300.0,), over_share_worth=0.1, proxies=300), *server_entries(9))
     balancer = driver.balancer
     driver.now += 10_000
     levels = [balancer.level_of(driver.now, balancer.settings.classes[0], 0) for _ in range(8)]
@@ -170,7 +170,7 @@
 def test_an_empty_list_at_the_start_is_survived() -> None:
     driver = Driver(settings(RequestClass(300.0, 900.0), RequestClass(300.0, 900.0, worth=0.1), **MANY))
     driver.arrive(1)
-    driver.step(ServerList(ListKind.FULL, tuple(fleet(40))))
+    driver.step(ServerList(ListKind.FULL, tuple(server_entries(40))))
     driver.beats(100)
     assert driver.sends[driver.arrive()]
 
@@ -179,7 +179,7 @@
     """40 proxies before 60 servers: each meets one every few seconds."""
     sent = [0, 0]
     for me in range(4):
-        driver = Driver(settings(proxies=40, me=me, key_affinity=True), *fleet(60), seed=me)
+        driver = Driver(settings(proxies=40, me=me, key_affinity=True), *server_entries(60), seed=me)
         slow = driver.balancer.active[7]
         for n in range(1200):  # 24 requests a second
             request = driver.arrive(key=n * 7919 % 600)
@@ -217,7 +217,7 @@
 @pytest.mark.parametrize("seed", range(3))
 def test_a_server_that_holds_more_than_others_by_the_list_is_given_less_of_its_keys(seed: int) -> None:
     """A key asked for by all proxies fills its server, each with one request in flight."""
-    servers = [s._replace(weight=1.5) for s in fleet(20)]
+    servers = [s._replace(weight=1.5) for s in server_entries(20)]
     drivers = [keyed(me, servers) for me in range(4)]
     full = servers[seed * 5]
     before = [keys_of(driver, full.server, range(400)) for driver in drivers]
@@ -236,7 +236,7 @@
 
 
 def test_weights_that_tell_of_size_alone_move_no_share() -> None:
-    servers = [s._replace(weight=1.0 + i % 3) for i, s in enumerate(fleet(12))]
+    servers = [s._replace(weight=1.0 + i % 3) for i, s in enumerate(server_entries(12))]
     driver = Driver(settings(proxies=40, key_affinity=True), *servers)
     for _ in range(10):
         smaller = [s._replace(weight=0.1) for s in servers[:6]]
@@ -245,7 +245,7 @@
 
 
 def test_cold_servers_that_hold_nothing_yet_don_t_make_the_others_look_full() -> None:
-    servers = [s._replace(weight=1.5) for s in fleet(6)]
+    servers = [s._replace(weight=1.5) for s in server_entries(6)]
     more: dict[str, Any] = {"key_affinity": True, "weights_report_load": True, "cold_ms": 1e6, "start_capacity": 0.2}
     driver = Driver(settings(proxies=40, **more), *servers)
     driver.now += 1e6
@@ -258,7 +258,7 @@
 
 def test_proxies_of_a_large_fleet_keep_enough_in_flight_to_use_every_server() -> None:
     """Answers that take long anyway cut each limit to its floor: together 40 hold five at each server."""
-    driver = keyed(0, fleet(60))
+    driver = keyed(0, server_entries(60))
     for _ in range(40):
         for server in driver.balancer.active:
             server.cut(0.5)
@@ -271,7 +271,7 @@
     """Servers that have gone before the list tells of it: three of each of 40 are 120."""
     tries = 0
     for me in range(20):
-        driver = keyed(me, fleet(12))
+        driver = keyed(me, server_entries(12))
         gone = {s.id for s in driver.balancer.active[:5]}
         held = driver.balancer.active[0]
         held.limit = 3.0
@@ -293,7 +293,7 @@
 
 
 def test_when_most_servers_take_no_connection_they_are_all_still_tried() -> None:
-    driver = keyed(0, fleet(10))
+    driver = keyed(0, server_entries(10))
     met: set[str] = set()
     for key in range(60):
         request = driver.arrive(key=key)
@@ -330,7 +330,7 @@
     service = AskedOne(7000 / 40)
     more: dict[str, Any] = {"ask_for_list": True, "must_ask_ms": 10_000.0, "key_affinity": True}
     drivers = [
-        Driver(settings(proxies=40, me=me, **more), *fleet(6), seed=97 * seed + me) for me in range(40)
+        Driver(settings(proxies=40, me=me, **more), *server_entries(6), seed=97 * seed + me) for me in range(40)
     ]
     starts = [d.now + (me * 37 + seed * 11) % 100 for me, d in enumerate(drivers)]
     told: dict[int, float] = {}
@@ -340,7 +340,7 @@
                 continue
             driver.now = float(now)
             news = [ok for when, whose, ok in service.due if whose == me and when <= now]
-            events: list[Any] = [ServerList(ListKind.FULL, tuple(fleet(6))) for ok in news if ok][:1]
+            events: list[Any] = [ServerList(ListKind.FULL, tuple(server_entries(6))) for ok in news if ok][:1]
             events += [ServerList(ListKind.FAILED) for ok in news if not ok][:1]
             if any(news):
                 told.setdefault(me, now - starts[me])
@@ -354,7 +354,7 @@
 
 
 def test_a_new_server_at_the_address_of_one_that_left_is_known_for_nothing_of_it() -> None:
-    driver = keyed(0, fleet(6))
+    driver = keyed(0, server_entries(6))
     left = driver.balancer.active[0]
     left.reward, left.share, left.load, left.consecutive_failures = 0.1, 0.1, 9.0, 2
     entries = (ServerInfo(left.id, state=ServerState.GONE), ServerInfo("s-new", weight=1.0))
@@ -377,8 +377,8 @@
         "fall_multiple": 3.0,
     }
     more = cold | {"key_affinity": True, "weights_report_load": True, "max_attempts": 6}
-    drivers = [Driver(settings(proxies=40, me=me, **more), *fleet(12), seed=me + seed) for me in range(40)]
-    rng, lost = Random(seed), {s.server for s in fleet(12)[:4]}
+    drivers = [Driver(settings(proxies=40, me=me, **more), *server_entries(12), seed=me + seed) for me in range(40)]
+    rng, lost = Random(seed), {s.server for s in server_entries(12)[:4]}
     busy: list[tuple[float, Driver, str, Result]] = []
     to_lost: list[tuple[float, str]] = []
     waiting: list[tuple[Driver, str]] = []
@@ -423,9 +423,9 @@
 @pytest.mark.parametrize("seed", range(2))
 def test_keys_go_to_servers_in_proportion_to_their_size_and_alike_from_every_proxy(seed: int) -> None:
     """A server twice as fast that gets as many keys as any other idles beside one that is full."""
-    large = {s.server for s in fleet(20)[seed::2]}
+    large = {s.server for s in server_entries(20)[seed::2]}
     servers = [
-        s._replace(weight=2.0 if s.server in large else 1.0, kind=int(s.server in large)) for s in fleet(20)
+        s._replace(weight=2.0 if s.server in large else 1.0, kind=int(s.server in large)) for s in server_entries(20)
     ]
     met, firsts = 0, []
     for me in range(3):
@@ -473,7 +473,7 @@
 
 def test_one_of_many_with_several_times_the_mean_traffic_uses_servers_that_are_idle() -> None:
     """An even part of 60 servers is five requests in flight; twenty of this proxy's wait to be served."""
-    servers = [s._replace(weight=1.5) for s in fleet(60)]
+    servers = [s._replace(weight=1.5) for s in server_entries(60)]
     more: dict[str, Any] = {"proxies": 60, "key_affinity": True, "weights_report_load": True}
     driver = Driver(settings(**more), *servers)
     crowded(driver, servers, 1.0, 5, 4000)
@@ -482,7 +482,7 @@
 
 
 def test_its_part_is_no_more_when_servers_hold_all_that_they_may() -> None:
-    servers = [s._replace(weight=1.5) for s in fleet(60)]
+    servers = [s._replace(weight=1.5) for s in server_entries(60)]
     more: dict[str, Any] = {"proxies": 60, "key_affinity": True, "weights_report_load": True}
     driver = Driver(settings(**more), *servers)
     crowded(driver, servers, 1.0, 5, 4000)
@@ -493,7 +493,7 @@
 
 
 def test_lists_without_live_weights_move_no_part() -> None:
-    servers = [s._replace(weight=1.5) for s in fleet(60)]
+    servers = [s._replace(weight=1.5) for s in server_entries(60)]
     driver = Driver(settings(proxies=60, key_affinity=True), *servers)
     crowded(driver, servers, 1.0, 5, 3000)
     assert driver.balancer.reach == 1.0
@@ -501,7 +501,7 @@
 
 def test_a_key_asked_for_by_all_is_drawn_from_as_many_servers_as_it_fills() -> None:
     """A fifth of all requests has one key: two of 20 servers would get five times what others do."""
-    driver = keyed(0, [s._replace(weight=1.5) for s in fleet(20)])
+    driver = keyed(0, [s._replace(weight=1.5) for s in server_entries(20)])
     rng = Random(5)
     hot: Counter[str] = Counter()
     rare: dict[int, set[str]] = {}
@@ -524,7 +524,7 @@
 def test_servers_replaced_at_once_get_no_more_of_all_proxies_than_they_can_bear(seed: int) -> None:
     """6 of 12 servers are new: 60 proxies with uneven traffic each have a budget, and the sum counts."""
     more = COLD | {"key_affinity": True, "weights_report_load": True, "max_attempts": 6}
-    servers = [s._replace(weight=1.5) for s in fleet(12)]
+    servers = [s._replace(weight=1.5) for s in server_entries(12)]
     drivers = [Driver(settings(proxies=60, me=me, **more), *servers, seed=60 * seed + me) for me in range(60)]
     rng = Random(seed)
     parts = [5.0 if me % 10 == 0 else rng.uniform(0.4, 1.2) for me in range(60)]
@@ -559,7 +559,7 @@
 @pytest.mark.parametrize("seed", range(3))
 def test_what_a_warm_server_carries_is_not_overstated_where_each_is_met_seldom(seed: int) -> None:
     """20 requests a second over 100 servers: a second's count is none or one, and cold budgets go by it."""
-    driver = Driver(settings(proxies=100, key_affinity=True), *fleet(100), seed=seed)
+    driver = Driver(settings(proxies=100, key_affinity=True), *server_entries(100), seed=seed)
     rng, rates = Random(seed), []
     for n in range(400):
         driver.end(driver.arrive(key=rng.randrange(400)), after=25.0, delay=40.0)
@@ -577,7 +577,7 @@
     parts = [4.0 if me % 10 == 3 else rng.uniform(0.3, 1.2) for me in range(200)]
     start, quiet, sent, each = 1000.0, 5000.0, [], 17.0
     for me, part in enumerate(parts):
-        driver = Driver(settings(proxies=200, me=me, key_affinity=True, **COLD), *fleet(30), seed=me)
+        driver = Driver(settings(proxies=200, me=me, key_affinity=True, **COLD), *server_entries(30), seed=me)
         driver.step(ServerList(ListKind.CHANGES, (ServerInfo("new:1", started=start),)))
         rate = part * each * 31 / sum(parts) / 1000  # of requests that come to this proxy, a ms
         while driver.now < start + quiet + 4000:
@@ -601,7 +601,7 @@
 @pytest.mark.parametrize("quick", [True, False])
 def test_a_server_that_was_away_is_fed_like_a_cold_one_until_its_answers_are_quick(quick: bool) -> None:
     """Silent for seconds and back: it may have started anew, and no list has told so yet."""
-    driver = Driver(settings(proxies=200, key_affinity=True, **COLD), *fleet(2))
+    driver = Driver(settings(proxies=200, key_affinity=True, **COLD), *server_entries(2))
     for _ in range(60):
         driver.end(driver.arrive(), delay=40.0)
         driver.beats(100)
@@ -621,7 +621,7 @@
 
 
 def test_a_server_that_lost_one_connection_is_not_held_for_one_that_started_anew() -> None:
-    driver = Driver(settings(proxies=200, key_affinity=True, **COLD), *fleet(2))
+    driver = Driver(settings(proxies=200, key_affinity=True, **COLD), *server_entries(2))
     server = driver.balancer.active[0]
     server.reward = 0.2
     driver.balancer.strike(driver.now, server, True)
@@ -652,7 +652,7 @@
     used: Counter[str] = Counter()
     for me in range(40):
         driver = Driver(settings(proxies=40, me=me, key_affinity=True, **COLD), seed=me)
-        driver.step(ServerList(ListKind.FULL, tuple(s._replace(started=driver.now) for s in fleet(6))))
+        driver.step(ServerList(ListKind.FULL, tuple(s._replace(started=driver.now) for s in server_entries(6))))
         for n in range(200):
             driver.arrive(key=n * 31, wait=300)
             driver.beat(after=50.0)
@@ -664,7 +664,7 @@
 
 
 def test_weights_that_tell_of_size_alone_place_keys_by_each_servers_own() -> None:
-    servers = [s._replace(weight=1.0 + 3.0 * (i % 2)) for i, s in enumerate(fleet(10))]
+    servers = [s._replace(weight=1.0 + 3.0 * (i % 2)) for i, s in enumerate(server_entries(10))]
     driver = Driver(settings(key_affinity=True), *servers)
     firsts = Counter(
         max(driver.balancer.active, key=lambda s: place(driver, k, s)).weight for k in range(600)
@@ -687,7 +687,7 @@
 
 
 def test_the_first_slow_answer_after_an_outage_makes_a_server_doubted() -> None:
-    driver = Driver(settings(proxies=200, key_affinity=True, **COLD), *fleet(1))
+    driver = Driver(settings(proxies=200, key_affinity=True, **COLD), *server_entries(1))
     driver.end(driver.arrive(), delay=40.0)
     server = driver.balancer.active[0]
     driver.now += 2000
@@ -697,7 +697,7 @@
 
 
 def test_when_others_come_its_part_is_smaller_at_once_and_nothing_is_forgotten() -> None:
-    driver = Driver(settings(proxies=2, quotas=(100.0,)), *fleet(10))
+    driver = Driver(settings(proxies=2, quotas=(100.0,)), *server_entries(10))
     for _ in range(200):
         driver.end(driver.arrive(), after=20.0)
         driver.beat()
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -8,17 +8,17 @@
 
 from flintlatch.api import Arrival, Fail, Outcome, Refuse, RequestClass, Result, Send, ServerInfo, Settings
 from flintlatch.choice import Balancer, Endpoint, Server
-from tests.support import Driver, fleet, actions_of, settings
+from tests.support import Driver, server_entries, actions_of, settings
 
 
 def test_nothing_waits_beside_an_idle_ready_server() -> None:
-    driver = Driver(settings(), *fleet(1))
+    driver = Driver(settings(), *server_entries(1))
     driver.arrive()
     assert [s.server for s in actions_of(Send, driver.last)] == ["10.0.0.0:80"]
 
 
 def test_gate_holds_beyond_the_limit_and_a_freed_slot_takes_the_head() -> None:
-    driver = Driver(settings(proxies=4), *fleet(1))
+    driver = Driver(settings(proxies=4), *server_entries(1))
     first, second, third = driver.arrive(), driver.arrive(), driver.arrive()
     assert list(driver.sends) == [first]
     assert [s.request for s in actions_of(Send, driver.end(first))] == [second]
@@ -27,7 +27,7 @@
 
 def test_slot_goes_to_the_head_that_waited_the_largest_part_of_its_aim() -> None:
     classes = (RequestClass(1000.0, 3000.0), RequestClass(200.0, 3000.0))
-    driver = Driver(settings(*classes, proxies=4), *fleet(1))
+    driver = Driver(settings(*classes, proxies=4), *server_entries(1))
     first = driver.arrive(0)
     driver.now += 5
     older = driver.arrive(0, wait=3000)
@@ -38,7 +38,7 @@
 
 
 def test_pick_takes_the_higher_payoff() -> None:
-    driver = Driver(settings(), *fleet(2))
+    driver = Driver(settings(), *server_entries(2))
     bad, good = driver.balancer.active
     bad.reward, bad.plays, good.plays = 0.2, 50.0, 50.0
     driver.arrive()
@@ -46,7 +46,7 @@
 
 
 def test_bonus_tries_a_server_without_recent_outcomes_again() -> None:
-    driver = Driver(settings(), *fleet(2))
+    driver = Driver(settings(), *server_entries(2))
     idle, busy = driver.balancer.active
     driver.balancer.outcomes = 200.0
     idle.reward, idle.plays, busy.plays = 0.8, 0.0, 100.0
@@ -57,7 +57,7 @@
 @pytest.mark.parametrize("key_affinity", [True, False])
 def test_one_of_many_uses_all_servers_only_where_they_know_keys(key_affinity: bool) -> None:
     # Guards against a key that meets other servers at each proxy, and so none that knows it.
-    servers: list[ServerInfo] = fleet(24)
+    servers: list[ServerInfo] = server_entries(24)
     met: set[str] = set()
     for me in range(14):
         driver = Driver(settings(proxies=14, me=me, key_affinity=key_affinity), *servers, seed=me)
@@ -74,7 +74,7 @@
     spec: dict[str, Any] = {"key_affinity": True, "start_capacity": 0.1, "cold_ms": 20_000.0, "fall_ms": 1500.0}
     sent = 0
     for me in range(14):
-        driver = Driver(settings(proxies=14, me=me, **spec), *fleet(1, started=0.0), seed=me)
+        driver = Driver(settings(proxies=14, me=me, **spec), *server_entries(1, started=0.0), seed=me)
         for _ in range(100):  # two windows
             driver.beat(30.0)
             for request in list(driver.sends):
@@ -86,13 +86,13 @@
 
 
 def test_ties_go_to_fewer_in_flight() -> None:
-    driver = Driver(settings(), *fleet(2))
+    driver = Driver(settings(), *server_entries(2))
     used = driver.sends[driver.arrive()][0]
     assert driver.sends[driver.arrive()][0] != used
 
 
 def test_payoff_is_one_inside_the_aim_and_zero_for_late_or_failed() -> None:
-    driver = Driver(settings(), *fleet(1))
+    driver = Driver(settings(), *server_entries(1))
     server = driver.balancer.active[0]
     server.reward = 0.5
     driver.end(driver.arrive(), after=299)
@@ -105,7 +105,7 @@
 
 def stuck(*classes: RequestClass, **more: Any) -> Driver:
     """One request at the only server, one held that can wait for long."""
-    driver = Driver(settings(*classes, proxies=4, **more), *fleet(1))
+    driver = Driver(settings(*classes, proxies=4, **more), *server_entries(1))
     driver.arrive(0)
     driver.arrive(0, wait=100_000)
     return driver
@@ -186,7 +186,7 @@
 
 
 def test_a_request_that_cannot_be_useful_is_failed_while_held() -> None:
-    driver = Driver(settings(proxies=4), *fleet(1))
+    driver = Driver(settings(proxies=4), *server_entries(1))
     driver.arrive()
     held = driver.arrive()
     assert [f.request for f in actions_of(Fail, driver.beats(325))] == [held]
@@ -194,7 +194,7 @@
 
 def test_a_request_never_sent_is_given_up_before_half_its_wait() -> None:
     # Told later, its client has no time for another try, and nothing was ever done for it.
-    driver = Driver(settings(RequestClass(5000.0, 9000.0), proxies=4), *fleet(1))
+    driver = Driver(settings(RequestClass(5000.0, 9000.0), proxies=4), *server_entries(1))
     driver.arrive(wait=1000)
     held = driver.arrive(wait=1000)
     assert not actions_of(Fail, driver.beats(400))
@@ -204,7 +204,7 @@
 def test_level_four_is_let_in_beside_an_empty_buffer_unless_the_flag_keeps_returning() -> None:
     classes = (RequestClass(300.0, 900.0, worth=12.0), RequestClass(300.0, 900.0, worth=1.0))
     for release, refused in ((0.5, False), (4.0, True)):
-        driver = Driver(settings(*classes), *fleet(40))
+        driver = Driver(settings(*classes), *server_entries(40))
         driver.balancer.endpoints[0].flagged_at = driver.now
         driver.balancer.endpoints[0].release = release
         driver.arrive(1)
@@ -213,7 +213,7 @@
 
 def test_a_late_answer_is_waited_for_only_without_overload() -> None:
     spec = RequestClass(300.0, 1000.0, late_worth=0.3)
-    driver = Driver(settings(spec, proxies=4), *fleet(1))
+    driver = Driver(settings(spec, proxies=4), *server_entries(1))
     first, held = driver.arrive(), driver.arrive()
     driver.balancer.endpoints[0].excess = lambda now: 0.0  # type: ignore[method-assign]
     assert not actions_of(Fail, driver.beats(400))
@@ -223,7 +223,7 @@
 
 
 def limit_after(latencies: list[float], proxies: int, aim: float = 1000.0, start: float = 4.0) -> float:
-    server = Server(fleet(1)[0], proxies)
+    server = Server(server_entries(1)[0], proxies)
     server.limit = start
     for latency in latencies:
         server.peak = max(server.peak, int(max(1, server.limit)))
@@ -251,7 +251,7 @@
 
 
 def test_limits_below_one_add_up_to_a_limit_on_all_in_flight() -> None:
-    driver = Driver(settings(proxies=4), *fleet(8))
+    driver = Driver(settings(proxies=4), *server_entries(8))
     for server in driver.balancer.active:
         server.limit = 0.25
     for _ in range(8):
@@ -262,7 +262,7 @@
 
 
 def test_servers_that_hang_do_not_use_up_the_sum_of_limits() -> None:
-    driver = Driver(settings(proxies=4), *fleet(8))
+    driver = Driver(settings(proxies=4), *server_entries(8))
     for _ in range(20):
         driver.end(driver.arrive(), after=20)
     for server in driver.balancer.active:
@@ -278,13 +278,13 @@
 def test_same_events_and_seed_give_the_same_actions() -> None:
     runs = []
     for _ in range(2):
-        driver = Driver(settings(), *fleet(5), seed=7)
+        driver = Driver(settings(), *server_entries(5), seed=7)
         runs.append([driver.end(driver.arrive()) and driver.sends[f"r{i}"] for i in range(50)])
     assert runs[0] == runs[1]
 
 
 def test_an_outcome_for_an_id_no_longer_held_is_passed_over() -> None:
-    driver = Driver(settings(), *fleet(1))
+    driver = Driver(settings(), *server_entries(1))
     request = driver.arrive()
     driver.end(request)
     assert driver.step(Outcome(request, 0, Result.OK, 1.0, True)) == []
@@ -321,7 +321,7 @@
 def test_where_keys_are_warm_every_proxy_draws_the_same_two_servers_for_a_key() -> None:
     used: dict[int, set[str]] = {}
     for seed in range(6):
-        driver = Driver(settings(key_affinity=True), *fleet(9), seed=seed)
+        driver = Driver(settings(key_affinity=True), *server_entries(9), seed=seed)
         for key in range(20):
             request = driver.arrive(key=key)
             used.setdefault(key, set()).update(driver.sends[request])
@@ -332,7 +332,7 @@
 
 def test_all_limits_are_cut_when_answers_of_all_servers_take_much_of_the_aim() -> None:
     """Two answers of each server say nothing of it alone; twenty servers together say enough."""
-    driver = Driver(settings(proxies=4), *fleet(20))
+    driver = Driver(settings(proxies=4), *server_entries(20))
     servers = driver.balancer.active
     before = sum(s.limit for s in servers)
     for _ in range(80):
@@ -343,7 +343,7 @@
 
 def test_a_proxy_with_more_than_its_part_of_traffic_does_not_judge_everyone_beyond_their_share() -> None:
     config = settings(quotas=(40.0, 10.0, 10.0, 10.0), over_share_worth=0.05, proxies=4, zones=2)
-    driver = Driver(config, *fleet(9))
+    driver = Driver(config, *server_entries(9))
     for second in range(12):  # this proxy gets half of all traffic; tenant 0 asks for three times its share
         for slot in range(80):
             tenant = 0 if slot < 60 else 1 + slot % 3
@@ -359,7 +359,7 @@
 
 def test_in_a_flood_of_all_tenants_the_part_is_at_most_a_zone() -> None:
     config = settings(quotas=(10.0, 10.0, 10.0), over_share_worth=0.05, proxies=4, zones=3)
-    driver = Driver(config, *fleet(9))
+    driver = Driver(config, *server_entries(9))
     for count in range(800):
         driver.step(Arrival(f"{count}", 0, count % 3, None, driver.now + 900))
         driver.beat(after=10)
@@ -367,7 +367,7 @@
 
 
 def test_without_other_tenants_to_compare_the_part_is_one_in_n() -> None:
-    driver = Driver(settings(quotas=(10.0,), over_share_worth=0.05, proxies=4), *fleet(9))
+    driver = Driver(settings(quotas=(10.0,), over_share_worth=0.05, proxies=4), *server_entries(9))
     for _ in range(200):
         driver.arrive()
         driver.beat()
@@ -378,7 +378,7 @@
     classes = (RequestClass(300.0, 900.0, worth=12.0), RequestClass(300.0, 900.0, worth=1.0))
     refused = []
     for since in (1.0, 600.0, 1201.0):
-        driver = Driver(settings(*classes), *fleet(40))
+        driver = Driver(settings(*classes), *server_entries(40))
         driver.balancer.endpoints[0].flagged_at = driver.now
         driver.balancer.endpoints[0].release = 4.0
         driver.now += since
@@ -404,7 +404,7 @@
 
 def test_a_repeat_past_the_aim_of_its_first_try_is_not_sent() -> None:
     for late_worth, sent in ((0.0, False), (0.3, True)):
-        driver = Driver(settings(RequestClass(300.0, 1000.0, late_worth=late_worth)), *fleet(2))
+        driver = Driver(settings(RequestClass(300.0, 1000.0, late_worth=late_worth)), *server_entries(2))
         driver.end(driver.arrive(wait=1000))
         driver.arrive(wait=690)  # its client has waited 310 ms already
         assert bool(actions_of(Send, driver.last)) is sent
@@ -417,7 +417,7 @@
     # For a while three of four came with an eighth of the usual wait. Each looked like a repeat whose aim had
     # long passed, and failed unsent beside idle servers.
     for away, low, high in ((0.0, 30, 30), (100.0, 0, 0)):
-        driver = Driver(settings(RequestClass(80.0, 400.0)), *fleet(4))
+        driver = Driver(settings(RequestClass(80.0, 400.0)), *server_entries(4))
         sent = 0
         for number in range(40):
             driver.balancer.turned_away = away
--- a/tests/test_notice.py
+++ b/tests/test_notice.py
@@ -14,7 +14,7 @@
     NOTICE_MS,
     WAIT_MS,
 )
-from tests.support import Driver, fleet, actions_of, settings
+from tests.support import Driver, server_entries, actions_of, settings
 from tests.test_list_service import Tier
 
 CALL_MS = FIRST_WAIT_MS + FIRST_GRACE_MS
@@ -23,7 +23,7 @@
 
 def asking(proxies: int, me: int, must_ask_ms: float = 10_000.0) -> Driver:
     more: dict[str, Any] = {"ask_for_list": True, "must_ask_ms": must_ask_ms, "key_affinity": True}
-    return Driver(settings(proxies=proxies, me=me, **more), *fleet(3), seed=me)
+    return Driver(settings(proxies=proxies, me=me, **more), *server_entries(3), seed=me)
 
 
 def wait(driver: Driver) -> float:
@@ -38,7 +38,7 @@
 def test_a_watch_that_fell_silent_is_replaced_before_its_news_counts_as_told(proxies: int) -> None:
     for me in {0, proxies // 2, proxies - 1}:
         driver = asking(proxies, me)
-        driver.step(ServerList(ListKind.FULL, tuple(fleet(3))))
+        driver.step(ServerList(ListKind.FULL, tuple(server_entries(3))))
         driver.step(ServerList(ListKind.FAILED))  # the silence was noticed
         assert WAIT_MS + GRACE_MS + wait(driver) + CALL_MS <= NOTICE_MS
 
@@ -58,7 +58,7 @@
     for me in {0, proxies // 2, proxies - 1}:
         driver = asking(proxies, me)
         assert wait(driver) + CALL_MS <= NOTICE_MS
-        driver.step(ServerList(ListKind.FULL, tuple(fleet(3))))
+        driver.step(ServerList(ListKind.FULL, tuple(server_entries(3))))
         if not actions_of(Watch, driver.step(DiscoveryServiceChanged())):
             assert wait(driver) + CALL_MS <= NOTICE_MS
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -19,7 +19,7 @@
     DiscoveryServiceChanged,
     Watch,
 )
-from tests.support import Driver, fleet, actions_of, settings
+from tests.support import Driver, server_entries, actions_of, settings
 
 RECOVERY_MS = 12_000  # stated in docs/on-call.md: the longest rest (8 s and a quarter), then its trial
 STEP_MS = 10  # one arrival each
@@ -31,7 +31,7 @@
 
     def __init__(self, servers: int) -> None:
         classes = RequestClass(300.0, 1000.0, worth=1.0), RequestClass(300.0, 1000.0, worth=0.1)
-        self.driver = Driver(settings(*classes), *fleet(servers))
+        self.driver = Driver(settings(*classes), *server_entries(servers))
         self.due: list[tuple[float, str, int, Result, float]] = []
         self.tries: Counter[str] = Counter()
         self.sent: Counter[str] = Counter()
@@ -60,7 +60,7 @@
 
 
 def all_of(servers: int, result: Result, delay: float) -> dict[str, tuple[Result, float]]:
-    return {s.server: (result, delay) for s in fleet(servers)}
+    return {s.server: (result, delay) for s in server_entries(servers)}
 
 
 TROUBLES = {
@@ -97,11 +97,11 @@
 def test_servers_that_were_away_are_used_as_before() -> None:
     script = Script(4)
     script.run(5_000, {})
-    gone = fleet(4, state=ServerState.GONE)
+    gone = server_entries(4, state=ServerState.GONE)
     script.driver.step(ServerList(ListKind.CHANGES, tuple(gone)))
     script.run(3_000, {})
     assert not script.sent
-    script.take(script.driver.step(ServerList(ListKind.CHANGES, tuple(fleet(4)))), {})
+    script.take(script.driver.step(ServerList(ListKind.CHANGES, tuple(server_entries(4)))), {})
     script.run(3_000, {})  # level 4 comes back over four aims
     script.run(3_000, {})
     assert len(script.sent) == 4 and sum(script.sent.values()) >= 290
@@ -109,14 +109,14 @@
 
 def test_a_failed_call_to_a_list_service_just_moved_to_is_made_again_at_once() -> None:
     # Its news counts as told 4 s after the move: the wait that failures of the old one had grown is too long.
-    driver = Driver(settings(ask_for_list=True), *fleet(2))
+    driver = Driver(settings(ask_for_list=True), *server_entries(2))
     for _ in range(6):
         driver.step(ServerList(ListKind.FAILED))
     assert actions_of(Watch, driver.step(DiscoveryServiceChanged()))
     for _ in range(3):
         driver.step(ServerList(ListKind.FAILED))
         assert actions_of(Watch, driver.beats(250))
-    driver.step(ServerList(ListKind.FULL, tuple(fleet(2))))
+    driver.step(ServerList(ListKind.FULL, tuple(server_entries(2))))
     assert not actions_of(Watch, driver.beats(20_000))  # the watch stands
     driver.step(ServerList(ListKind.FAILED))
     assert not actions_of(Watch, driver.beats(200))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -26,7 +26,7 @@
     ResponseStarted,
     Watch,
 )
-from tests.support import Driver, fleet, actions_of, settings
+from tests.support import Driver, server_entries, actions_of, settings
 
 SAFE = RequestClass(300.0, 1000.0)
 UNSAFE = RequestClass(300.0, 1000.0, effect=Effect.UNSAFE)
@@ -37,7 +37,7 @@
 
 
 def test_a_request_without_time_left_is_failed_at_once() -> None:
-    driver = Driver(settings(), *fleet(1))
+    driver = Driver(settings(), *server_entries(1))
     request = driver.arrive(wait=0.0)
     assert [f.request for f in actions_of(Fail, driver.last)] == [request]
 
@@ -49,45 +49,45 @@
 
 
 def test_time_out_at_the_deadline_gets_its_answer_in_the_same_call() -> None:
-    driver = Driver(settings(UNSAFE), *fleet(1))
+    driver = Driver(settings(UNSAFE), *server_entries(1))
     request = driver.arrive()
     assert [f.request for f in actions_of(Fail, driver.end(request, Result.TIMEOUT, 299.0))] == [request]
 
 
 def test_a_moot_attempt_ends_in_a_failure() -> None:
-    driver = Driver(settings(), *fleet(1))
+    driver = Driver(settings(), *server_entries(1))
     assert actions_of(Fail, driver.end(driver.arrive(), Result.NOT_SENT, 0.0))
 
 
 def test_a_client_gone_in_the_same_batch_as_the_end_is_passed_over() -> None:
-    driver = Driver(settings(), *fleet(1))
+    driver = Driver(settings(), *server_entries(1))
     request = driver.arrive()
     actions = driver.step(Outcome(request, 0, Result.OK, 9.0, True), ClientDisconnected(request))
     assert not actions_of(Fail, actions) and not actions_of(Cancel, actions)
 
 
 def test_nothing_is_sent_for_a_held_request_whose_client_left() -> None:
-    driver = Driver(settings(proxies=4), *fleet(1))
+    driver = Driver(settings(proxies=4), *server_entries(1))
     first, held = driver.arrive(), driver.arrive()
     assert not actions_of(Send, driver.step(ClientDisconnected(held), Outcome(first, 0, Result.OK, 5.0, True)))
 
 
 def test_attempts_of_a_client_that_left_are_cancelled_where_permitted() -> None:
     for allowed in (True, False):
-        driver = Driver(settings(may_cancel=allowed), *fleet(1))
+        driver = Driver(settings(may_cancel=allowed), *server_entries(1))
         request = driver.arrive()
         assert bool(actions_of(Cancel, driver.step(ClientDisconnected(request)))) is allowed
 
 
 def test_a_started_stream_is_left_alone() -> None:
-    driver = Driver(settings(RequestClass(100.0, 1000.0, stream=True)), *fleet(2))
+    driver = Driver(settings(RequestClass(100.0, 1000.0, stream=True)), *server_entries(2))
     request = driver.arrive()
     driver.step(ResponseStarted(request, 0, 5.0))
     assert not actions_of(Cancel, driver.beats(500)) and not actions_of(Fail, driver.beats(1000))
 
 
 def test_an_answer_without_measurable_delay_is_taken() -> None:
-    driver = Driver(settings(), *fleet(1))
+    driver = Driver(settings(), *server_entries(1))
     for _ in range(20):
         driver.end(driver.arrive(), after=0.0)
     assert len(driver.sends) == 20
@@ -98,14 +98,14 @@
 
 @pytest.mark.parametrize("result", [Result.ERROR, Result.RESET, Result.TIMEOUT])
 def test_unsafe_that_may_have_run_is_failed_never_resent_or_refused(result: Result) -> None:
-    driver = Driver(settings(UNSAFE), *fleet(3))
+    driver = Driver(settings(UNSAFE), *server_entries(3))
     actions = driver.end(driver.arrive(), result)
     assert actions_of(Fail, actions) and not actions_of(Send, actions) and not actions_of(Refuse, actions)
 
 
 @pytest.mark.parametrize("result", [Result.FULL, Result.CONNECT_FAILED])
 def test_unsafe_that_never_ran_goes_to_another_server(result: Result) -> None:
-    driver = Driver(settings(UNSAFE), *fleet(3))
+    driver = Driver(settings(UNSAFE), *server_entries(3))
     request = driver.arrive()
     again = actions_of(Send, driver.end(request, result))
     assert len(again) == 1 and again[0].server != driver.sends[request][0]
@@ -139,7 +139,7 @@
 @pytest.mark.parametrize("spec", [SAFE, KEYED])
 def test_a_request_whose_body_was_let_go_is_never_sent_again(spec: RequestClass, result: Result) -> None:
     for gone in (False, True):
-        driver = Driver(settings(spec), *fleet(3))
+        driver = Driver(settings(spec), *server_entries(3))
         request = driver.arrive()
         if gone:
             driver.step(BodyDiscarded(request))
@@ -185,7 +185,7 @@
 
 def test_keyed_with_all_servers_as_group_does_not_outlive_its_window_in_the_buffer() -> None:
     spec = RequestClass(300.0, 1000.0, effect=Effect.KEYED, scope=Scope.ALL, window_ms=100.0)
-    driver = Driver(settings(spec, proxies=4), *fleet(1))
+    driver = Driver(settings(spec, proxies=4), *server_entries(1))
     request = driver.arrive()
     driver.balancer.active[0].rest_until = driver.now + 150
     driver.end(request, Result.ERROR)
@@ -193,14 +193,14 @@
 
 
 def test_attempts_are_capped() -> None:
-    driver = Driver(settings(max_attempts=2), *fleet(4))
+    driver = Driver(settings(max_attempts=2), *server_entries(4))
     request = driver.arrive()
     driver.end(request, Result.FULL)
     assert actions_of(Fail, driver.end(request, Result.FULL))
 
 
 def test_retries_of_what_may_have_run_are_budgeted() -> None:
-    driver = Driver(settings(), *fleet(40))
+    driver = Driver(settings(), *server_entries(40))
     resent = sum(len(actions_of(Send, driver.end(driver.arrive(), Result.ERROR))) for _ in range(100))
     assert resent <= 10 + 0.1 * 100 + 1
 
@@ -210,13 +210,13 @@
 
 def test_a_late_attempt_is_neither_cancelled_nor_copied() -> None:
     """Servers go on with cancelled work: a second attempt beside it adds load where there is least room."""
-    driver = Driver(settings(), *fleet(2))
+    driver = Driver(settings(), *server_entries(2))
     request = driver.arrive()
     assert not actions_of(Cancel, driver.beats(275)) and len(driver.sends[request]) == 1
 
 
 def test_attempts_given_up_raise_the_usual_latency() -> None:
-    driver = Driver(settings(), *fleet(2))
+    driver = Driver(settings(), *server_entries(2))
     for _ in range(20):
         driver.end(driver.arrive(), after=20)
     before = driver.balancer.class_latency[0][0]
@@ -226,13 +226,13 @@
 
 def test_a_given_up_attempt_leaves_its_slot_at_once() -> None:
     # Its work stops as its connection closes: a slot held longer counts what no socket holds.
-    driver = Driver(settings(UNSAFE), *fleet(1))
+    driver = Driver(settings(UNSAFE), *server_entries(1))
     driver.end(driver.arrive(), Result.TIMEOUT, after=200)
     assert driver.balancer.active[0].inflight == 0
 
 
 def test_a_time_out_cut_short_by_the_wait_blames_no_server() -> None:
-    driver = Driver(settings(UNSAFE), *fleet(1))
+    driver = Driver(settings(UNSAFE), *server_entries(1))
     for _ in range(40):
         driver.end(driver.arrive(), after=50)
     server = driver.balancer.active[0]
@@ -257,7 +257,7 @@
 
 
 def test_a_server_that_fails_far_more_than_the_fleet_rests_and_comes_back_on_trial() -> None:
-    driver = Driver(settings(UNSAFE), *fleet(4))
+    driver = Driver(settings(UNSAFE), *server_entries(4))
     server = driver.balancer.active[0]
     assert [a for a in fail_at(driver, 0, 10) if isinstance(a, Log)]
     assert not server.has_capacity(driver.now)
@@ -271,14 +271,14 @@
 
 
 def test_never_more_than_half_rest() -> None:
-    driver = Driver(settings(UNSAFE), *fleet(4))
+    driver = Driver(settings(UNSAFE), *server_entries(4))
     for n in range(4):
         fail_at(driver, n, 12)
     assert sum(s.consecutive_failures >= 3 for s in driver.balancer.active) <= 2
 
 
 def test_nobody_rests_when_all_serve_alike() -> None:
-    driver = Driver(settings(UNSAFE), *fleet(4))
+    driver = Driver(settings(UNSAFE), *server_entries(4))
     for server in driver.balancer.active:
         server.reward = 0.2
     assert not [a for a in fail_at(driver, 0, 4) if isinstance(a, Log)]
@@ -293,7 +293,7 @@
 
 @pytest.mark.parametrize("state", [ServerState.DRAINING, ServerState.GONE])
 def test_nothing_new_goes_to_a_server_that_drains_or_is_gone(state: ServerState) -> None:
-    driver = Driver(settings(), *fleet(2))
+    driver = Driver(settings(), *server_entries(2))
     driver.step(change("10.0.0.0:80", state))
     for _ in range(10):
         driver.end(driver.arrive())
@@ -301,13 +301,13 @@
 
 
 def test_a_full_list_that_leaves_a_server_out_removes_it() -> None:
-    driver = Driver(settings(), *fleet(2))
-    driver.step(ServerList(ListKind.FULL, tuple(fleet(1))))
+    driver = Driver(settings(), *server_entries(2))
+    driver.step(ServerList(ListKind.FULL, tuple(server_entries(1))))
     assert [s.id for s in driver.balancer.active] == ["10.0.0.0:80"]
 
 
 def test_a_removed_server_that_answers_late_does_no_harm() -> None:
-    driver = Driver(settings(), *fleet(1))
+    driver = Driver(settings(), *server_entries(1))
     request = driver.arrive()
     driver.step(change("10.0.0.0:80", ServerState.GONE))
     driver.end(request)
@@ -316,7 +316,7 @@
 
 
 def test_the_list_is_asked_for_soon_and_again_before_its_news_counts_as_told() -> None:
-    driver = Driver(settings(ask_for_list=True, proxies=3, must_ask_ms=10_000.0), *fleet(1))
+    driver = Driver(settings(ask_for_list=True, proxies=3, must_ask_ms=10_000.0), *server_entries(1))
     assert actions_of(Watch, driver.beats(350))
     gaps = []
     for _ in range(8):
@@ -326,19 +326,19 @@
             pass
         gaps.append(driver.now - start)
     assert gaps[0] < 300 and gaps[-1] >= 400 and max(gaps) <= 825
-    driver.step(ServerList(ListKind.FULL, tuple(fleet(1))))
+    driver.step(ServerList(ListKind.FULL, tuple(server_entries(1))))
     assert not actions_of(Watch, driver.beats(30_000))
 
 
 @pytest.mark.parametrize("me", [0, 342, 684])
 def test_hundreds_of_proxies_ask_for_the_list_in_the_obliged_time(me: int) -> None:
     """Past it a proxy counts as told of drains it has not heard of (incident i7da933)."""
-    driver = Driver(settings(ask_for_list=True, proxies=685, me=me, must_ask_ms=10_000.0), *fleet(1))
+    driver = Driver(settings(ask_for_list=True, proxies=685, me=me, must_ask_ms=10_000.0), *server_entries(1))
     assert actions_of(Watch, driver.beats(3_050))
 
 
 def test_after_a_failed_call_hundreds_of_proxies_leave_the_list_service_room() -> None:
-    driver = Driver(settings(ask_for_list=True, proxies=600, must_ask_ms=10_000.0), *fleet(1))
+    driver = Driver(settings(ask_for_list=True, proxies=600, must_ask_ms=10_000.0), *server_entries(1))
     driver.beats(4_000)
     driver.step(ServerList(ListKind.FAILED))
     assert not actions_of(Watch, driver.beats(375))  # all of them call over the same span, not as one
@@ -346,7 +346,7 @@
 
 
 def test_a_call_without_any_word_is_made_again() -> None:
-    driver = Driver(settings(ask_for_list=True, must_ask_ms=10_000.0), *fleet(1))
+    driver = Driver(settings(ask_for_list=True, must_ask_ms=10_000.0), *server_entries(1))
     assert len(actions_of(Watch, driver.beats(12_000))) >= 2
 
 
@@ -363,7 +363,7 @@
 def test_cold_budget_of_all_proxies_stays_under_the_rule_for_any_split(split: tuple[int, ...]) -> None:
     """Warm servers carry 10 a second each; a cold one's capacity is at least its part of that."""
     config = settings(proxies=3, **COLD)
-    drivers = [Driver(config, *fleet(4), seed=s) for s in range(3)]
+    drivers = [Driver(config, *server_entries(4), seed=s) for s in range(3)]
     pause = 1000.0 / 40.0 * sum(split)
     sent: list[tuple[float, int]] = []
     for tick in range(400):
@@ -393,7 +393,7 @@
 
 
 def test_a_restart_of_a_known_server_is_cold_and_forgets_its_limit() -> None:
-    driver = Driver(settings(**COLD), *fleet(2))
+    driver = Driver(settings(**COLD), *server_entries(2))
     server = driver.balancer.active[0]
     server.limit, server.reward = 9.0, 0.1
     driver.step(ServerList(ListKind.CHANGES, (ServerInfo("10.0.0.0:80", started=driver.now - 5),)))
@@ -402,7 +402,7 @@
 
 
 def test_nothing_more_is_sent_after_the_end() -> None:
-    driver = Driver(settings(), *fleet(2))
+    driver = Driver(settings(), *server_entries(2))
     request = driver.arrive()
     driver.end(request, Result.ERROR)
     driver.end(request, Result.OK)
@@ -411,7 +411,7 @@
 
 
 def test_arrival_order_is_kept_within_an_endpoint() -> None:
-    driver = Driver(settings(proxies=4), *fleet(1))
+    driver = Driver(settings(proxies=4), *server_entries(1))
     names = [driver.arrive(wait=5000) for _ in range(3)]
     driver.end(names[0])
     driver.end(names[1])
@@ -421,7 +421,7 @@
 @pytest.mark.parametrize("result", [Result.NO_ROOM, Result.INVALID])
 def test_what_is_not_a_servers_doing_blames_no_server(result: Result) -> None:
     # Our own lack of descriptors, or a request at fault itself, must not take a healthy server out.
-    driver = Driver(settings(), *fleet(2))
+    driver = Driver(settings(), *server_entries(2))
     before = [(s.reward, s.consecutive_failures, s.limit) for s in driver.balancer.active]
     for _ in range(6):
         driver.end(driver.arrive(), result, done=True)
@@ -429,13 +429,13 @@
 
 
 def test_a_request_at_fault_itself_is_not_sent_again() -> None:
-    driver = Driver(settings(), *fleet(2))
+    driver = Driver(settings(), *server_entries(2))
     request = driver.arrive()
     assert actions_of(Fail, driver.end(request, Result.INVALID)) and len(driver.sends[request]) == 1
 
 
 def test_one_that_found_no_connection_is_sent_again_whatever_its_class() -> None:
-    driver = Driver(settings(UNSAFE), *fleet(2))
+    driver = Driver(settings(UNSAFE), *server_entries(2))
     request = driver.arrive()
     driver.end(request, Result.NO_ROOM)
     assert len(driver.sends[request]) == 2
--- a/tests/test_transfers.py
+++ b/tests/test_transfers.py
@@ -22,7 +22,7 @@
     ResponseStarted,
 )
 from flintlatch.choice import Balancer, Server
-from tests.support import Driver, fleet, actions_of, settings
+from tests.support import Driver, server_entries, actions_of, settings
 
 SAFE = RequestClass(2000.0, 60_000.0)
 KEYED = RequestClass(2000.0, 60_000.0, effect=Effect.KEYED, window_ms=60_000.0)
@@ -49,7 +49,7 @@
 
 
 def test_any_number_of_exports_begins_at_one_server() -> None:
-    driver = Driver(settings(SAFE), *fleet(1))
+    driver = Driver(settings(SAFE), *server_entries(1))
     names = [export(driver)[0] for _ in range(300)]
     assert all(name in driver.sends for name in names)
     server = only(driver.balancer)
@@ -60,7 +60,7 @@
 
 
 def test_a_transfers_end_teaches_no_latency() -> None:
-    driver = Driver(settings(SAFE), *fleet(1))
+    driver = Driver(settings(SAFE), *server_entries(1))
     name, _ = export(driver)
     server, seen = only(driver.balancer), driver.balancer.class_latency[0]
     latency = server.latency
@@ -70,7 +70,7 @@
 
 
 def test_a_server_that_breaks_off_what_it_begins_gets_little_more() -> None:
-    driver = Driver(settings(SAFE), *fleet(3))
+    driver = Driver(settings(SAFE), *server_entries(3))
     bad, got = "", 0
     for _ in range(300):
         name, _ = export(driver)
@@ -82,7 +82,7 @@
 
 
 def test_uploads_hold_no_place_until_their_server_has_them_whole() -> None:
-    driver = Driver(settings(SAFE), *fleet(1))
+    driver = Driver(settings(SAFE), *server_entries(1))
     names = [upload(driver) for _ in range(20)]
     server = only(driver.balancer)
     assert all(name in driver.sends for name in names)
@@ -97,14 +97,14 @@
 
 
 def test_a_server_that_waits_for_its_client_is_not_silent() -> None:
-    driver = Driver(settings(SAFE), *fleet(1))
+    driver = Driver(settings(SAFE), *server_entries(1))
     upload(driver)
     driver.beats(30_000)
     assert driver.arrive(wait=60_000.0) in driver.sends  # it is not taken for one that hangs
 
 
 def test_an_attempt_that_dies_within_the_upload_is_followed_by_one_with_its_own_time() -> None:
-    driver = Driver(settings(SAFE, max_attempts=3), *fleet(2))
+    driver = Driver(settings(SAFE, max_attempts=3), *server_entries(2))
     name = upload(driver)
     again = actions_of(Send, driver.step(Outcome(name, 0, Result.RESET, 30_000.0, False), after=30_000.0))
     assert [send.request for send in again] == [name] and again[0].attempt_timeout_ms > 3_000_000
@@ -112,7 +112,7 @@
 
 
 def test_whole_when_it_is_sent_an_upload_is_work_at_once() -> None:
-    driver = Driver(settings(SAFE), *fleet(1))
+    driver = Driver(settings(SAFE), *server_entries(1))
     first = upload(driver)
     driver.step(BodyReceived(first))
     driver.step(Outcome(first, 0, Result.CONNECT_FAILED, 5.0, False), after=5.0)
@@ -125,7 +125,7 @@
     [{"node_transfers": 5}, {"node_transfer_bytes": 599}, {"all_transfers": 5}, {"all_transfer_bytes": 599}],
 )
 def test_transfers_beyond_a_limit_are_refused_at_once_and_requests_are_not(limit: dict[str, int]) -> None:
-    driver = Driver(settings(SAFE, retry_after=True, max_retry_after_ms=500.0, **limit), *fleet(1))
+    driver = Driver(settings(SAFE, retry_after=True, max_retry_after_ms=500.0, **limit), *server_entries(1))
     for _ in range(5):
         assert upload(driver) in driver.sends
     refused = actions_of(
@@ -136,7 +136,7 @@
 
 
 def test_of_two_servers_the_one_with_room_takes_the_transfer() -> None:
-    driver = Driver(settings(SAFE, node_transfers=3), *fleet(2))
+    driver = Driver(settings(SAFE, node_transfers=3), *server_entries(2))
     names = [upload(driver) for _ in range(6)]
     assert sorted(server.transfers for server in driver.balancer.servers.values()) == [3, 3]
     assert all(name in driver.sends for name in names)
@@ -144,7 +144,7 @@
 
 
 def test_a_class_that_streams_counts_as_a_transfer_before_it_is_sent() -> None:
-    driver = Driver(settings(RequestClass(2000.0, 60_000.0, stream=True), node_transfers=1), *fleet(1))
+    driver = Driver(settings(RequestClass(2000.0, 60_000.0, stream=True), node_transfers=1), *server_entries(1))
     export(driver)
     _, last = export(driver)
     assert len(actions_of(Refuse, last)) == 1
@@ -153,7 +153,7 @@
 @pytest.mark.parametrize("told", [False, True])
 def test_what_never_ran_is_refused_where_the_settings_say_so_and_what_may_have_run_failed(told: bool) -> None:
     spec = RequestClass(300.0, 1000.0, effect=Effect.UNSAFE)
-    driver = Driver(settings(spec, refuse_unsent=told, retry_after=True, max_retry_after_ms=900.0), *fleet(1))
+    driver = Driver(settings(spec, refuse_unsent=told, retry_after=True, max_retry_after_ms=900.0), *server_entries(1))
     driver.arrive()
     for _ in range(8):
         driver.arrive()
--- a/tests/verdicts/test_core.py
+++ b/tests/verdicts/test_core.py
@@ -9,7 +9,7 @@
 from flintlatch.fleet.heard import Heard
 from flintlatch.verdicts.api import Rules, judge
 from flintlatch.verdicts.core import EACH_MOST
-from tests.support import Driver, fleet
+from tests.support import Driver, server_entries
 from tests.support import settings as module_settings
 
 RULES = Rules()
@@ -92,7 +92,7 @@
 
 
 def test_the_module_leaves_a_shunned_server_unless_it_answered_and_begins_with_one_on_trial() -> None:
-    driver = Driver(module_settings(), *fleet(2))
+    driver = Driver(module_settings(), *server_entries(2))
     first, second = "10.0.0.0:80", "10.0.0.1:80"
     driver.step(Ejection(first, 2000.0))
     for _ in range(20):
@@ -110,7 +110,7 @@
 
 
 def test_what_failed_us_is_evidence_until_it_answers_and_what_others_say_is_none() -> None:
-    driver = Driver(module_settings(), *fleet(4))
+    driver = Driver(module_settings(), *server_entries(4))
     driver.step(Ejection("10.0.0.3:80", 5000.0))
     assert not driver.balancer.failing_servers(driver.now)
     request = driver.arrive()
