--- a/tests/limits/test_cores.py
+++ b/tests/limits/test_cores.py
@@ -247,7 +247,7 @@
             taken += 1
             driver.end(request, after=1.0)
         waits += [a.retry_after_ms for a in actions_of(Refuse, driver.last)]
-        driver.beat(after=10.0)
+        driver.tick(after=10.0)
     span = (driver.now - began) / 1000
     assert 10 * span - 2 <= taken <= 10 * span + 2
     assert len(waits) + taken == 500 and all(0 < wait <= 100.0 for wait in waits)  # the next whole one
--- a/tests/support.py
+++ b/tests/support.py
@@ -58,13 +58,13 @@
         delay = after if delay is None else delay
         return self.step(Outcome(request, attempt, result, delay, finished), after=after)
 
-    def beat(self, after: float = 25.0) -> list[Action]:
+    def tick(self, after: float = 25.0) -> list[Action]:
         return self.step(TimerFired(0), after=after)
 
     def beats(self, ms: float) -> list[Action]:
         actions: list[Action] = []
         for _ in range(int(ms / 25)):
-            actions += self.beat()
+            actions += self.tick()
         return actions
 
 
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -45,7 +45,7 @@
     driver = Driver(settings(**MANY), *zones(40))
     for _ in range(200):
         driver.end(driver.arrive())
-        driver.beat()
+        driver.tick()
     assert len(used(driver)) <= 7 and {s.split(".")[2] for s in used(driver)} == {"0"}
 
 
@@ -138,7 +138,7 @@
     driver = Driver(settings(proxies=8), *servers)
     for _ in range(400):
         driver.end(driver.arrive(), after=30.0)
-        driver.beat()
+        driver.tick()
     sent = Counter(int(s[0].split(".")[3].split(":")[0]) % 2 for s in driver.sends.values())
     assert sent[1] > 1.5 * sent[0]
 
@@ -155,7 +155,7 @@
                 times.append(driver.now)
                 break
             driver.arrive(wait=100)
-            driver.beat(after=50.0)
+            driver.tick(after=50.0)
     assert len(times) <= proxies / 10 + 4
 
 
@@ -190,7 +190,7 @@
                 driver.end(request, Result.TIMEOUT, delay=300.0, after=1.0)
             else:
                 driver.end(request, after=1.0, delay=80.0)
-            driver.beat(40.0)
+            driver.tick(40.0)
     assert sent[0] >= 4  # it was met
     assert sent[1] <= 16  # an even part would be 40
 
@@ -206,7 +206,7 @@
         request = driver.arrive(key=key)
         met += driver.sends[request][0] == server
         driver.end(request, after=1.0, delay=50.0)
-        driver.beat()
+        driver.tick()
     return met
 
 
@@ -301,7 +301,7 @@
             if len(driver.sends.get(request, ())) and driver.balancer.requests.get(request):
                 met.add(driver.sends[request][-1])
                 driver.end(request, Result.CONNECT_FAILED, after=0.2)
-        driver.beat()
+        driver.tick()
     resting = sum(s.rest_until > driver.now for s in driver.balancer.active)
     assert resting <= 5 and len(met) == 10
 
@@ -437,7 +437,7 @@
             request = driver.arrive(key=key)
             met += driver.sends[request][0] in large
             driver.end(request, after=1.0, delay=50.0)
-            driver.beat()
+            driver.tick()
     assert 1.5 < met / (900 - met) < 2.6
     assert firsts[0] == firsts[1] == firsts[2]
 
@@ -457,7 +457,7 @@
             busy.remove((due, name))
             driver.end(name, after=0.0, delay=100.0)
         if t % 25 == 0:
-            driver.beat(0.0)
+            driver.tick(0.0)
         if t % 500 == 0:
             driver.step(ServerList(ListKind.CHANGES, tuple(told(s, held) for s in servers)))
         if t % each_ms == 0:
@@ -514,7 +514,7 @@
         elif n >= 500:
             rare.setdefault(key, set()).add(server)
         driver.end(request, after=1.0, delay=50.0)
-        driver.beat(50.0)
+        driver.tick(50.0)
     assert len(hot) >= 4 and max(hot.values()) < 0.45 * sum(hot.values())
     assert max(len(servers) for servers in rare.values()) <= 2
     assert len(driver.balancer.met) < 420  # keys not met for long are forgotten
@@ -563,7 +563,7 @@
     rng, rates = Random(seed), []
     for n in range(400):
         driver.end(driver.arrive(key=rng.randrange(400)), after=25.0, delay=40.0)
-        driver.beat()
+        driver.tick()
         if n > 200:
             rates.append(driver.balancer.warm_rate[0])
     assert 0.15 < sum(rates) / len(rates) < 0.28
@@ -588,7 +588,7 @@
                     server.rest_until = 0.0 if server.id == "new:1" else inf
                 for _ in range(int(rng.random() < rate * 25) + int(rate * 25)):
                     driver.arrive(key=rng.randrange(10_000), wait=700)
-            driver.beat()
+            driver.tick()
             for name in [name for name in driver.sends if name in driver.balancer.requests]:
                 sent.append(driver.now - start)
                 driver.end(name, after=0.0, delay=60.0)
@@ -637,13 +637,13 @@
     driver.now += 8000
     driver.balancer.warm_rate, driver.balancer.heads_rate = {0: 0.1}, 4.0
     driver.balancer.second_at = driver.now
-    driver.beat()
+    driver.tick()
     warmer = driver.balancer.servers["new:1"].takes
     driver.step(ServerList(ListKind.CHANGES, (new._replace(started=driver.now),)))
     server = driver.balancer.servers["new:1"]
     assert server.cold_until == driver.now + 20_000 and not server.has_capacity(driver.now)
     driver.balancer.warm_rate, driver.balancer.heads_rate = {0: 0.1}, 4.0
-    driver.beat()
+    driver.tick()
     assert 0 < server.takes < warmer
 
 
@@ -655,7 +655,7 @@
         driver.step(ServerList(ListKind.FULL, tuple(s._replace(started=driver.now) for s in server_entries(6))))
         for n in range(200):
             driver.arrive(key=n * 31, wait=300)
-            driver.beat(after=50.0)
+            driver.tick(after=50.0)
             for name in [name for name in driver.sends if name in driver.balancer.requests]:
                 used[driver.sends[name][0]] += 1
                 driver.end(name, after=0.0, delay=60.0)
@@ -700,7 +700,7 @@
     driver = Driver(settings(proxies=2, quotas=(100.0,)), *server_entries(10))
     for _ in range(200):
         driver.end(driver.arrive(), after=20.0)
-        driver.beat()
+        driver.tick()
     before = {s.id: (s.limit, s.latency, s.reward) for s in driver.balancer.servers.values()}
     driver.step(TierMembership(20, 7))
     for server in driver.balancer.servers.values():
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -76,7 +76,7 @@
     for me in range(14):
         driver = Driver(settings(proxies=14, me=me, **spec), *server_entries(1, started=0.0), seed=me)
         for _ in range(100):  # two windows
-            driver.beat(30.0)
+            driver.tick(30.0)
             for request in list(driver.sends):
                 sent += 1
                 driver.end(request)
@@ -348,7 +348,7 @@
         for slot in range(80):
             tenant = 0 if slot < 60 else 1 + slot % 3
             driver.step(Arrival(f"{second}.{slot}", 0, tenant, None, driver.now + 900))
-            driver.beat(after=12.5)
+            driver.tick(after=12.5)
     balancer, spec = driver.balancer, config.classes[0]
     assert balancer.part > 0.4
     driver.now += 1000
@@ -362,7 +362,7 @@
     driver = Driver(config, *server_entries(9))
     for count in range(800):
         driver.step(Arrival(f"{count}", 0, count % 3, None, driver.now + 900))
-        driver.beat(after=10)
+        driver.tick(after=10)
     assert driver.balancer.part == pytest.approx(1 / 3)
 
 
@@ -370,7 +370,7 @@
     driver = Driver(settings(quotas=(10.0,), over_share_worth=0.05, proxies=4), *server_entries(9))
     for _ in range(200):
         driver.arrive()
-        driver.beat()
+        driver.tick()
     assert driver.balancer.part == 0.25
 
 
--- a/tests/test_notice.py
+++ b/tests/test_notice.py
@@ -29,7 +29,7 @@
 def wait(driver: Driver) -> float:
     """Ms until the next call."""
     start = driver.now
-    while not actions_of(Watch, driver.beat()):
+    while not actions_of(Watch, driver.tick()):
         assert driver.now < start + 20_000
     return driver.now - start
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -41,7 +41,7 @@
         self.sent.clear()
         driver = self.driver
         for n in range(ms // STEP_MS):
-            self.take(driver.beat(STEP_MS) if n % 3 == 0 else driver.step(after=STEP_MS), answers)
+            self.take(driver.tick(STEP_MS) if n % 3 == 0 else driver.step(after=STEP_MS), answers)
             while self.due and self.due[0][0] <= driver.now:
                 _, request, attempt, result, delay = heappop(self.due)
                 self.take(driver.step(Outcome(request, attempt, result, delay, result is Result.OK)), answers)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -322,7 +322,7 @@
     for _ in range(8):
         driver.step(ServerList(ListKind.FAILED))
         start = driver.now
-        while not actions_of(Watch, driver.beat()):
+        while not actions_of(Watch, driver.tick()):
             pass
         gaps.append(driver.now - start)
     assert gaps[0] < 300 and gaps[-1] >= 400 and max(gaps) <= 825
@@ -372,7 +372,7 @@
                 driver.step(ServerList(ListKind.CHANGES, (ServerInfo("new:1", started=driver.now),)))
             for _ in range(weight):
                 driver.end(driver.arrive(), after=0.0, delay=20.0)
-            driver.beat(after=pause)
+            driver.tick(after=pause)
         sent.append((drivers[0].now, sent_to("new:1", drivers)))
     start = sent[200][0]
     for now, count in sent[200:]:
@@ -388,7 +388,7 @@
         driver.arrive(wait=5000)
         for request in list(driver.sends):
             driver.end(request, after=0.0)
-        driver.beat(after=50.0)
+        driver.tick(after=50.0)
     assert sent_to("new:1", [driver]) <= 3
 
 
--- a/tests/test_second_copies.py
+++ b/tests/test_second_copies.py
@@ -156,7 +156,7 @@
                 assert not ran or cell(driver.sends[request][number]) == cell(ran[0])
                 answered = True
                 actions += driver.step(Outcome(request, number, Result.OK, 20.0, True))
-        actions += driver.beat()
+        actions += driver.tick()
     finals = actions_of(Fail, actions) + actions_of(Refuse, actions)
     assert len(finals) == (0 if answered else 1)
     assert request not in driver.balancer.requests
