--- a/tests/limits/test_cores.py
+++ b/tests/limits/test_cores.py
@@ -253,7 +253,7 @@
     assert len(waits) + taken == 500 and all(0 < wait <= 100.0 for wait in waits)  # the next whole one
     assert driver.balancer.buckets["l"].demand == 500
     driver.step(LimitAllocation("l", 0, -1, 0.0, 0.0))
-    driver.beats(5000)
+    driver.tick_for(5000)
     assert driver.arrive() not in driver.sends  # nothing is kept beyond the new burst
     driver.step(LimitAllocation("l", 0, 3, 0.0, 0.0))
     assert driver.arrive() in driver.sends  # another tenant's limit is none of this one's
--- a/tests/support.py
+++ b/tests/support.py
@@ -61,7 +61,7 @@
     def tick(self, after: float = 25.0) -> list[Action]:
         return self.step(TimerFired(0), after=after)
 
-    def beats(self, ms: float) -> list[Action]:
+    def tick_for(self, ms: float) -> list[Action]:
         actions: list[Action] = []
         for _ in range(int(ms / 25)):
             actions += self.tick()
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -75,7 +75,7 @@
             if len(driver.sends[request]) > attempt:
                 near = driver.sends[request][attempt].split(".")[2] == "0"
                 driver.end(request, Result.CONNECT_FAILED if near else Result.OK, after=1.0)
-        driver.beats(100)
+        driver.tick_for(100)
     assert sum(s.split(".")[2] == "1" for s in first[60:]) > 15
 
 
@@ -85,7 +85,7 @@
     driver.end("r0", Result.ERROR, done=True)
     for _ in range(10):
         driver.end(driver.arrive())
-        driver.beats(200)
+        driver.tick_for(200)
     later = [driver.sends[f"r{n}"][0] for n in range(1, 11)]
     assert later.count(bad) <= 3
 
@@ -93,7 +93,7 @@
 def crowd(driver: Driver, n: int, delay: float) -> None:
     for _ in range(n):
         request = driver.arrive(wait=5000)
-        driver.beats(1000)
+        driver.tick_for(1000)
         if request in driver.sends:
             driver.end(request, after=0.0, delay=delay)
 
@@ -171,7 +171,7 @@
     driver = Driver(settings(RequestClass(300.0, 900.0), RequestClass(300.0, 900.0, worth=0.1), **MANY))
     driver.arrive(1)
     driver.step(ServerList(ListKind.FULL, tuple(server_entries(40))))
-    driver.beats(100)
+    driver.tick_for(100)
     assert driver.sends[driver.arrive()]
 
 
@@ -604,7 +604,7 @@
     driver = Driver(settings(proxies=200, key_affinity=True, **COLD), *server_entries(2))
     for _ in range(60):
         driver.end(driver.arrive(), delay=40.0)
-        driver.beats(100)
+        driver.tick_for(100)
     away = driver.balancer.active[0]
     away.reward = 0.1
     now = driver.now
@@ -681,7 +681,7 @@
 
 def test_a_request_that_comes_when_the_list_is_empty_is_held() -> None:
     driver = Driver(settings(proxies=200, key_affinity=True, **COLD), ServerInfo("new:1", started=1000.0))
-    driver.beats(100)
+    driver.tick_for(100)
     driver.step(ServerList(ListKind.CHANGES, (ServerInfo("new:1", state=ServerState.GONE),)))
     assert driver.balancer.colds and driver.arrive(key=7) not in driver.sends
 
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -189,7 +189,7 @@
     driver = Driver(settings(proxies=4), *server_entries(1))
     driver.arrive()
     held = driver.arrive()
-    assert [f.request for f in actions_of(Fail, driver.beats(325))] == [held]
+    assert [f.request for f in actions_of(Fail, driver.tick_for(325))] == [held]
 
 
 def test_a_request_never_sent_is_given_up_before_half_its_wait() -> None:
@@ -197,8 +197,8 @@
     driver = Driver(settings(RequestClass(5000.0, 9000.0), proxies=4), *server_entries(1))
     driver.arrive(wait=1000)
     held = driver.arrive(wait=1000)
-    assert not actions_of(Fail, driver.beats(400))
-    assert [f.request for f in actions_of(Fail, driver.beats(75))] == [held]
+    assert not actions_of(Fail, driver.tick_for(400))
+    assert [f.request for f in actions_of(Fail, driver.tick_for(75))] == [held]
 
 
 def test_level_four_is_let_in_beside_an_empty_buffer_unless_the_flag_keeps_returning() -> None:
@@ -216,9 +216,9 @@
     driver = Driver(settings(spec, proxies=4), *server_entries(1))
     first, held = driver.arrive(), driver.arrive()
     driver.balancer.endpoints[0].excess = lambda now: 0.0  # type: ignore[method-assign]
-    assert not actions_of(Fail, driver.beats(400))
+    assert not actions_of(Fail, driver.tick_for(400))
     driver.balancer.endpoints[0].excess = lambda now: 2.0  # type: ignore[method-assign]
-    assert [f.request for f in actions_of(Fail, driver.beats(75))] == [held]
+    assert [f.request for f in actions_of(Fail, driver.tick_for(75))] == [held]
     assert first in driver.sends
 
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -115,8 +115,8 @@
     assert actions_of(Watch, driver.step(DiscoveryServiceChanged()))
     for _ in range(3):
         driver.step(ServerList(ListKind.FAILED))
-        assert actions_of(Watch, driver.beats(250))
+        assert actions_of(Watch, driver.tick_for(250))
     driver.step(ServerList(ListKind.FULL, tuple(server_entries(2))))
-    assert not actions_of(Watch, driver.beats(20_000))  # the watch stands
+    assert not actions_of(Watch, driver.tick_for(20_000))  # the watch stands
     driver.step(ServerList(ListKind.FAILED))
-    assert not actions_of(Watch, driver.beats(200))
+    assert not actions_of(Watch, driver.tick_for(200))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -45,7 +45,7 @@
 def test_no_server_known_fails_in_time() -> None:
     driver = Driver(settings())
     request = driver.arrive(wait=200)
-    assert [f.request for f in actions_of(Fail, driver.beats(175))] == [request]
+    assert [f.request for f in actions_of(Fail, driver.tick_for(175))] == [request]
 
 
 def test_time_out_at_the_deadline_gets_its_answer_in_the_same_call() -> None:
@@ -83,7 +83,7 @@
     driver = Driver(settings(RequestClass(100.0, 1000.0, stream=True)), *server_entries(2))
     request = driver.arrive()
     driver.step(ResponseStarted(request, 0, 5.0))
-    assert not actions_of(Cancel, driver.beats(500)) and not actions_of(Fail, driver.beats(1000))
+    assert not actions_of(Cancel, driver.tick_for(500)) and not actions_of(Fail, driver.tick_for(1000))
 
 
 def test_an_answer_without_measurable_delay_is_taken() -> None:
@@ -162,7 +162,7 @@
         if str(server.cell) == home:
             server.rest_until = driver.now + 10_000
     driver.end(request, Result.ERROR)
-    actions = driver.beats(250)
+    actions = driver.tick_for(250)
     assert actions_of(Fail, actions) and not actions_of(Send, actions)
 
 
@@ -177,7 +177,7 @@
                 server.rest_until = driver.now + rest
         driver.end(request, Result.ERROR)
         assert len(driver.sends[request]) == 1
-        actions = driver.beats(250)
+        actions = driver.tick_for(250)
         assert bool(actions_of(Send, actions)) is sent and bool(actions_of(Fail, actions)) is not sent
         assert {name.split(".")[2] for name in driver.sends[request]} == {home}
         assert not driver.balancer.bound
@@ -189,7 +189,7 @@
     request = driver.arrive()
     driver.balancer.active[0].rest_until = driver.now + 150
     driver.end(request, Result.ERROR)
-    assert not actions_of(Send, driver.beats(250))
+    assert not actions_of(Send, driver.tick_for(250))
 
 
 def test_attempts_are_capped() -> None:
@@ -212,7 +212,7 @@
     """Servers go on with cancelled work: a second attempt beside it adds load where there is least room."""
     driver = Driver(settings(), *server_entries(2))
     request = driver.arrive()
-    assert not actions_of(Cancel, driver.beats(275)) and len(driver.sends[request]) == 1
+    assert not actions_of(Cancel, driver.tick_for(275)) and len(driver.sends[request]) == 1
 
 
 def test_attempts_given_up_raise_the_usual_latency() -> None:
@@ -317,7 +317,7 @@
 
 def test_the_list_is_asked_for_soon_and_again_before_its_news_counts_as_told() -> None:
     driver = Driver(settings(ask_for_list=True, proxies=3, must_ask_ms=10_000.0), *server_entries(1))
-    assert actions_of(Watch, driver.beats(350))
+    assert actions_of(Watch, driver.tick_for(350))
     gaps = []
     for _ in range(8):
         driver.step(ServerList(ListKind.FAILED))
@@ -327,27 +327,27 @@
         gaps.append(driver.now - start)
     assert gaps[0] < 300 and gaps[-1] >= 400 and max(gaps) <= 825
     driver.step(ServerList(ListKind.FULL, tuple(server_entries(1))))
-    assert not actions_of(Watch, driver.beats(30_000))
+    assert not actions_of(Watch, driver.tick_for(30_000))
 
 
 @pytest.mark.parametrize("me", [0, 342, 684])
 def test_hundreds_of_proxies_ask_for_the_list_in_the_obliged_time(me: int) -> None:
     """Past it a proxy counts as told of drains it has not heard of (incident i7da933)."""
     driver = Driver(settings(ask_for_list=True, proxies=685, me=me, must_ask_ms=10_000.0), *server_entries(1))
-    assert actions_of(Watch, driver.beats(3_050))
+    assert actions_of(Watch, driver.tick_for(3_050))
 
 
 def test_after_a_failed_call_hundreds_of_proxies_leave_the_list_service_room() -> None:
     driver = Driver(settings(ask_for_list=True, proxies=600, must_ask_ms=10_000.0), *server_entries(1))
-    driver.beats(4_000)
+    driver.tick_for(4_000)
     driver.step(ServerList(ListKind.FAILED))
-    assert not actions_of(Watch, driver.beats(375))  # all of them call over the same span, not as one
-    assert actions_of(Watch, driver.beats(450))
+    assert not actions_of(Watch, driver.tick_for(375))  # all of them call over the same span, not as one
+    assert actions_of(Watch, driver.tick_for(450))
 
 
 def test_a_call_without_any_word_is_made_again() -> None:
     driver = Driver(settings(ask_for_list=True, must_ask_ms=10_000.0), *server_entries(1))
-    assert len(actions_of(Watch, driver.beats(12_000))) >= 2
+    assert len(actions_of(Watch, driver.tick_for(12_000))) >= 2
 
 
 # Rule 4
@@ -406,7 +406,7 @@
     request = driver.arrive()
     driver.end(request, Result.ERROR)
     driver.end(request, Result.OK)
-    assert not actions_of(Send, driver.beats(2000))
+    assert not actions_of(Send, driver.tick_for(2000))
     assert driver.balancer.requests == {}
 
 
--- a/tests/test_second_copies.py
+++ b/tests/test_second_copies.py
@@ -52,8 +52,8 @@
     for _ in range(10):
         driver = copying()
         request = driver.arrive()
-        assert not actions_of(Send, driver.beats(25))
-        sends = actions_of(Send, driver.beats(250))
+        assert not actions_of(Send, driver.tick_for(25))
+        sends = actions_of(Send, driver.tick_for(250))
         assert [s.request for s in sends] == [request]
         one, two = driver.sends[request]
         assert one != two and cell(one) == cell(two)
@@ -67,7 +67,7 @@
         driver = Driver(settings(PURCHASE, **MANY), *cells(4), seed=seed)
         request = driver.arrive(key=seed)
         driver.end(request, Result.CONNECT_FAILED, after=1.0)
-        driver.beats(325)
+        driver.tick_for(325)
         sends = driver.sends[request]
         assert len(sends) == 3 and cell(sends[2]) == cell(sends[1])
 
@@ -76,7 +76,7 @@
 def test_no_other_effect_has_two_copies_at_work(spec: RequestClass) -> None:
     driver = copying(spec)
     request = driver.arrive()
-    driver.beats(380)
+    driver.tick_for(380)
     assert len(driver.sends[request]) == 1
 
 
@@ -85,7 +85,7 @@
     for more in ({"may_duplicate": False}, {"may_cancel": False}, {"proxies": 4}):
         driver = copying(PURCHASE, **more)
         request = driver.arrive()
-        driver.beats(380)
+        driver.tick_for(380)
         assert len(driver.sends[request]) == 1
 
 
@@ -96,11 +96,11 @@
     request = driver.arrive()
     others = [driver.arrive() for _ in range(12)]
     assert sum(name not in driver.sends for name in others) == 4
-    driver.beats(100)
+    driver.tick_for(100)
     assert len(driver.sends[request]) == 1
     calm = copying()
     request = calm.arrive()
-    calm.beats(100)
+    calm.tick_for(100)
     assert len(calm.sends[request]) == 2
 
 
@@ -110,7 +110,7 @@
     for server in driver.balancer.active:
         server.limit = 10.0
     requests = [driver.arrive() for _ in range(8)]
-    driver.beats(300)
+    driver.tick_for(300)
     assert sum(len(driver.sends[name]) - 1 for name in requests) <= 3
 
 
@@ -121,7 +121,7 @@
     ):
         driver = copying(spec)
         request = driver.arrive()
-        driver.beats(390)
+        driver.tick_for(390)
         assert len(driver.sends[request]) == 1
 
 
@@ -136,7 +136,7 @@
 ) -> None:
     driver = copying()
     request = driver.arrive()
-    driver.beats(225)
+    driver.tick_for(225)
     assert len(driver.sends[request]) == 2
     results = (first, second)
     actions: list[Action] = []
@@ -166,7 +166,7 @@
 def test_a_client_that_leaves_ends_both_copies() -> None:
     driver = copying()
     request = driver.arrive()
-    driver.beats(225)
+    driver.tick_for(225)
     actions = driver.step(ClientDisconnected(request))
     assert actions_of(Cancel, actions) == [Cancel(request, 0), Cancel(request, 1)]
     for number in (0, 1):
@@ -179,11 +179,11 @@
     """The other one is, at once; and whatever it brings in the same moment ends nothing of the answer."""
     driver = copying()
     request = driver.arrive()
-    driver.beats(225)
+    driver.tick_for(225)
     actions = driver.step(ResponseStarted(request, begun, 200.0, Result.OK))
     assert actions_of(Cancel, actions) == [Cancel(request, 1 - begun)]
     actions = driver.step(Outcome(request, 1 - begun, Result.OK, 200.0, True))
-    actions += driver.beats(500)
+    actions += driver.tick_for(500)
     assert not actions_of(Cancel, actions) and not actions_of(Send, actions) and not actions_of(Fail, actions)
     actions = driver.step(Outcome(request, begun, Result.OK, 700.0, True))
     assert not actions_of(Fail, actions) and request not in driver.balancer.requests
--- a/tests/test_transfers.py
+++ b/tests/test_transfers.py
@@ -99,7 +99,7 @@
 def test_a_server_that_waits_for_its_client_is_not_silent() -> None:
     driver = Driver(settings(SAFE), *server_entries(1))
     upload(driver)
-    driver.beats(30_000)
+    driver.tick_for(30_000)
     assert driver.arrive(wait=60_000.0) in driver.sends  # it is not taken for one that hangs
 
 
@@ -158,7 +158,7 @@
     for _ in range(8):
         driver.arrive()
     waiting = next(iter(set(driver.balancer.requests) - set(driver.sends)))
-    actions = driver.beats(600)
+    actions = driver.tick_for(600)
     refused = {r.request: r.retry_after_ms for r in actions_of(Refuse, actions)}
     assert (waiting in refused, waiting in {f.request for f in actions_of(Fail, actions)}) == (told, not told)
     assert all(wait > 0 for wait in refused.values())
--- a/tests/verdicts/test_core.py
+++ b/tests/verdicts/test_core.py
@@ -101,7 +101,7 @@
         driver.end(request)
     driver.step(Ejection(second, 60_000.0))  # it has just answered: what we see is more
     assert driver.sends[driver.arrive()] == [second]
-    driver.beats(3000)
+    driver.tick_for(3000)
     asked = [driver.arrive() for _ in range(6)]
     trials = [r for r in asked if driver.sends.get(r) == [first]]
     assert len(trials) == 1  # one on trial
@@ -118,7 +118,7 @@
     driver.end(request, Result.ERROR, done=True)
     assert driver.balancer.failing_servers(driver.now) == {bad: 1}
     assert driver.balancer.healthy_servers(driver.now, [bad, "unknown"]) == []
-    driver.beats(11_000)
+    driver.tick_for(11_000)
     assert not driver.balancer.failing_servers(driver.now)  # old by now
 
 
