--- a/tests/test_list_service.py
+++ b/tests/test_list_service.py
@@ -8,7 +8,7 @@
 
 from flintlatch.api import ListKind, ServerList, DiscoveryServiceChanged, TimerFired, Watch
 from tests.support import Driver, server_entries, settings
-from tests.test_many import AskedOne
+from tests.test_many import SerialListService
 
 ASKED: dict[str, Any] = {"ask_for_list": True, "must_ask_ms": 10_000.0, "key_affinity": True}
 TICK_MS = 25
@@ -18,7 +18,7 @@
     """Proxies on one clock; `begin` tells when each has its reason to call."""
 
     def __init__(self, proxies: int, each_ms: float, seed: int, callers: range) -> None:
-        self.service = AskedOne(each_ms)
+        self.service = SerialListService(each_ms)
         self.drivers = {
             me: Driver(settings(proxies=proxies, me=me, **ASKED), *server_entries(6), seed=97 * seed + me)
             for me in callers
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -306,7 +306,7 @@
     assert resting <= 5 and len(met) == 10
 
 
-class AskedOne:
+class SerialListService:
     """A list service for all proxies: one call after the other, each for so long; none waits beyond 2 s."""
 
     def __init__(self, each_ms: float) -> None:
@@ -327,7 +327,7 @@
 @pytest.mark.parametrize("seed", range(3))
 def test_proxies_killed_together_all_hear_of_the_list_from_a_service_for_few(seed: int) -> None:
     """40 start within 100 ms, at a service that one call of each fills for seven seconds."""
-    service = AskedOne(7000 / 40)
+    service = SerialListService(7000 / 40)
     more: dict[str, Any] = {"ask_for_list": True, "must_ask_ms": 10_000.0, "key_affinity": True}
     drivers = [
         Driver(settings(proxies=40, me=me, **more), *server_entries(6), seed=97 * seed + me) for me in range(40)
