--- a/flintlatch/choice.py
+++ b/flintlatch/choice.py
@@ -203,7 +203,7 @@
     ) -> None:
         self.id, self.cls, self.key = event.request, event.cls, event.key
         self.spec, self.endpoint, self.arrived = spec, place, now
-        self.latest, self.after_ms = event.give_up, event.after_ms
+        self.latest, self.after_ms = event.client_deadline, event.after_ms
         self.uploading, self.holds = event.uploading, event.holds
         # Where late answers earn something a late repeat still does; failing it brings it back once more.
         self.time_from(now, now if spec.late_worth > 0 else first)
@@ -394,7 +394,7 @@
         self.retries = min(RETRY_BURST, self.retries + RETRY_SHARE)
         # A client's wait runs over all its tries: one that has less of it left than others had is a repeat,
         # and its aim counts from the first. Clients don't say so everywhere.
-        left = min(event.give_up - now, event.after_ms)
+        left = min(event.client_deadline - now, event.after_ms)
         self.patience[event.cls] = max(self.patience[event.cls], left)
         waited = self.patience[event.cls] - left
         if waited > SHORT_OF_AIM * endpoint.aim and not event.repeat:
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -101,7 +101,7 @@
     async def test() -> None:
         async with proxy() as p:
             await (await p.client()).ask(x_budget_ms="999999999")
-            assert events(Arrival)[0].give_up <= now_ms() + 30000
+            assert events(Arrival)[0].client_deadline <= now_ms() + 30000
 
     run(test())
 
