--- a/flintlatch/api.py
+++ b/flintlatch/api.py
@@ -154,7 +154,7 @@
     tenant: int
     key: int | None
     client_deadline: float  # clock time at which the client stops waiting for this try
-    repeat: bool = False  # marked by the client as another try of a request
+    is_retry: bool = False  # marked by the client as another try of a request
     after_ms: float = inf  # how long the client waits once its request is here whole; never past `client_deadline`
     uploading: bool = False  # its body is still on the way
     holds: int = 0  # bytes that its bodies may take up here
--- a/flintlatch/choice.py
+++ b/flintlatch/choice.py
@@ -389,7 +389,7 @@
     def on_arrival(self, now: float, event: Arrival) -> None:
         spec, endpoint = self.settings.classes[event.cls], self.endpoint_of[event.cls]
         level = self.level_of(now, spec, event.tenant)
-        if event.tenant < len(self.asked) and not event.repeat:
+        if event.tenant < len(self.asked) and not event.is_retry:
             self.asked[event.tenant] += 1
         self.retries = min(RETRY_BURST, self.retries + RETRY_SHARE)
         # A client's wait runs over all its tries: one that has less of it left than others had is a repeat,
@@ -397,7 +397,7 @@
         left = min(event.client_deadline - now, event.after_ms)
         self.patience[event.cls] = max(self.patience[event.cls], left)
         waited = self.patience[event.cls] - left
-        if waited > SHORT_OF_AIM * endpoint.aim and not event.repeat:
+        if waited > SHORT_OF_AIM * endpoint.aim and not event.is_retry:
             # Only as many are repeats as were turned away. Others just come with less time: taken for
             # repeats whose aim has passed they would fail unsent beside idle servers.
             if self.turned_away < 1:
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -89,7 +89,7 @@
             await client.ask("/purchase/x", idempotency_key="k", x_route_hash="7f3a9c21e0b4d655", x_again="1")
             (arrival,) = events(Arrival)
             assert (arrival.request, arrival.cls, arrival.key) == ("c1", 0, 0x7F3A9C21E0B4D655)
-            assert arrival.repeat
+            assert arrival.is_retry
 
     run(test())
 
