--- a/flintlatch/api.py
+++ b/flintlatch/api.py
@@ -1,4 +1,7 @@
-"""The interface of the decision module: settings in, events in, actions out. Times are milliseconds."""
+"""Defines the interface of the decision module: the settings, the events it gets and the actions it returns.
+
+All times and durations are in milliseconds.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,11 @@
 
 
 class Effect(Enum):
-    """How far a request may be repeated once it may have run."""
+    """Whether a request may be retried after it may have run.
+
+    SAFE: at any server. KEYED: only at servers of the same idempotency scope and within the window. UNSAFE:
+    never.
+    """
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -17,7 +24,7 @@
 
 
 class Scope(Enum):
-    """The servers that drop repeats of a keyed request between them."""
+    """The servers that together drop duplicates of a keyed request (the idempotency scope)."""
 
     ALL = "all"
     ZONE = "zone"
@@ -25,7 +32,7 @@
 
 
 class Result(Enum):
-    """How an attempt or a probe ended."""
+    """The result of an attempt or of a probe."""
 
     OK = "ok"
     ERROR = "error"
@@ -35,10 +42,11 @@
     RESET = "reset"
     CANCELLED = "cancelled"
     NOT_SENT = "not_sent"
-    NO_ROOM = "no_room"  # this proxy lacked a connection or a descriptor for it: not the server's doing
-    INVALID = "invalid"  # the server finds the request itself at fault: another one would, too
+    NO_ROOM = "no_room"  # this proxy had no free connection or file descriptor; the server is not at fault
+    INVALID = "invalid"  # the server rejects the request itself, as any other server would
 
 
+# Results of attempts that the server has certainly not executed.
 NEVER_RAN = frozenset({Result.FULL, Result.CONNECT_FAILED, Result.NOT_SENT, Result.NO_ROOM})
 
 
@@ -49,7 +57,7 @@
 
 
 class ListKind(Enum):
-    """What a server list event holds: changes, everything, a saved copy, or a failed call."""
+    """The content of a server list event: a delta, a snapshot, a saved snapshot, or a failed call."""
 
     CHANGES = "changes"
     FULL = "full"
@@ -59,82 +67,85 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    aim_ms: float  # an answer inside this earns the full worth
-    deadline_ms: float  # the client's whole wait over all its tries
+    aim_ms: float  # latency target: a response within it has the full worth
+    deadline_ms: float  # how long a client waits in total, over all its tries
     effect: Effect = Effect.SAFE
-    scope: Scope = Scope.ALL  # keyed only
-    window_ms: float = 0.0  # keyed only: how long repeats are remembered
+    scope: Scope = Scope.ALL  # of keyed requests
+    window_ms: float = 0.0  # of keyed requests: how long servers remember a key to drop duplicates
     worth: float = 1.0
-    late_worth: float = 0.0  # share of the worth after the aim
-    stream: bool = False  # its answers are long: limits on transfers hold for it from the start
+    late_worth: float = 0.0  # fraction of the worth that a response after the latency target has
+    stream: bool = False  # responses are long: the limits on transfers apply from the send on
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
     classes: tuple[RequestClass, ...]
-    proxies: int = 1  # instances of this tier, this one included
-    me: int = 0
+    proxies: int = 1  # instances in this tier, including this one
+    me: int = 0  # index of this instance in the tier
     zone: int = 0
-    zones: int = 1  # each zone's clients come to the proxies of their own zone
-    quotas: tuple[float, ...] = ()  # requests per second inside a tenant's share, all proxies together
-    over_share_worth: float = 1.0  # worth of a request beyond the share, as a part of the usual
-    tick_ms: float = 1.0  # shortest time between two calls
-    ask_for_list: bool = False  # the list must be asked for
-    must_ask_ms: float = 10000.0  # longest silence towards the list service without a subscription
+    zones: int = 1  # clients connect to the proxies of their own zone
+    quotas: tuple[float, ...] = ()  # requests per second by tenant, for all proxies together
+    over_share_worth: float = 1.0  # factor on the worth of a request over its tenant's quota
+    tick_ms: float = 1.0  # shortest time between two calls of `step`
+    ask_for_list: bool = False  # the server list comes only after a subscription
+    must_ask_ms: float = 10000.0  # a subscription to the server list is due within this time
     may_cancel: bool = False
     may_duplicate: bool = False
     may_probe: bool = False
     retry_after: bool = False
     max_retry_after_ms: float = 0.0
-    refuse_unsent: bool = False  # one that never ran and whose time is over is refused, not failed
-    node_transfers: int = 1 << 30  # bodies on their way to or from one server, through this proxy
-    node_transfer_bytes: int = 1 << 60  # that those may hold here
-    all_transfers: int = 1 << 30  # the same with all servers together
-    all_transfer_bytes: int = 1 << 60
+    refuse_unsent: bool = False  # a request that never ran and has expired is refused instead of failed
+    node_transfers: int = 1 << 30  # transfers between this proxy and one server
+    node_transfer_bytes: int = 1 << 60  # buffer space in this proxy for the transfers of one server
+    all_transfers: int = 1 << 30  # transfers with all servers together
+    all_transfer_bytes: int = 1 << 60  # buffer space in this proxy for all transfers
     max_attempts: int = 1
-    key_affinity: bool = False  # servers do less work for a key met recently
-    weights_report_load: bool = (
-        False  # a server's weight is its size / (1 + requests it holds a core), some time ago
-    )
-    start_capacity: float = 1.0  # part of its capacity that a server starts with, at least
-    cold_ms: float = 0.0  # a server is warm no later than this after its start
-    fall_multiple: float = 2.0  # a cold server falls over when sent more than this times its capacity
-    fall_ms: float = 1000.0  # for this long
+    key_affinity: bool = False  # servers do less work for a key that they have received recently
+    # A server's weight is its size / (1 + requests per core), as of some time ago.
+    weights_report_load: bool = False
+    start_capacity: float = 1.0  # least fraction of its capacity that a server starts with
+    cold_ms: float = 0.0  # slow start: a server is warm at the latest this long after its start
+    fall_multiple: float = 2.0  # a cold server fails under more than this multiple of its capacity...
+    fall_ms: float = 1000.0  # ...for this long
 
     def check(self) -> None:
-        """Raise ValueError for settings that no deployment can have."""
+        """Raises ValueError if a setting is out of its range."""
         if not self.classes:
-            raise ValueError("classes: settings name no request class")
+            raise ValueError("classes: the settings define no request class; expected at least one")
         for number, spec in enumerate(self.classes):
-            at = f"class {number}"
+            where = f"class {number}"
             for name in ("aim_ms", "deadline_ms"):
                 if not 0 < getattr(spec, name) < inf:
-                    raise ValueError(f"{at}: {name} must be above 0 and finite")
+                    raise ValueError(
+                        f"{where}: {name} must be above 0 and finite, not {getattr(spec, name)!r}"
+                    )
             for name in ("worth", "late_worth", "window_ms"):
                 if not 0 <= getattr(spec, name) < inf:
-                    raise ValueError(f"{at}: {name} must not be negative or infinite")
+                    raise ValueError(
+                        f"{where}: {name} must be finite and not negative, not {getattr(spec, name)!r}"
+                    )
             if not isinstance(spec.effect, Effect):
-                raise ValueError(f"{at}: effect is unknown: {spec.effect!r}")
+                raise ValueError(f"{where}: effect must be an Effect, not {spec.effect!r}")
             if not isinstance(spec.scope, Scope):
-                raise ValueError(f"{at}: scope is unknown: {spec.scope!r}")
+                raise ValueError(f"{where}: scope must be a Scope, not {spec.scope!r}")
         if not any(spec.worth > 0 for spec in self.classes):
-            raise ValueError("worth: no class is worth anything")
+            raise ValueError("worth must be above 0 for at least one class")
         limits = ("node_transfers", "node_transfer_bytes", "all_transfers", "all_transfer_bytes")
         for name in ("proxies", "max_attempts", "zones", *limits):
             if not getattr(self, name) >= 1:
-                raise ValueError(f"{name} must be at least 1")
+                raise ValueError(f"{name} must be at least 1, not {getattr(self, name)!r}")
         for name in ("tick_ms", "must_ask_ms", "fall_ms", "fall_multiple"):
             if not 0 < getattr(self, name) < inf:
-                raise ValueError(f"{name} must be above 0 and finite")
+                raise ValueError(f"{name} must be above 0 and finite, not {getattr(self, name)!r}")
         for name in ("me", "cold_ms", "max_retry_after_ms", "over_share_worth", "start_capacity"):
             if not 0 <= getattr(self, name) < inf:
-                raise ValueError(f"{name} must not be negative or infinite")
+                raise ValueError(f"{name} must be finite and not negative, not {getattr(self, name)!r}")
         if not all(0 <= quota < inf for quota in self.quotas):
-            raise ValueError("quotas must not be negative or infinite")
+            raise ValueError(f"quotas must be finite and not negative, not {self.quotas!r}")
 
 
 class ServerInfo(NamedTuple):
-    """One line of the server list."""
+    """One entry of the server list."""
 
     server: str
     state: ServerState = ServerState.ACTIVE
@@ -142,7 +153,7 @@
     kind: int = 0
     cell: int = 0
     started: float | None = None  # clock time of the latest start; None: long ago
-    weight: float = 1.0  # registered size, for comparison with other servers; 1 where it tells nothing
+    weight: float = 1.0  # relative to other servers; 1 if the list has no weights
 
 
 # Events
@@ -154,10 +165,11 @@
     tenant: int
     key: int | None
     client_deadline: float  # clock time at which the client stops waiting for this try
-    is_retry: bool = False  # marked by the client as another try of a request
-    after_ms: float = inf  # how long the client waits once its request is here whole; never past `client_deadline`
-    uploading: bool = False  # its body is still on the way
-    holds: int = 0  # bytes that its bodies may take up here
+    is_retry: bool = False  # marked as a retry by the client
+    # How long the client waits after the whole request has arrived, at the latest until `client_deadline`.
+    response_wait_ms: float = inf
+    uploading: bool = False  # the body has not arrived in full
+    buffered_bytes: int = 0  # buffer space that its bodies may use in this proxy
 
 
 class Outcome(NamedTuple):
@@ -167,33 +179,33 @@
     attempt: int
     result: Result
     latency_ms: float
-    finished: bool  # the request is over, by this outcome or before it
+    finished: bool  # the request is finished, by this outcome or before it
 
 
 class ResponseStarted(NamedTuple):
-    """The answer has begun: the server's work on a request that it has whole is over, a transfer follows."""
+    """The response has started: the server has executed the request, and the transfer of the body follows."""
 
     request: str
     attempt: int
     latency_ms: float  # since the server had the whole request
-    result: Result = Result.OK  # as far as the head tells: OK, ERROR or INVALID
+    result: Result = Result.OK  # by the response head: OK, ERROR or INVALID
 
 
 class BodyReceived(NamedTuple):
-    """The request's body is here whole."""
+    """The body of the request has arrived in full."""
 
     request: str
 
 
 class BodyForwarded(NamedTuple):
-    """The server of this attempt has the whole request, which was still on the way when it was sent."""
+    """The server of this attempt has the whole request; its body was still arriving at the send."""
 
     request: str
     attempt: int
 
 
 class BodyDiscarded(NamedTuple):
-    """A part of the request's body is no longer held: no attempt may follow the one that has it."""
+    """A part of the request's body is no longer buffered, so no further attempt is possible."""
 
     request: str
 
@@ -208,32 +220,34 @@
 
 
 class DiscoveryServiceChanged(NamedTuple):
-    """Lists come from another service from now on, which has not been asked yet."""
+    """Server lists come from another service from now on; this proxy has not subscribed to it yet."""
 
 
 class TierMembership(NamedTuple):
-    """How many instances of this tier there are now, and which of them this one is."""
+    """The number of instances in this tier and the index of this one, from now on."""
 
     proxies: int
     me: int
 
 
 class LimitAllocation(NamedTuple):
-    """This instance's part of a limit on requests taken, from now on. Beyond it they are refused."""
+    """This instance's allocation of a rate limit, from now on; requests beyond it are refused."""
 
     limit: str  # its name
-    cls: int  # of that class alone; -1: of any
-    tenant: int  # likewise
-    per_s: float
-    burst: float  # that may come at once
+    cls: int  # the class that it applies to; -1: any
+    tenant: int  # the tenant that it applies to; -1: any
+    per_s: float  # requests per second
+    burst: float  # requests at once
 
 
 class Ejection(NamedTuple):
-    """Others find this server bad, and some of them go on trying it: leave it to them for so long, unless it
-    answers us."""
+    """Ejects a server that other proxies have found to be an outlier; some of them go on probing it.
+
+    The ejection has no effect on a proxy that the server has responded to recently.
+    """
 
     server: str
-    for_ms: float  # 0: no longer
+    duration_ms: float  # 0: the ejection ends now
 
 
 class ProbeResult(NamedTuple):
@@ -247,8 +261,9 @@
 
 
 Event = (
-    Arrival | Outcome | ResponseStarted | BodyReceived | BodyForwarded | BodyDiscarded | ClientDisconnected | ServerList
-    | DiscoveryServiceChanged | TierMembership | LimitAllocation | Ejection | ProbeResult | TimerFired
+    Arrival | Outcome | ResponseStarted | BodyReceived | BodyForwarded | BodyDiscarded | ClientDisconnected
+    | ServerList | DiscoveryServiceChanged | TierMembership | LimitAllocation | Ejection | ProbeResult
+    | TimerFired
 )  # fmt: skip
 
 # Actions
@@ -258,11 +273,11 @@
     request: str
     server: str
     attempt_timeout_ms: float
-    write_within_ms: float = inf  # written later than this it must not be: it never ran then
+    write_within_ms: float = inf  # not written by then, the attempt ends and counts as never executed
 
 
 class SetAttemptTimeout(NamedTuple):
-    """The attempt that is out may take so long from now on."""
+    """Sets the time that an open attempt may still take, from now on."""
 
     request: str
     attempt: int
@@ -270,14 +285,14 @@
 
 
 class Refuse(NamedTuple):
-    """Final: not done and harmless to try again."""
+    """Final answer: the request was not executed, and a retry is safe."""
 
     request: str
     retry_after_ms: float
 
 
 class Fail(NamedTuple):
-    """Final: no promise about the effect."""
+    """Final answer: the request may have been executed."""
 
     request: str
 
@@ -292,7 +307,7 @@
 
 
 class Watch(NamedTuple):
-    """Ask the list service for changes from now on."""
+    """Subscribes to changes of the server list."""
 
 
 class SetTimer(NamedTuple):
--- a/flintlatch/choice.py
+++ b/flintlatch/choice.py
@@ -1,11 +1,20 @@
-"""Every decision of the balancer. Its types, events and actions are in api.py.
-
-Order of decisions, one call of `step` per batch of events:
-  1. Events in order: arrivals are judged (admit or refuse), outcomes teach and may ask for another
-     attempt, the list moves servers in and out, the beat expires, refills cold budgets and asks the list.
-  2. Dispatch: while a buffer holds work and a ready server has room, the head that has waited the
-     largest part of its aim goes first; the pick chooses its server.
-Settings (unit, reason). All else comes from the deployment's settings or from what was observed.
+"""Makes every decision of the balancer: admission, server choice, retries, ejection and slow start.
+
+The types, events and actions are defined in api.py. Times are clock times and durations in milliseconds.
+
+Each call of `step` handles one batch of events:
+  1. Events, in their order. An arrival is admitted or refused. An outcome updates the statistics of its
+     server and class and may lead to a retry. A server list adds, changes and removes servers. The
+     housekeeping tick expires queued requests, refills the slow-start budgets and subscribes to the server
+     list.
+  2. Dispatch. While a request is queued and a ready server has capacity, the head of a queue that has waited
+     the largest fraction of its latency target is sent next, to a server chosen by `pick`.
+
+The constants below are the only tuning parameters. Everything else comes from the settings of the deployment
+or from observation.
+
+A tier is "large" if it has more than INITIAL_LIMIT proxies. A proxy's share of INITIAL_LIMIT is then below
+one request: it sees too little of each server to judge the server alone.
 """
 
 from __future__ import annotations
@@ -19,320 +28,415 @@
 from zlib import crc32
 
 from flintlatch.api import (
-    NEVER_RAN, Action, Arrival, BodyReceived, BodyDiscarded, BodyForwarded, Cancel, ClientDisconnected, Effect, Event, Fail, SetAttemptTimeout,
-    ListKind, Log, Outcome, LimitAllocation, TierMembership, Refuse, RequestClass, Result, Scope, Send, ServerInfo, ServerList,
-    ServerState, DiscoveryServiceChanged, SetTimer, Settings, Ejection, ResponseStarted, TimerFired, Watch,
-)  # fmt: skip
-
-BEAT_MS = 25.0  # ms between housekeeping rounds: expiry and recovery need no finer grain
-WINDOW_OF_AIM = 0.5  # part of the aim: the detector's window, so a verdict comes while it still helps
-WINDOW_SENDS = 8  # sends a window must hold: fewer say nothing, so a sparse window is stretched
-WAIT_OF_SLACK = 0.08  # part of (aim - usual latency) that the least wait may take before the flag is set
-RELEASE_AIMS = (0.5, 4.0)  # aims after the flag over which level 4 is let in again, shortest and longest
-RELEASE_STRICT = 1.0  # aims: a longer release keeps level 4 out also while nothing waits
-SOON = 0.5  # part of (release + 1) aims after the flag within which one that is back has come back soon
-LEVELS = (0.75, 0.5, 0.25)  # worth relative to the best class: at or above is level 1, 2, 3; below is 4
-OVER_BURST_S = 1.0  # s of quota that a tenant may use at once before it counts as beyond its share
-USAGE_STEP = 0.3  # weight of one second in a tenant's usage: some seconds even out chance
-PAYOFF_STEP = 0.1  # weight of one outcome in a server's payoff: the last ten or so count
-BONUS = 0.2  # payoff given to a server with no recent outcomes per root of log total: re-tries the idle
-PLAYS_KEEP = 0.8  # part of a server's outcome count kept each second: a verdict lasts ten seconds at most
-TIE = 0.1  # payoffs closer than this are equal: one outcome moves a payoff by as much
-SHORT_OF_AIM = 0.1  # part of the aim that a first try may lack: the way here takes some of a client's wait
-AWAY_EACH, AWAY_MOST = 2.0, 200.0  # repeats to expect for one turned away, here or by another proxy; in all
-UNSENT_PART = (
-    0.45  # part of its wait after which a request never sent is refused: its client can still come again
-)
-START_LIMIT = 4.0  # requests of all proxies in flight at a server nothing is known of
-LATENCY_STEP = 1 / 16  # weight of one answer in a server's latency: tails must not steer the limit
-FLOOR_DRIFT = 1 / 400  # pull of one answer on the uncrowded latency: a slow spell is believed in the end
-QUEUE_LOW, QUEUE_HIGH = 2.0, 4.0  # of all proxies, waiting inside a server: below, raise; above, lower
-CROWD = 1 / 5  # part of the aim that answers of one server may take on average before its limit is cut
-FLOOR_LIMIT = 2.0  # requests of all proxies: the least limit of a server
-FLOOR_OF_MANY = 5.0  # the same of many: they choose apart, and some servers stand idle beside full ones
-LIMIT_CUT = 0.75  # factor on the limit when too many wait there
-FAIL_CUT = 0.8  # factor on the limit after a failure that tells of load
-FAIR_SPREADS = 3.0  # mean deviations above the usual latency that an attempt needs to have a fair chance
-SILENT = 2.0  # usual latencies without an answer after which a server that holds requests may hang
-OWN_MS = 2000.0  # ms for which an answer of a server counts for more than others' word on it
-EVIDENCE_MS = (
-    10_000.0  # ms for which a failure with no answer since is evidence: as long as a payoff tells of it
+    NEVER_RAN,
+    Action,
+    Arrival,
+    BodyDiscarded,
+    BodyForwarded,
+    BodyReceived,
+    Cancel,
+    ClientDisconnected,
+    DiscoveryServiceChanged,
+    Effect,
+    Ejection,
+    Event,
+    Fail,
+    LimitAllocation,
+    ListKind,
+    Log,
+    Outcome,
+    Refuse,
+    RequestClass,
+    ResponseStarted,
+    Result,
+    Scope,
+    Send,
+    ServerInfo,
+    ServerList,
+    ServerState,
+    SetAttemptTimeout,
+    SetTimer,
+    Settings,
+    TierMembership,
+    TimerFired,
+    Watch,
 )
-STRIKES = 3  # failures in a row after which a server rests
-REST_MS = (500.0, 8000.0)  # ms, first rest and the longest: doubled each time, jittered
-RETRY_SHARE = 0.1  # attempts beyond the first per arrival: retries can't add more than this to any load
-RETRY_BURST = 10.0  # retries saved up at most
-# What the list service has counts as told 6 s later; a call takes up to 2.2 s of that (net/discovery.py).
-ASK_TURN_MS, ASK_SPAN_MS = 200.0, 3000.0  # ms of each proxy's turn at the list, of all their first calls
-ASK_RETRY_MS = (250.0, 800.0)  # ms until a failed call is made again: at first, doubled each time; at most
-ASK_RETRY_TURN_MS = 10.0  # ms of each proxy's turn at that
-MOVED_MS = 4000.0  # ms after a move to another list service in which its news counts as told
-MOVED_RETRY_MS = 200.0  # ms at most until a failed call to it is made again in that time, by one of few
-WARM_KEEP = 0.9  # part of the load known of a warm server that is kept each second without one to look at
-COLD_HEAT = 1.2  # times its part of a warm server's load that a cold one gets, or half the rule's multiple
-COLD_OF_MANY, COLD_UP_TO = 1.4, 60.0  # the same of so many proxies; of more less, by the root of their number
-FAIR_PAYOFF = 0.4  # least payoff of a cold server that takes its turns: one failure leaves half
-DOUBT_OUT_MS = 1000.0  # ms for which a server must have failed to be one that may have started anew since
-DOUBT_MS = 6000.0  # ms after which a start that no list has told of was none: so late it counts as told
-DOUBT_SIGNS, DOUBT_SLOW = 2, 2.0  # answers, in uncrowded latencies, that tell that it is as warm as others
-CHANCE = 4.0  # deviations of what all proxies send in a window that a cold server's budget leaves room for
-
-LOAD_STEP = 0.3  # weight of one report in a server's load: some even out what is in work by chance
-SHARE_STEP = 0.3  # power of (mean load / its load) by which a server's share moves at each report
-OUT_STEP = 0.03  # weight of one beat in what this proxy has in flight: about the second that reports take
-REACH_MOST = 8.0  # even parts that one proxy may have in flight, by the load that lists tell
-SHARE_LEAST = 0.05  # least share of what would come to a server: some must tell when it is better
-
-# "One of many" is a proxy whose part of START_LIMIT is under one request: it cannot judge a server alone.
-PLACES = 12  # servers of a key that are looked at in turn: of so many some have room, or all are full
-MET_KEEP, MET_LEAST = 0.97, 0.25  # part of a key's count kept each second; below this it is forgotten
-MET_POPULAR = 1.5  # arrivals of late that make a key popular: of fewer, chance tells more than the key
-ORDERS = 512  # keys whose servers are kept at hand
-NEAR = 6  # servers of its own zone that such a proxy keeps to: enough to choose from, few enough to know
-ALLOW_UP, ALLOW_DOWN = 0.1, 0.025  # steps of its limit on all in flight: at one, level where 0.8 are spoilt
-ALLOW_BURST = 4.0  # requests, beyond the limit, that may be in flight at once after idling
-ALLOW_LEAST = 0.05  # least such limit: one request in twenty usual latencies still looks
-SPOILT, CROWDED = 0.85, 3.0  # part of the aim, times the uncrowded latency: beyond either it was crowded
-FORGET = 0.1  # part of the way back to the usual payoff in a second without outcomes
-OVER_LEAST = 5.0  # least requests of quota that a tenant may use at once: chance must not look like excess
-
-GIVEN_UP = (Result.TIMEOUT, Result.CANCELLED)  # we stopped waiting
+
+HOUSEKEEPING_INTERVAL_MS = 25.0  # expiry and recovery need no finer resolution
+
+# Overload detection and load shedding
+DETECTOR_WINDOW_FRACTION = 0.5  # of the latency target; short enough for shedding to help in time
+DETECTOR_WINDOW_MIN_SENDS = 8  # with fewer sends the window is extended, because they prove nothing
+WAIT_THRESHOLD_FRACTION = 0.08  # of (latency target - usual latency): the minimum wait that means overload
+READMISSION_SPAN_RANGE = (0.5, 4.0)  # latency targets after an overload until level 4 is fully admitted again
+STRICT_READMISSION_SPAN = 1.0  # latency targets; above it level 4 is refused even if no request is queued
+RECURRENCE_FRACTION = 0.5  # of (span + 1) latency targets: an overload that returns sooner is a recurrence
+LEVEL_WORTH_BOUNDS = (0.75, 0.5, 0.25)  # least worth relative to the best class of levels 1, 2 and 3
+QUOTA_BURST_S = 1.0  # seconds of quota that a tenant may use at once before it counts as over its quota
+USAGE_SMOOTHING = 0.3  # EWMA weight of one second: a few seconds even out random variation
+
+# Server choice
+REWARD_SMOOTHING = 0.1  # EWMA weight of one outcome: about the last ten outcomes count
+EXPLORATION_WEIGHT = 0.2  # of the UCB term: lets servers without recent outcomes be tried again
+OUTCOME_DECAY_PER_S = 0.8  # of the outcome counts: a reward outlives its outcomes by ten seconds at most
+REWARD_TIE_MARGIN = 0.1  # scores closer than this are equal: a single outcome changes a reward by as much
+
+# Recognition of retries that clients send
+FIRST_TRY_SHORTFALL_FRACTION = 0.1  # of the latency target; the network takes some of a client's wait
+EXPECTED_RETRIES_PER_REJECTION, EXPECTED_RETRIES_MAX = 2.0, 200.0  # whichever proxy rejected the first try
+# Of a client's wait, after which an unsent request is refused: the client still has time for a retry.
+UNSENT_WAIT_FRACTION = 0.45
+
+# Concurrency limits of servers. The limits are for all proxies together; each proxy takes an even share.
+INITIAL_LIMIT = 4.0  # requests in flight at a server without any statistics
+LATENCY_SMOOTHING = 1 / 16  # EWMA weight of one response: outliers must not drive the limit
+BASE_LATENCY_DRIFT = 1 / 400  # upward pull of one response: a lasting slowdown becomes the new base
+SERVER_QUEUE_LOW, SERVER_QUEUE_HIGH = 2.0, 4.0  # requests queued in a server: raise below, lower above
+CONGESTED_MEAN_FRACTION = 1 / 5  # of the latency target: a higher mean latency cuts the limit
+MIN_LIMIT = 2.0  # requests
+MIN_LIMIT_LARGE_TIER = 5.0  # requests; many proxies choose independently and leave some servers idle
+CONGESTION_LIMIT_FACTOR = 0.75  # applied to the limit when too many requests queue in a server
+OVERLOAD_FAILURE_LIMIT_FACTOR = 0.8  # applied to the limit after a failure that indicates load
+ORDINARY_LATENCY_DEVIATIONS = 3.0  # mean deviations above the mean latency that an ordinary attempt may take
+HANG_LATENCIES = 2.0  # usual latencies without a response after which a busy server may be hanging
+
+# Outlier detection
+OWN_RESPONSE_PRECEDENCE_MS = 2000.0  # for this long a response of a server outweighs reports of other proxies
+FAILURE_EVIDENCE_MS = 10_000.0  # a failure is evidence for as long as it affects the reward
+EJECTION_FAILURES = 3  # consecutive failures
+EJECTION_MS_RANGE = (500.0, 8000.0)  # first and longest ejection time: doubled each time, with jitter
+
+# Retry budget
+RETRIES_PER_ARRIVAL = 0.1  # retries can't add more than this fraction to any load
+RETRY_BUDGET_MAX = 10.0  # retries
+
+# Calls to the list service. The proxy is obliged to know a new list 6 s after its publication; a call takes
+# up to 2.2 s of that (net/discovery.py).
+WATCH_STAGGER_MS, WATCH_STAGGER_MAX_MS = 200.0, 3000.0  # per proxy; in all
+WATCH_RETRY_MS_RANGE = (250.0, 800.0)  # first and longest delay after a failed call: doubled each time
+WATCH_RETRY_MS_PER_PROXY = 10.0  # least delay after a failed call, for each proxy of the tier
+DISCOVERY_CHANGE_MS = 4000.0  # after a change of the list service, time until its list counts as known
+DISCOVERY_CHANGE_RETRY_MAX_MS = 200.0  # longest delay after a failed call in that time, in a small tier
+
+# Slow start
+WARM_RATE_DECAY_PER_S = 0.9  # of the rate known for warm servers, while none is left to observe
+# Factor on a cold server's fraction of a warm server's load; at most half of `fall_multiple`.
+SLOW_START_LOAD_FACTOR = 1.2
+# The same in a large tier, up to this many proxies. Beyond, it falls with the square root of their number.
+SLOW_START_LOAD_FACTOR_LARGE_TIER, SLOW_START_FACTOR_PROXIES = 1.4, 60.0
+SLOW_START_MIN_REWARD = 0.4  # of a cold server that is still sent requests: one failure leaves 0.5
+SUSPECTED_RESTART_OUTAGE_MS = 1000.0  # a server that failed for this long may have restarted
+SUSPECTED_RESTART_MS = 6000.0  # by then a server list would have reported a restart
+# A server counts as warm after this number of responses, each within this number of base latencies.
+WARM_EVIDENCE_RESPONSES, WARM_EVIDENCE_LATENCIES = 2, 2.0
+SLOW_START_DEVIATIONS = 4.0  # standard deviations of the arrivals in a window that must fit into the budget
+
+# Balancing by the load that server lists report
+LOAD_SMOOTHING = 0.3  # EWMA weight of one report: evens out random variation of the requests in progress
+KEY_SHARE_EXPONENT = 0.3  # one report multiplies the key share by (mean load / load) to this power
+IN_FLIGHT_SMOOTHING = 0.03  # EWMA weight of one tick: about the second that reports take
+LIMIT_SCALE_MAX = 8.0  # times an even share that one proxy may have in flight
+KEY_SHARE_MIN = 0.05  # some requests must still reach a server to show when it has recovered
+
+# Key affinity
+RANKING_LENGTH = 12  # servers in the rendezvous ranking of a key: some have capacity, or all servers are full
+KEY_COUNT_DECAY_PER_S, KEY_COUNT_MIN = 0.97, 0.25  # arrivals per key; a key with a lower count is dropped
+POPULAR_KEY_MIN_COUNT = 1.5  # recent arrivals; a lower count may be coincidence
+RANKING_CACHE_KEYS = 512
+
+# Large tiers
+PREFERRED_SERVERS = 6  # of the proxy's own zone: enough to choose from, few enough to have statistics on each
+# Per response. At a limit of 1 they balance when 0.8 of the responses are congested.
+TOTAL_LIMIT_INCREASE, TOTAL_LIMIT_DECREASE = 0.1, 0.025
+TOTAL_LIMIT_BURST = 4.0  # requests beyond the total limit that may be in flight at once after an idle time
+TOTAL_LIMIT_MIN = 0.05  # at the least, one request in twenty usual latencies still probes the servers
+# A latency above this fraction of the target, or this many base latencies, means that a response was
+# congested.
+CONGESTED_TARGET_FRACTION, CONGESTED_BASE_LATENCIES = 0.85, 3.0
+REWARD_RECOVERY_PER_S = 0.1  # fraction of the way back to the usual reward in a second without outcomes
+QUOTA_BURST_MIN_REQUESTS = 5.0  # so that a random cluster of arrivals does not count as over the quota
+
+ABANDONED = (Result.TIMEOUT, Result.CANCELLED)  # this proxy stopped waiting
 
 
 class Server:
-    """What this proxy knows of one server."""
+    """The state and statistics that this proxy keeps for one server."""
 
     def __init__(self, info: ServerInfo, proxies: int) -> None:
         self.proxies = proxies
         self.id, self.hash = info.server, crc32(info.server.encode())
         self.started: float | None
         self.state, self.zone, self.kind, self.cell = info.state, info.zone, info.kind, info.cell
-        self.inflight, self.rank, self.weight = 0, 0, 1.0  # in flight: at work there
-        self.nominal = 0.0  # its weight with nothing to do, where weights tell of load
-        self.size = 1.0  # by which keys are placed
-        self.transfers, self.transfer_bytes = 0, 0  # bodies on their way, which cost it no work
-        self.forget()
-
-    def forget(self) -> None:
-        """A process that has just started shares nothing with the one before it."""
-        self.limit, self.peak, self.samples = START_LIMIT / self.proxies, 0, 0
-        self.latency, self.floor, self.heard_count = 0.0, 0.0, 0
-        self.crowd = 0.0  # smoothed latency as a part of the aim
-        self.reward, self.plays = 1.0, 0.0
-        self.consecutive_failures, self.rest_until, self.rest_ms = 0, 0.0, REST_MS[0]
-        self.answered, self.rate, self.tokens = 0, 0.0, 0.0
-        self.failing_from, self.failed_at = 0.0, -inf  # the first failure of those in a row, the last of all
-        self.shunned_until, self.good_at = 0.0, -inf  # by others' word; its last answer to us
-        self.doubt_until, self.signs = 0.0, 0  # it was away and may have started anew; quick answers since
-        self.takes = 0.0  # as one of many: part of what would come to it that it takes while it is cold
-        self.load, self.share = 0.0, 1.0  # requests a core it holds, of all; part of its keys it is given
-        self.silent_from = 0.0  # its last answer, or the first send since it held nothing of ours
+        self.inflight, self.rank, self.weight = 0, 0, 1.0  # inflight: requests that the server works on
+        self.nominal_weight = 0.0  # largest weight seen: the weight without load, where weights report load
+        self.size = 1.0  # weight in the rendezvous ranking of keys
+        self.transfers, self.transfer_bytes = 0, 0  # bodies in transit, which cost the server no work
+        self.reset()
+
+    def reset(self) -> None:
+        """Resets all statistics: a restarted process shares none of them with its predecessor."""
+        self.limit, self.peak_inflight, self.limit_samples = INITIAL_LIMIT / self.proxies, 0, 0
+        self.latency, self.base_latency, self.responses = 0.0, 0.0, 0
+        self.latency_to_target = 0.0  # smoothed latency as a fraction of the latency target
+        self.reward, self.recent_outcomes = 1.0, 0.0
+        self.consecutive_failures, self.ejected_until, self.ejection_ms = 0, 0.0, EJECTION_MS_RANGE[0]
+        self.responses_this_second, self.response_rate, self.slow_start_tokens = 0, 0.0, 0.0
+        self.first_failure_at, self.last_failure_at = 0.0, -inf  # first of the consecutive ones; last of all
+        self.peer_ejected_until, self.last_success_at = 0.0, -inf  # ejected on reports of other proxies
+        self.restart_suspected_until, self.quick_responses = 0.0, 0  # after an outage; responses since
+        self.slow_start_fraction = 0.0  # large tier: fraction of its traffic that it is sent while cold
+        self.load, self.key_share = 0.0, 1.0  # requests per core, of all proxies; fraction of its keys
+        self.silent_since = 0.0  # last response, or the first send after it had nothing of this proxy
         self.started, self.cold_until = None, 0.0
 
-    def has_capacity(self, now: float, each: float = 0.0) -> bool:
-        if self.rest_until > now or self.shunned_until > now:
+    def has_capacity(self, now: float, min_limit: float = 0.0) -> bool:
+        if self.ejected_until > now or self.peer_ejected_until > now:
             return False
-        if self.consecutive_failures >= STRIKES or self.shunned_until:  # back from a rest: one on trial, not a full load
+        # Half-open after an ejection: one probe request at a time, not a full load.
+        if self.consecutive_failures >= EJECTION_FAILURES or self.peer_ejected_until:
             return self.inflight == 0
-        if self.cold(now) and self.tokens < 1.0 and not self.takes:
+        if self.is_cold(now) and self.slow_start_tokens < 1.0 and not self.slow_start_fraction:
             return False
-        return self.inflight < max(self.limit, each)
-
-    def cold(self, now: float) -> bool:
-        """Not known to be warm."""
-        return self.cold_until > now or self.doubt_until > now
-
-    def learn_latency(self, latency: float, part_of_aim: float) -> None:
-        """The limit follows the requests of ours that wait inside the server: limit x (1 - floor/latency)."""
-        self.heard_count += 1
-        step = max(LATENCY_STEP, 1 / self.heard_count)
-        self.latency += (min(latency, 2 * (self.latency or latency)) - self.latency) * step
-        self.crowd += (part_of_aim - self.crowd) * step
-        if self.heard_count <= 1 / LATENCY_STEP:  # a floor from one lucky answer would last for long
-            self.floor = self.latency
-        self.floor = min(self.floor + (self.latency - self.floor) * FLOOR_DRIFT, self.latency)
-        self.samples += 1
-        if self.samples < max(8, self.limit):
+        return self.inflight < max(self.limit, min_limit)
+
+    def is_cold(self, now: float) -> bool:
+        """Whether the server is in its slow start or may have restarted."""
+        return self.cold_until > now or self.restart_suspected_until > now
+
+    def observe_latency(self, latency: float, fraction_of_target: float) -> None:
+        """Adapts the limit to the requests of this proxy that queue in the server.
+
+        Their number is estimated as limit x (1 - base latency / latency).
+        """
+        self.responses += 1
+        smoothing = max(LATENCY_SMOOTHING, 1 / self.responses)
+        self.latency += (min(latency, 2 * (self.latency or latency)) - self.latency) * smoothing
+        self.latency_to_target += (fraction_of_target - self.latency_to_target) * smoothing
+        if self.responses <= 1 / LATENCY_SMOOTHING:  # a base from one fast response would last for long
+            self.base_latency = self.latency
+        self.base_latency = min(
+            self.base_latency + (self.latency - self.base_latency) * BASE_LATENCY_DRIFT, self.latency
+        )
+        self.limit_samples += 1
+        if self.limit_samples < max(8, self.limit):
             return
-        waiting = min(self.peak, self.limit) * (1 - self.floor / self.latency) * self.proxies
-        if waiting > QUEUE_HIGH or self.crowd > CROWD:
-            self.cut(LIMIT_CUT)
-        elif waiting < QUEUE_LOW and self.peak + 1 > self.limit:
+        queued = min(self.peak_inflight, self.limit) * (1 - self.base_latency / self.latency) * self.proxies
+        if queued > SERVER_QUEUE_HIGH or self.latency_to_target > CONGESTED_MEAN_FRACTION:
+            self.cut_limit(CONGESTION_LIMIT_FACTOR)
+        elif queued < SERVER_QUEUE_LOW and self.peak_inflight + 1 > self.limit:
             self.limit += min(1.0, 2 / self.proxies)
-        self.samples, self.peak = 0, self.inflight
+        self.limit_samples, self.peak_inflight = 0, self.inflight
+
+    def cut_limit(self, factor: float) -> None:
+        """Multiplies the limit by `factor`, but keeps it above this proxy's share of the minimum limit.
+
+        All proxies together may always have one request in progress and one that follows. Otherwise the
+        server would be idle between two requests.
+        """
+        minimum = MIN_LIMIT_LARGE_TIER if self.proxies > INITIAL_LIMIT else MIN_LIMIT
+        self.limit = min(self.limit, max(minimum / self.proxies, self.limit * factor))
 
-    def cut(self, factor: float) -> None:
-        """Each proxy is one of several. Together they never go below one request at work and one to follow,
-        or the server would stand idle between two."""
-        least = FLOOR_OF_MANY if self.proxies > START_LIMIT else FLOOR_LIMIT
-        self.limit = min(self.limit, max(least / self.proxies, self.limit * factor))
 
+class TokenBucket:
+    """This instance's allocation of a rate limit on accepted requests.
 
-class Bucket:
-    """This proxy's part of a limit on requests taken. What it was lent before is not kept beyond the new
-    burst."""
+    When the allocation shrinks, tokens beyond its new burst are dropped.
+    """
 
-    def __init__(self, part: LimitAllocation, now: float) -> None:
-        self.part, self.tokens, self.at, self.demand = part, 0.0, now, 0
+    def __init__(self, allocation: LimitAllocation, now: float) -> None:
+        self.allocation, self.tokens, self.refilled_at, self.demand = allocation, 0.0, now, 0
 
     def refill(self, now: float) -> float:
-        # At least one, or none would ever be whole: the stated bound has one for each instance.
-        most = max(self.part.burst, 1.0 if self.part.per_s else 0.0)
-        self.tokens = min(most, self.tokens + (now - self.at) * self.part.per_s / 1000)
-        self.at = now
+        # The bucket must hold one token or no request would ever pass. The documented bound on the number of
+        # accepted requests includes one token for each instance.
+        capacity = max(self.allocation.burst, 1.0 if self.allocation.per_s else 0.0)
+        self.tokens = min(capacity, self.tokens + (now - self.refilled_at) * self.allocation.per_s / 1000)
+        self.refilled_at = now
         return self.tokens
 
-    def lack_ms(self) -> float:
-        """Until the next whole one."""
-        return max(0.0, 1 - self.tokens) * 1000 / self.part.per_s if self.part.per_s else inf
+    def wait_ms(self) -> float:
+        """Returns the time until the next whole token."""
+        return max(0.0, 1 - self.tokens) * 1000 / self.allocation.per_s if self.allocation.per_s else inf
 
 
 class Attempt:
-    """While open it is at work, or a transfer: of its request before that, of its answer after it."""
+    """One send of a request to a server.
 
-    def __init__(self, server: Server, sent: float, whole: bool) -> None:
-        self.server, self.sent, self.open, self.maybe_ran = server, sent, True, True
-        self.whole_at = sent if whole else inf  # when the server had the whole request
-        self.at_work, self.begun = whole, False
-        self.zone, self.cell = server.zone, server.cell  # where it ran: a later list may move the server
+    An open attempt is executing or a transfer: of the request's body before the server has it whole, and of
+    the response's body after the response has started.
+    """
+
+    def __init__(self, server: Server, sent_at: float, complete: bool) -> None:
+        self.server, self.sent_at, self.open, self.may_have_run = server, sent_at, True, True
+        self.forwarded_at = sent_at if complete else inf  # when the server had the whole request
+        self.executing, self.response_started = complete, False
+        self.zone, self.cell = server.zone, server.cell  # at the send: a later list may change them
 
 
 class Request:
+    """A request from its arrival until its last attempt has ended."""
+
     def __init__(
-        self, event: Arrival, spec: RequestClass, place: Endpoint, now: float, first: float, coin: float
+        self,
+        event: Arrival,
+        spec: RequestClass,
+        queue: ClassQueue,
+        now: float,
+        first_tried_at: float,
+        slow_start_draw: float,
     ) -> None:
         self.id, self.cls, self.key = event.request, event.cls, event.key
-        self.spec, self.endpoint, self.arrived = spec, place, now
-        self.latest, self.after_ms = event.client_deadline, event.after_ms
-        self.uploading, self.holds = event.uploading, event.holds
-        # Where late answers earn something a late repeat still does; failing it brings it back once more.
-        self.time_from(now, now if spec.late_worth > 0 else first)
+        self.spec, self.queue, self.arrived_at = spec, queue, now
+        self.client_deadline, self.response_wait_ms = event.client_deadline, event.response_wait_ms
+        self.uploading, self.buffered_bytes = event.uploading, event.buffered_bytes
+        # If late responses have a worth, so has a late retry; failing it would only cause another retry.
+        self.start_response_clock(now, now if spec.late_worth > 0 else first_tried_at)
         self.attempts: list[Attempt] = []
-        self.last_call = self.give_up  # the last moment to send it
-        self.open = 0  # attempts without an outcome
-        self.coin = coin
-        self.is_queued = self.over = self.stream = False
-        self.hedge_at = inf  # when a second copy may follow the first
-        self.sealed = False  # its body can't be sent again
-
-    def time_from(self, now: float, aim_from: float) -> None:
-        """Its time to be sent and answered runs from now: an upload's own is no part of it."""
-        self.give_up = min(self.latest, now + self.after_ms)
-        self.aim_end = aim_from + self.spec.aim_ms
-        # After this an answer is worth nothing, or the client has left.
-        self.useful = self.give_up if self.spec.late_worth > 0 else min(self.give_up, self.aim_end)
-
-    def long(self) -> bool:
-        """Known to be a transfer before it is sent."""
+        self.send_by = self.deadline  # latest useful time of the first send
+        self.open_attempts = 0
+        self.slow_start_draw = slow_start_draw
+        self.is_queued = self.finished = self.streaming = False
+        self.hedge_at = inf  # time of a hedged request beside the first attempt
+        self.body_discarded = False  # no further attempt is possible
+
+    def start_response_clock(self, now: float, target_from: float) -> None:
+        """Starts the time allowed for sending and answering; the time of an upload is not part of it."""
+        self.deadline = min(self.client_deadline, now + self.response_wait_ms)
+        self.target_deadline = target_from + self.spec.aim_ms
+        # A later response is worth nothing, or the client has disconnected.
+        self.useful_until = (
+            self.deadline if self.spec.late_worth > 0 else min(self.deadline, self.target_deadline)
+        )
+
+    def is_transfer(self) -> bool:
+        """Whether the request is known to be a long transfer before it is sent."""
         return self.uploading or self.spec.stream
 
-    def first_run(self) -> Attempt | None:
-        """The earliest attempt that may have run: what the class allows counts from it."""
-        return next((a for a in self.attempts if a.maybe_ran), None)
-
-
-class Endpoint:
-    """Classes with one aim: a first-come buffer and its overload detector."""
-
-    def __init__(self, aim: float, tick: float) -> None:
-        self.aim, self.tick = aim, tick
-        self.queue: deque[Request] = deque()
-        self.latency = 0.0  # usual time from send to answer
-        self.slice_at, self.last_send, self.flagged_at = 0.0, 0.0, -1e9
-        self.flagged, self.release = False, RELEASE_AIMS[0]
-        self.low, self.low_before, self.count = 0.0, 0.0, 0  # least wait in this half window and the last
-
-    def note_send(self, now: float, wait: float) -> None:
-        if self.count >= WINDOW_SENDS / 2 and now - self.slice_at >= self.aim * WINDOW_OF_AIM / 2:
-            self.low_before, self.count, self.slice_at = self.low, 0, now
-        self.low = wait if self.count == 0 else min(self.low, wait)
-        self.count += 1
-        self.last_send = now
-
-    def flag(self, now: float, overloaded: bool) -> None:
-        """One flag may be chance, and is soon over. Where it returns at once, clients ask for more than there
-        is: let in as fast as before, they would bring it back again and again."""
-        if overloaded and not self.flagged:
-            soon = now - self.flagged_at < 0.5 * (self.release + 1) * self.aim
-            self.release = min(2 * self.release, RELEASE_AIMS[1]) if soon else RELEASE_AIMS[0]
-        self.flagged = overloaded
+    def first_execution(self) -> Attempt | None:
+        """Returns the earliest attempt that may have run; the idempotency window starts with it."""
+        return next((a for a in self.attempts if a.may_have_run), None)
+
+
+class ClassQueue:
+    """The FIFO queue of all classes with the same latency target, and its overload detector."""
+
+    def __init__(self, target_ms: float, tick_ms: float) -> None:
+        self.target_ms, self.tick_ms = target_ms, tick_ms
+        self.pending: deque[Request] = deque()
+        self.latency = 0.0  # smoothed time from send to response
+        self.half_window_at, self.last_send_at, self.overloaded_at = 0.0, 0.0, -1e9
+        self.overloaded, self.readmission_span = False, READMISSION_SPAN_RANGE[0]
+        # Minimum waits of the current and of the previous half window; sends in the current one.
+        self.min_wait, self.previous_min_wait, self.sends = 0.0, 0.0, 0
+
+    def record_send(self, now: float, wait: float) -> None:
+        if (
+            self.sends >= DETECTOR_WINDOW_MIN_SENDS / 2
+            and now - self.half_window_at >= self.target_ms * DETECTOR_WINDOW_FRACTION / 2
+        ):
+            self.previous_min_wait, self.sends, self.half_window_at = self.min_wait, 0, now
+        self.min_wait = wait if self.sends == 0 else min(self.min_wait, wait)
+        self.sends += 1
+        self.last_send_at = now
+
+    def set_overloaded(self, now: float, overloaded: bool) -> None:
+        """Records whether the queue is overloaded and adapts the time of readmission.
+
+        A single overload may be random and is over soon. If it recurs at once, clients demand more than there
+        is capacity for: readmitting level 4 as fast as before would cause the next overload again and again.
+        """
+        if overloaded and not self.overloaded:
+            recurred = (
+                now - self.overloaded_at < RECURRENCE_FRACTION * (self.readmission_span + 1) * self.target_ms
+            )
+            self.readmission_span = (
+                min(2 * self.readmission_span, READMISSION_SPAN_RANGE[1])
+                if recurred
+                else READMISSION_SPAN_RANGE[0]
+            )
+        self.overloaded = overloaded
         if overloaded:
-            self.flagged_at = now
+            self.overloaded_at = now
 
     def head(self) -> Request | None:
-        while self.queue and not self.queue[0].is_queued:
-            self.queue.popleft()
-        return self.queue[0] if self.queue else None
+        while self.pending and not self.pending[0].is_queued:
+            self.pending.popleft()
+        return self.pending[0] if self.pending else None
 
-    def excess(self, now: float) -> float:
-        """The windowed minimum wait over its threshold; above 1 the endpoint is overloaded."""
+    def overload_ratio(self, now: float) -> float:
+        """Returns the minimum wait of the window over its threshold; above 1 the queue is overloaded."""
         head = self.head()
         if head is None:
-            return 0.0  # nothing waits: whatever an old window says, the next request leaves at once
-        low = min(self.low, self.low_before)
-        if now - self.last_send > self.aim * WINDOW_OF_AIM:
-            low = now - head.arrived  # nothing leaves: a stuck queue must not look like a calm one
-        return low / self.threshold()
+            return 0.0  # nothing is queued: whatever the last window shows, the next request is sent at once
+        wait = min(self.min_wait, self.previous_min_wait)
+        if now - self.last_send_at > self.target_ms * DETECTOR_WINDOW_FRACTION:
+            wait = now - head.arrived_at  # nothing is sent: a blocked queue must not pass for an idle one
+        return wait / self.wait_threshold_ms()
 
-    def threshold(self) -> float:
-        return max(WAIT_OF_SLACK * (self.aim - self.latency), 2 * self.tick)  # ms
+    def wait_threshold_ms(self) -> float:
+        return max(WAIT_THRESHOLD_FRACTION * (self.target_ms - self.latency), 2 * self.tick_ms)
 
 
 class Balancer:
-    """One proxy's decisions. Feed it every event; carry out every action."""
+    """The decisions of one proxy: it has to be given every event, and every action has to be carried out."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         settings.check()
         self.settings, self.rng = settings, Random(seed)
-        # One of many keeps to a few servers, but not where they know keys: there a key must meet the same two
-        # from every proxy, which is worth more than knowing few of them well.
-        self.many = settings.proxies > START_LIMIT
-        self.sparse = self.many and not settings.key_affinity
-        by_aim = {a: Endpoint(a, settings.tick_ms) for a in sorted({c.aim_ms for c in settings.classes})}
-        self.endpoints = list(by_aim.values())
-        self.endpoint_of = [by_aim[c.aim_ms] for c in settings.classes]
-        self.patience = [0.0] * len(settings.classes)  # longest wait left to a client seen, by class
+        # A proxy of a large tier keeps to a subset of the servers. With key affinity it does not: all proxies
+        # have to send a key to the same two servers, which gains more than good statistics on a few servers.
+        self.large_tier = settings.proxies > INITIAL_LIMIT
+        self.uses_subset = self.large_tier and not settings.key_affinity
+        by_target = {
+            target: ClassQueue(target, settings.tick_ms)
+            for target in sorted({c.aim_ms for c in settings.classes})
+        }
+        self.queues = list(by_target.values())
+        self.queue_of_class = [by_target[c.aim_ms] for c in settings.classes]
+        self.longest_wait = [0.0] * len(settings.classes)  # longest remaining client wait seen, by class
         self.best_worth = max(c.worth for c in settings.classes)
-        self.quota_left = [q / settings.proxies * OVER_BURST_S for q in settings.quotas]
-        self.quota_at = [0.0] * len(settings.quotas)
-        self.part = 1 / settings.proxies  # of the deployment's traffic that comes to this proxy
-        self.asked = [0] * len(settings.quotas)  # first tries of each tenant in this second
-        self.usage = [0.0] * len(settings.quotas)  # smoothed rate of first tries over the quota
-        self.class_latency = [(0.0, 0.0)] * len(settings.classes)  # smoothed latency and deviation
-        self.all_latency = 0.0
-        self.crowd, self.crowd_samples = 0.0, 0  # smoothed latency as a part of the aim, all servers
+        self.quota_tokens = [q / settings.proxies * QUOTA_BURST_S for q in settings.quotas]
+        self.quota_refilled_at = [0.0] * len(settings.quotas)
+        self.traffic_fraction = 1 / settings.proxies  # of the tier's traffic that this proxy receives
+        self.tenant_arrivals = [0] * len(settings.quotas)  # first tries of each tenant in this second
+        self.tenant_usage = [0.0] * len(settings.quotas)  # smoothed rate of first tries / quota
+        self.class_latency = [(0.0, 0.0)] * len(settings.classes)  # smoothed latency and mean deviation
+        self.overall_latency = 0.0
+        self.latency_to_target, self.latency_samples = 0.0, 0  # smoothed, of all servers
         self.servers: dict[str, Server] = {}
         self.active: list[Server] = []
-        self.met: dict[int, float] = {}  # arrivals of late by key, as one of many proxies
-        self.met_all = 0.0
-        self.orders: dict[int, list[Server]] = {}  # by key, the servers that it meets first
-        self.preferred: list[Server] = []  # those it sends to: all active, or as one of many its own few
-        self.near_size, self.each = 0, 0.0  # servers of each zone among them; least limit of one
-        self.allow = 1.0  # limit on all requests in flight, as one of many proxies
-        self.credit, self.credit_at, self.out_count = 1e9, 0.0, 0  # ms in flight still to use; at work
-        self.usual_out, self.reach = 0.0, 1.0  # at work over the last second; how far beyond an even part
-        self.transfers, self.transfer_bytes = 0, 0  # with all servers
-        self.class_floor = [0.0] * len(settings.classes)  # uncrowded latency
-        self.warm_floor: dict[int, float] = {}  # uncrowded latency of a warm server, by kind
-        self.warm_rate: dict[int, float] = {}  # answers per second of a warm server, by kind
+        self.key_counts: dict[int, float] = {}  # recent arrivals by key, in a large tier
+        self.key_count_total = 0.0
+        self.rankings: dict[int, list[Server]] = {}  # by key, its first servers in the rendezvous ranking
+        self.preferred: list[Server] = []  # servers it sends to: all active ones, or its subset
+        self.preferred_per_zone, self.min_server_limit = 0, 0.0
+        self.total_limit = 1.0  # requests in flight at all servers, if it uses a subset
+        # Time in flight, in ms, that the total limit still grants; requests that servers work on.
+        self.credit_ms, self.credit_at, self.in_flight = 1e9, 0.0, 0
+        self.mean_in_flight, self.limit_scale = 0.0, 1.0  # over about a second; factor on the servers' limits
+        self.transfers, self.transfer_bytes = 0, 0  # at all servers
+        self.class_base_latency = [0.0] * len(settings.classes)  # latency without congestion
+        self.warm_base_latency: dict[int, float] = {}  # the same of a warm server, by kind
+        self.warm_rate: dict[int, float] = {}  # responses per second of a warm server, by kind
         self.requests: dict[str, Request] = {}
-        self.bound: list[Request] = []  # held ones that only one group may see again
-        self.due: list[tuple[float, int, Request]] = []  # held ones, by the time at which to look again
-        self.outcomes = 1.0  # all outcomes lately, decayed like each server's plays
-        self.colds: list[Server] = []  # those not known to be warm
-        self.comes: dict[Server, float] = {}  # by cold server, the part of first tries that would come to it
-        self.heads, self.heads_rate = 0, 0.0  # first tries let in, in this second and usually
-        self.order, self.retries = 0, RETRY_BURST
-        self.buckets: dict[str, Bucket] = {}  # by limit, our parts of those that all fleets share
-        self.turned_away = RETRY_BURST  # repeats still to be expected
-        self.beating, self.second_at, self.beat_at = False, 0.0, 0.0
-        self.ask_at: float | None = None
-        self.ask_failures, self.moved_at = 0, -inf
+        self.scoped_retries: list[Request] = []  # queued ones that only one idempotency scope may receive
+        self.timers: list[tuple[float, int, Request]] = []  # when to look at a request again
+        self.recent_outcomes = 1.0  # of all servers, decayed like those of each server
+        self.cold_servers: list[Server] = []
+        self.cold_traffic: dict[Server, float] = {}  # fraction of first tries due to a cold server
+        self.first_tries, self.first_try_rate = 0, 0.0  # admitted in this second; smoothed, per second
+        self.timer_sequence, self.retry_budget = 0, RETRY_BUDGET_MAX
+        self.buckets: dict[str, TokenBucket] = {}  # by limit, the allocations of the limits all fleets share
+        self.expected_retries = RETRY_BUDGET_MAX  # of clients that were rejected
+        self.running, self.second_at, self.tick_at = False, 0.0, 0.0
+        self.watch_at: float | None = None
+        self.watch_failures, self.discovery_changed_at = 0, -inf
         self.actions: list[Action] = []
 
     def step(self, now: float, events: list[Event]) -> list[Action]:
+        """Handles a batch of events at clock time `now` and returns the actions to carry out, in order."""
         self.actions = []
-        if not self.beating and events:
+        if not self.running and events:
             self.start(now)
         for event in events:
             if isinstance(event, Arrival):
@@ -340,189 +444,220 @@
             elif isinstance(event, Outcome):
                 self.on_outcome(now, event)
             elif isinstance(event, TimerFired):
-                self.on_beat(now)
+                self.on_tick(now)
             elif isinstance(event, ClientDisconnected):
-                self.on_client_gone(event)
+                self.on_client_disconnected(event)
             elif isinstance(event, ServerList):
                 self.on_list(now, event)
             elif isinstance(event, DiscoveryServiceChanged):
-                self.on_moved(now)
+                self.on_discovery_service_changed(now)
             elif isinstance(event, TierMembership):
-                self.on_proxies(now, event)
+                self.on_tier_membership(now, event)
             elif isinstance(event, LimitAllocation):
-                self.on_part(now, event)
+                self.on_limit_allocation(now, event)
             elif isinstance(event, Ejection):
-                self.on_shun(now, event)
+                self.on_ejection(now, event)
             elif isinstance(event, ResponseStarted):
-                self.on_stream(now, event)
+                self.on_response_started(now, event)
             elif isinstance(event, BodyForwarded):
-                self.on_body_sent(now, event)
-            elif isinstance(event, BodyReceived) and (request := self.requests.get(event.request)) is not None:
+                self.on_body_forwarded(now, event)
+            elif (
+                isinstance(event, BodyReceived) and (request := self.requests.get(event.request)) is not None
+            ):
                 request.uploading = False
-            elif isinstance(event, BodyDiscarded) and (request := self.requests.get(event.request)) is not None:
-                request.sealed = True
-        if self.bound:
-            self.send_bound(now)
+            elif (
+                isinstance(event, BodyDiscarded) and (request := self.requests.get(event.request)) is not None
+            ):
+                request.body_discarded = True
+        if self.scoped_retries:
+            self.send_scoped_retries(now)
         self.dispatch(now)
-        self.expire(now)
+        self.run_timers(now)
         return self.actions
 
     def start(self, now: float) -> None:
-        self.beating = True
-        self.second_at = self.beat_at = self.credit_at = now
-        self.quota_at = [now] * len(self.quota_at)
-        self.actions.append(SetTimer(BEAT_MS, 0))
+        self.running = True
+        self.second_at = self.tick_at = self.credit_at = now
+        self.quota_refilled_at = [now] * len(self.quota_refilled_at)
+        self.actions.append(SetTimer(HOUSEKEEPING_INTERVAL_MS, 0))
         if self.settings.ask_for_list:
-            # Proxies restarted together must not call the list service in the same moment: each has its
-            # turn. Past the time the settings oblige, a proxy counts as told of drains it never heard of.
-            self.ask_at = now + self.turn()
+            # Proxies that restart together must not call the list service at the same moment, so their calls
+            # are staggered. They have to end within `must_ask_ms`: after that a proxy is expected to know of
+            # drains whether or not it has received them.
+            self.watch_at = now + self.watch_stagger_ms()
 
     def unavailable(self, now: float) -> int:
-        """Servers on the list that get nothing new for now: draining, resting, or on trial after a rest."""
+        """Counts the listed servers that get no new requests: draining, ejected or half-open."""
         return sum(
-            s.state is not ServerState.ACTIVE or s.rest_until > now or s.consecutive_failures >= STRIKES
+            s.state is not ServerState.ACTIVE
+            or s.ejected_until > now
+            or s.consecutive_failures >= EJECTION_FAILURES
             for s in self.servers.values()
         )
 
     # 1. Events
 
     def on_arrival(self, now: float, event: Arrival) -> None:
-        spec, endpoint = self.settings.classes[event.cls], self.endpoint_of[event.cls]
-        level = self.level_of(now, spec, event.tenant)
-        if event.tenant < len(self.asked) and not event.is_retry:
-            self.asked[event.tenant] += 1
-        self.retries = min(RETRY_BURST, self.retries + RETRY_SHARE)
-        # A client's wait runs over all its tries: one that has less of it left than others had is a repeat,
-        # and its aim counts from the first. Clients don't say so everywhere.
-        left = min(event.client_deadline - now, event.after_ms)
-        self.patience[event.cls] = max(self.patience[event.cls], left)
-        waited = self.patience[event.cls] - left
-        if waited > SHORT_OF_AIM * endpoint.aim and not event.is_retry:
-            # Only as many are repeats as were turned away. Others just come with less time: taken for
-            # repeats whose aim has passed they would fail unsent beside idle servers.
-            if self.turned_away < 1:
+        spec, queue = self.settings.classes[event.cls], self.queue_of_class[event.cls]
+        level = self.priority_level(now, spec, event.tenant)
+        if event.tenant < len(self.tenant_arrivals) and not event.is_retry:
+            self.tenant_arrivals[event.tenant] += 1
+        self.retry_budget = min(RETRY_BUDGET_MAX, self.retry_budget + RETRIES_PER_ARRIVAL)
+        # A client's wait spans all its tries. A request with less of it left than others had is a retry, and
+        # its latency target counts from the first try. Not all clients mark their retries.
+        remaining = min(event.client_deadline - now, event.response_wait_ms)
+        self.longest_wait[event.cls] = max(self.longest_wait[event.cls], remaining)
+        waited = self.longest_wait[event.cls] - remaining
+        if waited > FIRST_TRY_SHORTFALL_FRACTION * queue.target_ms and not event.is_retry:
+            # No more of them are retries than rejections explain. The others are first tries with a shorter
+            # wait: as retries past their latency target they would fail unsent beside idle servers.
+            if self.expected_retries < 1:
                 waited = 0.0
-            self.turned_away = max(self.turned_away - 1, 0.0)
-        if self.many and event.key is not None:
-            self.met[event.key] = self.met.get(event.key, 0.0) + 1
-            self.met_all += 1
-        request = Request(event, spec, endpoint, now, now - waited, self.rng.random() if self.many else 0.0)
+            self.expected_retries = max(self.expected_retries - 1, 0.0)
+        if self.large_tier and event.key is not None:
+            self.key_counts[event.key] = self.key_counts.get(event.key, 0.0) + 1
+            self.key_count_total += 1
+        request = Request(
+            event, spec, queue, now, now - waited, self.rng.random() if self.large_tier else 0.0
+        )
         self.requests[event.request] = request
-        if self.buckets and (lack := self.over_limits(now, event)):
-            self.refuse(request, lack)
+        if self.buckets and (limit_wait_ms := self.take_limit_tokens(now, event)):
+            self.refuse(request, limit_wait_ms)
             return
         if level >= 3:
-            excess = endpoint.excess(now)
-            if self.sparse:  # its buffer is mostly empty, and few waits are seen: the wait to come counts
-                wait = -self.refill_credit(now) * self.all_latency / self.allow
-                excess = max(excess, wait / endpoint.threshold())
-            endpoint.flag(now, excess > 1)
-            # Level 3 goes in proportion to the wait beyond the flag. Level 4 goes as soon as it is set and
-            # comes back by degrees: let in at once, it would fill the servers up to the next flag.
-            cleared = (now - endpoint.flagged_at) / (endpoint.release * endpoint.aim)
-            # After a lone flag it is let in beside an empty buffer: refused there, it leaves servers idle.
-            kept_out = excess > 0 or endpoint.release > RELEASE_STRICT
-            if self.rng.random() < (1 - cleared if level == 4 and kept_out else excess / 3 - 1):
+            ratio = queue.overload_ratio(now)
+            # With a subset the queue is mostly empty and shows few waits, so the expected wait counts.
+            if self.uses_subset:
+                wait = -self.refill_credit(now) * self.overall_latency / self.total_limit
+                ratio = max(ratio, wait / queue.wait_threshold_ms())
+            queue.set_overloaded(now, ratio > 1)
+            # Level 3 is refused in proportion to the wait above the threshold. Level 4 is refused as soon as
+            # the queue is overloaded and readmitted gradually: admitted at once, it would cause the next
+            # overload.
+            readmitted = (now - queue.overloaded_at) / (queue.readmission_span * queue.target_ms)
+            # After a single overload level 4 is admitted if the queue is empty: refusing it idles servers.
+            shed = ratio > 0 or queue.readmission_span > STRICT_READMISSION_SPAN
+            if self.rng.random() < (1 - readmitted if level == 4 and shed else ratio / 3 - 1):
                 self.refuse(request)
                 return
-        if request.long() and not self.may_transfer(request):
+        if request.is_transfer() and not self.accepts_transfer(request):
             self.refuse(request)
-        elif request.useful <= now + 2 * self.settings.tick_ms:
-            self.end(request)  # its time is over as it comes: no later batch could answer it
+        elif request.useful_until <= now + 2 * self.settings.tick_ms:
+            self.end_request(request)  # no later batch could answer it in time
         else:
-            self.heads += 1
-            if not (self.many and self.to_cold(now, request)):
-                self.hold(request, False)
+            self.first_tries += 1
+            if not (self.large_tier and self.send_to_cold(now, request)):
+                self.enqueue(request, False)
 
-    def on_shun(self, now: float, event: Ejection) -> None:
-        """What others saw is less than what we see: one that answered us a moment ago is used on. One that is
-        back from it begins with one request on trial, as from a rest."""
+    def on_ejection(self, now: float, event: Ejection) -> None:
+        """Ejects a server on reports of other proxies, or ends that ejection.
+
+        A recent response to this proxy outweighs the reports, so such a server stays in use. After the
+        ejection the server is half-open, as after an ejection by this proxy.
+        """
         server = self.servers.get(event.server)
-        if server is None or now - server.good_at < OWN_MS:
+        if server is None or now - server.last_success_at < OWN_RESPONSE_PRECEDENCE_MS:
             return
-        if event.for_ms or server.shunned_until:
-            server.shunned_until = now + event.for_ms
+        if event.duration_ms or server.peer_ejected_until:
+            server.peer_ejected_until = now + event.duration_ms
 
     def failing_servers(self, now: float) -> dict[str, int]:
-        """Servers that failed ourselves and have not answered since, with how often, up to a rest."""
-        own = (s for s in self.active if s.consecutive_failures and s.good_at < s.failed_at)
-        mine = (s for s in own if s.rest_until > now or now - s.failed_at < EVIDENCE_MS)
-        return {s.id: min(s.consecutive_failures, STRIKES) for s in mine}
-
-    def healthy_servers(self, now: float, accused: Iterable[str]) -> list[str]:
-        """Of those that somebody finds bad the ones that answered us a moment ago, and did not fail since."""
-        known = (s for name in accused if (s := self.servers.get(name)) is not None)
-        return [s.id for s in known if s.failed_at < s.good_at and now - s.good_at < OWN_MS]
-
-    def on_part(self, now: float, event: LimitAllocation) -> None:
-        bucket = self.buckets.setdefault(event.limit, Bucket(event, now))
+        """Returns the servers that failed this proxy and have not responded since.
+
+        The values are their consecutive failures, EJECTION_FAILURES at the most.
+        """
+        failing = (s for s in self.active if s.consecutive_failures and s.last_success_at < s.last_failure_at)
+        recent = (
+            s for s in failing if s.ejected_until > now or now - s.last_failure_at < FAILURE_EVIDENCE_MS
+        )
+        return {s.id: min(s.consecutive_failures, EJECTION_FAILURES) for s in recent}
+
+    def healthy_servers(self, now: float, reported: Iterable[str]) -> list[str]:
+        """Returns those of the reported servers that responded recently and have not failed since."""
+        known = (s for name in reported if (s := self.servers.get(name)) is not None)
+        return [
+            s.id
+            for s in known
+            if s.last_failure_at < s.last_success_at and now - s.last_success_at < OWN_RESPONSE_PRECEDENCE_MS
+        ]
+
+    def on_limit_allocation(self, now: float, event: LimitAllocation) -> None:
+        bucket = self.buckets.setdefault(event.limit, TokenBucket(event, now))
         bucket.refill(now)
-        bucket.part = event
+        bucket.allocation = event
         bucket.refill(now)
 
-    def over_limits(self, now: float, event: Arrival) -> float:
-        """Take one of each limit that holds for it; ms until all have one again, and none is taken, if
-        not."""
-        under = [
+    def take_limit_tokens(self, now: float, event: Arrival) -> float:
+        """Takes one token from each limit that applies and returns 0.
+
+        If a limit has no token, takes none and returns the time in ms until all of them have one.
+        """
+        applicable = [
             bucket
             for bucket in self.buckets.values()
-            if bucket.part.cls in (-1, event.cls) and bucket.part.tenant in (-1, event.tenant)
+            if bucket.allocation.cls in (-1, event.cls) and bucket.allocation.tenant in (-1, event.tenant)
         ]
-        lack = 0.0
-        for bucket in under:
+        wait_ms = 0.0
+        for bucket in applicable:
             bucket.demand += 1
             if bucket.refill(now) < 1:
-                lack = max(lack, bucket.lack_ms())
-        if not lack:
-            for bucket in under:
+                wait_ms = max(wait_ms, bucket.wait_ms())
+        if not wait_ms:
+            for bucket in applicable:
                 bucket.tokens -= 1
-        return lack
+        return wait_ms
 
-    def may_transfer(self, request: Request) -> bool:
+    def accepts_transfer(self, request: Request) -> bool:
+        """Whether the limits on transfers, in all and of at least one preferred server, admit another one."""
         settings = self.settings
         if self.transfers >= settings.all_transfers:
             return False
-        if self.transfer_bytes + request.holds > settings.all_transfer_bytes:
+        if self.transfer_bytes + request.buffered_bytes > settings.all_transfer_bytes:
             return False
-        return not self.preferred or any(self.takes(request, server) for server in self.preferred)
+        return not self.preferred or any(self.fits_transfer(request, server) for server in self.preferred)
 
-    def takes(self, request: Request, server: Server) -> bool:
-        """A transfer goes where those in progress leave it room. What is short may always go."""
-        if not request.long():
+    def fits_transfer(self, request: Request, server: Server) -> bool:
+        """Whether the server's limits on transfers admit the request; a short request always fits."""
+        if not request.is_transfer():
             return True
-        room = self.settings.node_transfer_bytes - server.transfer_bytes
-        return server.transfers < self.settings.node_transfers and request.holds <= room
+        free_bytes = self.settings.node_transfer_bytes - server.transfer_bytes
+        return server.transfers < self.settings.node_transfers and request.buffered_bytes <= free_bytes
 
-    def level_of(self, now: float, spec: RequestClass, tenant: int) -> int:
+    def priority_level(self, now: float, spec: RequestClass, tenant: int) -> int:
+        """Returns the level for load shedding, from 1 (never shed) to 4 (shed first), and uses up quota."""
         worth = spec.worth / self.best_worth
-        if tenant < len(self.quota_left):
-            rate = self.settings.quotas[tenant] * self.part  # the quota is for all proxies together
-            left = self.quota_left[tenant] + (now - self.quota_at[tenant]) * rate / 1000
-            left = min(left, max(rate * OVER_BURST_S, OVER_LEAST))
-            self.quota_at[tenant] = now
-            if left >= 1:
-                left -= 1
+        if tenant < len(self.quota_tokens):
+            rate = self.settings.quotas[tenant] * self.traffic_fraction  # a quota is for all proxies together
+            tokens = self.quota_tokens[tenant] + (now - self.quota_refilled_at[tenant]) * rate / 1000
+            tokens = min(tokens, max(rate * QUOTA_BURST_S, QUOTA_BURST_MIN_REQUESTS))
+            self.quota_refilled_at[tenant] = now
+            if tokens >= 1:
+                tokens -= 1
             else:
                 worth *= self.settings.over_share_worth
-            self.quota_left[tenant] = left
-        return 1 + sum(worth < bound for bound in LEVELS)
-
-    def hold(self, request: Request, front: bool) -> None:
-        request.is_queued, queue = True, request.endpoint.queue
-        (queue.appendleft if front else queue.append)(request)
-        # Sent later than this it can't be useful. At most half its time is set aside: were the usual
-        # latency above the aim, nothing would ever be sent again and the latency never be corrected.
-        spare = self.fair_chance(request)
-        request.last_call = min(request.useful - spare, request.give_up - BEAT_MS - 2 * self.settings.tick_ms)
+            self.quota_tokens[tenant] = tokens
+        return 1 + sum(worth < bound for bound in LEVEL_WORTH_BOUNDS)
+
+    def enqueue(self, request: Request, at_front: bool) -> None:
+        request.is_queued, pending = True, request.queue.pending
+        (pending.appendleft if at_front else pending.append)(request)
+        # Sent any later, the response would come too late. The time reserved for it is at most half the
+        # target: if the usual latency were above the target, nothing would be sent and the latency never be
+        # corrected.
+        reserved = self.ordinary_latency(request)
+        request.send_by = min(
+            request.useful_until - reserved,
+            request.deadline - HOUSEKEEPING_INTERVAL_MS - 2 * self.settings.tick_ms,
+        )
         if not request.attempts:
-            half = request.arrived + UNSENT_PART * (request.give_up - request.arrived)
-            request.last_call = min(request.last_call, half)
-        self.at(min(request.last_call, request.aim_end - spare), request)
+            unsent_until = request.arrived_at + UNSENT_WAIT_FRACTION * (request.deadline - request.arrived_at)
+            request.send_by = min(request.send_by, unsent_until)
+        self.schedule(min(request.send_by, request.target_deadline - reserved), request)
 
-    def fair_chance(self, request: Request) -> float:
-        """How long an attempt may take and still be an ordinary one."""
-        mean, spread = self.class_latency[request.cls]
-        return min(mean + FAIR_SPREADS * spread, request.endpoint.aim / 2)
+    def ordinary_latency(self, request: Request) -> float:
+        """Returns the latency that an ordinary attempt of the class does not exceed."""
+        mean, deviation = self.class_latency[request.cls]
+        return min(mean + ORDINARY_LATENCY_DEVIATIONS * deviation, request.queue.target_ms / 2)
 
     def on_outcome(self, now: float, event: Outcome) -> None:
         request = self.requests.get(event.request)
@@ -531,234 +666,287 @@
         attempt = request.attempts[event.attempt]
         if not attempt.open:
             return
-        attempt.open, attempt.maybe_ran = False, event.result not in NEVER_RAN
-        request.open -= 1
-        delay = event.latency_ms if attempt.whole_at == attempt.sent else max(now - attempt.whole_at, 0.0)
-        # Also of one given up: work stops when its connection closes.
-        self.leave(request, attempt, delay)
-        if attempt.begun:
-            self.learn_end(now, attempt.server, event.result, attempt.begun)
-        elif attempt.whole_at < inf:
-            self.learn(now, request, attempt, event.result, delay)
+        attempt.open, attempt.may_have_run = False, event.result not in NEVER_RAN
+        request.open_attempts -= 1
+        latency = (
+            event.latency_ms
+            if attempt.forwarded_at == attempt.sent_at
+            else max(now - attempt.forwarded_at, 0.0)
+        )
+        # An abandoned attempt ends here as well: the server stops its work when the connection closes.
+        self.remove_attempt(request, attempt, latency)
+        if attempt.response_started:
+            self.observe_transfer_end(now, attempt.server, event.result, attempt.response_started)
+        elif attempt.forwarded_at < inf:
+            self.observe_outcome(now, request, attempt, event.result, latency)
         else:
-            self.learn_end(now, attempt.server, event.result, attempt.begun)
-            request.time_from(now, now)  # what it took was the upload's time
-        if event.finished or request.over:
-            if not request.over:
-                self.call_off(request)
-            self.close(request)
+            self.observe_transfer_end(now, attempt.server, event.result, attempt.response_started)
+            request.start_response_clock(now, now)  # the time so far was the upload's
+        if event.finished or request.finished:
+            if not request.finished:
+                self.cancel_other_attempts(request)
+            self.finish(request)
             return
-        if request.open == 0:
-            self.again(now, request, event.result)
+        if request.open_attempts == 0:
+            self.retry_or_end(now, request, event.result)
 
-    def call_off(self, request: Request) -> None:
-        """Its answer is here, or has begun: another copy is of no more use."""
+    def cancel_other_attempts(self, request: Request) -> None:
+        """Cancels the attempts without a response, now that another attempt has brought one."""
         if self.settings.may_cancel:
-            rest = [n for n, a in enumerate(request.attempts) if a.open and not a.begun]
-            self.actions.extend(Cancel(request.id, n) for n in rest)
+            others = [n for n, a in enumerate(request.attempts) if a.open and not a.response_started]
+            self.actions.extend(Cancel(request.id, n) for n in others)
 
-    def enter(self, request: Request, attempt: Attempt) -> None:
-        """Count it where it is now: at work at its server, or a transfer."""
+    def add_attempt(self, request: Request, attempt: Attempt) -> None:
+        """Counts an attempt in its present state: executing at its server, or a transfer."""
         server = attempt.server
-        if attempt.at_work:
-            self.out_count += 1
+        if attempt.executing:
+            self.in_flight += 1
             server.inflight += 1
-            server.peak = max(server.peak, server.inflight)
+            server.peak_inflight = max(server.peak_inflight, server.inflight)
         else:
-            self.move(request, server, 1)
+            self.count_transfer(request, server, 1)
 
-    def leave(self, request: Request, attempt: Attempt, delay: float) -> None:
-        if attempt.at_work:
-            self.out_count -= 1
-            self.credit -= delay
+    def remove_attempt(self, request: Request, attempt: Attempt, latency: float) -> None:
+        """Reverses `add_attempt`; an executing attempt uses up `latency` ms of the total limit's credit."""
+        if attempt.executing:
+            self.in_flight -= 1
+            self.credit_ms -= latency
             attempt.server.inflight -= 1
         else:
-            self.move(request, attempt.server, -1)
+            self.count_transfer(request, attempt.server, -1)
 
-    def move(self, request: Request, server: Server, sign: int) -> None:
+    def count_transfer(self, request: Request, server: Server, sign: int) -> None:
         server.transfers += sign
-        server.transfer_bytes += sign * request.holds
+        server.transfer_bytes += sign * request.buffered_bytes
         self.transfers += sign
-        self.transfer_bytes += sign * request.holds
+        self.transfer_bytes += sign * request.buffered_bytes
 
-    def learn_end(self, now: float, server: Server, result: Result, begun: bool) -> None:
-        """The end of a transfer tells whether the server holds, and nothing of its speed."""
+    def observe_transfer_end(
+        self, now: float, server: Server, result: Result, response_started: bool
+    ) -> None:
+        """Learns from the end of a transfer whether the server works; it says nothing about latency."""
         if result is Result.OK:
-            server.consecutive_failures, server.rest_ms = 0, REST_MS[0]
+            server.consecutive_failures, server.ejection_ms = 0, EJECTION_MS_RANGE[0]
         elif result in (Result.RESET, Result.TIMEOUT, Result.CONNECT_FAILED, Result.FULL):
-            server.plays = min(server.plays + 1, 1 / PAYOFF_STEP)
-            self.outcomes += 1
-            # For what was begun, once more: its beginning was taken for a win.
-            server.reward *= (1 - PAYOFF_STEP) ** (2 if begun else 1)
-            self.strike(now, server)
-
-    def learn(self, now: float, request: Request, attempt: Attempt, result: Result, delay: float) -> None:
+            server.recent_outcomes = min(server.recent_outcomes + 1, 1 / REWARD_SMOOTHING)
+            self.recent_outcomes += 1
+            # A started response counts twice: its start was counted as a success.
+            server.reward *= (1 - REWARD_SMOOTHING) ** (2 if response_started else 1)
+            self.record_failure(now, server)
+
+    def observe_outcome(
+        self, now: float, request: Request, attempt: Attempt, result: Result, latency: float
+    ) -> None:
+        """Updates all statistics from the end of an execution, which took `latency` ms."""
         server = attempt.server
-        # A delay of nothing, below the clock's grain, must not become a latency to divide by.
-        delay = max(delay, 0.001)
-        if result in GIVEN_UP:
-            # Were only the answers counted, each attempt given up would make the next look later still.
-            fair = self.fair_chance(request)
-            self.learn_class(request.cls, delay)
-            if delay < fair:
-                return  # sent too late to have a fair chance: says nothing of the server
+        # A latency of 0, below the resolution of the clock, must not become a divisor.
+        latency = max(latency, 0.001)
+        if result in ABANDONED:
+            # If only responses counted, each abandoned attempt would let the next request be sent even later.
+            ordinary = self.ordinary_latency(request)
+            self.observe_class_latency(request.cls, latency)
+            if latency < ordinary:
+                return  # sent too late for an ordinary response: says nothing about the server
         if result in (Result.CANCELLED, Result.NOT_SENT, Result.NO_ROOM, Result.INVALID):
-            return  # our own doing, likewise, or the client's
-        server.plays = min(server.plays + 1, 1 / PAYOFF_STEP)
-        self.outcomes += 1
-        # The aim counts from the send here: a server isn't blamed for the wait in our buffer.
-        won = result is Result.OK and delay <= request.endpoint.aim
-        if self.sparse:
-            self.learn_allow(request, server, result, delay)
-        # Of few outcomes each counts for more, or one of many proxies would never tell servers apart.
-        step = max(PAYOFF_STEP, self.many / (1 + server.plays))
-        server.reward += ((1.0 if won else 0.0) - server.reward) * step
+            return  # caused by this proxy or by the client
+        server.recent_outcomes = min(server.recent_outcomes + 1, 1 / REWARD_SMOOTHING)
+        self.recent_outcomes += 1
+        # The latency target counts from the send here: the server did not cause the time in this proxy's
+        # queue.
+        on_time = result is Result.OK and latency <= request.queue.target_ms
+        if self.uses_subset:
+            self.adjust_total_limit(request, server, result, latency)
+        # In a large tier few outcomes count for more each; otherwise servers would never be told apart.
+        smoothing = max(REWARD_SMOOTHING, self.large_tier / (1 + server.recent_outcomes))
+        server.reward += ((1.0 if on_time else 0.0) - server.reward) * smoothing
         if result is Result.OK:
-            server.silent_from = server.good_at = now
-            server.shunned_until = 0.0
-            self.doubt(now, server, delay <= DOUBT_SLOW * self.class_floor[request.cls])
-            if not attempt.begun:  # else its end will tell
-                server.consecutive_failures, server.rest_ms = 0, REST_MS[0]
-            server.answered += 1
-            endpoint = request.endpoint
-            endpoint.latency = smooth(endpoint.latency, delay)
-            mean = self.learn_class(request.cls, delay)
-            self.all_latency = smooth(self.all_latency, delay)
-            part_of_aim = min(delay / endpoint.aim, 1.0)
-            if not self.sparse:
-                self.learn_crowd(part_of_aim)
-            # Classes differ in work: scale to the mix, so a run of long ones doesn't look like a queue.
-            server.learn_latency(delay * self.all_latency / mean, part_of_aim)
+            server.silent_since = server.last_success_at = now
+            server.peer_ejected_until = 0.0
+            self.update_restart_suspicion(
+                now, server, latency <= WARM_EVIDENCE_LATENCIES * self.class_base_latency[request.cls]
+            )
+            if not attempt.response_started:  # otherwise the end of the response will tell
+                server.consecutive_failures, server.ejection_ms = 0, EJECTION_MS_RANGE[0]
+            server.responses_this_second += 1
+            queue = request.queue
+            queue.latency = smoothed(queue.latency, latency)
+            class_mean = self.observe_class_latency(request.cls, latency)
+            self.overall_latency = smoothed(self.overall_latency, latency)
+            fraction_of_target = min(latency / queue.target_ms, 1.0)
+            if not self.uses_subset:
+                self.observe_congestion(fraction_of_target)
+            # Classes differ in work. Scaled to the mean of all, a run of long requests is no congestion.
+            server.observe_latency(latency * self.overall_latency / class_mean, fraction_of_target)
             return
         if result in (Result.FULL, Result.TIMEOUT):
-            server.cut(FAIL_CUT)
-        self.strike(now, server, self.many and result is Result.CONNECT_FAILED)
-
-    def doubt(self, now: float, server: Server, quick: bool) -> None:
-        """It answers. After an outage it may have started anew and no list has told so yet: one of many feeds
-        it as one that has, until its answers are as quick as those of others, or a list would have told."""
-        if server.doubt_until > now:
-            server.signs += quick
-            if server.signs >= DOUBT_SIGNS:
-                server.doubt_until = 0.0
-        elif self.many and server.consecutive_failures >= STRIKES and now - server.failing_from >= DOUBT_OUT_MS:
-            server.doubt_until, server.signs = now + DOUBT_MS, int(quick)
-
-    def strike(self, now: float, server: Server, sure: bool = False) -> None:
-        """`sure`: one failure is enough. What takes no connection serves nobody, and where each of many
-        proxies needs three to see it, a server that has gone costs all of them a hundred."""
-        server.failed_at = now
+            server.cut_limit(OVERLOAD_FAILURE_LIMIT_FACTOR)
+        self.record_failure(now, server, self.large_tier and result is Result.CONNECT_FAILED)
+
+    def update_restart_suspicion(self, now: float, server: Server, quick: bool) -> None:
+        """Starts or ends the suspicion, on a response of the server, that the server has restarted.
+
+        After an outage it may have restarted although no list has reported that yet. In a large tier it is
+        then treated as cold until it responds as quickly as others, or until a list would have reported the
+        restart.
+        """
+        if server.restart_suspected_until > now:
+            server.quick_responses += quick
+            if server.quick_responses >= WARM_EVIDENCE_RESPONSES:
+                server.restart_suspected_until = 0.0
+        elif (
+            self.large_tier
+            and server.consecutive_failures >= EJECTION_FAILURES
+            and now - server.first_failure_at >= SUSPECTED_RESTART_OUTAGE_MS
+        ):
+            server.restart_suspected_until, server.quick_responses = now + SUSPECTED_RESTART_MS, int(quick)
+
+    def record_failure(self, now: float, server: Server, certain: bool = False) -> None:
+        """Counts a failure and ejects the server after EJECTION_FAILURES consecutive ones.
+
+        `certain`: one failure is enough. A server that accepts no connection serves no client, and if each
+        proxy of a large tier needed three failures to see it, a server that is gone would cost a hundred
+        attempts.
+        """
+        server.last_failure_at = now
         if not server.consecutive_failures:
-            server.failing_from = now
-        server.consecutive_failures = STRIKES if sure else server.consecutive_failures + 1
-        if server.consecutive_failures >= STRIKES and server.rest_until <= now:
-            self.rest(now, server, sure)
-
-    def learn_crowd(self, part_of_aim: float) -> None:
-        """All servers together: one of several proxies sees too few answers of each to cut limits in time."""
-        self.crowd += (part_of_aim - self.crowd) * LATENCY_STEP
-        self.crowd_samples += 1
-        if self.crowd_samples >= max(1 / LATENCY_STEP, sum(s.limit for s in self.active)):
-            self.crowd_samples = 0
-            for server in self.active if self.crowd > CROWD else ():
-                server.cut(LIMIT_CUT)
-
-    def learn_allow(self, request: Request, server: Server, result: Result, delay: float) -> None:
-        """One of many proxies has less than one request at each server: only a limit on all it has in flight
-        can follow the load, and only outcomes of all servers together are enough to learn it from."""
-        usual = min(CROWDED * (self.class_floor[request.cls] or 1e9), SPOILT * request.endpoint.aim)
-        if result in (Result.FULL, Result.TIMEOUT) or delay > usual:
-            if server.reward > self.usual_payoff() / 2:  # a server known to be bad tells nothing of the rest
-                self.allow = max(ALLOW_LEAST, self.allow * (1 - ALLOW_DOWN))
-        elif result is Result.OK and self.allow < 2 + 2 * self.out_count:
-            self.allow += ALLOW_UP * sqrt(self.allow)
-
-    def learn_class(self, cls: int, delay: float) -> float:
-        mean, spread = self.class_latency[cls]
-        spread = spread + (abs(delay - mean) - spread) * LATENCY_STEP if mean else delay / 2
-        mean = smooth(mean, delay)
-        self.class_latency[cls] = (mean, spread)
-        floor = self.class_floor[cls] or mean
-        self.class_floor[cls] = min(floor + (mean - floor) * FLOOR_DRIFT, mean)
+            server.first_failure_at = now
+        server.consecutive_failures = EJECTION_FAILURES if certain else server.consecutive_failures + 1
+        if server.consecutive_failures >= EJECTION_FAILURES and server.ejected_until <= now:
+            self.eject(now, server, certain)
+
+    def observe_congestion(self, fraction_of_target: float) -> None:
+        """Cuts the limits of all servers when the latency of all of them together shows congestion.
+
+        One of several proxies sees too few responses of each server to cut the limits in time.
+        """
+        self.latency_to_target += (fraction_of_target - self.latency_to_target) * LATENCY_SMOOTHING
+        self.latency_samples += 1
+        if self.latency_samples >= max(1 / LATENCY_SMOOTHING, sum(s.limit for s in self.active)):
+            self.latency_samples = 0
+            for server in self.active if self.latency_to_target > CONGESTED_MEAN_FRACTION else ():
+                server.cut_limit(CONGESTION_LIMIT_FACTOR)
+
+    def adjust_total_limit(self, request: Request, server: Server, result: Result, latency: float) -> None:
+        """Raises or lowers the limit on all requests of this proxy in flight.
+
+        A proxy of a large tier has less than one request at each server. Only a limit on all its requests in
+        flight can follow the load, and only the outcomes of all servers together are enough to adapt it.
+        """
+        congested_from = min(
+            CONGESTED_BASE_LATENCIES * (self.class_base_latency[request.cls] or 1e9),
+            CONGESTED_TARGET_FRACTION * request.queue.target_ms,
+        )
+        if result in (Result.FULL, Result.TIMEOUT) or latency > congested_from:
+            if server.reward > self.usual_reward() / 2:  # a failing server says nothing about the others
+                self.total_limit = max(TOTAL_LIMIT_MIN, self.total_limit * (1 - TOTAL_LIMIT_DECREASE))
+        elif result is Result.OK and self.total_limit < 2 + 2 * self.in_flight:
+            self.total_limit += TOTAL_LIMIT_INCREASE * sqrt(self.total_limit)
+
+    def observe_class_latency(self, cls: int, latency: float) -> float:
+        """Updates the mean, deviation and base of the class's latency and returns the mean."""
+        mean, deviation = self.class_latency[cls]
+        deviation = (
+            deviation + (abs(latency - mean) - deviation) * LATENCY_SMOOTHING if mean else latency / 2
+        )
+        mean = smoothed(mean, latency)
+        self.class_latency[cls] = (mean, deviation)
+        base = self.class_base_latency[cls] or mean
+        self.class_base_latency[cls] = min(base + (mean - base) * BASE_LATENCY_DRIFT, mean)
         return mean
 
-    def rest(self, now: float, server: Server, sure: bool) -> None:
-        # When all are slow the trouble is not this server: more than half never rest, nor does a usual one.
-        resting = sum(1 for s in self.active if s.consecutive_failures >= STRIKES and s is not server)
-        usual = not sure and server.reward > self.usual_payoff() / 2
-        if 2 * (resting + 1) > len(self.active) or usual:
+    def eject(self, now: float, server: Server, certain: bool) -> None:
+        # If all servers are slow, this one is not the cause: at most half of them are ejected at a time, and
+        # none whose reward is ordinary.
+        others = sum(
+            1 for s in self.active if s.consecutive_failures >= EJECTION_FAILURES and s is not server
+        )
+        ordinary = not certain and server.reward > self.usual_reward() / 2
+        if 2 * (others + 1) > len(self.active) or ordinary:
             server.consecutive_failures = 0
             return
-        server.rest_until = now + server.rest_ms * self.rng.uniform(0.75, 1.25)
-        server.rest_ms = min(2 * server.rest_ms, REST_MS[1])
-        self.actions.append(Log(f"rest {server.id}: {server.consecutive_failures} failures in a row"))
+        server.ejected_until = now + server.ejection_ms * self.rng.uniform(0.75, 1.25)
+        server.ejection_ms = min(2 * server.ejection_ms, EJECTION_MS_RANGE[1])
+        self.actions.append(Log(f"ejected {server.id}: {server.consecutive_failures} failures in a row"))
 
-    def usual_payoff(self) -> float:
+    def usual_reward(self) -> float:
         return sum(s.reward for s in self.preferred) / max(len(self.preferred), 1)
 
-    def again(self, now: float, request: Request, result: Result) -> None:
-        """An attempt failed and none is out: another one, a refusal or a failure."""
-        spec, ran = request.spec, request.first_run()
-        if result in (Result.NOT_SENT, Result.INVALID) or not self.may_follow(now, request):
-            self.end(request)
-        elif ran is None:
-            self.hold(request, True)
-        elif self.retries < 1:
-            self.end(request)
+    def retry_or_end(self, now: float, request: Request, result: Result) -> None:
+        """Retries, refuses or fails a request whose last open attempt has failed."""
+        spec, executed = request.spec, request.first_execution()
+        if result in (Result.NOT_SENT, Result.INVALID) or not self.may_retry(now, request):
+            self.end_request(request)
+        elif executed is None:
+            self.enqueue(request, True)
+        elif self.retry_budget < 1:
+            self.end_request(request)
         elif spec.effect is Effect.SAFE:
-            self.retries -= 1
-            self.hold(request, True)
+            self.retry_budget -= 1
+            self.enqueue(request, True)
         else:
-            self.retries -= 1
+            self.retry_budget -= 1
             request.is_queued = True
-            self.bound.append(request)
-            usual = min(self.class_latency[request.cls][0], spec.aim_ms / 2)
-            request.last_call = min(request.useful - usual, ran.sent + spec.window_ms - BEAT_MS)
-            self.at(request.last_call, request)
-
-    def send_bound(self, now: float) -> None:
-        """Only the group that drops a keyed request's repeats may see it again, as soon as it has room."""
-        waiting, self.bound = self.bound, []
-        for request in waiting:
-            ran = request.first_run()
-            if not request.is_queued or ran is None:
+            self.scoped_retries.append(request)
+            usual_latency = min(self.class_latency[request.cls][0], spec.aim_ms / 2)
+            request.send_by = min(
+                request.useful_until - usual_latency,
+                executed.sent_at + spec.window_ms - HOUSEKEEPING_INTERVAL_MS,
+            )
+            self.schedule(request.send_by, request)
+
+    def send_scoped_retries(self, now: float) -> None:
+        """Sends the retries of keyed requests within their idempotency scope, once it has capacity."""
+        queued, self.scoped_retries = self.scoped_retries, []
+        for request in queued:
+            executed = request.first_execution()
+            if not request.is_queued or executed is None:
                 continue
-            group = self.group_of(now, request, ran)
-            if group and now < request.last_call:
+            candidates = self.scope_candidates(now, request, executed)
+            if candidates and now < request.send_by:
                 request.is_queued = False
-                self.send(now, request, self.pick(request, group))
+                self.send(now, request, self.pick(request, candidates))
             else:
-                self.bound.append(request)
+                self.scoped_retries.append(request)
 
-    def end(self, request: Request) -> None:
-        """The final answer for a request that will not be sent again."""
-        if self.settings.refuse_unsent and request.first_run() is None:
+    def end_request(self, request: Request) -> None:
+        """Gives the final answer to a request that will not be sent again."""
+        if self.settings.refuse_unsent and request.first_execution() is None:
             self.refuse(request)
             return
         self.actions.append(Fail(request.id))
-        self.close(request)
+        self.finish(request)
+
+    def refuse(self, request: Request, limit_wait_ms: float = 0.0) -> None:
+        """Refuses a request and advises the client when to retry.
 
-    def refuse(self, request: Request, lack: float = 0.0) -> None:
-        """Low levels are let in again over the endpoint's release, what a limit turns away once that has room
-        (`lack`): that is when to come back."""
-        wait = min(lack or request.endpoint.release * request.endpoint.aim, self.settings.max_retry_after_ms)
-        self.turned_away = min(self.turned_away + AWAY_EACH, AWAY_MOST)
+        That is when the rate limit that rejected it has a token (`limit_wait_ms`), or else the time over
+        which the low levels are readmitted.
+        """
+        wait = min(
+            limit_wait_ms or request.queue.readmission_span * request.queue.target_ms,
+            self.settings.max_retry_after_ms,
+        )
+        self.expected_retries = min(
+            self.expected_retries + EXPECTED_RETRIES_PER_REJECTION, EXPECTED_RETRIES_MAX
+        )
         self.actions.append(Refuse(request.id, wait if self.settings.retry_after else 0.0))
-        self.close(request)
+        self.finish(request)
 
-    def close(self, request: Request) -> None:
-        """It is over; it is kept only until the attempts still out have ended."""
-        request.over, request.is_queued = True, False
-        if request.open == 0:
+    def finish(self, request: Request) -> None:
+        """Marks a request as finished; it is kept only until its open attempts have ended."""
+        request.finished, request.is_queued = True, False
+        if request.open_attempts == 0:
             del self.requests[request.id]
 
-    def on_client_gone(self, event: ClientDisconnected) -> None:
+    def on_client_disconnected(self, event: ClientDisconnected) -> None:
         if (request := self.requests.get(event.request)) is None:
             return
-        self.turned_away = min(self.turned_away + AWAY_EACH, AWAY_MOST)
+        self.expected_retries = min(
+            self.expected_retries + EXPECTED_RETRIES_PER_REJECTION, EXPECTED_RETRIES_MAX
+        )
         if self.settings.may_cancel:
             self.actions.extend(Cancel(request.id, n) for n, a in enumerate(request.attempts) if a.open)
-        self.close(request)
+        self.finish(request)
 
     def open_attempt(self, request_id: str, number: int) -> tuple[Request, Attempt] | None:
         request = self.requests.get(request_id)
@@ -766,53 +954,55 @@
             return None
         return request, request.attempts[number]
 
-    def on_body_sent(self, now: float, event: BodyForwarded) -> None:
-        """The server's work begins, and the time for it. It has a place whether or not there is one left."""
+    def on_body_forwarded(self, now: float, event: BodyForwarded) -> None:
+        """Starts the execution of an attempt and its timeout, whether or not the server has capacity left."""
         found = self.open_attempt(event.request, event.attempt)
-        if found is None or found[1].whole_at < inf:
+        if found is None or found[1].forwarded_at < inf:
             return
         request, attempt = found
-        attempt.whole_at = now
+        attempt.forwarded_at = now
         request.uploading = False
-        if not attempt.begun:
-            self.leave(request, attempt, 0.0)
-            attempt.at_work = True
+        if not attempt.response_started:
+            self.remove_attempt(request, attempt, 0.0)
+            attempt.executing = True
             if attempt.server.inflight == 0:
-                attempt.server.silent_from = now
-            self.enter(request, attempt)
-        if not request.over:
-            request.time_from(now, now)
-            self.actions.append(SetAttemptTimeout(request.id, event.attempt, self.limit_ms(now, request)))
+                attempt.server.silent_since = now
+            self.add_attempt(request, attempt)
+        if not request.finished:
+            request.start_response_clock(now, now)
+            self.actions.append(
+                SetAttemptTimeout(request.id, event.attempt, self.attempt_timeout_ms(now, request))
+            )
 
-    def on_stream(self, now: float, event: ResponseStarted) -> None:
+    def on_response_started(self, now: float, event: ResponseStarted) -> None:
         found = self.open_attempt(event.request, event.attempt)
-        if found is None or found[1].begun:
+        if found is None or found[1].response_started:
             return
         request, attempt = found
-        request.stream, request.is_queued = True, False
-        attempt.begun = True
-        self.call_off(request)
-        if attempt.at_work:
-            self.leave(request, attempt, event.latency_ms)
-            attempt.at_work = False
-            self.enter(request, attempt)
-            self.learn(now, request, attempt, event.result, event.latency_ms)
+        request.streaming, request.is_queued = True, False
+        attempt.response_started = True
+        self.cancel_other_attempts(request)
+        if attempt.executing:
+            self.remove_attempt(request, attempt, event.latency_ms)
+            attempt.executing = False
+            self.add_attempt(request, attempt)
+            self.observe_outcome(now, request, attempt, event.result, event.latency_ms)
 
     def on_list(self, now: float, event: ServerList) -> None:
         if event.kind is ListKind.FAILED:
-            self.ask_failures += 1
-            # Hundreds must not call as one, but a failed call lengthens nothing: the next answer has to be
-            # here before its news counts as told.
-            first, most = ASK_RETRY_MS
-            turns = ASK_RETRY_TURN_MS * self.settings.proxies
-            wait = max(first * 2.0 ** min(self.ask_failures - 1, 10), turns)
-            wait = min(wait, self.settings.must_ask_ms / 2, most)
-            if now < self.moved_at + MOVED_MS and not self.many:
-                wait = MOVED_RETRY_MS
-            self.ask_at = now + wait * self.rng.uniform(0.5, 1.0)
+            self.watch_failures += 1
+            # Hundreds of proxies must not call at once. Still, the delay has a bound however often calls
+            # fail: the next answer has to arrive before the proxy is expected to know the list.
+            first, longest = WATCH_RETRY_MS_RANGE
+            spread = WATCH_RETRY_MS_PER_PROXY * self.settings.proxies
+            delay = max(first * 2.0 ** min(self.watch_failures - 1, 10), spread)
+            delay = min(delay, self.settings.must_ask_ms / 2, longest)
+            if now < self.discovery_changed_at + DISCOVERY_CHANGE_MS and not self.large_tier:
+                delay = DISCOVERY_CHANGE_RETRY_MAX_MS
+            self.watch_at = now + delay * self.rng.uniform(0.5, 1.0)
             return
         if event.kind is not ListKind.SAVED:
-            self.ask_failures, self.ask_at, self.moved_at = 0, None, -inf
+            self.watch_failures, self.watch_at, self.discovery_changed_at = 0, None, -inf
         if event.kind is not ListKind.CHANGES:
             listed = {e.server for e in event.entries}
             for name in [name for name in self.servers if name not in listed]:
@@ -821,88 +1011,111 @@
         for entry in event.entries:
             self.on_entry(now, entry)
         before, self.active = self.active, [s for s in self.servers.values() if s.state is ServerState.ACTIVE]
-        self.size_up(self.active != before)
-        if self.many and self.settings.weights_report_load and event.kind is not ListKind.SAVED:
-            self.weigh(now)
+        self.update_sizes(self.active != before)
+        if self.large_tier and self.settings.weights_report_load and event.kind is not ListKind.SAVED:
+            self.update_key_shares(now)
         if not self.preferred:
-            self.allow = max(ALLOW_LEAST, START_LIMIT * len(self.active) / self.settings.proxies)
-        self.choose_near(now)
+            self.total_limit = max(
+                TOTAL_LIMIT_MIN, INITIAL_LIMIT * len(self.active) / self.settings.proxies
+            )
+        self.choose_preferred(now)
 
-    def size_up(self, changed: bool) -> None:
-        """Keys are placed by size. Where weights tell of load, a server's size is the largest that any of its
-        kind has shown with nothing to do: the same at every proxy within moments of its start."""
+    def update_sizes(self, changed: bool) -> None:
+        """Sets the size of each server, by which keys are placed, and drops the cached rankings on a change.
+
+        Where weights report load, the size is the largest weight without load that any server of the same
+        kind has shown. So it is the same at every proxy shortly after the proxies have started.
+        """
         largest: dict[int, float] = {}
         for s in self.active:
-            largest[s.kind] = max(s.nominal, largest.get(s.kind, 0.0))
+            largest[s.kind] = max(s.nominal_weight, largest.get(s.kind, 0.0))
         for s in self.active:
-            size = largest[s.kind] if self.settings.weights_report_load else s.nominal
+            size = largest[s.kind] if self.settings.weights_report_load else s.nominal_weight
             changed, s.size = changed or size != s.size, size
         if changed:
-            self.orders.clear()
+            self.rankings.clear()
+
+    def update_key_shares(self, now: float) -> None:
+        """Moves keys away from servers whose reported load is above the mean.
 
-    def weigh(self, now: float) -> None:
-        """Weights tell how much each server holds: nominal size / (1 + requests held a core). One of many
-        proxies sees too little of a server to tell; what all hear alike moves all alike, bit by bit."""
+        A weight reports load as: nominal weight / (1 + requests per core). A proxy of a large tier sees too
+        little of a server to measure its load. All proxies get the same reports and change the shares alike,
+        so each report changes them only a little.
+        """
         for s in self.active:
-            s.load += (s.nominal / s.weight - 1 - s.load) * LOAD_STEP
-        warm = [s.load for s in self.active if s.cold_until <= now]  # cold ones hold few, and are to
-        mean = 1 + sum(warm) / max(len(warm), 1)
+            s.load += (s.nominal_weight / s.weight - 1 - s.load) * LOAD_SMOOTHING
+        # Cold servers have few requests by design.
+        warm_loads = [s.load for s in self.active if s.cold_until <= now]
+        mean = 1 + sum(warm_loads) / max(len(warm_loads), 1)
         for s in self.active:
-            s.share = min(1.0, max(SHARE_LEAST, s.share * (mean / (1 + s.load)) ** SHARE_STEP))
-        self.find_reach()
-
-    def find_reach(self) -> None:
-        """Traffic is split unevenly: a limit as an even part holds one proxy's requests back beside idle
-        servers, and others never use theirs. What it has in flight, of all that servers hold, tells its part;
-        so all limits together bind only once servers hold as much as all may send."""
-        held = sum(s.load for s in self.active) / max(len(self.active), 1)
-        even = sum(s.limit for s in self.active)
-        part = FLOOR_OF_MANY * self.usual_out / max(held, 1.0)
-        self.reach = min(max(part / max(even, 0.001), 1.0), REACH_MOST)
-
-    def on_moved(self, now: float) -> None:
-        """Failures of the old service say nothing of the new one, and its drains count as told soon."""
-        self.ask_failures, self.moved_at = 0, now
-        if self.many:  # all are told at once: most of their calls would wait too long, fail, and come again
-            self.ask_at = now + self.turn()
+            s.key_share = min(
+                1.0, max(KEY_SHARE_MIN, s.key_share * (mean / (1 + s.load)) ** KEY_SHARE_EXPONENT)
+            )
+        self.update_limit_scale()
+
+    def update_limit_scale(self) -> None:
+        """Scales this proxy's limits by its fraction of the traffic, which is split unevenly over the tier.
+
+        With a limit for an even share, a proxy with more traffic would queue requests beside idle servers
+        while other proxies leave their limits unused. Its fraction is what it has in flight of all that
+        servers report, so the limits of all proxies together only bind when servers have as much as all may
+        send.
+        """
+        mean_load = sum(s.load for s in self.active) / max(len(self.active), 1)
+        even_share = sum(s.limit for s in self.active)
+        share = MIN_LIMIT_LARGE_TIER * self.mean_in_flight / max(mean_load, 1.0)
+        self.limit_scale = min(max(share / max(even_share, 0.001), 1.0), LIMIT_SCALE_MAX)
+
+    def on_discovery_service_changed(self, now: float) -> None:
+        """Forgets the failures of the old list service and subscribes to the new one.
+
+        The drains that the new service lists count as known after DISCOVERY_CHANGE_MS.
+        """
+        self.watch_failures, self.discovery_changed_at = 0, now
+        # All proxies are notified at once. Unstaggered, most of their calls would time out and be repeated.
+        if self.large_tier:
+            self.watch_at = now + self.watch_stagger_ms()
             return
-        self.ask_at = now + self.settings.must_ask_ms / 2  # should no word come back
+        self.watch_at = now + self.settings.must_ask_ms / 2  # if the call brings no answer
         self.actions.append(Watch())
 
-    def turn(self) -> float:
-        """In how many ms this proxy calls the list service, if all do so."""
+    def watch_stagger_ms(self) -> float:
+        """Returns the delay of this proxy's call to the list service when all proxies call it."""
         proxies, me = self.settings.proxies, self.settings.me
-        span = min(ASK_TURN_MS * proxies, ASK_SPAN_MS, self.settings.must_ask_ms / 2)
+        span = min(WATCH_STAGGER_MS * proxies, WATCH_STAGGER_MAX_MS, self.settings.must_ask_ms / 2)
         return span * (me % proxies + self.rng.random()) / proxies
 
-    def on_proxies(self, now: float, event: TierMembership) -> None:
-        """Others have come or gone: what is a part of something that all share becomes another part of it.
-        Nothing that was learned is forgotten."""
+    def on_tier_membership(self, now: float, event: TierMembership) -> None:
+        """Scales this proxy's shares of all common limits to a new number of proxies; all statistics stay."""
         before = self.settings
         self.settings = settings = replace(before, proxies=max(event.proxies, 1), me=event.me)
-        self.many = settings.proxies > START_LIMIT
-        self.sparse = self.many and not settings.key_affinity
+        self.large_tier = settings.proxies > INITIAL_LIMIT
+        self.uses_subset = self.large_tier and not settings.key_affinity
         factor = before.proxies / settings.proxies
         for server in self.servers.values():
             server.proxies, server.limit = settings.proxies, server.limit * factor
-            server.rank = affinity(settings.me + 1, server)
-        self.allow *= factor
-        self.quota_left = [left * factor for left in self.quota_left]
-        self.part = min(1.0, max(self.part * factor, 1 / settings.proxies))
-        self.choose_near(now)
-
-    def choose_near(self, now: float) -> None:
-        """Of many proxies each keeps to a few servers by hash, more with more traffic: few are soon known and
-        have few connections each. Cold ones only of the own zone: their budget is part of the load there."""
+            server.rank = rendezvous_hash(settings.me + 1, server)
+        self.total_limit *= factor
+        self.quota_tokens = [tokens * factor for tokens in self.quota_tokens]
+        self.traffic_fraction = min(1.0, max(self.traffic_fraction * factor, 1 / settings.proxies))
+        self.choose_preferred(now)
+
+    def choose_preferred(self, now: float) -> None:
+        """Chooses the servers that this proxy sends to: all active ones, or a subset by rendezvous hash.
+
+        The subset grows with the traffic. On few servers the statistics are soon meaningful, and each server
+        has few connections. Cold servers belong to it only in the proxy's own zone, because their slow-start
+        budget is a fraction of the load there.
+        """
         self.preferred = self.active
-        self.near_size = len(self.active)
-        if self.sparse:
-            zone, size = self.settings.zone, max(NEAR, int(self.allow + 1))
+        self.preferred_per_zone = len(self.active)
+        if self.uses_subset:
+            zone, size = self.settings.zone, max(PREFERRED_SERVERS, int(self.total_limit + 1))
             ranked = sorted(self.active, key=lambda s: s.rank)
-            own = [s for s in ranked if s.zone == zone][:size]
-            far = [s for s in ranked if s.zone != zone and s.cold_until <= now][:size]
-            self.preferred, self.near_size = own + far, size
-            self.each = max(1.0, self.allow / max(len(own), 1))
+            local = [s for s in ranked if s.zone == zone][:size]
+            remote = [s for s in ranked if s.zone != zone and s.cold_until <= now][:size]
+            self.preferred, self.preferred_per_zone = local + remote, size
+            self.min_server_limit = max(1.0, self.total_limit / max(len(local), 1))
 
     def on_entry(self, now: float, entry: ServerInfo) -> None:
         server = self.servers.get(entry.server)
@@ -910,366 +1123,469 @@
             if entry.state is ServerState.GONE:
                 return
             server = self.servers[entry.server] = Server(entry, self.settings.proxies)
-            server.rank = affinity(self.settings.me + 1, server)
+            server.rank = rendezvous_hash(self.settings.me + 1, server)
         server.state, server.zone, server.kind, server.cell = entry.state, entry.zone, entry.kind, entry.cell
-        server.weight = entry.weight if entry.weight > 0.01 else 0.01  # also where it is no number
-        server.nominal = max(server.nominal, server.weight)
+        server.weight = entry.weight if entry.weight > 0.01 else 0.01  # 0.01 also for NaN
+        server.nominal_weight = max(server.nominal_weight, server.weight)
         if entry.state is ServerState.GONE:
             del self.servers[entry.server]
             return
         if entry.started != server.started:
-            server.forget()
+            server.reset()
             server.started = entry.started
             if entry.started is not None and entry.started + self.settings.cold_ms > now:
                 server.cold_until = entry.started + self.settings.cold_ms
                 server.limit = min(1.0, server.limit)
-                server.tokens = 0.0
-
-    def on_beat(self, now: float) -> None:
-        self.actions.append(SetTimer(BEAT_MS, 0))
-        self.expire(now)
-        self.colds = [s for s in self.preferred if s.cold(now)]
-        for server in self.colds:
-            self.refill(now, server)
-        self.beat_at = now
-        self.usual_out += (self.out_count - self.usual_out) * OUT_STEP
-        if self.ask_at is not None and now >= self.ask_at:
+                server.slow_start_tokens = 0.0
+
+    def on_tick(self, now: float) -> None:
+        """Does the periodic housekeeping and sets the timer for the next tick."""
+        self.actions.append(SetTimer(HOUSEKEEPING_INTERVAL_MS, 0))
+        self.run_timers(now)
+        self.cold_servers = [s for s in self.preferred if s.is_cold(now)]
+        for server in self.cold_servers:
+            self.refill_slow_start(now, server)
+        self.tick_at = now
+        self.mean_in_flight += (self.in_flight - self.mean_in_flight) * IN_FLIGHT_SMOOTHING
+        if self.watch_at is not None and now >= self.watch_at:
             self.actions.append(Watch())
-            # Should no word come back, ask anew before this proxy counts as told of what it never heard.
-            self.ask_at = now + self.settings.must_ask_ms / 2
+            # If the call brings no answer, call again before this proxy is expected to know the list.
+            self.watch_at = now + self.settings.must_ask_ms / 2
         if now - self.second_at >= 1000:
             self.every_second(now)
 
-    def expire(self, now: float) -> None:
-        while self.due and self.due[0][0] <= now:
-            request = heappop(self.due)[2]
+    def run_timers(self, now: float) -> None:
+        while self.timers and self.timers[0][0] <= now:
+            request = heappop(self.timers)[2]
             if request.is_queued:
-                self.time_up(now, request)
-            elif request.open == 1 and not request.over and now >= request.hedge_at:
+                self.on_queue_timer(now, request)
+            elif request.open_attempts == 1 and not request.finished and now >= request.hedge_at:
                 self.hedge(now, request)
 
     def may_hedge(self, request: Request) -> bool:
-        """A second copy beside the first, where servers drop repeats and one of many proxies can't know which
-        of them is full. Few proxies do know, and there a copy only costs."""
-        keyed = request.spec.effect is Effect.KEYED and not request.long()
-        return keyed and self.many and self.settings.may_duplicate and self.settings.may_cancel
+        """Whether a hedged request may run beside the first attempt.
+
+        It needs servers that drop duplicates and a large tier, where a proxy can't know which of the servers
+        are full. In a small tier a proxy does know, and a hedged request would only add load.
+        """
+        keyed = request.spec.effect is Effect.KEYED and not request.is_transfer()
+        return keyed and self.large_tier and self.settings.may_duplicate and self.settings.may_cancel
 
     def hedge(self, now: float, request: Request) -> None:
-        """Its attempt has had its fair chance: another one to the same group, as long as retries are left and
-        nobody waits to be sent at all. Under overload a second copy takes the place of a first."""
-        if self.retries < 1 or request.stream or not self.may_follow(now, request):
+        """Sends a hedged request in the same idempotency scope when the first attempt is unusually slow.
+
+        It uses the retry budget and is not sent while any request is queued: under overload it would take the
+        capacity of a first attempt.
+        """
+        if self.retry_budget < 1 or request.streaming or not self.may_retry(now, request):
             return
-        ran = request.first_run()
-        if ran is None or any(endpoint.head() is not None for endpoint in self.endpoints):
+        executed = request.first_execution()
+        if executed is None or any(queue.head() is not None for queue in self.queues):
             return
-        if group := self.group_of(now, request, ran):
-            self.retries -= 1
-            self.send(now, request, self.pick(request, group))
+        if candidates := self.scope_candidates(now, request, executed):
+            self.retry_budget -= 1
+            self.send(now, request, self.pick(request, candidates))
         else:
-            self.at(now + 2 * BEAT_MS, request)
-
-    def group_of(self, now: float, request: Request, ran: Attempt) -> list[Server]:
-        """Ready servers that drop repeats of what ran there, other than those that have it."""
-        group = [s for s in self.active if same_group(request.spec.scope, s, ran)]
-        out = [a.server for a in request.attempts if a.open]
-        group = [s for s in group if s not in out and s.has_capacity(now, self.each)]
-        return [s for s in group if not (self.many and s.cold(now)) or request.coin < s.takes]
-
-    def at(self, when: float, request: Request) -> None:
-        self.order += 1
-        heappush(self.due, (when, self.order, request))
-
-    def time_up(self, now: float, request: Request) -> None:
-        """A held request has reached the end of its use; a late answer, if worth something, is only for
-        times when there are servers to spare: under overload it costs a request that is still in time."""
-        if request.endpoint.excess(now) > 1 or now >= request.last_call:
-            self.end(request)
+            self.schedule(now + 2 * HOUSEKEEPING_INTERVAL_MS, request)
+
+    def scope_candidates(self, now: float, request: Request, executed: Attempt) -> list[Server]:
+        """Returns the ready servers in the scope of an executed attempt that don't have the request now."""
+        scope = [s for s in self.active if in_same_scope(request.spec.scope, s, executed)]
+        in_use = [a.server for a in request.attempts if a.open]
+        scope = [s for s in scope if s not in in_use and s.has_capacity(now, self.min_server_limit)]
+        return [
+            s
+            for s in scope
+            if not (self.large_tier and s.is_cold(now)) or request.slow_start_draw < s.slow_start_fraction
+        ]
+
+    def schedule(self, when: float, request: Request) -> None:
+        self.timer_sequence += 1
+        heappush(self.timers, (when, self.timer_sequence, request))
+
+    def on_queue_timer(self, now: float, request: Request) -> None:
+        """Ends a queued request that can no longer meet its latency target.
+
+        If a late response has a worth, the request stays queued while there is no overload. Under overload it
+        would take the capacity of a request that can still be on time.
+        """
+        if request.queue.overload_ratio(now) > 1 or now >= request.send_by:
+            self.end_request(request)
         else:
-            self.at(min(now + 2 * BEAT_MS, request.last_call), request)
+            self.schedule(min(now + 2 * HOUSEKEEPING_INTERVAL_MS, request.send_by), request)
 
-    def may_follow(self, now: float, request: Request) -> bool:
-        """Whether another attempt is allowed and of use if those so far may have run."""
-        spec, ran = request.spec, request.first_run()
-        usual = min(self.class_latency[request.cls][0], spec.aim_ms / 2)
-        if request.sealed or len(request.attempts) >= self.settings.max_attempts:
+    def may_retry(self, now: float, request: Request) -> bool:
+        """Whether another attempt is permitted by the effect of the class and still useful."""
+        spec, executed = request.spec, request.first_execution()
+        usual_latency = min(self.class_latency[request.cls][0], spec.aim_ms / 2)
+        if request.body_discarded or len(request.attempts) >= self.settings.max_attempts:
             return False
-        if now + usual > request.useful:
+        if now + usual_latency > request.useful_until:
             return False
-        if ran is None or spec.effect is Effect.SAFE:
+        if executed is None or spec.effect is Effect.SAFE:
             return True
-        return spec.effect is Effect.KEYED and now + 2 * self.settings.tick_ms < ran.sent + spec.window_ms
+        return (
+            spec.effect is Effect.KEYED
+            and now + 2 * self.settings.tick_ms < executed.sent_at + spec.window_ms
+        )
 
     def every_second(self, now: float) -> None:
+        """Decays the counts and updates the rates that are kept per second."""
         seconds, self.second_at = (now - self.second_at) / 1000, now
-        self.outcomes = 1 + self.outcomes * PLAYS_KEEP
-        self.turned_away *= PLAYS_KEEP
-        self.met_all *= MET_KEEP
-        self.met = {key: n * MET_KEEP for key, n in self.met.items() if n > MET_LEAST}
-        self.find_part(seconds)
-        rate = self.heads / seconds
-        self.heads_rate += (rate - self.heads_rate) * (USAGE_STEP if self.heads_rate else 1)
-        self.heads = 0
-        self.find_comes(now)
+        self.recent_outcomes = 1 + self.recent_outcomes * OUTCOME_DECAY_PER_S
+        self.expected_retries *= OUTCOME_DECAY_PER_S
+        self.key_count_total *= KEY_COUNT_DECAY_PER_S
+        self.key_counts = {
+            key: n * KEY_COUNT_DECAY_PER_S for key, n in self.key_counts.items() if n > KEY_COUNT_MIN
+        }
+        self.update_traffic_fraction(seconds)
+        rate = self.first_tries / seconds
+        self.first_try_rate += (rate - self.first_try_rate) * (USAGE_SMOOTHING if self.first_try_rate else 1)
+        self.first_tries = 0
+        self.update_cold_traffic(now)
         warm: dict[int, list[Server]] = {}
-        self.choose_near(now)
-        usual = self.usual_payoff()
+        self.choose_preferred(now)
+        usual = self.usual_reward()
         for server in self.active:
-            server.plays *= PLAYS_KEEP
-            if server.plays < 1:  # under light load a server once bad would otherwise never be drawn again
-                server.reward += max(usual - server.reward, 0.0) * (FORGET if self.many else 1)
-            rate = server.answered / seconds  # of many the first second counts whole
-            server.rate, server.answered = (
-                (server.rate + rate) / 2 if self.warm_rate or not self.many else rate,
+            server.recent_outcomes *= OUTCOME_DECAY_PER_S
+            # Without recovery, under light load a server that once failed would never be chosen again.
+            if server.recent_outcomes < 1:
+                server.reward += max(usual - server.reward, 0.0) * (
+                    REWARD_RECOVERY_PER_S if self.large_tier else 1
+                )
+            rate = server.responses_this_second / seconds
+            # In a large tier the first second counts in full.
+            server.response_rate, server.responses_this_second = (
+                (server.response_rate + rate) / 2 if self.warm_rate or not self.large_tier else rate,
                 0,
             )
-            mine = not self.sparse or (server.zone == self.settings.zone and server in self.preferred)
-            # One of many has not met most of them yet: counting only those it has would overstate the rest.
-            known = server.latency or (self.many and not server.consecutive_failures)
-            if not server.cold(now) and known and mine:
+            observed = not self.uses_subset or (
+                server.zone == self.settings.zone and server in self.preferred
+            )
+            # A proxy of a large tier has not used most servers yet: counting only those that it has used
+            # would overstate the rate of the others.
+            counted = server.latency or (self.large_tier and not server.consecutive_failures)
+            if not server.is_cold(now) and counted and observed:
                 warm.setdefault(server.kind, []).append(server)
-        # The better half tells what a server of this kind carries: slow and resting ones hide it. Not to one
-        # of many proxies: of counts that are nearly all none or one a second that half is twice the mean.
-        # Held for a while, for when a release leaves no warm server to look at.
+        # The faster half of the servers shows the capacity of their kind: slow and ejected ones would hide
+        # it. In a large tier the counts are mostly 0 or 1, and the mean of that half would be twice the real
+        # rate. The rates decay slowly, for times when a release leaves no warm server to observe.
         before = self.warm_rate
-        self.warm_rate = {kind: rate * WARM_KEEP for kind, rate in self.warm_rate.items()}
+        self.warm_rate = {kind: rate * WARM_RATE_DECAY_PER_S for kind, rate in self.warm_rate.items()}
         for kind, servers in warm.items():
-            rates = sorted(s.rate for s in servers)
-            half = rates if self.many else rates[len(rates) // 2 :]
-            mean = sum(half) / len(half)
-            # The larger of two means by chance is too large: one of many evens out what it sees instead.
-            seen = before.get(kind, mean)
-            even = seen + (mean - seen) * USAGE_STEP
-            self.warm_rate[kind] = even if self.many else max(self.warm_rate.get(kind, 0.0), mean)
-            floors = [s.floor for s in servers if s.latency]
-            self.warm_floor[kind] = sum(floors) / max(len(floors), 1)
-
-    def find_part(self, seconds: float) -> None:
-        """Traffic is seldom split evenly: a proxy alone in its zone would judge all beyond their share. So
-        the tenant in the middle is taken to keep its share, if that makes the part more than one in N."""
+            rates = sorted(s.response_rate for s in servers)
+            counted_rates = rates if self.large_tier else rates[len(rates) // 2 :]
+            mean = sum(counted_rates) / len(counted_rates)
+            # The larger of two noisy means is biased upwards, so a large tier smooths the rate instead.
+            previous = before.get(kind, mean)
+            smoothed_rate = previous + (mean - previous) * USAGE_SMOOTHING
+            self.warm_rate[kind] = (
+                smoothed_rate if self.large_tier else max(self.warm_rate.get(kind, 0.0), mean)
+            )
+            base_latencies = [s.base_latency for s in servers if s.latency]
+            self.warm_base_latency[kind] = sum(base_latencies) / max(len(base_latencies), 1)
+
+    def update_traffic_fraction(self, seconds: float) -> None:
+        """Estimates this proxy's fraction of the tier's traffic from the tenants' usage.
+
+        Traffic is seldom split evenly. A proxy that is alone in its zone would judge all tenants to be over
+        their quota. So the median tenant is assumed to keep to its quota, if that makes the fraction larger
+        than 1 / proxies.
+        """
         for tenant, quota in enumerate(self.settings.quotas):
-            usage = self.asked[tenant] / seconds / max(quota, 0.001)
-            self.usage[tenant] += (usage - self.usage[tenant]) * USAGE_STEP
-            self.asked[tenant] = 0
-        if len(self.usage) > 1 and self.settings.zones > 1:
-            # No more than a whole zone's part: in a flood all are beyond their share, the middle one too.
-            middle = min(sorted(self.usage)[(len(self.usage) - 1) // 2], 1 / self.settings.zones)
-            self.part = max(middle, 1 / self.settings.proxies)
-
-    def find_comes(self, now: float) -> None:
-        """What would come to each cold server, as a part of all that is sent: an even one, and of the popular
-        keys, which are few, as much as they bring."""
-        cold = {s for s in self.active if s.cold(now)}
-        self.comes = {}
-        if not (cold and self.many and self.met_all):
+            usage = self.tenant_arrivals[tenant] / seconds / max(quota, 0.001)
+            self.tenant_usage[tenant] += (usage - self.tenant_usage[tenant]) * USAGE_SMOOTHING
+            self.tenant_arrivals[tenant] = 0
+        if len(self.tenant_usage) > 1 and self.settings.zones > 1:
+            # At most the fraction of a whole zone: in a flood the median tenant is over its quota, too.
+            median = min(
+                sorted(self.tenant_usage)[(len(self.tenant_usage) - 1) // 2], 1 / self.settings.zones
+            )
+            self.traffic_fraction = max(median, 1 / self.settings.proxies)
+
+    def update_cold_traffic(self, now: float) -> None:
+        """Estimates for each cold server the fraction of first tries that it would receive if it were warm.
+
+        That is an even share of all keys but the popular ones, and its share of each popular key's arrivals.
+        """
+        cold = {s for s in self.active if s.is_cold(now)}
+        self.cold_traffic = {}
+        if not (cold and self.large_tier and self.key_count_total):
             return
-        popular = {key: n / self.met_all for key, n in self.met.items() if n >= MET_POPULAR}
-        even = (1 - sum(popular.values())) / len(self.active)
-        self.comes = dict.fromkeys(cold, even)
-        for key, part in popular.items():
-            first = self.order_of(key)[: self.width(key)]
-            for server in cold.intersection(first):
-                self.comes[server] += part / len(first)
-
-    def refill(self, now: float, server: Server) -> None:
-        """A cold server's budget: its part of what we send to a warm one. What all proxies carry is under
-        a server's capacity, so the sum of their parts is under the rule, however traffic is split."""
+        popular = {
+            key: n / self.key_count_total for key, n in self.key_counts.items() if n >= POPULAR_KEY_MIN_COUNT
+        }
+        even_share = (1 - sum(popular.values())) / len(self.active)
+        self.cold_traffic = dict.fromkeys(cold, even_share)
+        for key, fraction in popular.items():
+            ranked = self.ranking(key)[: self.ranking_width(key)]
+            for server in cold.intersection(ranked):
+                self.cold_traffic[server] += fraction / len(ranked)
+
+    def refill_slow_start(self, now: float, server: Server) -> None:
+        """Sets the slow-start budget of a cold server to a fraction of what this proxy sends to a warm one.
+
+        The warm load of all proxies together is below a server's capacity. So the sum of their budgets is
+        below the `fall_multiple` of a cold server's capacity, however the traffic is split.
+        """
         settings = self.settings
-        age = max(0.0, 1 - (server.cold_until - now) / max(settings.cold_ms, 1.0))
-        doubted = server.doubt_until > now  # what was known of it may be of the process before
-        part = settings.start_capacity + (1 - settings.start_capacity) * (0.0 if doubted else age)
-        if server.heard_count * LATENCY_STEP >= 1 and server.kind in self.warm_floor and not doubted:
-            # It has shown its speed: measured against the uncrowded latency of warm ones of its kind.
-            part = max(part, min(1.0, self.warm_floor[server.kind] / server.latency))
-        known = [self.warm_rate[server.kind]] if server.kind in self.warm_rate else self.warm_rate.values()
-        warm = min(known, default=0.0) * part / 1000
-        if not self.many:
-            # Nothing observed yet: one request a window.
-            rate = max(warm * min(COLD_HEAT, settings.fall_multiple / 2), 1 / settings.fall_ms)
+        warmed = max(0.0, 1 - (server.cold_until - now) / max(settings.cold_ms, 1.0))
+        suspected = server.restart_suspected_until > now  # the statistics may be of the previous process
+        fraction = settings.start_capacity + (1 - settings.start_capacity) * (0.0 if suspected else warmed)
+        if (
+            server.responses * LATENCY_SMOOTHING >= 1
+            and server.kind in self.warm_base_latency
+            and not suspected
+        ):
+            # Its latency is known: compare it with the base latency of warm servers of its kind.
+            fraction = max(fraction, min(1.0, self.warm_base_latency[server.kind] / server.latency))
+        known_rates = (
+            [self.warm_rate[server.kind]] if server.kind in self.warm_rate else self.warm_rate.values()
+        )
+        cold_rate = min(known_rates, default=0.0) * fraction / 1000  # requests per ms
+        if not self.large_tier:
+            # With nothing observed yet: one request in `fall_ms`.
+            rate = max(
+                cold_rate * min(SLOW_START_LOAD_FACTOR, settings.fall_multiple / 2), 1 / settings.fall_ms
+            )
             burst = max(1.0, rate * settings.fall_ms / 4)
-            server.tokens = min(burst, server.tokens + rate * (now - self.beat_at))
+            server.slow_start_tokens = min(burst, server.slow_start_tokens + rate * (now - self.tick_at))
             return
-        # Saved up, what each may send would come from all at once when the others are full. So it takes a
-        # part of what would come to it, and of nothing else. What comes is a matter of chance: the mean and
-        # some deviations of it have to fit into a window of all who keep to this server.
-        sharers = max(1.0, settings.proxies * self.near_size / max(len(self.active), 1))
+        # Saved tokens of many proxies would all be spent at once when the other servers are full. So a cold
+        # server receives a fraction of the traffic that a warm one in its place would get, and nothing else.
+        # Arrivals are random: their mean and some deviations have to fit into one window's budget of all
+        # proxies that send to this server.
+        sharers = max(1.0, settings.proxies * self.preferred_per_zone / max(len(self.active), 1))
         window = settings.fall_ms * sharers
-        budget = settings.fall_multiple * warm * window
-        fits = (sqrt(budget + CHANCE**2 / 4) - CHANCE / 2) ** 2
-        heat = COLD_OF_MANY * min(1.0, sqrt(COLD_UP_TO / settings.proxies))
-        rate = max(min(heat * warm, fits / window), 1 / window)  # nothing observed yet: one a window
-        comes = self.heads_rate * self.comes.get(server, 1 / max(len(self.preferred), 1)) / 1000
-        server.takes = min(1.0, rate * server.share / comes) if comes else 0.0
+        budget = settings.fall_multiple * cold_rate * window
+        fitting = (sqrt(budget + SLOW_START_DEVIATIONS**2 / 4) - SLOW_START_DEVIATIONS / 2) ** 2
+        load_factor = SLOW_START_LOAD_FACTOR_LARGE_TIER * min(
+            1.0, sqrt(SLOW_START_FACTOR_PROXIES / settings.proxies)
+        )
+        # With nothing observed yet: one request in a window.
+        rate = max(min(load_factor * cold_rate, fitting / window), 1 / window)
+        warm_traffic = (
+            self.first_try_rate * self.cold_traffic.get(server, 1 / max(len(self.preferred), 1)) / 1000
+        )
+        server.slow_start_fraction = min(1.0, rate * server.key_share / warm_traffic) if warm_traffic else 0.0
 
     # 2. Dispatch
 
     def dispatch(self, now: float) -> None:
-        heads = [(e, h) for e in self.endpoints if (h := e.head()) is not None]
+        """Sends queued requests while ready servers and the limits have capacity."""
+        heads = [(q, h) for q in self.queues if (h := q.head()) is not None]
         if not heads:
             return
-        room = [s for s in self.preferred if s.has_capacity(now, self.each) and not (self.many and s.cold(now))]
-        if not room and self.sparse:  # nothing waits beside a ready server
-            room = [s for s in self.active if not s.cold(now) and s.has_capacity(now, self.each)]
-        # Limits below one, the part of many proxies, add up: one each at every server would be too many. But
-        # a few servers that hang must not use up the sum: a silent one takes nothing from the others.
-        silent = now - SILENT * (self.all_latency or self.endpoints[-1].aim)
+        ready = [
+            s
+            for s in self.preferred
+            if s.has_capacity(now, self.min_server_limit) and not (self.large_tier and s.is_cold(now))
+        ]
+        if not ready and self.uses_subset:  # no request waits while any server is ready
+            ready = [
+                s for s in self.active if not s.is_cold(now) and s.has_capacity(now, self.min_server_limit)
+            ]
+        # In a tier of many proxies a limit may be below one request. One request at every server would be too
+        # many, so the sum of the limits counts. Servers that hang must not use up that sum: a server that has
+        # been silent for long takes nothing from the others.
+        silent_before = now - HANG_LATENCIES * (self.overall_latency or self.queues[-1].target_ms)
         spare = self.refill_credit(now)
-        if not self.sparse:
-            reach = self.reach
+        if not self.uses_subset:
+            limit_scale = self.limit_scale
             spare = sum(
-                max(reach * s.limit - s.inflight, -1.0 if s.silent_from > silent else 0.0) for s in self.preferred
+                max(limit_scale * s.limit - s.inflight, -1.0 if s.silent_since > silent_before else 0.0)
+                for s in self.preferred
             )
-        while heads and room and spare > 0:
-            # The one clear rule: the head that has waited the largest part of its aim goes first. So all
-            # endpoints feel a shortage of servers alike, and each one's flag sheds its own.
-            endpoint, request = max(heads, key=lambda eh: (now - eh[1].arrived) / eh[0].aim)
-            endpoint.queue.popleft()
+        while heads and ready and spare > 0:
+            # The head that has waited the largest fraction of its latency target goes first. So all queues
+            # feel a shortage of servers alike, and the overload detector of each sheds the load of its own
+            # classes.
+            queue, request = max(heads, key=lambda qh: (now - qh[1].arrived_at) / qh[0].target_ms)
+            queue.pending.popleft()
             request.is_queued = False
-            fit = room if not request.long() else [s for s in room if self.takes(request, s)]
-            if fit:
+            fitting = (
+                ready if not request.is_transfer() else [s for s in ready if self.fits_transfer(request, s)]
+            )
+            if fitting:
                 if not request.attempts:
-                    endpoint.note_send(now, now - request.arrived)
-                server = self.pick(request, fit)
+                    queue.record_send(now, now - request.arrived_at)
+                server = self.pick(request, fitting)
                 spare -= not request.uploading
                 self.send(now, request, server)
-            else:  # kept, it would stand in the way of those that fit
-                self.end(request)
-            if fit and not server.has_capacity(now, self.each):
-                room.remove(server)
-            heads = [(e, h) for e in self.endpoints if (h := e.head()) is not None]
-
-    def to_cold(self, now: float, request: Request) -> bool:
-        """Every request would come to one server, by its key or by chance. If that is a cold one, it takes it
-        at once or not at all: it gets nothing that would come to others, however full they are."""
-        if not self.colds or request.long():
+            else:  # kept in the queue, it would block requests that fit
+                self.end_request(request)
+            if fitting and not server.has_capacity(now, self.min_server_limit):
+                ready.remove(server)
+            heads = [(q, h) for q in self.queues if (h := q.head()) is not None]
+
+    def send_to_cold(self, now: float, request: Request) -> bool:
+        """Sends the request at once if its home server is cold and has slow-start budget left.
+
+        The home server is the one that its key, or a random choice, maps to. A cold server never gets a
+        request of another home server, however full the others are.
+        """
+        if not self.cold_servers or request.is_transfer():
             return False
-        home = self.home(request)
-        if home is None or not home.cold(now) or not home.has_capacity(now, self.each):
+        home = self.home_server(request)
+        if home is None or not home.is_cold(now) or not home.has_capacity(now, self.min_server_limit):
             return False
-        if request.coin >= home.takes or home.reward <= FAIR_PAYOFF:
+        if request.slow_start_draw >= home.slow_start_fraction or home.reward <= SLOW_START_MIN_REWARD:
             return False
         self.send(now, request, home)
         return True
 
-    def home(self, request: Request) -> Server | None:
+    def home_server(self, request: Request) -> Server | None:
         key = request.key
         servers = self.preferred
         if self.settings.key_affinity and key is not None:
-            servers = self.order_of(key)[: self.width(key)]
+            servers = self.ranking(key)[: self.ranking_width(key)]
         return self.rng.choice(servers) if servers else None
 
     def refill_credit(self, now: float) -> float:
-        """The limit on all in flight holds on average, not at each moment: with a limit near one, two
-        requests that come together must not wait for one another. Returns the sends left."""
-        usual = self.all_latency or self.endpoints[0].aim / 4
-        full = (ALLOW_BURST + self.allow) * usual
-        self.credit = min(self.credit + self.allow * (now - self.credit_at), full)
+        """Refills the credit of the total limit and returns how many requests may be sent now.
+
+        The total limit holds on average and not at each moment: with a limit near 1, two requests that arrive
+        together must not wait for each other.
+        """
+        usual_latency = self.overall_latency or self.queues[0].target_ms / 4
+        full = (TOTAL_LIMIT_BURST + self.total_limit) * usual_latency
+        self.credit_ms = min(self.credit_ms + self.total_limit * (now - self.credit_at), full)
         self.credit_at = now
-        return self.credit / usual - self.out_count
+        return self.credit_ms / usual_latency - self.in_flight
+
+    def pick(self, request: Request, candidates: list[Server]) -> Server:
+        """Chooses one of the candidates: draws two of them and takes the one with the better score.
 
-    def pick(self, request: Request, room: list[Server]) -> Server:
+        With equal scores, the one with fewer requests in flight is taken. Servers that the request has not
+        been sent to come first.
+        """
         if request.attempts:
             tried = [a.server for a in request.attempts]
-            room = [s for s in room if s not in tried] or room
-        if len(room) == 1:
-            return room[0]
+            candidates = [s for s in candidates if s not in tried] or candidates
+        if len(candidates) == 1:
+            return candidates[0]
         if self.settings.key_affinity and (key := request.key) is not None:
-            a, b = self.places(key, room)
-        elif self.sparse:
-            own = [s for s in room if s.zone == self.settings.zone]
-            a = self.draw(own or room)
-            b = self.draw([s for s in room if s is not a])
-            if b.zone != a.zone:  # crossing has its price: neither a tie nor the wish to know is a reason
-                return b if b.reward - self.score(a) > TIE else a
+            a, b = self.draw_by_key(key, candidates)
+        elif self.uses_subset:
+            local = [s for s in candidates if s.zone == self.settings.zone]
+            a = self.draw_by_weight(local or candidates)
+            b = self.draw_by_weight([s for s in candidates if s is not a])
+            # Crossing zones has a cost: neither a tie nor exploration justifies it.
+            if b.zone != a.zone:
+                return b if b.reward - self.score(a) > REWARD_TIE_MARGIN else a
         else:
-            first = int(self.rng.random() * len(room))
-            second = int(self.rng.random() * (len(room) - 1))
-            a, b = room[first], room[second + (second >= first)]
-        gap = self.score(a) - self.score(b)
-        if abs(gap) < TIE:
+            first = int(self.rng.random() * len(candidates))
+            second = int(self.rng.random() * (len(candidates) - 1))
+            a, b = candidates[first], candidates[second + (second >= first)]
+        difference = self.score(a) - self.score(b)
+        if abs(difference) < REWARD_TIE_MARGIN:
             return b if b.inflight < a.inflight else a
-        return a if gap > 0 else b
-
-    def places(self, key: int, room: list[Server]) -> list[Server]:
-        """Servers do less work for a key met lately: every proxy draws from the same few for it, or the next
-        where more comes to them than they carry."""
-        fit: list[Server] = []
-        width = self.width(key)
-        for s in self.order_of(key):
-            if s in room and (s.share >= 1 or self.rng.random() < s.share):
-                fit.append(s)
-                if len(fit) == width:
+        return a if difference > 0 else b
+
+    def draw_by_key(self, key: int, candidates: list[Server]) -> list[Server]:
+        """Draws two servers that are likely to know the key.
+
+        Servers do less work for a key that they have received recently. So every proxy draws from the same
+        first servers of the key's ranking, or from the next ones if those get more than they can handle.
+        """
+        fitting: list[Server] = []
+        width = self.ranking_width(key)
+        for s in self.ranking(key):
+            if s in candidates and (s.key_share >= 1 or self.rng.random() < s.key_share):
+                fitting.append(s)
+                if len(fitting) == width:
                     break
-        if len(fit) < 2:  # the same hash over all with room, each by its share: not the full ones after all
-            return nlargest(2, room, key=lambda s: self.place(key, s) / s.share)
-        return self.rng.sample(fit, 2) if len(fit) > 2 else fit
-
-    def order_of(self, key: int) -> list[Server]:
-        order = self.orders.get(key)
-        if order is None:
-            if len(self.orders) >= ORDERS:
-                del self.orders[next(iter(self.orders))]
-            order = self.orders[key] = nlargest(PLACES, self.active, key=lambda s: self.place(key, s))
-        return order
-
-    def width(self, key: int) -> int:
-        """Servers to draw from: two, or as many as this key's requests would fill with the usual number. What
-        one of many proxies sees is a sample of what all send; a single arrival tells nothing of a key."""
-        part = max(self.met.get(key, 0.0) - 1, 0.0) / max(self.met_all, 1.0)
-        return max(2, min(1 + int(part * len(self.active)), PLACES))
-
-    def place(self, key: int, server: Server) -> float:
+        # Too few in the ranking: the same hash over all candidates, each weighted by its key share, so that
+        # loaded servers still get less.
+        if len(fitting) < 2:
+            return nlargest(2, candidates, key=lambda s: self.placement_score(key, s) / s.key_share)
+        return self.rng.sample(fitting, 2) if len(fitting) > 2 else fitting
+
+    def ranking(self, key: int) -> list[Server]:
+        """Returns the first RANKING_LENGTH servers of the key's rendezvous ranking, cached by key."""
+        ranking = self.rankings.get(key)
+        if ranking is None:
+            if len(self.rankings) >= RANKING_CACHE_KEYS:
+                del self.rankings[next(iter(self.rankings))]
+            ranking = self.rankings[key] = nlargest(
+                RANKING_LENGTH, self.active, key=lambda s: self.placement_score(key, s)
+            )
+        return ranking
+
+    def ranking_width(self, key: int) -> int:
+        """Returns from how many servers of its ranking the key is served.
+
+        That is two, or as many as its requests load like any other server. A proxy of a large tier sees a
+        sample of the tier's arrivals, in which a single arrival of a key says nothing about the key.
+        """
+        fraction = max(self.key_counts.get(key, 0.0) - 1, 0.0) / max(self.key_count_total, 1.0)
+        return max(2, min(1 + int(fraction * len(self.active)), RANKING_LENGTH))
+
+    def placement_score(self, key: int, server: Server) -> float:
         """Weighted rendezvous hash: a server gets keys in proportion to its size, the same at every proxy."""
-        return log((affinity(key, server) + 0.5) / 2.0**64) / server.size
+        return log((rendezvous_hash(key, server) + 0.5) / 2.0**64) / server.size
 
-    def draw(self, servers: list[Server]) -> Server:
-        """In proportion to registered size: few in flight, ties alone would load small servers like large."""
-        left = self.rng.random() * sum(s.weight for s in servers)
+    def draw_by_weight(self, servers: list[Server]) -> Server:
+        """Draws a server in proportion to its weight.
+
+        With few requests in flight most comparisons end in a tie, which would load small servers like large
+        ones.
+        """
+        remaining = self.rng.random() * sum(s.weight for s in servers)
         for server in servers:
-            left -= server.weight
-            if left < 0:
+            remaining -= server.weight
+            if remaining < 0:
                 break
         return server
 
     def score(self, server: Server) -> float:
-        return server.reward + BONUS * sqrt(log(1 + self.outcomes) / (1 + server.plays))
+        """Returns the upper confidence bound (UCB) of the server's reward."""
+        return server.reward + EXPLORATION_WEIGHT * sqrt(
+            log(1 + self.recent_outcomes) / (1 + server.recent_outcomes)
+        )
 
     def send(self, now: float, request: Request, server: Server) -> None:
-        ran = request.first_run() if request.attempts else None
-        within = inf
-        if ran is not None and request.spec.effect is Effect.KEYED:
-            within = ran.sent + request.spec.window_ms - now
+        executed = request.first_execution() if request.attempts else None
+        write_within_ms = inf
+        if executed is not None and request.spec.effect is Effect.KEYED:
+            write_within_ms = executed.sent_at + request.spec.window_ms - now
         attempt = Attempt(server, now, not request.uploading)
         request.attempts.append(attempt)
-        request.open += 1
+        request.open_attempts += 1
         if server.inflight == 0:
-            server.silent_from = now
-        self.enter(request, attempt)
-        if server.cold(now):
-            server.tokens -= not self.many
-        self.actions.append(Send(request.id, server.id, self.limit_ms(now, request), within))
-        if ran is None and self.may_hedge(request):
-            request.hedge_at = now + (self.fair_chance(request) or request.endpoint.aim / 2)
-            self.at(request.hedge_at, request)
+            server.silent_since = now
+        self.add_attempt(request, attempt)
+        if server.is_cold(now):
+            server.slow_start_tokens -= not self.large_tier
+        self.actions.append(
+            Send(request.id, server.id, self.attempt_timeout_ms(now, request), write_within_ms)
+        )
+        if executed is None and self.may_hedge(request):
+            request.hedge_at = now + (self.ordinary_latency(request) or request.queue.target_ms / 2)
+            self.schedule(request.hedge_at, request)
+
+    def attempt_timeout_ms(self, now: float, request: Request) -> float:
+        if request.uploading:  # the time for the response starts when the server has the whole request
+            return max(request.client_deadline - now, 1.0)
+        return max(min(request.useful_until - self.settings.tick_ms, request.deadline) - now, 1.0)
 
-    def limit_ms(self, now: float, request: Request) -> float:
-        if request.uploading:  # the time for an answer begins when the server has it whole
-            return max(request.latest - now, 1.0)
-        return max(min(request.useful - self.settings.tick_ms, request.give_up) - now, 1.0)
 
+def smoothed(mean: float, value: float) -> float:
+    """Returns the EWMA `mean` updated with `value`; a mean of 0 has no value yet and takes it in full."""
+    return mean + (value - mean) * (LATENCY_SMOOTHING if mean else 1)
 
-def smooth(mean: float, value: float) -> float:
-    """The first value is taken whole, later ones by their weight."""
-    return mean + (value - mean) * (LATENCY_STEP if mean else 1)
 
+def rendezvous_hash(key: int, server: Server) -> int:
+    """Highest-random-weight hash: the ranking of servers for a key is the same at every proxy.
 
-def affinity(key: int, server: Server) -> int:
-    """Rendezvous hash: the order of servers for a key is the same at every proxy, also as some leave."""
+    When a server leaves, the order of the others stays.
+    """
     mixed = (key * 0x9E3779B97F4A7C15 ^ server.hash * 0xC2B2AE3D27D4EB4F) & 0xFFFFFFFFFFFFFFFF
     mixed = ((mixed ^ mixed >> 29) * 0xBF58476D1CE4E5B9) & 0xFFFFFFFFFFFFFFFF
     return mixed ^ mixed >> 32
 
 
-def same_group(scope: Scope, a: Server, b: Attempt) -> bool:
+def in_same_scope(scope: Scope, a: Server, b: Attempt) -> bool:
     if scope is Scope.ALL:
         return True
     return a.zone == b.zone if scope is Scope.ZONE else a.cell == b.cell
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -20,7 +20,7 @@
     TimerFired,
     Watch,
 )
-from flintlatch.choice import affinity
+from flintlatch.choice import rendezvous_hash
 from tests.support import Driver, server_entries, settings
 
 MANY = {"proxies": 300, "zones": 2}
@@ -101,11 +101,11 @@
 def test_the_limit_on_all_in_flight_falls_when_answers_come_late_and_rises_again() -> None:
     driver = Driver(settings(RequestClass(300.0, 5000.0, late_worth=0.5), **MANY), *server_entries(40))
     crowd(driver, 20, 50.0)
-    calm = driver.balancer.allow
+    calm = driver.balancer.total_limit
     crowd(driver, 60, 290.0)
-    crowded = driver.balancer.allow
+    crowded = driver.balancer.total_limit
     crowd(driver, 60, 50.0)
-    assert crowded < calm / 4 and driver.balancer.allow > 2 * crowded
+    assert crowded < calm / 4 and driver.balancer.total_limit > 2 * crowded
 
 
 def test_where_work_varies_much_idle_servers_do_not_look_crowded() -> None:
@@ -114,7 +114,7 @@
     limits: list[float] = []
     for n in range(120):
         crowd(driver, 1, 360.0 if n % 3 == 0 else 60.0)
-        limits.append(driver.balancer.allow)
+        limits.append(driver.balancer.total_limit)
     assert min(limits[20:]) > 1.2
 
 
@@ -128,7 +128,7 @@
 def test_under_a_small_limit_a_burst_is_held() -> None:
     driver = Driver(settings(**MANY), *server_entries(40))
     crowd(driver, 10, 50.0)
-    driver.balancer.allow = 0.1
+    driver.balancer.total_limit = 0.1
     names = [driver.arrive(wait=5000) for _ in range(20)]
     assert 1 <= sum(name in driver.sends for name in names) <= 6
 
@@ -163,7 +163,7 @@
     driver = Driver(settings(quotas=(300.0,), over_share_worth=0.1, proxies=300), *server_entries(9))
     balancer = driver.balancer
     driver.now += 10_000
-    levels = [balancer.level_of(driver.now, balancer.settings.classes[0], 0) for _ in range(8)]
+    levels = [balancer.priority_level(driver.now, balancer.settings.classes[0], 0) for _ in range(8)]
     assert levels == [1] * 5 + [4] * 3
 
 
@@ -241,7 +241,7 @@
     for _ in range(10):
         smaller = [s._replace(weight=0.1) for s in servers[:6]]
         driver.step(ServerList(ListKind.CHANGES, tuple(smaller)), after=1000.0)
-    assert {s.share for s in driver.balancer.active} == {1.0}
+    assert {s.key_share for s in driver.balancer.active} == {1.0}
 
 
 def test_cold_servers_that_hold_nothing_yet_don_t_make_the_others_look_full() -> None:
@@ -253,7 +253,7 @@
     for _ in range(10):
         now = (*(told(s, 3.0) for s in servers), *new)
         driver.step(ServerList(ListKind.CHANGES, now), after=1000.0)
-    assert min(s.share for s in driver.balancer.active) > 0.99
+    assert min(s.key_share for s in driver.balancer.active) > 0.99
 
 
 def test_proxies_of_a_large_fleet_keep_enough_in_flight_to_use_every_server() -> None:
@@ -261,7 +261,7 @@
     driver = keyed(0, server_entries(60))
     for _ in range(40):
         for server in driver.balancer.active:
-            server.cut(0.5)
+            server.cut_limit(0.5)
     sent = [driver.arrive(key=key) for key in range(30)]
     at_once = sum(request in driver.sends for request in sent)
     assert 60 * 4 / 40 <= at_once <= 60 * 6 / 40
@@ -289,7 +289,7 @@
 
 
 def affinity_first(driver: Driver, key: int) -> str:
-    return max(driver.balancer.active, key=lambda s: affinity(key, s)).id
+    return max(driver.balancer.active, key=lambda s: rendezvous_hash(key, s)).id
 
 
 def test_when_most_servers_take_no_connection_they_are_all_still_tried() -> None:
@@ -302,7 +302,7 @@
                 met.add(driver.sends[request][-1])
                 driver.end(request, Result.CONNECT_FAILED, after=0.2)
         driver.tick()
-    resting = sum(s.rest_until > driver.now for s in driver.balancer.active)
+    resting = sum(s.ejected_until > driver.now for s in driver.balancer.active)
     assert resting <= 5 and len(met) == 10
 
 
@@ -356,12 +356,12 @@
 def test_a_new_server_at_the_address_of_one_that_left_is_known_for_nothing_of_it() -> None:
     driver = keyed(0, server_entries(6))
     left = driver.balancer.active[0]
-    left.reward, left.share, left.load, left.consecutive_failures = 0.1, 0.1, 9.0, 2
+    left.reward, left.key_share, left.load, left.consecutive_failures = 0.1, 0.1, 9.0, 2
     entries = (ServerInfo(left.id, state=ServerState.GONE), ServerInfo("s-new", weight=1.0))
     driver.step(ServerList(ListKind.CHANGES, entries))
     new = driver.balancer.servers["s-new"]
     assert left.id not in driver.balancer.servers
-    assert (new.reward, new.share, new.consecutive_failures, new.inflight) == (1.0, 1.0, 0, 0)
+    assert (new.reward, new.key_share, new.consecutive_failures, new.inflight) == (1.0, 1.0, 0, 0)
     assert not any(
         left.id in sends for sends in [driver.sends.get(driver.arrive(key=k), []) for k in range(20)]
     )
@@ -443,7 +443,7 @@
 
 
 def place(driver: Driver, key: int, server: Any) -> float:
-    return driver.balancer.place(key, server)
+    return driver.balancer.placement_score(key, server)
 
 
 def crowded(driver: Driver, servers: list[ServerInfo], held: float, each_ms: int, ms: int) -> tuple[int, int]:
@@ -466,7 +466,7 @@
         busy += [
             (driver.now + 100.0, name)
             for name, request in driver.balancer.requests.items()
-            if request.open and name not in {b[1] for b in busy}
+            if request.open_attempts and name not in {b[1] for b in busy}
         ]
     return came, sent
 
@@ -486,17 +486,17 @@
     more: dict[str, Any] = {"proxies": 60, "key_affinity": True, "weights_report_load": True}
     driver = Driver(settings(**more), *servers)
     crowded(driver, servers, 1.0, 5, 4000)
-    most = driver.balancer.usual_out
+    most = driver.balancer.mean_in_flight
     crowded(driver, servers, 12.0, 5, 6000)
-    assert most > 15 and driver.balancer.out_count < most / 2
-    assert driver.balancer.out_count >= 4  # its even part is left to it
+    assert most > 15 and driver.balancer.in_flight < most / 2
+    assert driver.balancer.in_flight >= 4  # its even part is left to it
 
 
 def test_lists_without_live_weights_move_no_part() -> None:
     servers = [s._replace(weight=1.5) for s in server_entries(60)]
     driver = Driver(settings(proxies=60, key_affinity=True), *servers)
     crowded(driver, servers, 1.0, 5, 3000)
-    assert driver.balancer.reach == 1.0
+    assert driver.balancer.limit_scale == 1.0
 
 
 def test_a_key_asked_for_by_all_is_drawn_from_as_many_servers_as_it_fills() -> None:
@@ -517,7 +517,7 @@
         driver.tick(50.0)
     assert len(hot) >= 4 and max(hot.values()) < 0.45 * sum(hot.values())
     assert max(len(servers) for servers in rare.values()) <= 2
-    assert len(driver.balancer.met) < 420  # keys not met for long are forgotten
+    assert len(driver.balancer.key_counts) < 420  # keys not met for long are forgotten
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -582,10 +582,10 @@
         rate = part * each * 31 / sum(parts) / 1000  # of requests that come to this proxy, a ms
         while driver.now < start + quiet + 4000:
             driver.balancer.warm_rate = {0: each * part / sum(parts)}
-            driver.balancer.heads_rate, driver.balancer.second_at = rate * 1000, driver.now
+            driver.balancer.first_try_rate, driver.balancer.second_at = rate * 1000, driver.now
             if driver.now >= start + quiet:
                 for server in driver.balancer.active:
-                    server.rest_until = 0.0 if server.id == "new:1" else inf
+                    server.ejected_until = 0.0 if server.id == "new:1" else inf
                 for _ in range(int(rng.random() < rate * 25) + int(rate * 25)):
                     driver.arrive(key=rng.randrange(10_000), wait=700)
             driver.tick()
@@ -609,25 +609,25 @@
     away.reward = 0.1
     now = driver.now
     for failed in (now, now + 500, now + 1500):
-        driver.balancer.strike(failed, away)
-    assert away.consecutive_failures == 3 and not away.cold(now)
-    driver.balancer.doubt(now + 2500, away, False)
+        driver.balancer.record_failure(failed, away)
+    assert away.consecutive_failures == 3 and not away.is_cold(now)
+    driver.balancer.update_restart_suspicion(now + 2500, away, False)
     away.consecutive_failures = 0  # as its answer does
-    assert away.cold(now + 2500) and not away.has_capacity(now + 2500)
+    assert away.is_cold(now + 2500) and not away.has_capacity(now + 2500)
     for _ in range(2):
-        driver.balancer.doubt(now + 2600, away, quick)
-    assert away.cold(now + 2600) is not quick
-    assert not away.cold(now + 2500 + 6000)  # a list would have told by then
+        driver.balancer.update_restart_suspicion(now + 2600, away, quick)
+    assert away.is_cold(now + 2600) is not quick
+    assert not away.is_cold(now + 2500 + 6000)  # a list would have told by then
 
 
 def test_a_server_that_lost_one_connection_is_not_held_for_one_that_started_anew() -> None:
     driver = Driver(settings(proxies=200, key_affinity=True, **COLD), *server_entries(2))
     server = driver.balancer.active[0]
     server.reward = 0.2
-    driver.balancer.strike(driver.now, server, True)
+    driver.balancer.record_failure(driver.now, server, True)
     assert server.consecutive_failures == 3
-    driver.balancer.doubt(driver.now + 700, server, False)
-    assert not server.cold(driver.now + 700)
+    driver.balancer.update_restart_suspicion(driver.now + 700, server, False)
+    assert not server.is_cold(driver.now + 700)
 
 
 def test_a_server_that_starts_twice_while_cold_is_as_cold_as_at_first() -> None:
@@ -635,16 +635,16 @@
     new = ServerInfo("new:1", started=driver.now)
     driver.step(ServerList(ListKind.CHANGES, (new,)))
     driver.now += 8000
-    driver.balancer.warm_rate, driver.balancer.heads_rate = {0: 0.1}, 4.0
+    driver.balancer.warm_rate, driver.balancer.first_try_rate = {0: 0.1}, 4.0
     driver.balancer.second_at = driver.now
     driver.tick()
-    warmer = driver.balancer.servers["new:1"].takes
+    warmer = driver.balancer.servers["new:1"].slow_start_fraction
     driver.step(ServerList(ListKind.CHANGES, (new._replace(started=driver.now),)))
     server = driver.balancer.servers["new:1"]
     assert server.cold_until == driver.now + 20_000 and not server.has_capacity(driver.now)
-    driver.balancer.warm_rate, driver.balancer.heads_rate = {0: 0.1}, 4.0
+    driver.balancer.warm_rate, driver.balancer.first_try_rate = {0: 0.1}, 4.0
     driver.tick()
-    assert 0 < server.takes < warmer
+    assert 0 < server.slow_start_fraction < warmer
 
 
 def test_all_servers_cold_at_once_are_used() -> None:
@@ -683,7 +683,7 @@
     driver = Driver(settings(proxies=200, key_affinity=True, **COLD), ServerInfo("new:1", started=1000.0))
     driver.tick_for(100)
     driver.step(ServerList(ListKind.CHANGES, (ServerInfo("new:1", state=ServerState.GONE),)))
-    assert driver.balancer.colds and driver.arrive(key=7) not in driver.sends
+    assert driver.balancer.cold_servers and driver.arrive(key=7) not in driver.sends
 
 
 def test_the_first_slow_answer_after_an_outage_makes_a_server_doubted() -> None:
@@ -691,9 +691,9 @@
     driver.end(driver.arrive(), delay=40.0)
     server = driver.balancer.active[0]
     driver.now += 2000
-    server.consecutive_failures, server.failing_from = 3, driver.now - 1500  # rested, and on trial now
+    server.consecutive_failures, server.first_failure_at = 3, driver.now - 1500  # rested, and on trial now
     driver.end(driver.arrive(), delay=200.0)
-    assert server.consecutive_failures == 0 and server.cold(driver.now)
+    assert server.consecutive_failures == 0 and server.is_cold(driver.now)
 
 
 def test_when_others_come_its_part_is_smaller_at_once_and_nothing_is_forgotten() -> None:
@@ -709,10 +709,10 @@
             latency,
             payoff,
         )
-    assert driver.balancer.many and driver.balancer.settings.me == 7
+    assert driver.balancer.large_tier and driver.balancer.settings.me == 7
     driver.step(TierMembership(2, 0))
     for server in driver.balancer.servers.values():
         assert server.limit == pytest.approx(before[server.id][0])
-    assert not driver.balancer.many
+    assert not driver.balancer.large_tier
     requests = [driver.arrive() for _ in range(5)]
     assert all(request in driver.sends for request in requests)
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -7,7 +7,7 @@
 import pytest
 
 from flintlatch.api import Arrival, Fail, Outcome, Refuse, RequestClass, Result, Send, ServerInfo, Settings
-from flintlatch.choice import Balancer, Endpoint, Server
+from flintlatch.choice import Balancer, ClassQueue, Server
 from tests.support import Driver, server_entries, actions_of, settings
 
 
@@ -40,7 +40,7 @@
 def test_pick_takes_the_higher_payoff() -> None:
     driver = Driver(settings(), *server_entries(2))
     bad, good = driver.balancer.active
-    bad.reward, bad.plays, good.plays = 0.2, 50.0, 50.0
+    bad.reward, bad.recent_outcomes, good.recent_outcomes = 0.2, 50.0, 50.0
     driver.arrive()
     assert list(driver.sends.values()) == [[good.id]]
 
@@ -48,8 +48,8 @@
 def test_bonus_tries_a_server_without_recent_outcomes_again() -> None:
     driver = Driver(settings(), *server_entries(2))
     idle, busy = driver.balancer.active
-    driver.balancer.outcomes = 200.0
-    idle.reward, idle.plays, busy.plays = 0.8, 0.0, 100.0
+    driver.balancer.recent_outcomes = 200.0
+    idle.reward, idle.recent_outcomes, busy.recent_outcomes = 0.8, 0.0, 100.0
     driver.arrive()
     assert list(driver.sends.values()) == [[idle.id]]
 
@@ -111,45 +111,45 @@
     return driver
 
 
-def endpoint_with_waits(*waits: float) -> tuple[Endpoint, float]:
+def endpoint_with_waits(*waits: float) -> tuple[ClassQueue, float]:
     driver = stuck()
-    endpoint, now = driver.balancer.endpoints[0], driver.now
-    endpoint.low, endpoint.low_before, endpoint.count = 0.0, 0.0, 0
+    endpoint, now = driver.balancer.queues[0], driver.now
+    endpoint.min_wait, endpoint.previous_min_wait, endpoint.sends = 0.0, 0.0, 0
     for wait in waits:
         now += 20
-        endpoint.note_send(now, wait)
+        endpoint.record_send(now, wait)
     return endpoint, now
 
 
 def test_flag_follows_the_least_wait_of_the_window() -> None:
     endpoint, now = endpoint_with_waits(*[60.0] * 20)
-    assert endpoint.excess(now) > 1
-    endpoint.note_send(now + 1, 0.0)  # one immediate send is enough: no standing queue
-    assert endpoint.excess(now + 1) == 0
+    assert endpoint.overload_ratio(now) > 1
+    endpoint.record_send(now + 1, 0.0)  # one immediate send is enough: no standing queue
+    assert endpoint.overload_ratio(now + 1) == 0
 
 
 def test_a_thin_window_does_not_flip_the_flag() -> None:
     endpoint, now = endpoint_with_waits(0.0, 60.0, 60.0)
-    assert endpoint.excess(now) < 1
+    assert endpoint.overload_ratio(now) < 1
 
 
 def test_a_stuck_queue_counts_by_the_age_of_its_head() -> None:
     endpoint, now = endpoint_with_waits(*[0.0] * 20)
-    assert endpoint.excess(now + 200) > 1
+    assert endpoint.overload_ratio(now + 200) > 1
 
 
 def test_an_old_window_does_not_flag_an_empty_buffer() -> None:
     endpoint, now = endpoint_with_waits(*[60.0] * 20)
-    endpoint.queue[0].is_queued = False
-    assert endpoint.excess(now + 5) == 0
+    endpoint.pending[0].is_queued = False
+    assert endpoint.overload_ratio(now + 5) == 0
 
 
 def test_levels_come_from_worth_and_share() -> None:
     classes = tuple(RequestClass(300.0, 900.0, worth=w) for w in (12.0, 7.0, 4.0, 1.0))
     balancer = Balancer(settings(*classes, quotas=(2.0,), over_share_worth=0.05, proxies=2), 1)
-    assert [balancer.level_of(0.0, c, 5) for c in classes] == [1, 2, 3, 4]
-    assert [balancer.level_of(1.0, classes[0], 0) for _ in range(3)] == [1, 4, 4]
-    assert balancer.level_of(2001.0, classes[0], 0) == 1  # a second's quota has come in
+    assert [balancer.priority_level(0.0, c, 5) for c in classes] == [1, 2, 3, 4]
+    assert [balancer.priority_level(1.0, classes[0], 0) for _ in range(3)] == [1, 4, 4]
+    assert balancer.priority_level(2001.0, classes[0], 0) == 1  # a second's quota has come in
 
 
 @pytest.mark.parametrize(("cls", "answer"), [(0, None), (1, None), (3, Refuse)])
@@ -169,10 +169,10 @@
     counts = {}
     for cls in (1, 2):
         driver = stuck(*classes)
-        endpoint = driver.balancer.endpoints[0]
+        endpoint = driver.balancer.queues[0]
         for _ in range(9):
             driver.now += 20
-            endpoint.note_send(driver.now, 1.5 * 0.08 * 300)
+            endpoint.record_send(driver.now, 1.5 * 0.08 * 300)
         counts[cls] = sum(bool(actions_of(Refuse, driver.last)) for _ in range(20) if driver.arrive(cls))
     assert counts == {1: 0, 2: 20}
 
@@ -205,8 +205,8 @@
     classes = (RequestClass(300.0, 900.0, worth=12.0), RequestClass(300.0, 900.0, worth=1.0))
     for release, refused in ((0.5, False), (4.0, True)):
         driver = Driver(settings(*classes), *server_entries(40))
-        driver.balancer.endpoints[0].flagged_at = driver.now
-        driver.balancer.endpoints[0].release = release
+        driver.balancer.queues[0].overloaded_at = driver.now
+        driver.balancer.queues[0].readmission_span = release
         driver.arrive(1)
         assert bool(actions_of(Refuse, driver.last)) is refused
 
@@ -215,9 +215,9 @@
     spec = RequestClass(300.0, 1000.0, late_worth=0.3)
     driver = Driver(settings(spec, proxies=4), *server_entries(1))
     first, held = driver.arrive(), driver.arrive()
-    driver.balancer.endpoints[0].excess = lambda now: 0.0  # type: ignore[method-assign]
+    driver.balancer.queues[0].overload_ratio = lambda now: 0.0  # type: ignore[method-assign]
     assert not actions_of(Fail, driver.tick_for(400))
-    driver.balancer.endpoints[0].excess = lambda now: 2.0  # type: ignore[method-assign]
+    driver.balancer.queues[0].overload_ratio = lambda now: 2.0  # type: ignore[method-assign]
     assert [f.request for f in actions_of(Fail, driver.tick_for(75))] == [held]
     assert first in driver.sends
 
@@ -226,8 +226,8 @@
     server = Server(server_entries(1)[0], proxies)
     server.limit = start
     for latency in latencies:
-        server.peak = max(server.peak, int(max(1, server.limit)))
-        server.learn_latency(latency, latency / aim)
+        server.peak_inflight = max(server.peak_inflight, int(max(1, server.limit)))
+        server.observe_latency(latency, latency / aim)
     return server.limit
 
 
@@ -337,7 +337,7 @@
     before = sum(s.limit for s in servers)
     for _ in range(80):
         driver.end(driver.arrive(), after=150)
-    assert all(s.samples < 8 for s in servers)
+    assert all(s.limit_samples < 8 for s in servers)
     assert sum(s.limit for s in servers) == pytest.approx(before / 2)  # two requests of all proxies at each
 
 
@@ -350,10 +350,10 @@
             driver.step(Arrival(f"{second}.{slot}", 0, tenant, None, driver.now + 900))
             driver.tick(after=12.5)
     balancer, spec = driver.balancer, config.classes[0]
-    assert balancer.part > 0.4
+    assert balancer.traffic_fraction > 0.4
     driver.now += 1000
-    assert [balancer.level_of(driver.now, spec, 1) for _ in range(4)] == [1] * 4
-    levels = [balancer.level_of(driver.now, spec, 0) for _ in range(60)]
+    assert [balancer.priority_level(driver.now, spec, 1) for _ in range(4)] == [1] * 4
+    levels = [balancer.priority_level(driver.now, spec, 0) for _ in range(60)]
     assert 10 < levels.count(1) < 40
 
 
@@ -363,7 +363,7 @@
     for count in range(800):
         driver.step(Arrival(f"{count}", 0, count % 3, None, driver.now + 900))
         driver.tick(after=10)
-    assert driver.balancer.part == pytest.approx(1 / 3)
+    assert driver.balancer.traffic_fraction == pytest.approx(1 / 3)
 
 
 def test_without_other_tenants_to_compare_the_part_is_one_in_n() -> None:
@@ -371,7 +371,7 @@
     for _ in range(200):
         driver.arrive()
         driver.tick()
-    assert driver.balancer.part == 0.25
+    assert driver.balancer.traffic_fraction == 0.25
 
 
 def test_level_four_comes_back_by_degrees_after_the_flag() -> None:
@@ -379,8 +379,8 @@
     refused = []
     for since in (1.0, 600.0, 1201.0):
         driver = Driver(settings(*classes), *server_entries(40))
-        driver.balancer.endpoints[0].flagged_at = driver.now
-        driver.balancer.endpoints[0].release = 4.0
+        driver.balancer.queues[0].overloaded_at = driver.now
+        driver.balancer.queues[0].readmission_span = 4.0
         driver.now += since
         refused.append(sum(bool(actions_of(Refuse, driver.last)) for _ in range(40) if driver.arrive(1)))
     assert refused[0] >= 38 and 8 < refused[1] < 32 and refused[2] == 0
@@ -388,17 +388,17 @@
 
 def test_level_four_comes_back_more_slowly_only_where_the_flag_returns_soon() -> None:
     # After each short spike it was kept out for four aims, and servers stood idle meanwhile.
-    endpoint = Endpoint(300.0, 1.0)
+    endpoint = ClassQueue(300.0, 1.0)
 
     def flags(every: float, times: int) -> float:
         for number in range(times):
-            endpoint.flag(1e6 + number * every, True)
-            endpoint.flag(1e6 + number * every + 1, False)
-        return endpoint.release
+            endpoint.set_overloaded(1e6 + number * every, True)
+            endpoint.set_overloaded(1e6 + number * every + 1, False)
+        return endpoint.readmission_span
 
     assert flags(200.0, 1) == 0.5
     assert flags(200.0, 6) == 4.0
-    endpoint.flagged_at = -1e9
+    endpoint.overloaded_at = -1e9
     assert flags(5000.0, 3) == 0.5
 
 
@@ -420,7 +420,7 @@
         driver = Driver(settings(RequestClass(80.0, 400.0)), *server_entries(4))
         sent = 0
         for number in range(40):
-            driver.balancer.turned_away = away
+            driver.balancer.expected_retries = away
             request = driver.arrive(wait=45 if number % 4 else 398)
             if request in driver.sends:
                 sent += number % 4 > 0
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -84,11 +84,11 @@
     script.run(RECOVERY_MS, {})
     script.run(2_000, {})
     balancer = script.driver.balancer
-    assert [e.excess(script.driver.now) for e in balancer.endpoints] == [0.0]
+    assert [e.overload_ratio(script.driver.now) for e in balancer.queues] == [0.0]
     assert sum(script.sent.values()) >= 0.98 * 2_000 / STEP_MS  # level 4 is let in again, nothing is held
     fair = sum(script.sent.values()) / 4
     for server in balancer.active:
-        assert server.consecutive_failures == 0 and server.rest_until <= script.driver.now
+        assert server.consecutive_failures == 0 and server.ejected_until <= script.driver.now
         assert server.reward > 0.9, server.id
         # Room for all of the traffic at the usual latency, and its part of it.
         assert server.limit >= 2 and script.sent[server.id] > fair / 2, (server.id, server.limit, script.sent)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -160,7 +160,7 @@
     home = driver.sends[request][0].split(".")[2]
     for server in driver.balancer.active:
         if str(server.cell) == home:
-            server.rest_until = driver.now + 10_000
+            server.ejected_until = driver.now + 10_000
     driver.end(request, Result.ERROR)
     actions = driver.tick_for(250)
     assert actions_of(Fail, actions) and not actions_of(Send, actions)
@@ -174,20 +174,20 @@
         home = driver.sends[request][0].split(".")[2]
         for server in driver.balancer.active:
             if str(server.cell) == home:
-                server.rest_until = driver.now + rest
+                server.ejected_until = driver.now + rest
         driver.end(request, Result.ERROR)
         assert len(driver.sends[request]) == 1
         actions = driver.tick_for(250)
         assert bool(actions_of(Send, actions)) is sent and bool(actions_of(Fail, actions)) is not sent
         assert {name.split(".")[2] for name in driver.sends[request]} == {home}
-        assert not driver.balancer.bound
+        assert not driver.balancer.scoped_retries
 
 
 def test_keyed_with_all_servers_as_group_does_not_outlive_its_window_in_the_buffer() -> None:
     spec = RequestClass(300.0, 1000.0, effect=Effect.KEYED, scope=Scope.ALL, window_ms=100.0)
     driver = Driver(settings(spec, proxies=4), *server_entries(1))
     request = driver.arrive()
-    driver.balancer.active[0].rest_until = driver.now + 150
+    driver.balancer.active[0].ejected_until = driver.now + 150
     driver.end(request, Result.ERROR)
     assert not actions_of(Send, driver.tick_for(250))
 
@@ -247,9 +247,9 @@
 def fail_at(driver: Driver, server: int, times: int, result: Result = Result.ERROR) -> list[Any]:
     actions: list[Any] = []
     for other in driver.balancer.active:
-        other.rest_until = 0.0 if other is driver.balancer.active[server] else driver.now + 1e9
+        other.ejected_until = 0.0 if other is driver.balancer.active[server] else driver.now + 1e9
     for _ in range(times):
-        driver.balancer.retries = 0.0
+        driver.balancer.retry_budget = 0.0
         if not driver.balancer.active[server].has_capacity(driver.now):
             break
         actions += driver.end(driver.arrive(), result)
@@ -261,7 +261,7 @@
     server = driver.balancer.active[0]
     assert [a for a in fail_at(driver, 0, 10) if isinstance(a, Log)]
     assert not server.has_capacity(driver.now)
-    driver.now = server.rest_until + 1
+    driver.now = server.ejected_until + 1
     assert server.has_capacity(driver.now)
     server.inflight = 1
     assert not server.has_capacity(driver.now)  # one on trial, not a full load
--- a/tests/test_second_copies.py
+++ b/tests/test_second_copies.py
@@ -106,7 +106,7 @@
 
 def test_copies_are_no_more_than_the_share_of_retries() -> None:
     driver = copying()
-    driver.balancer.retries = 2.0
+    driver.balancer.retry_budget = 2.0
     for server in driver.balancer.active:
         server.limit = 10.0
     requests = [driver.arrive() for _ in range(8)]
--- a/tests/test_transfers.py
+++ b/tests/test_transfers.py
@@ -53,7 +53,7 @@
     names = [export(driver)[0] for _ in range(300)]
     assert all(name in driver.sends for name in names)
     server = only(driver.balancer)
-    assert (server.inflight, server.transfers, driver.balancer.out_count) == (0, 300, 0)
+    assert (server.inflight, server.transfers, driver.balancer.in_flight) == (0, 300, 0)
     for name in names:
         driver.step(Outcome(name, 0, Result.OK, 30_000.0, True), after=1.0)
     assert (server.inflight, server.transfers, driver.balancer.requests) == (0, 0, {})
