--- a/flintlatch/settings.py
+++ b/flintlatch/settings.py
@@ -1,4 +1,4 @@
-"""The deployment's settings as JSON, read for both programs: the simulator's host and the real proxy."""
+"""Reads the deployment's settings from JSON, for the simulator's adapter and for the proxy on sockets."""
 
 from __future__ import annotations
 
@@ -13,12 +13,13 @@
 
 
 class Malformed(Exception):
-    """Input that breaks the wire's rules; the text is for a person."""
+    """Input that violates the format; the text is for operators."""
 
 
 def require_choice(table: dict[str, Any], value: object, member: str) -> Any:
+    """Returns the entry of the table under `value`; `member` names the JSON member in the error."""
     if not isinstance(value, str) or value not in table:
-        raise Malformed(f"unknown {member} {value!r}")
+        raise Malformed(f"unknown {member} {value!r}, expected one of {sorted(table)}")
     return table[value]
 
 
@@ -42,13 +43,13 @@
 
 def require_object(value: object, member: str) -> Message:
     if not isinstance(value, dict):
-        raise Malformed(f"{member} is not an object")
+        raise Malformed(f"{member} is not an object but {type(value).__name__}")
     return value
 
 
 def require_array(value: object, member: str) -> list[Any]:
     if not isinstance(value, list):
-        raise Malformed(f"{member} is not an array")
+        raise Malformed(f"{member} is not an array but {type(value).__name__}")
     return value
 
 
@@ -66,8 +67,9 @@
 
 
 def read_settings(info: Message) -> Settings:
+    """Raises Malformed for values of a wrong type and KeyError for a missing member."""
     limits = require_object(info.get("Limits") or {}, "Limits")
-    rules = require_object(info.get("Obligations") or {}, "Obligations")
+    obligations = require_object(info.get("Obligations") or {}, "Obligations")
     domain = require_object(info.get("Domain") or {}, "Domain")
     tenants = [require_object(t, "Projects") for t in require_array(info.get("Projects") or [], "Projects")]
     return Settings(
@@ -80,7 +82,7 @@
         over_share_worth=require_number(info.get("OverShareWorth", 1), "OverShareWorth"),
         tick_ms=require_number(info.get("TickMs", 1), "TickMs"),
         ask_for_list=info.get("Discovery") == "ask",
-        must_ask_ms=require_number(rules.get("MustAskInMs", 10000), "MustAskInMs"),
+        must_ask_ms=require_number(obligations.get("MustAskInMs", 10000), "MustAskInMs"),
         may_cancel=bool(limits.get("MayCancel")),
         may_duplicate=bool(limits.get("MayDuplicate")),
         may_probe=bool(limits.get("Probes")),
@@ -89,16 +91,19 @@
         max_attempts=require_integer(limits.get("MostTries", 1), "MostTries"),
         key_affinity=bool(domain.get("WarmKeys")),
         weights_report_load=info.get("Weights") == "live",
-        start_capacity=require_number(rules.get("StartCapacity", 1), "StartCapacity"),
-        cold_ms=require_number(rules.get("ColdMs") or 0, "ColdMs"),
-        fall_multiple=require_number(rules.get("FallMultiple", 2), "FallMultiple"),
-        fall_ms=require_number(rules.get("OverloadForMs", 1000), "OverloadForMs"),
+        start_capacity=require_number(obligations.get("StartCapacity", 1), "StartCapacity"),
+        cold_ms=require_number(obligations.get("ColdMs") or 0, "ColdMs"),
+        fall_multiple=require_number(obligations.get("FallMultiple", 2), "FallMultiple"),
+        fall_ms=require_number(obligations.get("OverloadForMs", 1000), "OverloadForMs"),
     )
 
 
 @dataclass(frozen=True, slots=True)
 class SocketSettings:
-    """What only a proxy on sockets needs: the names that clients and discovery use, and connection limits."""
+    """Settings that only a proxy on sockets needs: names that clients and discovery use, and timeouts.
+
+    The mappings lead from a name to the number that the decision module uses.
+    """
 
     classes: dict[str, int]
     tenants: dict[str, int]
@@ -106,26 +111,28 @@
     kinds: dict[str, int]
     connect_timeout_ms: float
     conn_idle_ms: float
-    source_host: str = ""  # where connections to backends and discovery come from; empty: the system's choice
+    source_host: str = ""  # local address of connections to backends and discovery; empty: any
 
 
-def numbered(names: list[Any], member: str) -> dict[str, int]:
-    return {require_string(name, member): place for place, name in enumerate(names)}
+def index_by_name(names: list[Any], member: str) -> dict[str, int]:
+    """Maps each name to its position in the list."""
+    return {require_string(name, member): index for index, name in enumerate(names)}
 
 
 def read_socket_settings(info: Message) -> SocketSettings:
+    """Raises Malformed for values of a wrong type or out of range and KeyError for a missing member."""
     limits = require_object(info.get("Limits") or {}, "Limits")
-    lanes = [require_object(c, "Lanes") for c in require_array(info["Lanes"], "Lanes")]
+    classes = [require_object(c, "Lanes") for c in require_array(info["Lanes"], "Lanes")]
     tenants = [require_object(t, "Projects") for t in require_array(info.get("Projects") or [], "Projects")]
-    wire = SocketSettings(
-        classes=numbered([c["Name"] for c in lanes], "Name"),
-        tenants=numbered([t["Name"] for t in tenants], "Name"),
-        zones=numbered(require_array(info.get("Dcs") or [], "Dcs"), "Dcs"),
-        kinds=numbered(require_array(info.get("Kinds") or [], "Kinds"), "Kinds"),
+    sockets = SocketSettings(
+        classes=index_by_name([c["Name"] for c in classes], "Name"),
+        tenants=index_by_name([t["Name"] for t in tenants], "Name"),
+        zones=index_by_name(require_array(info.get("Dcs") or [], "Dcs"), "Dcs"),
+        kinds=index_by_name(require_array(info.get("Kinds") or [], "Kinds"), "Kinds"),
         connect_timeout_ms=require_number(limits.get("ConnectTimeoutMs", 250), "ConnectTimeoutMs"),
         conn_idle_ms=require_number(limits.get("ConnIdleMs", 15000), "ConnIdleMs"),
     )
     for name in ("connect_timeout_ms", "conn_idle_ms"):
-        if not 0 < getattr(wire, name) < inf:
-            raise Malformed(f"{name} must be above 0 and finite")
-    return wire
+        if not 0 < getattr(sockets, name) < inf:
+            raise Malformed(f"{name} must be above 0 and finite, not {getattr(sockets, name)!r}")
+    return sockets
