--- a/flintlatch/adapter.py
+++ b/flintlatch/adapter.py
@@ -1,4 +1,4 @@
-"""Adapter between the simulator's wire and the decision module: framing, JSON and names. No decisions."""
+"""Translates between the simulator's JSON Lines protocol and the decision module; makes no decisions."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
     Probe,
     ProbeResult,
     Refuse,
+    ResponseStarted,
     Result,
     Send,
     ServerInfo,
     ServerList,
     ServerState,
     SetTimer,
-    ResponseStarted,
     TimerFired,
     Watch,
 )
@@ -35,13 +35,13 @@
 from flintlatch.settings import (
     Malformed,
     Message,
-require_choice,
-require_array,
-require_object,
-require_number,
     read_settings,
-require_string,
-require_integer,
+    require_array,
+    require_choice,
+    require_integer,
+    require_number,
+    require_object,
+    require_string,
 )
 
 RESULTS = {
@@ -61,18 +61,23 @@
     "FAILED": ListKind.FAILED,
 }
 STATES = {"active": ServerState.ACTIVE, "leaving": ServerState.DRAINING, "left": ServerState.GONE}
-REPEAT_BIT = 2
+RETRY_BIT = 2  # of `Bitmap`: the client marks the request as a retry
 
 
 def read_arrival(raw: Message, classes: int) -> Event:
     cls, key = raw["Lane"], raw.get("Subject")
     if type(cls) is not int or not 0 <= cls < classes:
-        raise Malformed(f"Lane is no known class: {cls!r}")
+        raise Malformed(f"Lane is not the number of a class: {cls!r}, expected 0 to {classes - 1}")
     if key is not None:
         key = require_integer(key, "Subject")
     tenant = require_integer(raw.get("Tenant") or 0, "Tenant")
-    give_up, bits = require_number(raw["GiveUpAtMs"], "GiveUpAtMs"), require_integer(raw.get("Bitmap") or 0, "Bitmap")
-    return Arrival(require_string(raw["Call"], "Call"), cls, tenant, key, give_up, bool(bits & REPEAT_BIT))
+    client_deadline, bits = (
+        require_number(raw["GiveUpAtMs"], "GiveUpAtMs"),
+        require_integer(raw.get("Bitmap") or 0, "Bitmap"),
+    )
+    return Arrival(
+        require_string(raw["Call"], "Call"), cls, tenant, key, client_deadline, bool(bits & RETRY_BIT)
+    )
 
 
 def read_outcome(raw: Message, _: int) -> Event:
@@ -85,12 +90,12 @@
     )
 
 
-def read_started(raw: Message, _: int) -> Event:
-    delay = require_number(raw["DelaySeenMs"], "DelaySeenMs")
-    return ResponseStarted(require_string(raw["Call"], "Call"), require_integer(raw["Leg"], "Leg"), delay)
+def read_response_started(raw: Message, _: int) -> Event:
+    latency = require_number(raw["DelaySeenMs"], "DelaySeenMs")
+    return ResponseStarted(require_string(raw["Call"], "Call"), require_integer(raw["Leg"], "Leg"), latency)
 
 
-def read_gone(raw: Message, _: int) -> Event:
+def read_client_disconnected(raw: Message, _: int) -> Event:
     return ClientDisconnected(require_string(raw["Call"], "Call"))
 
 
@@ -113,28 +118,35 @@
     return ServerList(kind, tuple(read_entry(require_object(e, "Records")) for e in entries))
 
 
-def read_probe(raw: Message, _: int) -> Event:
-    # A probe may fail for a cause with no name of its own here; only success is told apart.
+def read_probe_result(raw: Message, _: int) -> Event:
+    # A probe may fail with a result that is not in the table; all of them count as ERROR.
     result = RESULTS.get(require_string(raw["How"], "How"), Result.ERROR)
-    return ProbeResult(require_string(raw["Backend"], "Backend"), result, require_number(raw["DelaySeenMs"], "DelaySeenMs"))
+    return ProbeResult(
+        require_string(raw["Backend"], "Backend"), result, require_number(raw["DelaySeenMs"], "DelaySeenMs")
+    )
 
 
-def read_ring(raw: Message, _: int) -> Event:
+def read_timer(raw: Message, _: int) -> Event:
     return TimerFired(require_integer(raw["Ref"], "Ref"))
 
 
 READERS: dict[str, Callable[[Message, int], Event] | None] = {
     "Incoming": read_arrival,
     "Reply": read_outcome,
-    "Started": read_started,
-    "CancelledByClient": read_gone,
+    "Started": read_response_started,
+    "CancelledByClient": read_client_disconnected,
     "PeersKnown": read_list,
-    "ProbeDone": read_probe,
-    "Ring": read_ring,
-    "FromPeer": None,  # peers are not used
+    "ProbeDone": read_probe_result,
+    "Ring": read_timer,
+    "FromPeer": None,  # ignored: instances of the simulator don't exchange messages
 }
 WRITERS: dict[type[Any], Callable[[Any], Message]] = {
-    Send: lambda a: {"what": "Deliver", "Call": a.request, "Backend": a.server, "LimitMs": a.attempt_timeout_ms},
+    Send: lambda a: {
+        "what": "Deliver",
+        "Call": a.request,
+        "Backend": a.server,
+        "LimitMs": a.attempt_timeout_ms,
+    },
     Refuse: lambda a: {"what": "NotNow", "Call": a.request, "ComeBackMs": a.retry_after_ms},
     Fail: lambda a: {"what": "GiveUp", "Call": a.request},
     Cancel: lambda a: {"what": "AbortAttempt", "Call": a.request, "Leg": a.attempt},
@@ -145,13 +157,14 @@
 }
 
 
-class Host:
-    """One Balancer per instance; nothing is shared between them."""
+class SimulatorHost:
+    """Hosts the instances of one simulation: a Balancer for each, with no shared state."""
 
     def __init__(self) -> None:
         self.instances: dict[int, tuple[Balancer, int]] = {}
 
-    def batch(self, line: bytes) -> bytes:
+    def handle_batch(self, line: bytes) -> bytes:
+        """Handles one line of input and returns the line of replies; raises Malformed."""
         try:
             message = orjson.loads(line)
         except orjson.JSONDecodeError as error:
@@ -159,17 +172,20 @@
         message = require_object(message, "batch")
         for member in ("TsMs", "news"):
             if member not in message:
-                raise Malformed(f"batch without {member}")
+                raise Malformed(f"batch: {member} is missing")
         now = require_number(message["TsMs"], "TsMs")
-        pending: dict[int, list[Event]] = {}
+        events: dict[int, list[Event]] = {}  # by instance
         replies: list[Message] = []
         for raw in require_array(message["news"], "news"):
-            self.take(now, require_object(raw, "news entry"), pending, replies)
-        for proxy in list(pending):
-            self.flush(now, proxy, pending, replies)
+            self.read_event(now, require_object(raw, "news entry"), events, replies)
+        for proxy in list(events):
+            self.run_step(now, proxy, events, replies)
         return orjson.dumps({"cmds": replies})
 
-    def take(self, now: float, raw: Message, pending: dict[int, list[Event]], replies: list[Message]) -> None:
+    def read_event(
+        self, now: float, raw: Message, events: dict[int, list[Event]], replies: list[Message]
+    ) -> None:
+        """Adds an event to its instance's events, or starts or ends the instance."""
         what, proxy = raw.get("what"), raw.get("ProxyId")
         try:
             if "what" not in raw or "ProxyId" not in raw:
@@ -178,31 +194,34 @@
                 raise Malformed(f"ProxyId is not a whole number: {proxy!r}")
             if what == "Provision":
                 seed, info = require_integer(raw["Entropy"], "Entropy"), require_object(raw["Info"], "Info")
-                # What an instance held before a new start is void: its unread events go with it.
-                pending[proxy] = []
+                # A new start discards the instance's earlier state, including events not handled yet.
+                events[proxy] = []
                 settings = read_settings(info)
                 self.instances[proxy] = (Balancer(settings, seed), len(settings.classes))
                 return
             if proxy not in self.instances:
-                raise Malformed("instance was never provisioned")
+                raise Malformed("the instance was never provisioned")
             if what == "Exit":
-                pending.pop(proxy, None)
+                events.pop(proxy, None)
                 del self.instances[proxy]
                 return
             if not isinstance(what, str) or what not in READERS:
                 raise Malformed("unknown event")
             reader = READERS[what]
             if reader is not None:
-                pending.setdefault(proxy, []).append(reader(raw, self.instances[proxy][1]))
+                events.setdefault(proxy, []).append(reader(raw, self.instances[proxy][1]))
         except KeyError as error:
             raise Malformed(f"{what} for instance {proxy}: {error.args[0]} is missing") from None
         except (Malformed, ValueError) as error:
             raise Malformed(f"{what} for instance {proxy}: {error}") from None
 
-    def flush(self, now: float, proxy: int, pending: dict[int, list[Event]], replies: list[Message]) -> None:
+    def run_step(
+        self, now: float, proxy: int, events: dict[int, list[Event]], replies: list[Message]
+    ) -> None:
+        """Passes the instance's events to its Balancer and appends its actions to the replies."""
         try:
-            actions: list[Action] = self.instances[proxy][0].step(now, pending.pop(proxy))
-        except Exception as error:  # whatever broke in the module, the host of the wire is told and stops
+            actions: list[Action] = self.instances[proxy][0].step(now, events.pop(proxy))
+        except Exception as error:  # any fault of the module is reported to the simulator, which then stops
             text = f"{type(error).__name__}: {error}"
             replies.append({"what": "GiveIn", "ProxyId": proxy, "Msg": text})
             return
@@ -213,10 +232,11 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> int:
-    host = Host()
+    """Answers one line for each line of `source` and returns the exit code: 2 for malformed input."""
+    host = SimulatorHost()
     for line in source:
         try:
-            reply = host.batch(line)
+            reply = host.handle_batch(line)
         except Malformed as error:
             print(f"flintlatch: {error}", file=sys.stderr)
             return 2
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from flintlatch.adapter import Host
+from flintlatch.adapter import SimulatorHost
 from flintlatch.choice import Balancer
 
 INFO: dict[str, Any] = {
@@ -66,18 +66,18 @@
     def broken(*_: object) -> None:
         raise ZeroDivisionError("by a latency of nothing")
 
-    host = Host()
-    host.batch(batch(1, *START).encode())
+    host = SimulatorHost()
+    host.handle_batch(batch(1, *START).encode())
     monkeypatch.setattr(Balancer, "step", broken)
-    reply = json.loads(host.batch(batch(2, CALL).encode()))
+    reply = json.loads(host.handle_batch(batch(2, CALL).encode()))
     assert reply["cmds"] == [
         {"what": "GiveIn", "ProxyId": 3, "Msg": "ZeroDivisionError: by a latency of nothing"}
     ]
 
 
 def test_the_registered_size_is_read() -> None:
-    host = Host()
-    host.batch(batch(1, START[0], START[1] | {"Records": [ENTRY | {"Rating": 2.5}]}).encode())
+    host = SimulatorHost()
+    host.handle_batch(batch(1, START[0], START[1] | {"Records": [ENTRY | {"Rating": 2.5}]}).encode())
     assert [s.weight for s in host.instances[3][0].active] == [2.5]
 
 
