--- a/tests/support.py
+++ b/tests/support.py
@@ -1,4 +1,4 @@
-"""Small helpers for feeding a Balancer by hand."""
+"""Helpers for tests that give a Balancer single events."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
 )
 from flintlatch.choice import Balancer
 
-A = TypeVar("A")
+ActionT = TypeVar("ActionT")
 
 
-def settings(*classes: RequestClass, **more: Any) -> Settings:
-    base: dict[str, Any] = {"max_attempts": 4, "may_cancel": True, "tick_ms": 1.0}
-    return Settings(classes=classes or (RequestClass(300.0, 1000.0),), **(base | more))
+def settings(*classes: RequestClass, **changes: Any) -> Settings:
+    defaults: dict[str, Any] = {"max_attempts": 4, "may_cancel": True, "tick_ms": 1.0}
+    return Settings(classes=classes or (RequestClass(300.0, 1000.0),), **(defaults | changes))
 
 
 class Driver:
-    """One Balancer, a clock that the test sets, and every send kept by attempt."""
+    """Drives one Balancer by a clock that the test sets; records the servers of each request's attempts."""
 
     def __init__(self, config: Settings, *servers: ServerInfo, seed: int = 1) -> None:
         self.balancer = Balancer(config, seed)
@@ -47,30 +47,34 @@
         return actions
 
     def arrive(self, cls: int = 0, tenant: int = 0, key: int | None = None, wait: float = 1000.0) -> str:
-        name = f"r{next(self.ids)}"
-        self.last = self.step(Arrival(name, cls, tenant, key, self.now + wait))
-        return name
+        """Lets a request arrive and returns its id; the actions of that step are in `last`."""
+        request = f"r{next(self.ids)}"
+        self.last = self.step(Arrival(request, cls, tenant, key, self.now + wait))
+        return request
 
     def end(self, request: str, result: Result = Result.OK, after: float = 20.0, done: bool | None = None,
-            delay: float | None = None) -> list[Action]:  # fmt: skip
+            latency: float | None = None) -> list[Action]:  # fmt: skip
+        """Ends the latest attempt of a request `after` ms; `latency` and `done` default to match it."""
         attempt = len(self.sends[request]) - 1
         finished = result is Result.OK if done is None else done
-        delay = after if delay is None else delay
-        return self.step(Outcome(request, attempt, result, delay, finished), after=after)
+        latency = after if latency is None else latency
+        return self.step(Outcome(request, attempt, result, latency, finished), after=after)
 
     def tick(self, after: float = 25.0) -> list[Action]:
+        """Advances the clock and fires the housekeeping timer."""
         return self.step(TimerFired(0), after=after)
 
     def tick_for(self, ms: float) -> list[Action]:
+        """Fires the housekeeping timer every 25 ms for `ms`."""
         actions: list[Action] = []
         for _ in range(int(ms / 25)):
             actions += self.tick()
         return actions
 
 
-def actions_of(kind: type[A], actions: list[Action]) -> list[A]:
+def actions_of(kind: type[ActionT], actions: list[Action]) -> list[ActionT]:
     return [a for a in actions if isinstance(a, kind)]
 
 
-def server_entries(n: int, **more: Any) -> list[ServerInfo]:
-    return [ServerInfo(f"10.0.0.{i}:80", **more) for i in range(n)]
+def server_entries(number: int, **fields: Any) -> list[ServerInfo]:
+    return [ServerInfo(f"10.0.0.{i}:80", **fields) for i in range(number)]
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -95,7 +95,7 @@
         request = driver.arrive(wait=5000)
         driver.tick_for(1000)
         if request in driver.sends:
-            driver.end(request, after=0.0, delay=delay)
+            driver.end(request, after=0.0, latency=delay)
 
 
 def test_the_limit_on_all_in_flight_falls_when_answers_come_late_and_rises_again() -> None:
@@ -187,9 +187,9 @@
             half = n // 600
             if server == slow.id:
                 sent[half] += 1
-                driver.end(request, Result.TIMEOUT, delay=300.0, after=1.0)
+                driver.end(request, Result.TIMEOUT, latency=300.0, after=1.0)
             else:
-                driver.end(request, after=1.0, delay=80.0)
+                driver.end(request, after=1.0, latency=80.0)
             driver.tick(40.0)
     assert sent[0] >= 4  # it was met
     assert sent[1] <= 16  # an even part would be 40
@@ -205,7 +205,7 @@
     for key in keys:
         request = driver.arrive(key=key)
         met += driver.sends[request][0] == server
-        driver.end(request, after=1.0, delay=50.0)
+        driver.end(request, after=1.0, latency=50.0)
         driver.tick()
     return met
 
@@ -394,7 +394,7 @@
             driver.step(TimerFired(0), *news)
         for due, driver, name, result in [b for b in busy if b[0] <= now]:
             busy.remove((due, driver, name, result))
-            driver.end(name, result, after=0.0, delay=60.0 if result is Result.OK else 300.0, done=True)
+            driver.end(name, result, after=0.0, latency=60.0 if result is Result.OK else 300.0, done=True)
         for _ in range(7 + (rng.random() < 0.5)):
             driver = rng.choice(drivers)
             waiting.append((driver, driver.arrive(key=rng.randrange(200))))
@@ -436,7 +436,7 @@
         for key in range(300):
             request = driver.arrive(key=key)
             met += driver.sends[request][0] in large
-            driver.end(request, after=1.0, delay=50.0)
+            driver.end(request, after=1.0, latency=50.0)
             driver.tick()
     assert 1.5 < met / (900 - met) < 2.6
     assert firsts[0] == firsts[1] == firsts[2]
@@ -455,7 +455,7 @@
         driver.now += 5.0
         for due, name in [b for b in busy if b[0] <= driver.now]:
             busy.remove((due, name))
-            driver.end(name, after=0.0, delay=100.0)
+            driver.end(name, after=0.0, latency=100.0)
         if t % 25 == 0:
             driver.tick(0.0)
         if t % 500 == 0:
@@ -513,7 +513,7 @@
             hot[server] += 1
         elif n >= 500:
             rare.setdefault(key, set()).add(server)
-        driver.end(request, after=1.0, delay=50.0)
+        driver.end(request, after=1.0, latency=50.0)
         driver.tick(50.0)
     assert len(hot) >= 4 and max(hot.values()) < 0.45 * sum(hot.values())
     assert max(len(servers) for servers in rare.values()) <= 2
@@ -541,7 +541,7 @@
             driver.step(TimerFired(0), *([ServerList(ListKind.CHANGES, (*gone, *new))] if listed else []))
         for due in [b for b in busy if b[0] <= now]:
             busy.remove(due)
-            due[1].end(due[2], after=0.0, delay=60.0)
+            due[1].end(due[2], after=0.0, latency=60.0)
         for driver in rng.choices(drivers, parts, k=int(per_ms * 50)):
             name = driver.arrive(key=rng.randrange(300))
             if name in driver.sends:
@@ -562,7 +562,7 @@
     driver = Driver(settings(proxies=100, key_affinity=True), *server_entries(100), seed=seed)
     rng, rates = Random(seed), []
     for n in range(400):
-        driver.end(driver.arrive(key=rng.randrange(400)), after=25.0, delay=40.0)
+        driver.end(driver.arrive(key=rng.randrange(400)), after=25.0, latency=40.0)
         driver.tick()
         if n > 200:
             rates.append(driver.balancer.warm_rate[0])
@@ -591,7 +591,7 @@
             driver.tick()
             for name in [name for name in driver.sends if name in driver.balancer.requests]:
                 sent.append(driver.now - start)
-                driver.end(name, after=0.0, delay=60.0)
+                driver.end(name, after=0.0, latency=60.0)
     for first in sent:
         came = sum(first <= t < first + 1500 for t in sent)
         assert came <= 0.9 * 3 * (0.12 + 0.88 * first / 20_000) * each * 1.5
@@ -603,7 +603,7 @@
     """Silent for seconds and back: it may have started anew, and no list has told so yet."""
     driver = Driver(settings(proxies=200, key_affinity=True, **COLD), *server_entries(2))
     for _ in range(60):
-        driver.end(driver.arrive(), delay=40.0)
+        driver.end(driver.arrive(), latency=40.0)
         driver.tick_for(100)
     away = driver.balancer.active[0]
     away.reward = 0.1
@@ -658,7 +658,7 @@
             driver.tick(after=50.0)
             for name in [name for name in driver.sends if name in driver.balancer.requests]:
                 used[driver.sends[name][0]] += 1
-                driver.end(name, after=0.0, delay=60.0)
+                driver.end(name, after=0.0, latency=60.0)
     # With nothing known one in a window of 1.5 s is meant for each, of all proxies: about 40 here.
     assert len(used) == 6 and min(used.values()) >= 2 and 20 <= sum(used.values()) <= 60
 
@@ -688,11 +688,11 @@
 
 def test_the_first_slow_answer_after_an_outage_makes_a_server_doubted() -> None:
     driver = Driver(settings(proxies=200, key_affinity=True, **COLD), *server_entries(1))
-    driver.end(driver.arrive(), delay=40.0)
+    driver.end(driver.arrive(), latency=40.0)
     server = driver.balancer.active[0]
     driver.now += 2000
     server.consecutive_failures, server.first_failure_at = 3, driver.now - 1500  # rested, and on trial now
-    driver.end(driver.arrive(), delay=200.0)
+    driver.end(driver.arrive(), latency=200.0)
     assert server.consecutive_failures == 0 and server.is_cold(driver.now)
 
 
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -1,4 +1,4 @@
-"""The ordinary path: buffer, gate, detector, levels, shedding, pick."""
+"""Tests of the ordinary path: queues, limits, overload detection, load shedding and server choice."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from tests.support import Driver, server_entries, actions_of, settings
 
 
-def test_nothing_waits_beside_an_idle_ready_server() -> None:
+def test_a_request_is_sent_at_once_to_an_idle_server() -> None:
     driver = Driver(settings(), *server_entries(1))
     driver.arrive()
     assert [s.server for s in actions_of(Send, driver.last)] == ["10.0.0.0:80"]
 
 
-def test_gate_holds_beyond_the_limit_and_a_freed_slot_takes_the_head() -> None:
+def test_requests_above_the_limit_are_queued_and_freed_capacity_takes_the_head() -> None:
     driver = Driver(settings(proxies=4), *server_entries(1))
     first, second, third = driver.arrive(), driver.arrive(), driver.arrive()
     assert list(driver.sends) == [first]
@@ -25,27 +25,27 @@
     assert third not in driver.sends
 
 
-def test_slot_goes_to_the_head_that_waited_the_largest_part_of_its_aim() -> None:
+def test_capacity_goes_to_the_head_that_waited_the_largest_fraction_of_its_target() -> None:
     classes = (RequestClass(1000.0, 3000.0), RequestClass(200.0, 3000.0))
     driver = Driver(settings(*classes, proxies=4), *server_entries(1))
     first = driver.arrive(0)
     driver.now += 5
     older = driver.arrive(0, wait=3000)
     driver.now += 10
-    pressed = driver.arrive(1, wait=3000)
-    assert [s.request for s in actions_of(Send, driver.end(first))] == [pressed]
+    urgent = driver.arrive(1, wait=3000)
+    assert [s.request for s in actions_of(Send, driver.end(first))] == [urgent]
     assert older not in driver.sends
 
 
-def test_pick_takes_the_higher_payoff() -> None:
+def test_the_server_with_the_higher_reward_is_chosen() -> None:
     driver = Driver(settings(), *server_entries(2))
-    bad, good = driver.balancer.active
-    bad.reward, bad.recent_outcomes, good.recent_outcomes = 0.2, 50.0, 50.0
+    failing, good = driver.balancer.active
+    failing.reward, failing.recent_outcomes, good.recent_outcomes = 0.2, 50.0, 50.0
     driver.arrive()
     assert list(driver.sends.values()) == [[good.id]]
 
 
-def test_bonus_tries_a_server_without_recent_outcomes_again() -> None:
+def test_exploration_retries_a_server_without_recent_outcomes() -> None:
     driver = Driver(settings(), *server_entries(2))
     idle, busy = driver.balancer.active
     driver.balancer.recent_outcomes = 200.0
@@ -55,27 +55,33 @@
 
 
 @pytest.mark.parametrize("key_affinity", [True, False])
-def test_one_of_many_uses_all_servers_only_where_they_know_keys(key_affinity: bool) -> None:
-    # Guards against a key that meets other servers at each proxy, and so none that knows it.
+def test_proxies_of_a_large_tier_share_a_keys_servers_only_with_key_affinity(key_affinity: bool) -> None:
+    # If each proxy sent a key to servers of its own, none of them would know the key.
     servers: list[ServerInfo] = server_entries(24)
-    met: set[str] = set()
+    used: set[str] = set()
     for me in range(14):
         driver = Driver(settings(proxies=14, me=me, key_affinity=key_affinity), *servers, seed=me)
         for n in range(40):
-            request = driver.arrive(key=1000 + n if n % 20 else 7)  # a key that is as rare as the others
+            request = driver.arrive(key=1000 + n if n % 20 else 7)  # key 7 is as rare as the others
             if n % 20 == 0:
-                met.update(driver.sends.get(request, ()))
+                used.update(driver.sends.get(request, ()))
             driver.end(request)
-    assert len(met) == 2 if key_affinity else len(met) > 6
-
-
-def test_cold_servers_get_one_request_in_a_window_from_many_proxies_together() -> None:
-    # Guards against proxies that start together, know nothing, and each give a cold server its own first one.
-    spec: dict[str, Any] = {"key_affinity": True, "start_capacity": 0.1, "cold_ms": 20_000.0, "fall_ms": 1500.0}
+    assert len(used) == 2 if key_affinity else len(used) > 6
+
+
+def test_a_large_tier_sends_an_unobserved_cold_server_one_request_in_a_window() -> None:
+    # Proxies that start together have observed nothing. Each of them must not send a cold server a first
+    # request.
+    slow_start: dict[str, Any] = {
+        "key_affinity": True,
+        "start_capacity": 0.1,
+        "cold_ms": 20_000.0,
+        "fall_ms": 1500.0,
+    }
     sent = 0
     for me in range(14):
-        driver = Driver(settings(proxies=14, me=me, **spec), *server_entries(1, started=0.0), seed=me)
-        for _ in range(100):  # two windows
+        driver = Driver(settings(proxies=14, me=me, **slow_start), *server_entries(1, started=0.0), seed=me)
+        for _ in range(100):  # two windows of 1.5 s
             driver.tick(30.0)
             for request in list(driver.sends):
                 sent += 1
@@ -85,13 +91,13 @@
     assert 1 <= sent <= 6
 
 
-def test_ties_go_to_fewer_in_flight() -> None:
+def test_a_tie_goes_to_the_server_with_fewer_requests_in_flight() -> None:
     driver = Driver(settings(), *server_entries(2))
-    used = driver.sends[driver.arrive()][0]
-    assert driver.sends[driver.arrive()][0] != used
+    first = driver.sends[driver.arrive()][0]
+    assert driver.sends[driver.arrive()][0] != first
 
 
-def test_payoff_is_one_inside_the_aim_and_zero_for_late_or_failed() -> None:
+def test_reward_is_one_within_the_target_and_zero_for_late_or_failed_attempts() -> None:
     driver = Driver(settings(), *server_entries(1))
     server = driver.balancer.active[0]
     server.reward = 0.5
@@ -103,60 +109,61 @@
     assert server.reward == pytest.approx(0.4455)
 
 
-def stuck(*classes: RequestClass, **more: Any) -> Driver:
-    """One request at the only server, one held that can wait for long."""
-    driver = Driver(settings(*classes, proxies=4, **more), *server_entries(1))
+def blocked(*classes: RequestClass, **changes: Any) -> Driver:
+    """Returns a driver with one request at its only server and one queued that can wait for long."""
+    driver = Driver(settings(*classes, proxies=4, **changes), *server_entries(1))
     driver.arrive(0)
     driver.arrive(0, wait=100_000)
     return driver
 
 
-def endpoint_with_waits(*waits: float) -> tuple[ClassQueue, float]:
-    driver = stuck()
-    endpoint, now = driver.balancer.queues[0], driver.now
-    endpoint.min_wait, endpoint.previous_min_wait, endpoint.sends = 0.0, 0.0, 0
+def queue_with_waits(*waits: float) -> tuple[ClassQueue, float]:
+    """Returns a queue that has recorded a send with each wait, 20 ms apart, and the time of the last one."""
+    driver = blocked()
+    queue, now = driver.balancer.queues[0], driver.now
+    queue.min_wait, queue.previous_min_wait, queue.sends = 0.0, 0.0, 0
     for wait in waits:
         now += 20
-        endpoint.record_send(now, wait)
-    return endpoint, now
+        queue.record_send(now, wait)
+    return queue, now
 
 
-def test_flag_follows_the_least_wait_of_the_window() -> None:
-    endpoint, now = endpoint_with_waits(*[60.0] * 20)
-    assert endpoint.overload_ratio(now) > 1
-    endpoint.record_send(now + 1, 0.0)  # one immediate send is enough: no standing queue
-    assert endpoint.overload_ratio(now + 1) == 0
+def test_overload_follows_the_minimum_wait_of_the_window() -> None:
+    queue, now = queue_with_waits(*[60.0] * 20)
+    assert queue.overload_ratio(now) > 1
+    queue.record_send(now + 1, 0.0)  # a single immediate send disproves a standing queue
+    assert queue.overload_ratio(now + 1) == 0
 
 
-def test_a_thin_window_does_not_flip_the_flag() -> None:
-    endpoint, now = endpoint_with_waits(0.0, 60.0, 60.0)
-    assert endpoint.overload_ratio(now) < 1
+def test_a_window_with_few_sends_does_not_change_the_overload() -> None:
+    queue, now = queue_with_waits(0.0, 60.0, 60.0)
+    assert queue.overload_ratio(now) < 1
 
 
-def test_a_stuck_queue_counts_by_the_age_of_its_head() -> None:
-    endpoint, now = endpoint_with_waits(*[0.0] * 20)
-    assert endpoint.overload_ratio(now + 200) > 1
+def test_a_blocked_queue_is_judged_by_the_age_of_its_head() -> None:
+    queue, now = queue_with_waits(*[0.0] * 20)
+    assert queue.overload_ratio(now + 200) > 1
 
 
-def test_an_old_window_does_not_flag_an_empty_buffer() -> None:
-    endpoint, now = endpoint_with_waits(*[60.0] * 20)
-    endpoint.pending[0].is_queued = False
-    assert endpoint.overload_ratio(now + 5) == 0
+def test_an_old_window_does_not_make_an_empty_queue_overloaded() -> None:
+    queue, now = queue_with_waits(*[60.0] * 20)
+    queue.pending[0].is_queued = False
+    assert queue.overload_ratio(now + 5) == 0
 
 
-def test_levels_come_from_worth_and_share() -> None:
+def test_priority_levels_follow_from_worth_and_quota() -> None:
     classes = tuple(RequestClass(300.0, 900.0, worth=w) for w in (12.0, 7.0, 4.0, 1.0))
     balancer = Balancer(settings(*classes, quotas=(2.0,), over_share_worth=0.05, proxies=2), 1)
     assert [balancer.priority_level(0.0, c, 5) for c in classes] == [1, 2, 3, 4]
     assert [balancer.priority_level(1.0, classes[0], 0) for _ in range(3)] == [1, 4, 4]
-    assert balancer.priority_level(2001.0, classes[0], 0) == 1  # a second's quota has come in
+    assert balancer.priority_level(2001.0, classes[0], 0) == 1  # the bucket has refilled for a second
 
 
 @pytest.mark.parametrize(("cls", "answer"), [(0, None), (1, None), (3, Refuse)])
-def test_under_the_flag_only_low_levels_are_refused(cls: int, answer: type | None) -> None:
+def test_under_overload_only_low_levels_are_refused(cls: int, answer: type | None) -> None:
     classes = tuple(RequestClass(300.0, 900.0, worth=w) for w in (12.0, 7.0, 4.0, 1.0))
-    driver = stuck(*classes, retry_after=True, max_retry_after_ms=500)
-    driver.now += 160  # stuck longer than a window
+    driver = blocked(*classes, retry_after=True, max_retry_after_ms=500)
+    driver.now += 160  # blocked for longer than a window
     driver.arrive(cls)
     refused = actions_of(Refuse, driver.last)
     assert bool(refused) == (answer is Refuse)
@@ -164,93 +171,93 @@
         assert 0 < refused[0].retry_after_ms <= 500
 
 
-def test_level_three_is_refused_less_readily_than_four() -> None:
+def test_level_three_is_refused_later_than_level_four() -> None:
     classes = tuple(RequestClass(300.0, 900.0, worth=w) for w in (12.0, 4.0, 1.0))
     counts = {}
     for cls in (1, 2):
-        driver = stuck(*classes)
-        endpoint = driver.balancer.queues[0]
+        driver = blocked(*classes)
+        queue = driver.balancer.queues[0]
         for _ in range(9):
             driver.now += 20
-            endpoint.record_send(driver.now, 1.5 * 0.08 * 300)
+            queue.record_send(driver.now, 1.5 * 0.08 * 300)
         counts[cls] = sum(bool(actions_of(Refuse, driver.last)) for _ in range(20) if driver.arrive(cls))
     assert counts == {1: 0, 2: 20}
 
 
-def test_the_flag_is_per_endpoint() -> None:
+def test_overload_of_one_queue_does_not_affect_another() -> None:
     classes = (RequestClass(300.0, 900.0, worth=12.0), RequestClass(500.0, 900.0, worth=1.0))
-    driver = stuck(*classes)
+    driver = blocked(*classes)
     driver.now += 160
     driver.arrive(1)
     assert not actions_of(Refuse, driver.last)
 
 
-def test_a_request_that_cannot_be_useful_is_failed_while_held() -> None:
+def test_a_queued_request_that_cannot_be_on_time_is_failed() -> None:
     driver = Driver(settings(proxies=4), *server_entries(1))
     driver.arrive()
-    held = driver.arrive()
-    assert [f.request for f in actions_of(Fail, driver.tick_for(325))] == [held]
+    queued = driver.arrive()
+    assert [f.request for f in actions_of(Fail, driver.tick_for(325))] == [queued]
 
 
-def test_a_request_never_sent_is_given_up_before_half_its_wait() -> None:
-    # Told later, its client has no time for another try, and nothing was ever done for it.
+def test_an_unsent_request_is_failed_before_half_its_wait() -> None:
+    # If the client learned of it later, it would have no time left for a retry.
     driver = Driver(settings(RequestClass(5000.0, 9000.0), proxies=4), *server_entries(1))
     driver.arrive(wait=1000)
-    held = driver.arrive(wait=1000)
+    queued = driver.arrive(wait=1000)
     assert not actions_of(Fail, driver.tick_for(400))
-    assert [f.request for f in actions_of(Fail, driver.tick_for(75))] == [held]
+    assert [f.request for f in actions_of(Fail, driver.tick_for(75))] == [queued]
 
 
-def test_level_four_is_let_in_beside_an_empty_buffer_unless_the_flag_keeps_returning() -> None:
+def test_level_four_is_admitted_to_an_empty_queue_unless_overload_recurs() -> None:
     classes = (RequestClass(300.0, 900.0, worth=12.0), RequestClass(300.0, 900.0, worth=1.0))
-    for release, refused in ((0.5, False), (4.0, True)):
+    for span, refused in ((0.5, False), (4.0, True)):
         driver = Driver(settings(*classes), *server_entries(40))
         driver.balancer.queues[0].overloaded_at = driver.now
-        driver.balancer.queues[0].readmission_span = release
+        driver.balancer.queues[0].readmission_span = span
         driver.arrive(1)
         assert bool(actions_of(Refuse, driver.last)) is refused
 
 
-def test_a_late_answer_is_waited_for_only_without_overload() -> None:
+def test_a_late_request_stays_queued_only_without_overload() -> None:
     spec = RequestClass(300.0, 1000.0, late_worth=0.3)
     driver = Driver(settings(spec, proxies=4), *server_entries(1))
-    first, held = driver.arrive(), driver.arrive()
+    first, queued = driver.arrive(), driver.arrive()
     driver.balancer.queues[0].overload_ratio = lambda now: 0.0  # type: ignore[method-assign]
     assert not actions_of(Fail, driver.tick_for(400))
     driver.balancer.queues[0].overload_ratio = lambda now: 2.0  # type: ignore[method-assign]
-    assert [f.request for f in actions_of(Fail, driver.tick_for(75))] == [held]
+    assert [f.request for f in actions_of(Fail, driver.tick_for(75))] == [queued]
     assert first in driver.sends
 
 
-def limit_after(latencies: list[float], proxies: int, aim: float = 1000.0, start: float = 4.0) -> float:
+def limit_after(latencies: list[float], proxies: int, target: float = 1000.0, start: float = 4.0) -> float:
     server = Server(server_entries(1)[0], proxies)
     server.limit = start
     for latency in latencies:
         server.peak_inflight = max(server.peak_inflight, int(max(1, server.limit)))
-        server.observe_latency(latency, latency / aim)
+        server.observe_latency(latency, latency / target)
     return server.limit
 
 
-def test_limit_grows_while_answers_are_quick_and_shrinks_when_they_queue() -> None:
+def test_limit_grows_while_responses_are_quick_and_shrinks_when_requests_queue() -> None:
     assert limit_after([50.0] * 100, 2) > 8
     assert limit_after([50.0] * 20 + [200.0] * 200, 2) < 4
 
 
-def test_limit_is_shared_over_the_proxies_and_may_fall_below_one() -> None:
+def test_limit_is_divided_by_the_number_of_proxies_and_may_fall_below_one() -> None:
     assert 2 / 6 <= limit_after([50.0] * 20 + [300.0] * 200, 6, start=1.0) < 1
     assert limit_after([50.0] * 20 + [300.0] * 400, 1, start=4.0) >= 2
 
 
-def test_limit_is_cut_when_answers_take_much_of_the_aim_though_the_floor_is_high() -> None:
-    assert limit_after([150.0] * 200, 2, aim=300.0) == pytest.approx(1.0)
-    assert limit_after([150.0] * 200, 2, aim=3000.0) > 8
+def test_limit_is_cut_when_latency_is_near_the_target_although_the_base_latency_is_high() -> None:
+    assert limit_after([150.0] * 200, 2, target=300.0) == pytest.approx(1.0)
+    assert limit_after([150.0] * 200, 2, target=3000.0) > 8
 
 
-def test_limit_recovers_after_a_crowded_spell() -> None:
+def test_limit_recovers_after_congestion() -> None:
     assert limit_after([50.0] * 20 + [600.0] * 200 + [50.0] * 300, 2) > 8
 
 
-def test_limits_below_one_add_up_to_a_limit_on_all_in_flight() -> None:
+def test_limits_below_one_add_up_to_a_limit_on_all_requests_in_flight() -> None:
     driver = Driver(settings(proxies=4), *server_entries(8))
     for server in driver.balancer.active:
         server.limit = 0.25
@@ -261,18 +268,18 @@
     assert len(driver.sends) == 3
 
 
-def test_servers_that_hang_do_not_use_up_the_sum_of_limits() -> None:
+def test_hanging_servers_do_not_use_up_the_sum_of_limits() -> None:
     driver = Driver(settings(proxies=4), *server_entries(8))
     for _ in range(20):
         driver.end(driver.arrive(), after=20)
     for server in driver.balancer.active:
         server.limit = 0.25
-    held = [driver.arrive() for _ in range(3)]
-    assert [name in driver.sends for name in held] == [True, True, False]
+    requests = [driver.arrive() for _ in range(3)]
+    assert [request in driver.sends for request in requests] == [True, True, False]
     driver.step(after=30)
-    assert held[2] not in driver.sends  # an answer may still be on its way
+    assert requests[2] not in driver.sends  # a response may still be on its way
     driver.step(after=30)
-    assert held[2] in driver.sends
+    assert requests[2] in driver.sends
 
 
 def test_same_events_and_seed_give_the_same_actions() -> None:
@@ -283,16 +290,16 @@
     assert runs[0] == runs[1]
 
 
-def test_an_outcome_for_an_id_no_longer_held_is_passed_over() -> None:
+def test_an_outcome_of_an_unknown_request_is_ignored() -> None:
     driver = Driver(settings(), *server_entries(1))
     request = driver.arrive()
     driver.end(request)
     assert driver.step(Outcome(request, 0, Result.OK, 1.0, True)) == []
-    assert driver.step(Outcome("nobody", 3, Result.OK, 1.0, True)) == []
+    assert driver.step(Outcome("unknown", 3, Result.OK, 1.0, True)) == []
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "fields",
     [
         {"classes": ()},
         {"classes": (RequestClass(-1.0, 100.0),)},
@@ -303,9 +310,9 @@
         {"classes": (RequestClass(1.0, float("nan")),)},
     ],
 )
-def test_impossible_classes_are_named(bad: dict[str, object]) -> None:
+def test_impossible_classes_are_named(fields: dict[str, object]) -> None:
     with pytest.raises(ValueError, match="^(class 0: (aim|deadline|worth|effect|scope)|classes|worth)"):
-        Balancer(Settings(**bad), 1)  # type: ignore[arg-type]
+        Balancer(Settings(**fields), 1)  # type: ignore[arg-type]
 
 
 @pytest.mark.parametrize(
@@ -318,7 +325,7 @@
         Balancer(settings(**{name: value}), 1)
 
 
-def test_where_keys_are_warm_every_proxy_draws_the_same_two_servers_for_a_key() -> None:
+def test_with_key_affinity_every_proxy_draws_the_same_two_servers_for_a_key() -> None:
     used: dict[int, set[str]] = {}
     for seed in range(6):
         driver = Driver(settings(key_affinity=True), *server_entries(9), seed=seed)
@@ -330,24 +337,25 @@
     assert len({frozenset(s) for s in used.values()}) > 5
 
 
-def test_all_limits_are_cut_when_answers_of_all_servers_take_much_of_the_aim() -> None:
-    """Two answers of each server say nothing of it alone; twenty servers together say enough."""
+def test_all_limits_are_cut_when_the_latency_of_all_servers_is_near_the_target() -> None:
+    """Two responses of each server say nothing about that server; those of twenty servers together do."""
     driver = Driver(settings(proxies=4), *server_entries(20))
     servers = driver.balancer.active
     before = sum(s.limit for s in servers)
     for _ in range(80):
         driver.end(driver.arrive(), after=150)
     assert all(s.limit_samples < 8 for s in servers)
-    assert sum(s.limit for s in servers) == pytest.approx(before / 2)  # two requests of all proxies at each
+    # The minimum: two requests of all proxies at each server.
+    assert sum(s.limit for s in servers) == pytest.approx(before / 2)
 
 
-def test_a_proxy_with_more_than_its_part_of_traffic_does_not_judge_everyone_beyond_their_share() -> None:
+def test_a_proxy_with_more_than_an_even_share_of_traffic_does_not_judge_all_tenants_over_quota() -> None:
     config = settings(quotas=(40.0, 10.0, 10.0, 10.0), over_share_worth=0.05, proxies=4, zones=2)
     driver = Driver(config, *server_entries(9))
-    for second in range(12):  # this proxy gets half of all traffic; tenant 0 asks for three times its share
-        for slot in range(80):
-            tenant = 0 if slot < 60 else 1 + slot % 3
-            driver.step(Arrival(f"{second}.{slot}", 0, tenant, None, driver.now + 900))
+    for second in range(12):  # this proxy gets half of all traffic; tenant 0 uses three times its quota
+        for number in range(80):
+            tenant = 0 if number < 60 else 1 + number % 3
+            driver.step(Arrival(f"{second}.{number}", 0, tenant, None, driver.now + 900))
             driver.tick(after=12.5)
     balancer, spec = driver.balancer, config.classes[0]
     assert balancer.traffic_fraction > 0.4
@@ -357,7 +365,7 @@
     assert 10 < levels.count(1) < 40
 
 
-def test_in_a_flood_of_all_tenants_the_part_is_at_most_a_zone() -> None:
+def test_in_a_flood_of_all_tenants_the_traffic_fraction_is_at_most_that_of_a_zone() -> None:
     config = settings(quotas=(10.0, 10.0, 10.0), over_share_worth=0.05, proxies=4, zones=3)
     driver = Driver(config, *server_entries(9))
     for count in range(800):
@@ -366,7 +374,7 @@
     assert driver.balancer.traffic_fraction == pytest.approx(1 / 3)
 
 
-def test_without_other_tenants_to_compare_the_part_is_one_in_n() -> None:
+def test_with_a_single_tenant_the_traffic_fraction_is_an_even_share() -> None:
     driver = Driver(settings(quotas=(10.0,), over_share_worth=0.05, proxies=4), *server_entries(9))
     for _ in range(200):
         driver.arrive()
@@ -374,7 +382,7 @@
     assert driver.balancer.traffic_fraction == 0.25
 
 
-def test_level_four_comes_back_by_degrees_after_the_flag() -> None:
+def test_level_four_is_readmitted_gradually_after_an_overload() -> None:
     classes = (RequestClass(300.0, 900.0, worth=12.0), RequestClass(300.0, 900.0, worth=1.0))
     refused = []
     for since in (1.0, 600.0, 1201.0):
@@ -386,41 +394,42 @@
     assert refused[0] >= 38 and 8 < refused[1] < 32 and refused[2] == 0
 
 
-def test_level_four_comes_back_more_slowly_only_where_the_flag_returns_soon() -> None:
-    # After each short spike it was kept out for four aims, and servers stood idle meanwhile.
-    endpoint = ClassQueue(300.0, 1.0)
+def test_level_four_is_readmitted_more_slowly_only_if_overload_recurs_soon() -> None:
+    # With the longest span after each short spike, level 4 was refused for four latency targets beside idle
+    # servers.
+    queue = ClassQueue(300.0, 1.0)
 
-    def flags(every: float, times: int) -> float:
+    def span_after_overloads(interval: float, times: int) -> float:
         for number in range(times):
-            endpoint.set_overloaded(1e6 + number * every, True)
-            endpoint.set_overloaded(1e6 + number * every + 1, False)
-        return endpoint.readmission_span
+            queue.set_overloaded(1e6 + number * interval, True)
+            queue.set_overloaded(1e6 + number * interval + 1, False)
+        return queue.readmission_span
 
-    assert flags(200.0, 1) == 0.5
-    assert flags(200.0, 6) == 4.0
-    endpoint.overloaded_at = -1e9
-    assert flags(5000.0, 3) == 0.5
+    assert span_after_overloads(200.0, 1) == 0.5
+    assert span_after_overloads(200.0, 6) == 4.0
+    queue.overloaded_at = -1e9
+    assert span_after_overloads(5000.0, 3) == 0.5
 
 
-def test_a_repeat_past_the_aim_of_its_first_try_is_not_sent() -> None:
+def test_a_retry_past_the_target_of_its_first_try_is_not_sent() -> None:
     for late_worth, sent in ((0.0, False), (0.3, True)):
         driver = Driver(settings(RequestClass(300.0, 1000.0, late_worth=late_worth)), *server_entries(2))
         driver.end(driver.arrive(wait=1000))
-        driver.arrive(wait=690)  # its client has waited 310 ms already
+        driver.arrive(wait=690)  # the client has already waited 310 ms
         assert bool(actions_of(Send, driver.last)) is sent
         assert bool(actions_of(Fail, driver.last)) is not sent
         driver.arrive(wait=900)
         assert actions_of(Send, driver.last)
 
 
-def test_clients_that_come_with_less_time_are_no_repeats_unless_some_were_turned_away() -> None:
-    # For a while three of four came with an eighth of the usual wait. Each looked like a repeat whose aim had
-    # long passed, and failed unsent beside idle servers.
-    for away, low, high in ((0.0, 30, 30), (100.0, 0, 0)):
+def test_a_shorter_client_wait_marks_a_retry_only_after_rejections() -> None:
+    # When three of four requests came with an eighth of the usual wait, each of them was taken for a retry
+    # past its latency target and failed unsent beside idle servers.
+    for expected_retries, low, high in ((0.0, 30, 30), (100.0, 0, 0)):
         driver = Driver(settings(RequestClass(80.0, 400.0)), *server_entries(4))
         sent = 0
         for number in range(40):
-            driver.balancer.expected_retries = away
+            driver.balancer.expected_retries = expected_retries
             request = driver.arrive(wait=45 if number % 4 else 398)
             if request in driver.sends:
                 sent += number % 4 > 0
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -371,7 +371,7 @@
             if tick == 200:
                 driver.step(ServerList(ListKind.CHANGES, (ServerInfo("new:1", started=driver.now),)))
             for _ in range(weight):
-                driver.end(driver.arrive(), after=0.0, delay=20.0)
+                driver.end(driver.arrive(), after=0.0, latency=20.0)
             driver.tick(after=pause)
         sent.append((drivers[0].now, sent_to("new:1", drivers)))
     start = sent[200][0]
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -1,4 +1,4 @@
-"""The decision module stays readable: lines of 110 characters at most."""
+"""Tests that the lines of the decision module have at most 110 characters."""
 
 from pathlib import Path
 
