--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -533,7 +533,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_replaced_servers_get_no_more_from_all_proxies_than_slow_start_permits(seed: int) -> None:
-    """6 of 12 servers are new; the budgets of 60 proxies with uneven traffic must not overload them together."""
+    """6 of 12 servers are new; together, 60 proxies with uneven traffic must not overload them."""
     changes = SLOW_START | {"key_affinity": True, "weights_report_load": True, "max_attempts": 6}
     servers = [s._replace(weight=1.5) for s in server_entries(12)]
     drivers = [Driver(settings(proxies=60, me=me, **changes), *servers, seed=60 * seed + me) for me in range(60)]
@@ -582,8 +582,11 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_slow_start_tokens_are_not_saved_until_all_proxies_need_a_cold_server(seed: int) -> None:
-    """200 proxies with uneven traffic get no request for seconds. Then all other servers are full, and requests
-    are queued in each proxy. With one token saved by each, they would send 1.31 to 1.78 times the budget at once.
+    """If proxies saved tokens, all of them would spend theirs when the other servers are full.
+
+    200 proxies with uneven traffic get no request for seconds. Then all other servers are full, and each
+    proxy has queued requests. With one saved token each, they sent 1.31 to 1.78 times the budget in virtual
+    time.
     """
     rng = Random(seed)
     traffic = [4.0 if me % 10 == 3 else rng.uniform(0.3, 1.2) for me in range(200)]
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -1,4 +1,7 @@
-"""Arbitrary legal event sequences against an oracle that knows rules 1 to 3 and the permissions."""
+"""Property tests: an oracle checks the actions for arbitrary valid event sequences.
+
+It checks rules 1 to 3 of test_rules.py and the permissions that the settings give.
+"""
 
 from __future__ import annotations
 
@@ -53,41 +56,41 @@
     Settings(CLASSES, proxies=8, me=3, zone=1, zones=2, max_attempts=5, retry_after=True,
              max_retry_after_ms=500.0, tick_ms=2.0),
 )  # fmt: skip
-NAMES = [f"s{i}" for i in range(6)]
+SERVER_NAMES = [f"s{i}" for i in range(6)]
 
 
 @dataclass
-class Sent:
-    home: ServerInfo  # as it was listed then
-    at: float
-    limit: float
+class SentAttempt:
+    server: ServerInfo  # its entry at the time of the send
+    sent_at: float
+    timeout_ms: float
     result: Result | None = None
     cancelled: bool = False
 
 
 @dataclass
-class Asked:
+class ClientRequest:
     cls: int
-    give_up: float
-    over: bool = False
-    attempts: list[Sent] = field(default_factory=list)
+    deadline: float
+    finished: bool = False
+    attempts: list[SentAttempt] = field(default_factory=list)
 
 
 class Oracle:
-    """Plays clients, servers' outcomes and the list; checks each action against the rules."""
+    """Simulates clients, servers and the server list, and checks each action against the rules."""
 
     def __init__(self, config: Settings, seed: int) -> None:
         self.config, self.balancer, self.now = config, Balancer(config, seed), 0.0
-        self.asked: dict[str, Asked] = {}
+        self.requests: dict[str, ClientRequest] = {}
         self.listed: dict[str, ServerInfo] = {}
         self.timers: list[float] = []
 
     def step(self, events: list[Event]) -> None:
         for action in self.balancer.step(self.now, events):
             self.check(action)
-        for name, request in self.asked.items():
-            out = any(a.result is None for a in request.attempts)
-            assert request.over or out or self.now < request.give_up, f"{name} lost"
+        for name, request in self.requests.items():
+            in_progress = any(a.result is None for a in request.attempts)
+            assert request.finished or in_progress or self.now < request.deadline, f"{name} lost"
 
     def check(self, action: Action) -> None:
         if isinstance(action, SetTimer):
@@ -95,45 +98,48 @@
         elif isinstance(action, Send):
             self.check_send(action)
         elif isinstance(action, (Fail, Refuse)):
-            request = self.asked[action.request]
-            assert not request.over, "answered twice"
-            request.over = True
+            request = self.requests[action.request]
+            assert not request.finished, "answered twice"
+            request.finished = True
             if isinstance(action, Refuse):
-                assert not self.may_have_run(request) or CLASSES[request.cls].effect is Effect.SAFE
+                assert not self.executions(request) or CLASSES[request.cls].effect is Effect.SAFE
                 assert action.retry_after_ms <= self.config.max_retry_after_ms
         elif isinstance(action, Cancel):
             assert self.config.may_cancel
-            attempt = self.asked[action.request].attempts[action.attempt]
+            attempt = self.requests[action.request].attempts[action.attempt]
             attempt.cancelled = True
         elif isinstance(action, Probe):
             assert self.config.may_probe
 
-    def may_have_run(self, request: Asked) -> list[Sent]:
+    def executions(self, request: ClientRequest) -> list[SentAttempt]:
+        """Returns the attempts that the server may have executed."""
         return [a for a in request.attempts if a.result not in NEVER_RAN]
 
     def check_send(self, action: Send) -> None:
-        request = self.asked[action.request]
+        request = self.requests[action.request]
         spec = CLASSES[request.cls]
-        assert not request.over, "sent after its end"
+        assert not request.finished, "sent after the final answer"
         entry = self.listed[action.server]
-        assert entry.state is ServerState.ACTIVE, "sent to a server that drains or is gone"
+        assert entry.state is ServerState.ACTIVE, "sent to a draining or removed server"
         assert len(request.attempts) < self.config.max_attempts
-        ran = self.may_have_run(request)
+        executions = self.executions(request)
         if not self.config.may_duplicate:
             assert all(a.result is not None for a in request.attempts), "two attempts at once"
-        if ran and spec.effect is Effect.UNSAFE:
-            raise AssertionError("unsafe sent again")
-        if ran and spec.effect is Effect.KEYED:
-            assert self.now <= ran[0].at + spec.window_ms, "repeat outside the window"
-            # It is also to be written by then, however long its connection takes to come up.
-            assert self.now + action.write_within_ms <= ran[0].at + spec.window_ms + 0.001, "written too late"
-            home = ran[0].home
-            assert spec.scope is not Scope.CELL or entry.cell == home.cell
-            assert spec.scope is not Scope.ZONE or entry.zone == home.zone
+        if executions and spec.effect is Effect.UNSAFE:
+            raise AssertionError("unsafe request retried after it may have run")
+        if executions and spec.effect is Effect.KEYED:
+            assert self.now <= executions[0].sent_at + spec.window_ms, "retried outside the window"
+            # It must also be written by then, however long the connection takes.
+            assert (
+                self.now + action.write_within_ms <= executions[0].sent_at + spec.window_ms + 0.001
+            ), "written too late"
+            server = executions[0].server
+            assert spec.scope is not Scope.CELL or entry.cell == server.cell
+            assert spec.scope is not Scope.ZONE or entry.zone == server.zone
         assert action.attempt_timeout_ms > 0
-        request.attempts.append(Sent(entry, self.now, action.attempt_timeout_ms))
+        request.attempts.append(SentAttempt(entry, self.now, action.attempt_timeout_ms))
 
-    def relist(self, kind: ListKind, entries: list[ServerInfo]) -> None:
+    def send_list(self, kind: ListKind, entries: list[ServerInfo]) -> None:
         if kind is ListKind.FAILED:
             self.step([ServerList(kind)])
             return
@@ -143,15 +149,15 @@
             self.listed[entry.server] = entry
         self.step([ServerList(kind, tuple(entries))])
 
-    def due(self) -> list[Event]:
-        """Timers that have run out and attempts that have reached their limit or their client's time."""
+    def due_events(self) -> list[Event]:
+        """Returns the events of expired timers and of attempts past their timeout or deadline."""
         events: list[Event] = []
         for when in [t for t in self.timers if t <= self.now]:
             self.timers.remove(when)
             events.append(TimerFired(0))
-        for name, request in self.asked.items():
+        for name, request in self.requests.items():
             for number, attempt in enumerate(request.attempts):
-                end = min(attempt.at + attempt.limit, request.give_up)
+                end = min(attempt.sent_at + attempt.timeout_ms, request.deadline)
                 if attempt.result is None and attempt.cancelled:
                     events.append(self.end(name, number, Result.CANCELLED))
                 elif attempt.result is None and self.now >= end:
@@ -159,17 +165,17 @@
         return events
 
     def end(self, name: str, number: int, result: Result) -> Outcome:
-        request = self.asked[name]
+        request = self.requests[name]
         attempt = request.attempts[number]
         attempt.result = result
         if result is Result.OK:
-            request.over = True
-        return Outcome(name, number, result, self.now - attempt.at, request.over)
+            request.finished = True
+        return Outcome(name, number, result, self.now - attempt.sent_at, request.finished)
 
 
 ENTRY = st.builds(
     ServerInfo,
-    server=st.sampled_from(NAMES),
+    server=st.sampled_from(SERVER_NAMES),
     state=st.sampled_from([ServerState.ACTIVE] * 4 + [ServerState.DRAINING, ServerState.GONE]),
     zone=st.integers(0, 1),
     kind=st.integers(0, 1),
@@ -194,43 +200,45 @@
     st.lists(MOVE, min_size=10, max_size=70),
 )
 def test_rules_hold_for_arbitrary_events(
-    config: Settings, seed: int, first: list[ServerInfo], moves: list[tuple[str, object, object]]
+    config: Settings, seed: int, initial: list[ServerInfo], moves: list[tuple[str, object, object]]
 ) -> None:
     oracle = Oracle(config, seed)
-    oracle.relist(ListKind.SAVED, [e for e in first if e.state is not ServerState.GONE])
+    oracle.send_list(ListKind.SAVED, [e for e in initial if e.state is not ServerState.GONE])
     for count, (what, a, b) in enumerate(moves):
         if what == "arrive":
             assert isinstance(a, int) and isinstance(b, float)
             name = f"r{count}"
-            oracle.asked[name] = Asked(a, oracle.now + b + (0.001 if b else 0))
-            oracle.step([Arrival(name, a, count % 3, count % 4, oracle.asked[name].give_up)])
+            oracle.requests[name] = ClientRequest(a, oracle.now + b + (0.001 if b else 0))
+            oracle.step([Arrival(name, a, count % 3, count % 4, oracle.requests[name].deadline)])
         elif what == "pass":
             assert isinstance(a, float)
             for _ in range(int(a / 5)):
                 oracle.now += 5
-                oracle.step(oracle.due())
+                oracle.step(oracle.due_events())
         elif what == "list":
             assert isinstance(a, ListKind) and isinstance(b, list)
-            oracle.relist(a, b)
+            oracle.send_list(a, b)
         else:
             assert isinstance(a, int)
-            names = list(oracle.asked)
+            names = list(oracle.requests)
             if not names:
                 continue
             name = names[a % len(names)]
-            request = oracle.asked[name]
+            request = oracle.requests[name]
             if what == "leave":
-                if not request.over:
-                    request.over = True
+                if not request.finished:
+                    request.finished = True
                     oracle.step([ClientDisconnected(name)] * (2 if b else 1))
                 continue
             assert isinstance(b, Result)
-            waiting = [n for n, x in enumerate(request.attempts) if x.result is None]
-            if waiting and (b is not Result.CANCELLED or request.attempts[waiting[0]].cancelled):
-                oracle.step([oracle.end(name, waiting[0], b)])
-    for _ in range(500):  # all that is left comes to its end
+            open_attempts = [n for n, x in enumerate(request.attempts) if x.result is None]
+            if open_attempts and (
+                b is not Result.CANCELLED or request.attempts[open_attempts[0]].cancelled
+            ):
+                oracle.step([oracle.end(name, open_attempts[0], b)])
+    for _ in range(500):  # until every request has ended
         oracle.now += 5
-        oracle.step(oracle.due())
-    assert all(r.over for r in oracle.asked.values())
+        oracle.step(oracle.due_events())
+    assert all(r.finished for r in oracle.requests.values())
     assert oracle.balancer.requests == {}
     assert all(s.inflight == 0 for s in oracle.balancer.servers.values())
