--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter as a child process: good input, odd input, malformed input."""
+"""Tests of the simulator's adapter, mostly as a child process: valid, unusual and malformed input."""
 
 from __future__ import annotations
 
@@ -29,21 +29,21 @@
 
 
 def run(*lines: str) -> tuple[int, list[dict[str, Any]], str]:
-    done = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-m", "flintlatch.adapter"],
         input="".join(line + "\n" for line in lines),
         capture_output=True,
         text=True,
         check=False,
     )
-    return done.returncode, [json.loads(line) for line in done.stdout.splitlines()], done.stderr
+    return process.returncode, [json.loads(line) for line in process.stdout.splitlines()], process.stderr
 
 
-def batch(at: float, *events: dict[str, Any]) -> str:
-    return json.dumps({"TsMs": at, "news": events})
+def batch(now: float, *events: dict[str, Any]) -> str:
+    return json.dumps({"TsMs": now, "news": events})
 
 
-def test_end_of_input_is_a_clean_exit() -> None:
+def test_the_end_of_input_exits_with_code_zero() -> None:
     assert run() == (0, [], "")
 
 
@@ -55,7 +55,7 @@
     assert [(c["Call"], c["Backend"], c["ProxyId"]) for c in sends] == [("ab", "10.0.0.1:80", 3)]
 
 
-def test_exit_drops_all_state_and_a_new_start_in_the_same_batch_works() -> None:
+def test_an_instance_can_exit_and_start_again_in_one_batch() -> None:
     stop = {"what": "Exit", "ProxyId": 3}
     code, replies, errors = run(batch(1, *START, CALL), batch(5, REPLY, stop, *START, CALL | {"Call": "cd"}))
     assert (code, errors) == (0, "")
@@ -75,7 +75,7 @@
     ]
 
 
-def test_the_registered_size_is_read() -> None:
+def test_the_weight_of_a_server_is_read() -> None:
     host = SimulatorHost()
     host.handle_batch(batch(1, START[0], START[1] | {"Records": [ENTRY | {"Rating": 2.5}]}).encode())
     assert [s.weight for s in host.instances[3][0].active] == [2.5]
@@ -86,7 +86,7 @@
 
 
 @pytest.mark.parametrize(
-    ("line", "words"),
+    ("line", "expected"),
     [
         ("{", ["not JSON"]),
         ("[]", ["batch", "object"]),
@@ -109,10 +109,10 @@
     + [(batch(2, without(REPLY, m)), [m, "missing"]) for m in ("Leg", "How", "DelaySeenMs", "Finished")]
     + [(batch(2, {"what": "Ring", "ProxyId": 3}), ["Ref", "missing"])],
 )
-def test_malformed_input_gets_one_plain_line_and_a_failing_exit(line: str, words: list[str]) -> None:
+def test_malformed_input_gets_one_error_line_and_a_failing_exit_code(line: str, expected: list[str]) -> None:
     code, replies, errors = run(batch(1, *START), line)
     assert code != 0
-    assert len(replies) == 1  # the good batch; nothing for the bad one
+    assert len(replies) == 1  # for the valid batch only
     assert errors.count("\n") == 1 and "Traceback" not in errors
-    for word in words:
-        assert word in errors
+    for text in expected:
+        assert text in errors
--- a/tests/test_transfers.py
+++ b/tests/test_transfers.py
@@ -1,4 +1,4 @@
-"""What a transfer costs a server is told apart from what a request costs it, by hand-made events."""
+"""Tests that transfers of bodies are counted apart from requests that a server works on."""
 
 from __future__ import annotations
 
@@ -26,97 +26,102 @@
 
 SAFE = RequestClass(2000.0, 60_000.0)
 KEYED = RequestClass(2000.0, 60_000.0, effect=Effect.KEYED, window_ms=60_000.0)
-NAMES = count()
+IDS = count()
 
 
-def only(balancer: Balancer) -> Server:
+def only_server(balancer: Balancer) -> Server:
     (server,) = balancer.servers.values()
     return server
 
 
-def upload(driver: Driver, total: float = 3_600_000.0, after: float = 60_000.0, holds: int = 100) -> str:
-    name = f"u{next(NAMES)}"
-    driver.last = driver.step(Arrival(name, 0, 0, None, driver.now + total, False, after, True, holds))
+def upload(
+    driver: Driver, total: float = 3_600_000.0, response_wait: float = 60_000.0, buffered_bytes: int = 100
+) -> str:
+    """Lets a request arrive whose body is still to come, and returns its id."""
+    name = f"u{next(IDS)}"
+    driver.last = driver.step(
+        Arrival(name, 0, 0, None, driver.now + total, False, response_wait, True, buffered_bytes)
+    )
     return name
 
 
-def export(driver: Driver) -> tuple[str, list[Action]]:
-    """One that is sent, and whose answer begins after 5 ms."""
+def download(driver: Driver) -> tuple[str, list[Action]]:
+    """Sends a request whose response starts after 5 ms; returns its id and the actions of its arrival."""
     name = driver.arrive(wait=60_000.0)
     if name in driver.sends:
         driver.step(ResponseStarted(name, 0, 5.0), after=5.0)
     return name, driver.last
 
 
-def test_any_number_of_exports_begins_at_one_server() -> None:
+def test_any_number_of_downloads_can_start_at_one_server() -> None:
     driver = Driver(settings(SAFE), *server_entries(1))
-    names = [export(driver)[0] for _ in range(300)]
+    names = [download(driver)[0] for _ in range(300)]
     assert all(name in driver.sends for name in names)
-    server = only(driver.balancer)
+    server = only_server(driver.balancer)
     assert (server.inflight, server.transfers, driver.balancer.in_flight) == (0, 300, 0)
     for name in names:
         driver.step(Outcome(name, 0, Result.OK, 30_000.0, True), after=1.0)
     assert (server.inflight, server.transfers, driver.balancer.requests) == (0, 0, {})
 
 
-def test_a_transfers_end_teaches_no_latency() -> None:
+def test_the_end_of_a_transfer_does_not_change_the_latency() -> None:
     driver = Driver(settings(SAFE), *server_entries(1))
-    name, _ = export(driver)
-    server, seen = only(driver.balancer), driver.balancer.class_latency[0]
+    name, _ = download(driver)
+    server, class_latency = only_server(driver.balancer), driver.balancer.class_latency[0]
     latency = server.latency
     driver.step(Outcome(name, 0, Result.OK, 45_000.0, True), after=45_000.0)
-    assert (server.latency, driver.balancer.class_latency[0]) == (latency, seen)
+    assert (server.latency, driver.balancer.class_latency[0]) == (latency, class_latency)
     assert server.reward == 1.0 and server.consecutive_failures == 0
 
 
-def test_a_server_that_breaks_off_what_it_begins_gets_little_more() -> None:
+def test_a_server_that_breaks_off_its_responses_gets_few_requests() -> None:
     driver = Driver(settings(SAFE), *server_entries(3))
-    bad, got = "", 0
+    failing, sent_to_failing = "", 0
     for _ in range(300):
-        name, _ = export(driver)
-        bad = bad or driver.sends[name][0]
-        broken = driver.sends[name][0] == bad
-        got += broken
+        name, _ = download(driver)
+        failing = failing or driver.sends[name][0]
+        broken = driver.sends[name][0] == failing
+        sent_to_failing += broken
         driver.step(Outcome(name, 0, Result.RESET if broken else Result.OK, 50.0, True), after=1.0)
-    assert got < 30  # an even share would be a hundred
+    assert sent_to_failing < 30  # an even share would be 100
 
 
-def test_uploads_hold_no_place_until_their_server_has_them_whole() -> None:
+def test_uploads_take_no_capacity_until_the_server_has_the_whole_body() -> None:
     driver = Driver(settings(SAFE), *server_entries(1))
     names = [upload(driver) for _ in range(20)]
-    server = only(driver.balancer)
+    server = only_server(driver.balancer)
     assert all(name in driver.sends for name in names)
     assert (server.inflight, server.transfers, server.transfer_bytes) == (0, 20, 2000)
     driver.step(BodyReceived(names[0]), after=10_000.0)
     limits = actions_of(SetAttemptTimeout, driver.step(BodyForwarded(names[0], 0), after=5.0))
-    # The aim runs from here, and the hour that the upload had is over.
+    # The latency target counts from here, and the hour for the upload has ended.
     assert [(limit.request, 1900 < limit.attempt_timeout_ms <= 2000) for limit in limits] == [(names[0], True)]
     assert (server.inflight, server.transfers) == (1, 19)
     driver.step(Outcome(names[0], 0, Result.OK, 10_045.0, True), after=40.0)
-    assert (server.inflight, server.latency) == (0, 40.0)  # not the ten seconds
+    assert (server.inflight, server.latency) == (0, 40.0)  # without the 10 s of the upload
 
 
-def test_a_server_that_waits_for_its_client_is_not_silent() -> None:
+def test_a_server_that_waits_for_an_upload_is_not_silent() -> None:
     driver = Driver(settings(SAFE), *server_entries(1))
     upload(driver)
     driver.tick_for(30_000)
-    assert driver.arrive(wait=60_000.0) in driver.sends  # it is not taken for one that hangs
+    assert driver.arrive(wait=60_000.0) in driver.sends  # the server does not count as hanging
 
 
-def test_an_attempt_that_dies_within_the_upload_is_followed_by_one_with_its_own_time() -> None:
+def test_an_attempt_that_fails_during_the_upload_is_retried_with_a_full_timeout() -> None:
     driver = Driver(settings(SAFE, max_attempts=3), *server_entries(2))
     name = upload(driver)
-    again = actions_of(Send, driver.step(Outcome(name, 0, Result.RESET, 30_000.0, False), after=30_000.0))
-    assert [send.request for send in again] == [name] and again[0].attempt_timeout_ms > 3_000_000
+    retries = actions_of(Send, driver.step(Outcome(name, 0, Result.RESET, 30_000.0, False), after=30_000.0))
+    assert [send.request for send in retries] == [name] and retries[0].attempt_timeout_ms > 3_000_000
     assert driver.balancer.class_latency[0] == (0.0, 0.0)
 
 
-def test_whole_when_it_is_sent_an_upload_is_work_at_once() -> None:
+def test_an_upload_that_is_complete_at_the_send_is_executing_at_once() -> None:
     driver = Driver(settings(SAFE), *server_entries(1))
     first = upload(driver)
     driver.step(BodyReceived(first))
     driver.step(Outcome(first, 0, Result.CONNECT_FAILED, 5.0, False), after=5.0)
-    server = only(driver.balancer)
+    server = only_server(driver.balancer)
     assert len(driver.sends[first]) == 2 and (server.inflight, server.transfers) == (1, 0)
 
 
@@ -135,7 +140,7 @@
     assert driver.arrive(wait=60_000.0) in driver.sends
 
 
-def test_of_two_servers_the_one_with_room_takes_the_transfer() -> None:
+def test_a_transfer_goes_to_the_server_below_its_transfer_limit() -> None:
     driver = Driver(settings(SAFE, node_transfers=3), *server_entries(2))
     names = [upload(driver) for _ in range(6)]
     assert sorted(server.transfers for server in driver.balancer.servers.values()) == [3, 3]
@@ -143,24 +148,29 @@
     assert upload(driver) not in driver.sends
 
 
-def test_a_class_that_streams_counts_as_a_transfer_before_it_is_sent() -> None:
+def test_a_streaming_request_counts_as_a_transfer_before_it_is_sent() -> None:
     driver = Driver(settings(RequestClass(2000.0, 60_000.0, stream=True), node_transfers=1), *server_entries(1))
-    export(driver)
-    _, last = export(driver)
-    assert len(actions_of(Refuse, last)) == 1
+    download(driver)
+    _, actions = download(driver)
+    assert len(actions_of(Refuse, actions)) == 1
 
 
-@pytest.mark.parametrize("told", [False, True])
-def test_what_never_ran_is_refused_where_the_settings_say_so_and_what_may_have_run_failed(told: bool) -> None:
+@pytest.mark.parametrize("refuse_unsent", [False, True])
+def test_an_expired_request_that_never_ran_is_refused_only_with_refuse_unsent(
+    refuse_unsent: bool,
+) -> None:
     spec = RequestClass(300.0, 1000.0, effect=Effect.UNSAFE)
-    driver = Driver(settings(spec, refuse_unsent=told, retry_after=True, max_retry_after_ms=900.0), *server_entries(1))
+    driver = Driver(settings(spec, refuse_unsent=refuse_unsent, retry_after=True, max_retry_after_ms=900.0), *server_entries(1))
     driver.arrive()
     for _ in range(8):
         driver.arrive()
-    waiting = next(iter(set(driver.balancer.requests) - set(driver.sends)))
+    queued = next(iter(set(driver.balancer.requests) - set(driver.sends)))
     actions = driver.tick_for(600)
     refused = {r.request: r.retry_after_ms for r in actions_of(Refuse, actions)}
-    assert (waiting in refused, waiting in {f.request for f in actions_of(Fail, actions)}) == (told, not told)
+    assert (queued in refused, queued in {f.request for f in actions_of(Fail, actions)}) == (
+        refuse_unsent,
+        not refuse_unsent,
+    )
     assert all(wait > 0 for wait in refused.values())
     sent = next(iter(driver.sends))
     ended = driver.step(Outcome(sent, 0, Result.TIMEOUT, 900.0, False), after=1.0)
