--- a/flintlatch/choice.py
+++ b/flintlatch/choice.py
@@ -84,7 +84,7 @@
 # Recognition of retries that clients send
 FIRST_TRY_SHORTFALL_FRACTION = 0.1  # of the latency target; the network takes some of a client's wait
 EXPECTED_RETRIES_PER_REJECTION, EXPECTED_RETRIES_MAX = 2.0, 200.0  # whichever proxy rejected the first try
-# Of a client's wait, after which an unsent request is refused: the client still has time for a retry.
+# Of a client's wait, after which an unsent request is ended: the client still has time for a retry.
 UNSENT_WAIT_FRACTION = 0.45
 
 # Concurrency limits of servers. The limits are for all proxies together; each proxy takes an even share.
@@ -94,7 +94,8 @@
 SERVER_QUEUE_LOW, SERVER_QUEUE_HIGH = 2.0, 4.0  # requests queued in a server: raise below, lower above
 CONGESTED_MEAN_FRACTION = 1 / 5  # of the latency target: a higher mean latency cuts the limit
 MIN_LIMIT = 2.0  # requests
-MIN_LIMIT_LARGE_TIER = 5.0  # requests; many proxies choose independently and leave some servers idle
+# Larger, because the independent choices of many proxies leave some servers idle beside full ones.
+MIN_LIMIT_LARGE_TIER = 5.0
 CONGESTION_LIMIT_FACTOR = 0.75  # applied to the limit when too many requests queue in a server
 OVERLOAD_FAILURE_LIMIT_FACTOR = 0.8  # applied to the limit after a failure that indicates load
 ORDINARY_LATENCY_DEVIATIONS = 3.0  # mean deviations above the mean latency that an ordinary attempt may take
@@ -150,8 +151,7 @@
 TOTAL_LIMIT_INCREASE, TOTAL_LIMIT_DECREASE = 0.1, 0.025
 TOTAL_LIMIT_BURST = 4.0  # requests beyond the total limit that may be in flight at once after an idle time
 TOTAL_LIMIT_MIN = 0.05  # at the least, one request in twenty usual latencies still probes the servers
-# A latency above this fraction of the target, or this many base latencies, means that a response was
-# congested.
+# A response is congested if its latency is above this fraction of the target or this many base latencies.
 CONGESTED_TARGET_FRACTION, CONGESTED_BASE_LATENCIES = 0.85, 3.0
 REWARD_RECOVERY_PER_S = 0.1  # fraction of the way back to the usual reward in a second without outcomes
 QUOTA_BURST_MIN_REQUESTS = 5.0  # so that a random cluster of arrivals does not count as over the quota
@@ -756,7 +756,7 @@
         on_time = result is Result.OK and latency <= request.queue.target_ms
         if self.uses_subset:
             self.adjust_total_limit(request, server, result, latency)
-        # In a large tier few outcomes count for more each; otherwise servers would never be told apart.
+        # In a large tier each of the few outcomes counts for more; otherwise rewards would never differ.
         smoothing = max(REWARD_SMOOTHING, self.large_tier / (1 + server.recent_outcomes))
         server.reward += ((1.0 if on_time else 0.0) - server.reward) * smoothing
         if result is Result.OK:
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -721,10 +721,10 @@
     before = {s.id: (s.limit, s.latency, s.reward) for s in driver.balancer.servers.values()}
     driver.step(TierMembership(20, 7))
     for server in driver.balancer.servers.values():
-        limit, latency, payoff = before[server.id]
+        limit, latency, reward = before[server.id]
         assert server.limit == pytest.approx(limit / 10) and (server.latency, server.reward) == (
             latency,
-            payoff,
+            reward,
         )
     assert driver.balancer.large_tier and driver.balancer.settings.me == 7
     driver.step(TierMembership(2, 0))
