--- a/flintlatch/choice.py
+++ b/flintlatch/choice.py
@@ -423,8 +423,8 @@
         self.timers: list[tuple[float, int, Request]] = []  # when to look at a request again
         self.recent_outcomes = 1.0  # of all servers, decayed like those of each server
         self.cold_servers: list[Server] = []
-        self.cold_traffic: dict[Server, float] = {}  # fraction of first tries due to a cold server
-        self.first_tries, self.first_try_rate = 0, 0.0  # admitted in this second; smoothed, per second
+        self.cold_traffic: dict[Server, float] = {}  # fraction of admitted requests due to a cold server
+        self.admitted, self.admission_rate = 0, 0.0  # admitted in this second; smoothed, per second
         self.timer_sequence, self.retry_budget = 0, RETRY_BUDGET_MAX
         self.buckets: dict[str, TokenBucket] = {}  # by limit, the allocations of the limits all fleets share
         self.expected_retries = RETRY_BUDGET_MAX  # of clients that were rejected
@@ -545,7 +545,7 @@
         elif request.useful_until <= now + 2 * self.settings.tick_ms:
             self.end_request(request)  # no later batch could answer it in time
         else:
-            self.first_tries += 1
+            self.admitted += 1
             if not (self.large_tier and self.send_to_cold(now, request)):
                 self.enqueue(request, False)
 
@@ -624,7 +624,7 @@
         return server.transfers < self.settings.node_transfers and request.buffered_bytes <= free_bytes
 
     def priority_level(self, now: float, spec: RequestClass, tenant: int) -> int:
-        """Returns the level for load shedding, from 1 (never shed) to 4 (shed first), and uses up quota."""
+        """Returns the level for load shedding and uses up quota: 1 and 2 are never shed, 4 is shed first."""
         worth = spec.worth / self.best_worth
         if tenant < len(self.quota_tokens):
             rate = self.settings.quotas[tenant] * self.traffic_fraction  # a quota is for all proxies together
@@ -1239,9 +1239,9 @@
             key: n * KEY_COUNT_DECAY_PER_S for key, n in self.key_counts.items() if n > KEY_COUNT_MIN
         }
         self.update_traffic_fraction(seconds)
-        rate = self.first_tries / seconds
-        self.first_try_rate += (rate - self.first_try_rate) * (USAGE_SMOOTHING if self.first_try_rate else 1)
-        self.first_tries = 0
+        rate = self.admitted / seconds
+        self.admission_rate += (rate - self.admission_rate) * (USAGE_SMOOTHING if self.admission_rate else 1)
+        self.admitted = 0
         self.update_cold_traffic(now)
         warm: dict[int, list[Server]] = {}
         self.choose_preferred(now)
@@ -1304,7 +1304,7 @@
             self.traffic_fraction = max(median, 1 / self.settings.proxies)
 
     def update_cold_traffic(self, now: float) -> None:
-        """Estimates for each cold server the fraction of first tries that it would receive if it were warm.
+        """Estimates for each cold server the fraction of admitted requests that it would get if it were warm.
 
         That is an even share of all keys but the popular ones, and its share of each popular key's arrivals.
         """
@@ -1365,7 +1365,7 @@
         # With nothing observed yet: one request in a window.
         rate = max(min(load_factor * cold_rate, fitting / window), 1 / window)
         warm_traffic = (
-            self.first_try_rate * self.cold_traffic.get(server, 1 / max(len(self.preferred), 1)) / 1000
+            self.admission_rate * self.cold_traffic.get(server, 1 / max(len(self.preferred), 1)) / 1000
         )
         server.slow_start_fraction = min(1.0, rate * server.key_share / warm_traffic) if warm_traffic else 0.0
 
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -597,7 +597,7 @@
         rate = weight * warm_rate * 31 / sum(traffic) / 1000  # arrivals per ms at this proxy
         while driver.now < start + quiet_ms + 4000:
             driver.balancer.warm_rate = {0: warm_rate * weight / sum(traffic)}
-            driver.balancer.first_try_rate, driver.balancer.second_at = rate * 1000, driver.now
+            driver.balancer.admission_rate, driver.balancer.second_at = rate * 1000, driver.now
             if driver.now >= start + quiet_ms:
                 for server in driver.balancer.active:
                     server.ejected_until = 0.0 if server.id == "new:1" else inf
@@ -651,14 +651,14 @@
     new = ServerInfo("new:1", started=driver.now)
     driver.step(ServerList(ListKind.CHANGES, (new,)))
     driver.now += 8000
-    driver.balancer.warm_rate, driver.balancer.first_try_rate = {0: 0.1}, 4.0
+    driver.balancer.warm_rate, driver.balancer.admission_rate = {0: 0.1}, 4.0
     driver.balancer.second_at = driver.now
     driver.tick()
     after_8_s = driver.balancer.servers["new:1"].slow_start_fraction
     driver.step(ServerList(ListKind.CHANGES, (new._replace(started=driver.now),)))
     server = driver.balancer.servers["new:1"]
     assert server.cold_until == driver.now + 20_000 and not server.has_capacity(driver.now)
-    driver.balancer.warm_rate, driver.balancer.first_try_rate = {0: 0.1}, 4.0
+    driver.balancer.warm_rate, driver.balancer.admission_rate = {0: 0.1}, 4.0
     driver.tick()
     assert 0 < server.slow_start_fraction < after_8_s
 
