--- a/tests/test_list_service.py
+++ b/tests/test_list_service.py
@@ -23,10 +23,10 @@
             me: Driver(settings(proxies=proxies, me=me, **POLLED_LIST), *server_entries(6), seed=97 * seed + me)
             for me in callers
         }
-        self.answered: dict[int, float] = {}  # by proxy, the time from its start to its first list
+        self.first_list_after_ms: dict[int, float] = {}  # by proxy, the time from its start to its first list
         self.calling: set[int] = set()
 
-    def run(self, starts: dict[int, float], service_changed: bool, ms: int) -> None:
+    def simulate(self, starts: dict[int, float], service_changed: bool, ms: int) -> None:
         """Runs for `ms`; `starts` is the time from which each proxy has a reason to call."""
         start = int(min(starts.values()))
         started: set[int] = set()
@@ -46,11 +46,11 @@
                         continue
                     self.calling.discard(me)
                     if found:
-                        self.answered.setdefault(me, now - starts[me])
+                        self.first_list_after_ms.setdefault(me, now - starts[me])
                     kind = ListKind.FULL if found else ListKind.FAILED
                     events.append(ServerList(kind, tuple(server_entries(6)) if found else ()))
                 for action in driver.step(TimerFired(0), *events):
-                    if isinstance(action, Watch) and me not in self.answered and me not in self.calling:
+                    if isinstance(action, Watch) and me not in self.first_list_after_ms and me not in self.calling:
                         self.calling.add(me)
                         self.service.call(float(now), me)
 
@@ -64,9 +64,9 @@
     tier = Tier(200, call_ms, seed, range(200))
     for driver in tier.drivers.values():  # they have the list of the old service
         driver.step(ServerList(ListKind.FULL, tuple(server_entries(6))))
-    tier.run({me: 3000.0 + (me * 37 + seed) % 100 for me in range(200)}, True, 12_000)
-    assert len(tier.answered) == 200
-    assert max(tier.answered.values()) < call_ms * 200 + 600  # as soon as a service that is never idle
+    tier.simulate({me: 3000.0 + (me * 37 + seed) % 100 for me in range(200)}, True, 12_000)
+    assert len(tier.first_list_after_ms) == 200
+    assert max(tier.first_list_after_ms.values()) < call_ms * 200 + 600  # as soon as a service that is never idle
     # A service that needs 8 s can't answer all calls in the 6 s after which its list counts as known.
     # Rejected proxies call again, which costs it nothing.
     assert tier.service.calls <= (300 if call_ms < 30 else 500)
@@ -76,9 +76,9 @@
 def test_proxies_that_restart_together_get_the_list_within_the_required_time(seed: int) -> None:
     """140 of 200 proxies start with saved lists at the same moment."""
     tier = Tier(200, 35.0, seed, range(140))
-    tier.run({me: 1000.0 + (me * 37 + seed) % 100 for me in range(140)}, False, 11_000)
-    assert len(tier.answered) == 140
-    assert max(tier.answered.values()) < 10_000
+    tier.simulate({me: 1000.0 + (me * 37 + seed) % 100 for me in range(140)}, False, 11_000)
+    assert len(tier.first_list_after_ms) == 140
+    assert max(tier.first_list_after_ms.values()) < 10_000
     assert tier.service.calls <= 180
 
 
--- a/tests/test_notice.py
+++ b/tests/test_notice.py
@@ -75,5 +75,5 @@
 def test_a_tenth_to_most_of_200_that_start_at_once_are_told_in_time(callers: int) -> None:
     """At a service that takes one call of each in 6.5 s."""
     tier = Tier(200, 32.5, 5, range(200 - callers, 200))
-    tier.play({me: 1000.0 + (me * 37) % 100 for me in tier.drivers}, False, 11_000)
-    assert len(tier.told) == callers and max(tier.told.values()) <= NOTICE_MS
+    tier.simulate({me: 1000.0 + (me * 37) % 100 for me in tier.drivers}, False, 11_000)
+    assert len(tier.first_list_after_ms) == callers and max(tier.told.values()) <= NOTICE_MS
