--- a/bench/verdicts.py
+++ b/bench/verdicts.py
@@ -24,7 +24,7 @@
 import uvloop
 
 from bench.many import BEAT_MS, LIST_MS, PURCHASES, WORK_MS, World
-from flintlatch.api import Event, Ejection
+from flintlatch.api import Ejection, Event
 from flintlatch.standin.fleets import fleets
 from flintlatch.standin.rig import MIX
 from flintlatch.verdicts.api import Rules, judge
--- a/flintlatch/__main__.py
+++ b/flintlatch/__main__.py
@@ -28,7 +28,15 @@
 from flintlatch.ops.staff import Operations
 from flintlatch.ops.succession import Succession, predecessor
 from flintlatch.platform import PlatformEngine, PlatformFrontend, build
-from flintlatch.settings import Malformed, SocketSettings, require_object, read_settings, read_socket_settings, require_string, require_integer
+from flintlatch.settings import (
+    Malformed,
+    SocketSettings,
+    read_settings,
+    read_socket_settings,
+    require_integer,
+    require_object,
+    require_string,
+)
 
 KEEP_ON_S = 1.5  # s after SIGTERM in which connections stay open where a successor accepts the new ones
 ACCEPT_ON_S = 0.55  # s after SIGTERM in which connections still come, and a little more for a busy machine
--- a/flintlatch/choice.py
+++ b/flintlatch/choice.py
@@ -845,9 +845,7 @@
     def observe_class_latency(self, cls: int, latency: float) -> float:
         """Updates the mean, deviation and base of the class's latency and returns the mean."""
         mean, deviation = self.class_latency[cls]
-        deviation = (
-            deviation + (abs(latency - mean) - deviation) * LATENCY_SMOOTHING if mean else latency / 2
-        )
+        deviation = deviation + (abs(latency - mean) - deviation) * LATENCY_SMOOTHING if mean else latency / 2
         mean = smoothed(mean, latency)
         self.class_latency[cls] = (mean, deviation)
         base = self.class_base_latency[cls] or mean
@@ -1015,9 +1013,7 @@
         if self.large_tier and self.settings.weights_report_load and event.kind is not ListKind.SAVED:
             self.update_key_shares(now)
         if not self.preferred:
-            self.total_limit = max(
-                TOTAL_LIMIT_MIN, INITIAL_LIMIT * len(self.active) / self.settings.proxies
-            )
+            self.total_limit = max(TOTAL_LIMIT_MIN, INITIAL_LIMIT * len(self.active) / self.settings.proxies)
         self.choose_preferred(now)
 
     def update_sizes(self, changed: bool) -> None:
--- a/flintlatch/fleet/heard.py
+++ b/flintlatch/fleet/heard.py
@@ -11,7 +11,7 @@
 from math import inf
 from typing import Any
 
-from flintlatch.api import Event, LimitAllocation, TierMembership, Ejection
+from flintlatch.api import Ejection, Event, LimitAllocation, TierMembership
 
 
 class Heard:
--- a/flintlatch/membership/registry.py
+++ b/flintlatch/membership/registry.py
@@ -35,7 +35,9 @@
 class RegistrySource:
     """Tells the core's events of a registry to `on_event`, on the loop, until closed."""
 
-    def __init__(self, name: str, address: str, wire: SocketSettings, on_event: Callable[[Event], None]) -> None:
+    def __init__(
+        self, name: str, address: str, wire: SocketSettings, on_event: Callable[[Event], None]
+    ) -> None:
         self.name, self.wire, self.on_event = name, wire, on_event
         self.nodes: dict[str, Node] = {}
         self.number, self.wait_s = 0, RETRY_S[0]
--- a/flintlatch/net/discovery.py
+++ b/flintlatch/net/discovery.py
@@ -11,7 +11,16 @@
 
 from flintlatch.api import ServerInfo, ServerState
 from flintlatch.net.http1 import Exchange, Response, split_address
-from flintlatch.settings import Malformed, SocketSettings, require_choice, require_array, require_object, require_number, require_string, require_integer
+from flintlatch.settings import (
+    Malformed,
+    SocketSettings,
+    require_array,
+    require_choice,
+    require_integer,
+    require_number,
+    require_object,
+    require_string,
+)
 
 STATES = {"active": ServerState.ACTIVE, "leaving": ServerState.DRAINING, "left": ServerState.GONE}
 # A change counts as told NOTICE_MS after discovery had it, whether or not it arrived, and what a silent watch
--- a/flintlatch/net/relay.py
+++ b/flintlatch/net/relay.py
@@ -9,16 +9,16 @@
 from flintlatch.api import (
     NEVER_RAN,
     Action,
-    BodyReceived,
     BodyDiscarded,
     BodyForwarded,
+    BodyReceived,
     ClientDisconnected,
-    SetAttemptTimeout,
     Outcome,
+    ResponseStarted,
     Result,
     Send,
+    SetAttemptTimeout,
     Settings,
-    ResponseStarted,
 )
 from flintlatch.exchange import Budget, Ending, Exchange, NodeSide, Own, Phase, Response, Terms
 from flintlatch.net.backends import Attempt, Backend, Backends, Connection
--- a/tests/limits/test_cores.py
+++ b/tests/limits/test_cores.py
@@ -10,12 +10,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from flintlatch.api import LimitAllocation, TierMembership, Refuse
+from flintlatch.api import LimitAllocation, Refuse, TierMembership
 from flintlatch.fleet.heard import Heard
 from flintlatch.lab.explore import Broken, explore, wander
 from flintlatch.limits.api import Keeper, Limit, Malformed, Seat, Split, Terms, Vote, WhenCut, fair, over_s
 from flintlatch.limits.model import Ask, Grant, Mark, read_ask, read_grant, read_vote, write_ask, write_grant
-from tests.support import Driver, server_entries, actions_of
+from tests.support import Driver, actions_of, server_entries
 from tests.support import settings as module_settings
 
 TERMS = Terms(("a", "b", "c"), 3, term_s=2.0)
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -8,7 +8,7 @@
 
 from flintlatch.api import Arrival, Fail, Outcome, Refuse, RequestClass, Result, Send, ServerInfo, Settings
 from flintlatch.choice import Balancer, ClassQueue, Server
-from tests.support import Driver, server_entries, actions_of, settings
+from tests.support import Driver, actions_of, server_entries, settings
 
 
 def test_a_request_is_sent_at_once_to_an_idle_server() -> None:
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -9,6 +9,7 @@
 
 from flintlatch.api import (
     Action,
+    DiscoveryServiceChanged,
     ListKind,
     Outcome,
     RequestClass,
@@ -16,10 +17,9 @@
     Send,
     ServerList,
     ServerState,
-    DiscoveryServiceChanged,
     Watch,
 )
-from tests.support import Driver, server_entries, actions_of, settings
+from tests.support import Driver, actions_of, server_entries, settings
 
 RECOVERY_MS = 12_000  # stated in docs/on-call.md: the longest ejection (8 s + 25 %), then a half-open probe
 STEP_MS = 10  # with one arrival each
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -21,16 +21,16 @@
     Outcome,
     Refuse,
     RequestClass,
+    ResponseStarted,
     Result,
     Scope,
     Send,
     ServerInfo,
     ServerList,
     ServerState,
-    ResponseStarted,
     Watch,
 )
-from tests.support import Driver, server_entries, actions_of, settings
+from tests.support import Driver, actions_of, server_entries, settings
 
 SAFE = RequestClass(300.0, 1000.0)
 UNSAFE = RequestClass(300.0, 1000.0, effect=Effect.UNSAFE)
--- a/tests/test_second_copies.py
+++ b/tests/test_second_copies.py
@@ -17,11 +17,11 @@
     Outcome,
     Refuse,
     RequestClass,
+    ResponseStarted,
     Result,
     Scope,
     Send,
     ServerInfo,
-    ResponseStarted,
 )
 from tests.support import Driver, actions_of, settings
 
--- a/tests/verdicts/test_core.py
+++ b/tests/verdicts/test_core.py
@@ -5,7 +5,7 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from flintlatch.api import TierMembership, Result, Ejection
+from flintlatch.api import Ejection, Result, TierMembership
 from flintlatch.fleet.heard import Heard
 from flintlatch.verdicts.api import Rules, judge
 from flintlatch.verdicts.core import EACH_MOST
