--- a/bench/scale/lists.py
+++ b/bench/scale/lists.py
@@ -71,7 +71,7 @@
     def read(self, body: bytes) -> Listing:
         listing = read_listing(orjson.loads(body), self.wire)
         self.backends.update(listing.targets, listing.whole)
-        kind = ListKind.FULL if listing.whole else ListKind.CHANGES
+        kind = ListKind.FULL if listing.whole else ListKind.DELTA
         self.event = ServerList(kind, tuple(target.info for target in listing.targets))
         return listing
 
--- a/bench/scale/module.py
+++ b/bench/scale/module.py
@@ -136,7 +136,7 @@
     def change(self, number: int) -> float:
         """One entry of a delta: the first server drains, then is active again."""
         state = ServerState.DRAINING if number % 2 else ServerState.ACTIVE
-        return self.step(ServerList(ListKind.CHANGES, (entry(0, state=state),)))
+        return self.step(ServerList(ListKind.DELTA, (entry(0, state=state),)))
 
 
 def settle() -> None:
--- a/flintlatch/adapter.py
+++ b/flintlatch/adapter.py
@@ -55,7 +55,7 @@
     "moot": Result.NOT_SENT,
 }
 LIST_KINDS = {
-    "INCREMENTAL": ListKind.CHANGES,
+    "INCREMENTAL": ListKind.DELTA,
     "FULL": ListKind.FULL,
     "SAVED": ListKind.SAVED,
     "FAILED": ListKind.FAILED,
--- a/flintlatch/api.py
+++ b/flintlatch/api.py
@@ -59,7 +59,7 @@
 class ListKind(Enum):
     """The content of a server list event: a delta, a snapshot, a saved snapshot, or a failed call."""
 
-    CHANGES = "changes"
+    DELTA = "changes"
     FULL = "full"
     SAVED = "saved"
     FAILED = "failed"
--- a/flintlatch/choice.py
+++ b/flintlatch/choice.py
@@ -1001,7 +1001,7 @@
             return
         if event.kind is not ListKind.SAVED:
             self.watch_failures, self.watch_at, self.discovery_changed_at = 0, None, -inf
-        if event.kind is not ListKind.CHANGES:
+        if event.kind is not ListKind.DELTA:
             listed = {e.server for e in event.entries}
             for name in [name for name in self.servers if name not in listed]:
                 self.servers[name].state = ServerState.GONE
--- a/tests/capacity/test_module.py
+++ b/tests/capacity/test_module.py
@@ -79,7 +79,7 @@
     assert balancer.entries == servers
     change = read_listing(orjson.loads(lists.delta(registry)), lists.wire())
     assert not change.whole and change.rev == whole.rev + 1
-    news: list[Event] = [ServerList(ListKind.CHANGES, tuple(target.info for target in change.targets))]
+    news: list[Event] = [ServerList(ListKind.DELTA, tuple(target.info for target in change.targets))]
     balancer.step(1025.0, news)
     assert balancer.entries == servers + 1
     assert len(balancer.servers) == servers and len(balancer.active) == servers - 1
--- a/tests/fleet/test_delivered.py
+++ b/tests/fleet/test_delivered.py
@@ -364,7 +364,7 @@
         assert len(message) < 300 < len(json.dumps(whole)) / 500
         engine.on_list(read_listing(json.loads(message), config.wire()))
         (told,) = engine.news
-        assert told.kind is ListKind.CHANGES and [entry.server for entry in told.entries] == ["s7"]
+        assert told.kind is ListKind.DELTA and [entry.server for entry in told.entries] == ["s7"]
         assert len(engine.backends.backends) == 2000
         made.commit({}, ("s9",))
         await made.until(lambda: len(made.news) == 2)
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -230,12 +230,12 @@
     for _ in range(6):
         for driver in drivers:
             now = tuple(with_load(s, 9.0 if s is loaded else 2.0) for s in servers)
-            driver.step(ServerList(ListKind.CHANGES, now), after=1000.0)
+            driver.step(ServerList(ListKind.DELTA, now), after=1000.0)
     during = [count_sent_to(driver, loaded.server, range(400)) for driver in drivers]
     for _ in range(20):
         for driver in drivers:
             now = tuple(with_load(s, 0.0 if s is loaded else 2.0) for s in servers)
-            driver.step(ServerList(ListKind.CHANGES, now), after=1000.0)
+            driver.step(ServerList(ListKind.DELTA, now), after=1000.0)
     after = [count_sent_to(driver, loaded.server, range(400)) for driver in drivers]
     assert sum(during) < 0.6 * sum(before) and min(during) > 0  # less from every proxy, but never nothing
     assert sum(after) > 0.9 * sum(before)
@@ -246,7 +246,7 @@
     driver = Driver(settings(proxies=40, key_affinity=True), *servers)
     for _ in range(10):
         smaller = [s._replace(weight=0.1) for s in servers[:6]]
-        driver.step(ServerList(ListKind.CHANGES, tuple(smaller)), after=1000.0)
+        driver.step(ServerList(ListKind.DELTA, tuple(smaller)), after=1000.0)
     assert {s.key_share for s in driver.balancer.active} == {1.0}
 
 
@@ -263,7 +263,7 @@
     new = [ServerInfo(f"10.0.1.{i}:80", weight=1.5, started=driver.now) for i in range(10)]
     for _ in range(10):
         now = (*(with_load(s, 3.0) for s in servers), *new)
-        driver.step(ServerList(ListKind.CHANGES, now), after=1000.0)
+        driver.step(ServerList(ListKind.DELTA, now), after=1000.0)
     assert min(s.key_share for s in driver.balancer.active) > 0.99
 
 
@@ -372,7 +372,7 @@
     removed = driver.balancer.active[0]
     removed.reward, removed.key_share, removed.load, removed.consecutive_failures = 0.1, 0.1, 9.0, 2
     entries = (ServerInfo(removed.id, state=ServerState.GONE), ServerInfo("s-new", weight=1.0))
-    driver.step(ServerList(ListKind.CHANGES, entries))
+    driver.step(ServerList(ListKind.DELTA, entries))
     new = driver.balancer.servers["s-new"]
     assert removed.id not in driver.balancer.servers
     assert (new.reward, new.key_share, new.consecutive_failures, new.inflight) == (1.0, 1.0, 0, 0)
@@ -407,9 +407,7 @@
             driver.now = now
             events: list[Any] = []
             if back and now < start + 6025:
-                events = [
-                    ServerList(ListKind.CHANGES, tuple(ServerInfo(s, started=now) for s in sorted(lost)))
-                ]
+                events = [ServerList(ListKind.DELTA, tuple(ServerInfo(s, started=now) for s in sorted(lost)))]
             driver.step(TimerFired(0), *events)
         for due, driver, name, result in [b for b in busy if b[0] <= now]:
             busy.remove((due, driver, name, result))
@@ -486,7 +484,7 @@
         if t % 25 == 0:
             driver.tick(0.0)
         if t % 500 == 0:
-            driver.step(ServerList(ListKind.CHANGES, tuple(with_load(s, requests_per_core) for s in servers)))
+            driver.step(ServerList(ListKind.DELTA, tuple(with_load(s, requests_per_core) for s in servers)))
         if t % interval_ms == 0:
             name = driver.arrive(key=arrived * 31 % 400)
             arrived, sent = arrived + 1, sent + (name in driver.sends)
@@ -567,7 +565,7 @@
         for driver in drivers:
             driver.now = now
             listed = now == start + 4000
-            driver.step(TimerFired(0), *([ServerList(ListKind.CHANGES, (*gone, *new))] if listed else []))
+            driver.step(TimerFired(0), *([ServerList(ListKind.DELTA, (*gone, *new))] if listed else []))
         for due in [b for b in busy if b[0] <= now]:
             busy.remove(due)
             due[1].end(due[2], after=0.0, latency=60.0)
@@ -613,7 +611,7 @@
         driver = Driver(
             settings(proxies=200, me=me, key_affinity=True, **SLOW_START), *server_entries(30), seed=me
         )
-        driver.step(ServerList(ListKind.CHANGES, (ServerInfo("new:1", started=start),)))
+        driver.step(ServerList(ListKind.DELTA, (ServerInfo("new:1", started=start),)))
         rate = weight * warm_rate * 31 / sum(traffic) / 1000  # arrivals per ms at this proxy
         while driver.now < start + quiet_ms + 4000:
             driver.balancer.warm_rate = {0: warm_rate * weight / sum(traffic)}
@@ -669,13 +667,13 @@
 def test_a_second_restart_during_slow_start_begins_it_anew() -> None:
     driver = Driver(settings(proxies=200, key_affinity=True, **SLOW_START), ServerInfo("old:1"))
     new = ServerInfo("new:1", started=driver.now)
-    driver.step(ServerList(ListKind.CHANGES, (new,)))
+    driver.step(ServerList(ListKind.DELTA, (new,)))
     driver.now += 8000
     driver.balancer.warm_rate, driver.balancer.admission_rate = {0: 0.1}, 4.0
     driver.balancer.second_at = driver.now
     driver.tick()
     after_8_s = driver.balancer.servers["new:1"].slow_start_fraction
-    driver.step(ServerList(ListKind.CHANGES, (new._replace(started=driver.now),)))
+    driver.step(ServerList(ListKind.DELTA, (new._replace(started=driver.now),)))
     server = driver.balancer.servers["new:1"]
     assert server.cold_until == driver.now + 20_000 and not server.has_capacity(driver.now)
     driver.balancer.warm_rate, driver.balancer.admission_rate = {0: 0.1}, 4.0
@@ -723,7 +721,7 @@
         settings(proxies=200, key_affinity=True, **SLOW_START), ServerInfo("new:1", started=1000.0)
     )
     driver.tick_for(100)
-    driver.step(ServerList(ListKind.CHANGES, (ServerInfo("new:1", state=ServerState.GONE),)))
+    driver.step(ServerList(ListKind.DELTA, (ServerInfo("new:1", state=ServerState.GONE),)))
     assert driver.balancer.cold_servers and driver.arrive(key=7) not in driver.sends
 
 
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -143,7 +143,7 @@
         if kind is ListKind.FAILED:
             self.step([ServerList(kind)])
             return
-        if kind is not ListKind.CHANGES:
+        if kind is not ListKind.DELTA:
             self.listed = {}
         for entry in entries:
             self.listed[entry.server] = entry
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -104,10 +104,10 @@
     script = ScriptedServers(4)
     script.run(5_000, {})
     gone = server_entries(4, state=ServerState.GONE)
-    script.driver.step(ServerList(ListKind.CHANGES, tuple(gone)))
+    script.driver.step(ServerList(ListKind.DELTA, tuple(gone)))
     script.run(3_000, {})
     assert not script.sent
-    script.answer_sends(script.driver.step(ServerList(ListKind.CHANGES, tuple(server_entries(4)))), {})
+    script.answer_sends(script.driver.step(ServerList(ListKind.DELTA, tuple(server_entries(4)))), {})
     script.run(3_000, {})  # level 4 is readmitted over four latency targets
     script.run(3_000, {})
     assert len(script.sent) == 4 and sum(script.sent.values()) >= 290
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -297,7 +297,7 @@
 
 
 def change(name: str, state: ServerState) -> ServerList:
-    return ServerList(ListKind.CHANGES, (ServerInfo(name, state),))
+    return ServerList(ListKind.DELTA, (ServerInfo(name, state),))
 
 
 @pytest.mark.parametrize("state", [ServerState.DRAINING, ServerState.GONE])
@@ -378,7 +378,7 @@
     for tick in range(400):
         for driver, weight in zip(drivers, split, strict=True):
             if tick == 200:
-                driver.step(ServerList(ListKind.CHANGES, (ServerInfo("new:1", started=driver.now),)))
+                driver.step(ServerList(ListKind.DELTA, (ServerInfo("new:1", started=driver.now),)))
             for _ in range(weight):
                 driver.end(driver.arrive(), after=0.0, latency=20.0)
             driver.tick(after=interval)
@@ -405,7 +405,7 @@
     driver = Driver(settings(**COLD), *server_entries(2))
     server = driver.balancer.active[0]
     server.limit, server.reward = 9.0, 0.1
-    driver.step(ServerList(ListKind.CHANGES, (ServerInfo("10.0.0.0:80", started=driver.now - 5),)))
+    driver.step(ServerList(ListKind.DELTA, (ServerInfo("10.0.0.0:80", started=driver.now - 5),)))
     assert server.limit <= 1 and server.reward == 1.0
     assert not server.has_capacity(driver.now)
 
