--- a/bench/many.py
+++ b/bench/many.py
@@ -262,7 +262,7 @@
         self.history.append((self.now, self.listing()))
         while len(self.history) > 1 and self.history[1][0] <= self.now - LATE_MS:
             self.history.popleft()
-        news = ServerList(ListKind.FULL, self.history[0][1])
+        news = ServerList(ListKind.SNAPSHOT, self.history[0][1])
         for me in range(len(self.proxies)):
             self.step(me, [news])
 
--- a/bench/scale/lists.py
+++ b/bench/scale/lists.py
@@ -66,12 +66,12 @@
         self.backends = Backends(CONNECT_MS, IDLE_MS, 100)
         self.balancer = Balancer(module.settings(), seed)
         self.wire, self.now = wire(), 1000.0
-        self.event = ServerList(ListKind.FULL)
+        self.event = ServerList(ListKind.SNAPSHOT)
 
     def read(self, body: bytes) -> Listing:
         listing = read_listing(orjson.loads(body), self.wire)
         self.backends.update(listing.targets, listing.whole)
-        kind = ListKind.FULL if listing.whole else ListKind.DELTA
+        kind = ListKind.SNAPSHOT if listing.whole else ListKind.DELTA
         self.event = ServerList(kind, tuple(target.info for target in listing.targets))
         return listing
 
@@ -122,7 +122,7 @@
         holder = Holder(seed)
         before, _ = tracemalloc.get_traced_memory()
         holder.read(body)
-        holder.event = ServerList(ListKind.FULL)
+        holder.event = ServerList(ListKind.SNAPSHOT)
         gc.collect()
         after, _ = tracemalloc.get_traced_memory()
         tracemalloc.stop()
--- a/bench/scale/module.py
+++ b/bench/scale/module.py
@@ -75,7 +75,7 @@
 
 
 def listing(servers: int) -> ServerList:
-    return ServerList(ListKind.FULL, tuple(entry(number) for number in range(servers)))
+    return ServerList(ListKind.SNAPSHOT, tuple(entry(number) for number in range(servers)))
 
 
 class Play:
--- a/flintlatch/adapter.py
+++ b/flintlatch/adapter.py
@@ -56,7 +56,7 @@
 }
 LIST_KINDS = {
     "INCREMENTAL": ListKind.DELTA,
-    "FULL": ListKind.FULL,
+    "FULL": ListKind.SNAPSHOT,
     "SAVED": ListKind.SAVED,
     "FAILED": ListKind.FAILED,
 }
--- a/flintlatch/api.py
+++ b/flintlatch/api.py
@@ -60,7 +60,7 @@
     """The content of a server list event: a delta, a snapshot, a saved snapshot, or a failed call."""
 
     DELTA = "changes"
-    FULL = "full"
+    SNAPSHOT = "full"
     SAVED = "saved"
     FAILED = "failed"
 
--- a/flintlatch/net/engine.py
+++ b/flintlatch/net/engine.py
@@ -149,7 +149,7 @@
         # The pools hear of a drain here and now, before anything else of this turn can be written.
         self.list_rev = listing.rev
         self.backends.update(listing.targets, listing.whole)
-        kind = kind or (ListKind.FULL if listing.whole else ListKind.DELTA)
+        kind = kind or (ListKind.SNAPSHOT if listing.whole else ListKind.DELTA)
         self.news.append(ServerList(kind, tuple(target.info for target in listing.targets)))
         self._wake()
 
--- a/tests/test_list_service.py
+++ b/tests/test_list_service.py
@@ -49,7 +49,7 @@
                     self.calling.discard(me)
                     if found:
                         self.first_list_after_ms.setdefault(me, now - starts[me])
-                    kind = ListKind.FULL if found else ListKind.FAILED
+                    kind = ListKind.SNAPSHOT if found else ListKind.FAILED
                     events.append(ServerList(kind, tuple(server_entries(6)) if found else ()))
                 for action in driver.step(TimerFired(0), *events):
                     if (
@@ -69,7 +69,7 @@
     """200 proxies learn of the change within 100 ms; the service takes 5 to 8 s for one call of each."""
     tier = Tier(200, call_ms, seed, range(200))
     for driver in tier.drivers.values():  # they have the list of the old service
-        driver.step(ServerList(ListKind.FULL, tuple(server_entries(6))))
+        driver.step(ServerList(ListKind.SNAPSHOT, tuple(server_entries(6))))
     tier.simulate({me: 3000.0 + (me * 37 + seed) % 100 for me in range(200)}, True, 12_000)
     assert len(tier.first_list_after_ms) == 200
     assert (
@@ -92,5 +92,5 @@
 
 def test_a_proxy_of_a_small_tier_subscribes_to_a_new_service_at_once() -> None:
     driver = Driver(settings(proxies=3, me=2, **POLLED_LIST), *server_entries(6))
-    driver.step(ServerList(ListKind.FULL, tuple(server_entries(6))))
+    driver.step(ServerList(ListKind.SNAPSHOT, tuple(server_entries(6))))
     assert Watch() in driver.step(DiscoveryServiceChanged())
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -62,7 +62,7 @@
     driver = Driver(settings(**LARGE_TIER), *server_entries(20))
     before = [s.id for s in driver.balancer.preferred]
     remaining = [s for s in server_entries(20) if s.server != before[0]]
-    driver.step(ServerList(ListKind.FULL, tuple(remaining)))
+    driver.step(ServerList(ListKind.SNAPSHOT, tuple(remaining)))
     assert len({s.id for s in driver.balancer.preferred} & set(before)) == len(before) - 1
 
 
@@ -174,7 +174,7 @@
 def test_an_empty_list_at_the_start_is_accepted() -> None:
     driver = Driver(settings(RequestClass(300.0, 900.0), RequestClass(300.0, 900.0, worth=0.1), **LARGE_TIER))
     driver.arrive(1)
-    driver.step(ServerList(ListKind.FULL, tuple(server_entries(40))))
+    driver.step(ServerList(ListKind.SNAPSHOT, tuple(server_entries(40))))
     driver.tick_for(100)
     assert driver.sends[driver.arrive()]
 
@@ -352,9 +352,9 @@
                 continue
             driver.now = float(now)
             answers = [ok for when, caller, ok in service.due if caller == me and when <= now]
-            events: list[Any] = [ServerList(ListKind.FULL, tuple(server_entries(6))) for ok in answers if ok][
-                :1
-            ]
+            events: list[Any] = [
+                ServerList(ListKind.SNAPSHOT, tuple(server_entries(6))) for ok in answers if ok
+            ][:1]
             events += [ServerList(ListKind.FAILED) for ok in answers if not ok][:1]
             if any(answers):
                 answered.setdefault(me, now - starts[me])
@@ -687,7 +687,7 @@
     for me in range(40):
         driver = Driver(settings(proxies=40, me=me, key_affinity=True, **SLOW_START), seed=me)
         driver.step(
-            ServerList(ListKind.FULL, tuple(s._replace(started=driver.now) for s in server_entries(6)))
+            ServerList(ListKind.SNAPSHOT, tuple(s._replace(started=driver.now) for s in server_entries(6)))
         )
         for n in range(200):
             driver.arrive(key=n * 31, wait=300)
--- a/tests/test_notice.py
+++ b/tests/test_notice.py
@@ -38,7 +38,7 @@
 def test_a_watch_that_fell_silent_is_replaced_before_its_news_counts_as_told(proxies: int) -> None:
     for me in {0, proxies // 2, proxies - 1}:
         driver = asking(proxies, me)
-        driver.step(ServerList(ListKind.FULL, tuple(server_entries(3))))
+        driver.step(ServerList(ListKind.SNAPSHOT, tuple(server_entries(3))))
         driver.step(ServerList(ListKind.FAILED))  # the silence was noticed
         assert WAIT_MS + GRACE_MS + wait(driver) + CALL_MS <= NOTICE_MS
 
@@ -58,7 +58,7 @@
     for me in {0, proxies // 2, proxies - 1}:
         driver = asking(proxies, me)
         assert wait(driver) + CALL_MS <= NOTICE_MS
-        driver.step(ServerList(ListKind.FULL, tuple(server_entries(3))))
+        driver.step(ServerList(ListKind.SNAPSHOT, tuple(server_entries(3))))
         if not actions_of(Watch, driver.step(DiscoveryServiceChanged())):
             assert wait(driver) + CALL_MS <= NOTICE_MS
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -123,7 +123,7 @@
     for _ in range(3):
         driver.step(ServerList(ListKind.FAILED))
         assert actions_of(Watch, driver.tick_for(250))
-    driver.step(ServerList(ListKind.FULL, tuple(server_entries(2))))
+    driver.step(ServerList(ListKind.SNAPSHOT, tuple(server_entries(2))))
     assert not actions_of(Watch, driver.tick_for(20_000))  # the subscription is active
     driver.step(ServerList(ListKind.FAILED))
     assert not actions_of(Watch, driver.tick_for(200))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -137,7 +137,7 @@
     driver = Driver(settings(KEYED), ServerInfo("one:80", cell=1))
     request = driver.arrive()
     moved = (ServerInfo("one:80", cell=2), ServerInfo("two:80", cell=2), ServerInfo("three:80", cell=1))
-    driver.step(ServerList(ListKind.FULL, moved))
+    driver.step(ServerList(ListKind.SNAPSHOT, moved))
     driver.end(request, Result.ERROR)
     assert driver.sends[request] == ["one:80", "three:80"]
 
@@ -311,7 +311,7 @@
 
 def test_a_server_that_is_missing_in_a_snapshot_is_removed() -> None:
     driver = Driver(settings(), *server_entries(2))
-    driver.step(ServerList(ListKind.FULL, tuple(server_entries(1))))
+    driver.step(ServerList(ListKind.SNAPSHOT, tuple(server_entries(1))))
     assert [s.id for s in driver.balancer.active] == ["10.0.0.0:80"]
 
 
@@ -335,7 +335,7 @@
             pass
         delays.append(driver.now - start)
     assert delays[0] < 300 and delays[-1] >= 400 and max(delays) <= 825
-    driver.step(ServerList(ListKind.FULL, tuple(server_entries(1))))
+    driver.step(ServerList(ListKind.SNAPSHOT, tuple(server_entries(1))))
     assert not actions_of(Watch, driver.tick_for(30_000))
 
 
