--- a/flintlatch/choice.py
+++ b/flintlatch/choice.py
@@ -190,6 +190,7 @@
         self.started, self.cold_until = None, 0.0
 
     def has_capacity(self, now: float, min_limit: float = 0.0) -> bool:
+        """Whether a request may be sent now; `min_limit` applies if the limit is lower."""
         if self.ejected_until > now or self.peer_ejected_until > now:
             return False
         # Half-open after an ejection: one probe request at a time, not a full load.
@@ -247,6 +248,7 @@
         self.allocation, self.tokens, self.refilled_at, self.demand = allocation, 0.0, now, 0
 
     def refill(self, now: float) -> float:
+        """Adds the tokens since the last refill and returns how many there are."""
         # The bucket must hold one token or no request would ever pass. The documented bound on the number of
         # accepted requests includes one token for each instance.
         capacity = max(self.allocation.burst, 1.0 if self.allocation.per_s else 0.0)
@@ -292,7 +294,7 @@
         # If late responses have a worth, so has a late retry; failing it would only cause another retry.
         self.start_response_clock(now, now if spec.late_worth > 0 else first_tried_at)
         self.attempts: list[Attempt] = []
-        self.send_by = self.deadline  # latest useful time of the first send
+        self.send_by = self.deadline  # latest time of the next send
         self.open_attempts = 0
         self.slow_start_draw = slow_start_draw
         self.is_queued = self.finished = self.streaming = False
@@ -330,6 +332,7 @@
         self.min_wait, self.previous_min_wait, self.sends = 0.0, 0.0, 0
 
     def record_send(self, now: float, wait: float) -> None:
+        """Adds the wait of a sent request to the minimum of the present half window."""
         if (
             self.sends >= DETECTOR_WINDOW_MIN_SENDS / 2
             and now - self.half_window_at >= self.target_ms * DETECTOR_WINDOW_FRACTION / 2
@@ -359,6 +362,7 @@
             self.overloaded_at = now
 
     def head(self) -> Request | None:
+        """Returns the first queued request; drops entries that are no longer queued."""
         while self.pending and not self.pending[0].is_queued:
             self.pending.popleft()
         return self.pending[0] if self.pending else None
@@ -374,6 +378,7 @@
         return wait / self.wait_threshold_ms()
 
     def wait_threshold_ms(self) -> float:
+        """Returns the minimum wait above which the queue is overloaded."""
         return max(WAIT_THRESHOLD_FRACTION * (self.target_ms - self.latency), 2 * self.tick_ms)
 
 
@@ -498,6 +503,7 @@
     # 1. Events
 
     def on_arrival(self, now: float, event: Arrival) -> None:
+        """Admits a request to its queue, or refuses it."""
         spec, queue = self.settings.classes[event.cls], self.queue_of_class[event.cls]
         level = self.priority_level(now, spec, event.tenant)
         if event.tenant < len(self.tenant_arrivals) and not event.is_retry:
@@ -639,6 +645,7 @@
         return 1 + sum(worth < bound for bound in LEVEL_WORTH_BOUNDS)
 
     def enqueue(self, request: Request, at_front: bool) -> None:
+        """Queues a request and sets the time until which sending it is useful."""
         request.is_queued, pending = True, request.queue.pending
         (pending.appendleft if at_front else pending.append)(request)
         # Sent any later, the response would come too late. The time reserved for it is at most half the
@@ -660,6 +667,7 @@
         return min(mean + ORDINARY_LATENCY_DEVIATIONS * deviation, request.queue.target_ms / 2)
 
     def on_outcome(self, now: float, event: Outcome) -> None:
+        """Ends an attempt, learns from it, and finishes or retries its request."""
         request = self.requests.get(event.request)
         if request is None or event.attempt >= len(request.attempts):
             return
@@ -853,8 +861,11 @@
         return mean
 
     def eject(self, now: float, server: Server, certain: bool) -> None:
-        # If all servers are slow, this one is not the cause: at most half of them are ejected at a time, and
-        # none whose reward is ordinary.
+        """Ejects a server, or resets its failures if it is not an outlier.
+
+        If all servers are slow, this one is not the cause: at most half of them are ejected at a time, and
+        none with an ordinary reward unless `certain`.
+        """
         others = sum(
             1 for s in self.active if s.consecutive_failures >= EJECTION_FAILURES and s is not server
         )
@@ -867,6 +878,7 @@
         self.actions.append(Log(f"ejected {server.id}: {server.consecutive_failures} failures in a row"))
 
     def usual_reward(self) -> float:
+        """Returns the mean reward of the preferred servers."""
         return sum(s.reward for s in self.preferred) / max(len(self.preferred), 1)
 
     def retry_or_end(self, now: float, request: Request, result: Result) -> None:
@@ -947,6 +959,7 @@
         self.finish(request)
 
     def open_attempt(self, request_id: str, number: int) -> tuple[Request, Attempt] | None:
+        """Returns the request and its attempt, or None if the attempt is unknown or has ended."""
         request = self.requests.get(request_id)
         if request is None or number >= len(request.attempts) or not request.attempts[number].open:
             return None
@@ -973,6 +986,7 @@
             )
 
     def on_response_started(self, now: float, event: ResponseStarted) -> None:
+        """Ends the execution of an attempt and starts the transfer of its response."""
         found = self.open_attempt(event.request, event.attempt)
         if found is None or found[1].response_started:
             return
@@ -987,6 +1001,7 @@
             self.observe_outcome(now, request, attempt, event.result, event.latency_ms)
 
     def on_list(self, now: float, event: ServerList) -> None:
+        """Applies a server list, or schedules the next call after a failed one."""
         if event.kind is ListKind.FAILED:
             self.watch_failures += 1
             # Hundreds of proxies must not call at once. Still, the delay has a bound however often calls
@@ -1114,6 +1129,7 @@
             self.min_server_limit = max(1.0, self.total_limit / max(len(local), 1))
 
     def on_entry(self, now: float, entry: ServerInfo) -> None:
+        """Adds, updates or removes a server by its entry; a restarted server starts cold."""
         server = self.servers.get(entry.server)
         if server is None:
             if entry.state is ServerState.GONE:
@@ -1151,6 +1167,7 @@
             self.every_second(now)
 
     def run_timers(self, now: float) -> None:
+        """Handles the due timers of queued requests and of requests that may be hedged."""
         while self.timers and self.timers[0][0] <= now:
             request = heappop(self.timers)[2]
             if request.is_queued:
@@ -1431,6 +1448,7 @@
         return True
 
     def home_server(self, request: Request) -> Server | None:
+        """Draws the server that the request would be sent to if all had capacity."""
         key = request.key
         servers = self.preferred
         if self.settings.key_affinity and key is not None:
@@ -1541,6 +1559,7 @@
         )
 
     def send(self, now: float, request: Request, server: Server) -> None:
+        """Sends an attempt and, for the first one, sets the time at which it may be hedged."""
         executed = request.first_execution() if request.attempts else None
         write_within_ms = inf
         if executed is not None and request.spec.effect is Effect.KEYED:
@@ -1561,6 +1580,7 @@
             self.schedule(request.hedge_at, request)
 
     def attempt_timeout_ms(self, now: float, request: Request) -> float:
+        """Returns how long an attempt that is sent now may take."""
         if request.uploading:  # the time for the response starts when the server has the whole request
             return max(request.client_deadline - now, 1.0)
         return max(min(request.useful_until - self.settings.tick_ms, request.deadline) - now, 1.0)
