--- a/tests/test_list_service.py
+++ b/tests/test_list_service.py
@@ -10,7 +10,7 @@
 from tests.support import Driver, server_entries, settings
 from tests.test_many import SerialListService
 
-POLLED_LIST: dict[str, Any] = {"ask_for_list": True, "must_ask_ms": 10_000.0, "key_affinity": True}
+SUBSCRIPTION_SETTINGS: dict[str, Any] = {"ask_for_list": True, "must_ask_ms": 10_000.0, "key_affinity": True}
 HOUSEKEEPING_MS = 25
 
 
@@ -21,7 +21,9 @@
         self.service = SerialListService(call_ms)
         self.drivers = {
             me: Driver(
-                settings(proxies=proxies, me=me, **POLLED_LIST), *server_entries(6), seed=97 * seed + me
+                settings(proxies=proxies, me=me, **SUBSCRIPTION_SETTINGS),
+                *server_entries(6),
+                seed=97 * seed + me,
             )
             for me in callers
         }
@@ -72,9 +74,8 @@
         driver.step(ServerList(ListKind.SNAPSHOT, tuple(server_entries(6))))
     tier.simulate({me: 3000.0 + (me * 37 + seed) % 100 for me in range(200)}, True, 12_000)
     assert len(tier.first_list_after_ms) == 200
-    assert (
-        max(tier.first_list_after_ms.values()) < call_ms * 200 + 600
-    )  # as soon as a service that is never idle
+    # As soon as a service that is never idle can answer.
+    assert max(tier.first_list_after_ms.values()) < call_ms * 200 + 600
     # A service that needs 8 s can't answer all calls in the 6 s after which its list counts as known.
     # Rejected proxies call again, which costs it nothing.
     assert tier.service.calls <= (300 if call_ms < 30 else 500)
@@ -91,6 +92,6 @@
 
 
 def test_a_proxy_of_a_small_tier_subscribes_to_a_new_service_at_once() -> None:
-    driver = Driver(settings(proxies=3, me=2, **POLLED_LIST), *server_entries(6))
+    driver = Driver(settings(proxies=3, me=2, **SUBSCRIPTION_SETTINGS), *server_entries(6))
     driver.step(ServerList(ListKind.SNAPSHOT, tuple(server_entries(6))))
     assert Watch() in driver.step(DiscoveryServiceChanged())
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -123,16 +123,16 @@
 def test_two_requests_that_arrive_together_after_idle_time_are_sent_at_once() -> None:
     driver = Driver(settings(**LARGE_TIER), *server_entries(40))
     run_requests(driver, 10, 50.0)
-    names = [driver.arrive(wait=5000), driver.arrive(wait=5000)]
-    assert all(name in driver.sends for name in names)
+    requests = [driver.arrive(wait=5000), driver.arrive(wait=5000)]
+    assert all(request in driver.sends for request in requests)
 
 
 def test_a_burst_above_a_small_total_limit_is_queued() -> None:
     driver = Driver(settings(**LARGE_TIER), *server_entries(40))
     run_requests(driver, 10, 50.0)
     driver.balancer.total_limit = 0.1
-    names = [driver.arrive(wait=5000) for _ in range(20)]
-    assert 1 <= sum(name in driver.sends for name in names) <= 6
+    requests = [driver.arrive(wait=5000) for _ in range(20)]
+    assert 1 <= sum(request in driver.sends for request in requests) <= 6
 
 
 def test_servers_with_a_larger_weight_are_drawn_more_often() -> None:
@@ -229,13 +229,13 @@
     before = [count_sent_to(driver, loaded.server, range(400)) for driver in drivers]
     for _ in range(6):
         for driver in drivers:
-            now = tuple(with_load(s, 9.0 if s is loaded else 2.0) for s in servers)
-            driver.step(ServerList(ListKind.DELTA, now), after=1000.0)
+            entries = tuple(with_load(s, 9.0 if s is loaded else 2.0) for s in servers)
+            driver.step(ServerList(ListKind.DELTA, entries), after=1000.0)
     during = [count_sent_to(driver, loaded.server, range(400)) for driver in drivers]
     for _ in range(20):
         for driver in drivers:
-            now = tuple(with_load(s, 0.0 if s is loaded else 2.0) for s in servers)
-            driver.step(ServerList(ListKind.DELTA, now), after=1000.0)
+            entries = tuple(with_load(s, 0.0 if s is loaded else 2.0) for s in servers)
+            driver.step(ServerList(ListKind.DELTA, entries), after=1000.0)
     after = [count_sent_to(driver, loaded.server, range(400)) for driver in drivers]
     assert sum(during) < 0.6 * sum(before) and min(during) > 0  # less from every proxy, but never nothing
     assert sum(after) > 0.9 * sum(before)
@@ -262,8 +262,8 @@
     driver.now += 1e6
     new = [ServerInfo(f"10.0.1.{i}:80", weight=1.5, started=driver.now) for i in range(10)]
     for _ in range(10):
-        now = (*(with_load(s, 3.0) for s in servers), *new)
-        driver.step(ServerList(ListKind.DELTA, now), after=1000.0)
+        entries = (*(with_load(s, 3.0) for s in servers), *new)
+        driver.step(ServerList(ListKind.DELTA, entries), after=1000.0)
     assert min(s.key_share for s in driver.balancer.active) > 0.99
 
 
@@ -639,19 +639,19 @@
     for _ in range(60):
         driver.end(driver.arrive(), latency=40.0)
         driver.tick_for(100)
-    away = driver.balancer.active[0]
-    away.reward = 0.1
+    suspect = driver.balancer.active[0]
+    suspect.reward = 0.1
     now = driver.now
-    for failed in (now, now + 500, now + 1500):
-        driver.balancer.record_failure(failed, away)
-    assert away.consecutive_failures == 3 and not away.is_cold(now)
-    driver.balancer.update_restart_suspicion(now + 2500, away, False)
-    away.consecutive_failures = 0  # as its response does
-    assert away.is_cold(now + 2500) and not away.has_capacity(now + 2500)
+    for failed_at in (now, now + 500, now + 1500):
+        driver.balancer.record_failure(failed_at, suspect)
+    assert suspect.consecutive_failures == 3 and not suspect.is_cold(now)
+    driver.balancer.update_restart_suspicion(now + 2500, suspect, False)
+    suspect.consecutive_failures = 0  # as its response does
+    assert suspect.is_cold(now + 2500) and not suspect.has_capacity(now + 2500)
     for _ in range(2):
-        driver.balancer.update_restart_suspicion(now + 2600, away, quick)
-    assert away.is_cold(now + 2600) is not quick
-    assert not away.is_cold(now + 2500 + 6000)  # a list would have reported a restart by then
+        driver.balancer.update_restart_suspicion(now + 2600, suspect, quick)
+    assert suspect.is_cold(now + 2600) is not quick
+    assert not suspect.is_cold(now + 2500 + 6000)  # a list would have reported a restart by then
 
 
 def test_one_lost_connection_is_not_taken_for_a_restart() -> None:
@@ -695,8 +695,7 @@
             for name in [name for name in driver.sends if name in driver.balancer.requests]:
                 used[driver.sends[name][0]] += 1
                 driver.end(name, after=0.0, latency=60.0)
-    # With nothing observed, each server gets one request of all proxies in a window of 1.5 s: about 40 in
-    # all.
+    # With nothing observed, all proxies together send each server one request in 1.5 s: about 40 in total.
     assert len(used) == 6 and min(used.values()) >= 2 and 20 <= sum(used.values()) <= 60
 
 
