--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -70,8 +70,8 @@
 
 
 def test_a_large_tier_sends_an_unobserved_cold_server_one_request_in_a_window() -> None:
-    # Proxies that start together have observed nothing. Each of them must not send a cold server a first
-    # request.
+    # Proxies that start together have observed nothing. If each of them sent a cold server one request, the
+    # server would get far more than one in a window.
     slow_start: dict[str, Any] = {
         "key_affinity": True,
         "start_capacity": 0.1,
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -182,6 +182,7 @@
     cell=st.integers(0, 1),
     started=st.sampled_from([None, None, 1.0, 400.0]),
 )
+# The kind of the move and two arguments that depend on it.
 MOVE = st.one_of(
     st.tuples(st.just("arrive"), st.integers(0, 4), st.sampled_from([0.0, 3.0, 150.0, 400.0, 900.0])),
     st.tuples(st.just("arrive"), st.integers(0, 4), st.just(900.0)),
@@ -204,18 +205,18 @@
 ) -> None:
     oracle = Oracle(config, seed)
     oracle.send_list(ListKind.SAVED, [e for e in initial if e.state is not ServerState.GONE])
-    for count, (what, a, b) in enumerate(moves):
-        if what == "arrive":
+    for count, (kind, a, b) in enumerate(moves):
+        if kind == "arrive":
             assert isinstance(a, int) and isinstance(b, float)
             name = f"r{count}"
             oracle.requests[name] = ClientRequest(a, oracle.now + b + (0.001 if b else 0))
             oracle.step([Arrival(name, a, count % 3, count % 4, oracle.requests[name].deadline)])
-        elif what == "pass":
+        elif kind == "pass":
             assert isinstance(a, float)
             for _ in range(int(a / 5)):
                 oracle.now += 5
                 oracle.step(oracle.due_events())
-        elif what == "list":
+        elif kind == "list":
             assert isinstance(a, ListKind) and isinstance(b, list)
             oracle.send_list(a, b)
         else:
@@ -225,7 +226,7 @@
                 continue
             name = names[a % len(names)]
             request = oracle.requests[name]
-            if what == "leave":
+            if kind == "leave":
                 if not request.finished:
                     request.finished = True
                     oracle.step([ClientDisconnected(name)] * (2 if b else 1))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -296,14 +296,14 @@
 # Rule 3: nothing new to drained servers
 
 
-def change(name: str, state: ServerState) -> ServerList:
+def delta(name: str, state: ServerState) -> ServerList:
     return ServerList(ListKind.DELTA, (ServerInfo(name, state),))
 
 
 @pytest.mark.parametrize("state", [ServerState.DRAINING, ServerState.GONE])
 def test_no_request_is_sent_to_a_drained_or_removed_server(state: ServerState) -> None:
     driver = Driver(settings(), *server_entries(2))
-    driver.step(change("10.0.0.0:80", state))
+    driver.step(delta("10.0.0.0:80", state))
     for _ in range(10):
         driver.end(driver.arrive())
     assert {s for sends in driver.sends.values() for s in sends} == {"10.0.0.1:80"}
@@ -318,7 +318,7 @@
 def test_a_late_response_of_a_removed_server_is_harmless() -> None:
     driver = Driver(settings(), *server_entries(1))
     request = driver.arrive()
-    driver.step(change("10.0.0.0:80", ServerState.GONE))
+    driver.step(delta("10.0.0.0:80", ServerState.GONE))
     driver.end(request)
     driver.arrive()
     assert not actions_of(Send, driver.last)
@@ -361,7 +361,7 @@
 
 # Rule 4: slow start
 
-COLD = {"start_capacity": 0.12, "cold_ms": 20_000.0, "fall_multiple": 3.0, "fall_ms": 2000.0}
+SLOW_START = {"start_capacity": 0.12, "cold_ms": 20_000.0, "fall_multiple": 3.0, "fall_ms": 2000.0}
 
 
 def sent_to(name: str, drivers: list[Driver]) -> int:
@@ -371,7 +371,7 @@
 @pytest.mark.parametrize("split", [(1, 1, 1), (1, 0, 0), (4, 1, 1)])
 def test_the_slow_start_budgets_of_all_proxies_hold_for_any_traffic_split(split: tuple[int, ...]) -> None:
     """Warm servers handle 10 requests a second each; a cold one can handle at least a fraction of that."""
-    config = settings(proxies=3, **COLD)
+    config = settings(proxies=3, **SLOW_START)
     drivers = [Driver(config, *server_entries(4), seed=s) for s in range(3)]
     interval = 1000.0 / 40.0 * sum(split)
     sent: list[tuple[float, int]] = []
@@ -392,7 +392,7 @@
 
 
 def test_a_cold_server_gets_few_requests_before_anything_was_observed() -> None:
-    driver = Driver(settings(proxies=2, **COLD), ServerInfo("new:1", started=900.0))
+    driver = Driver(settings(proxies=2, **SLOW_START), ServerInfo("new:1", started=900.0))
     for _ in range(40):
         driver.arrive(wait=5000)
         for request in list(driver.sends):
@@ -402,7 +402,7 @@
 
 
 def test_a_restarted_server_is_cold_and_its_statistics_are_reset() -> None:
-    driver = Driver(settings(**COLD), *server_entries(2))
+    driver = Driver(settings(**SLOW_START), *server_entries(2))
     server = driver.balancer.active[0]
     server.limit, server.reward = 9.0, 0.1
     driver.step(ServerList(ListKind.DELTA, (ServerInfo("10.0.0.0:80", started=driver.now - 5),)))
