--- a/bench/many.py
+++ b/bench/many.py
@@ -134,9 +134,9 @@
             proxies=proxies,
             may_cancel=True,
             may_duplicate=True,
-            most_attempts=6,
-            warm_keys=True,
-            live_weights=True,
+            max_attempts=6,
+            key_affinity=True,
+            weights_report_load=True,
             tick_ms=5.0,
             start_capacity=START,
             cold_ms=COLD_MS,
@@ -202,7 +202,7 @@
             knew = known is not None and known.cold_until > self.now
             work_ms = WORK_MS[cls] * self.rng.lognormvariate(-0.1, 0.45)
             done = server.take(self.now, self.keys_of[action.request], work_ms, WORK_MS[cls], knew)
-            limit = self.now + action.limit_ms
+            limit = self.now + action.attempt_timeout_ms
             if server.silent or done > limit:
                 ended, result = limit, Result.TIMEOUT
                 server.free_at = min(server.free_at, max(self.now, limit))  # what is called off stops
@@ -262,7 +262,7 @@
         self.history.append((self.now, self.listing()))
         while len(self.history) > 1 and self.history[1][0] <= self.now - LATE_MS:
             self.history.popleft()
-        news = ServerList(ListKind.FULL, self.history[0][1])
+        news = ServerList(ListKind.SNAPSHOT, self.history[0][1])
         for me in range(len(self.proxies)):
             self.step(me, [news])
 
--- a/bench/scale/lists.py
+++ b/bench/scale/lists.py
@@ -19,7 +19,7 @@
 from flintlatch.choice import Balancer
 from flintlatch.net.backends import Backends
 from flintlatch.net.discovery import MAX_LIST, Discovery, Listing, read_listing
-from flintlatch.settings import Wire
+from flintlatch.settings import SocketSettings
 from flintlatch.standin.proxy import ProxyProcess, configuration, free_address, write
 from flintlatch.standin.registry import Registry
 from flintlatch.standin.rig import CLASSES
@@ -30,8 +30,8 @@
 CONNECT_MS, IDLE_MS = 1000.0, 30_000.0
 
 
-def wire() -> Wire:
-    return Wire({}, {}, {}, {"default": 0}, CONNECT_MS, IDLE_MS)
+def wire() -> SocketSettings:
+    return SocketSettings({}, {}, {}, {"default": 0}, CONNECT_MS, IDLE_MS)
 
 
 def put(registry: Registry, number: int, state: str = "active") -> None:
@@ -66,12 +66,12 @@
         self.backends = Backends(CONNECT_MS, IDLE_MS, 100)
         self.balancer = Balancer(module.settings(), seed)
         self.wire, self.now = wire(), 1000.0
-        self.event = ServerList(ListKind.FULL)
+        self.event = ServerList(ListKind.SNAPSHOT)
 
     def read(self, body: bytes) -> Listing:
         listing = read_listing(orjson.loads(body), self.wire)
         self.backends.update(listing.targets, listing.whole)
-        kind = ListKind.FULL if listing.whole else ListKind.CHANGES
+        kind = ListKind.SNAPSHOT if listing.whole else ListKind.DELTA
         self.event = ServerList(kind, tuple(target.info for target in listing.targets))
         return listing
 
@@ -122,7 +122,7 @@
         holder = Holder(seed)
         before, _ = tracemalloc.get_traced_memory()
         holder.read(body)
-        holder.event = ServerList(ListKind.FULL)
+        holder.event = ServerList(ListKind.SNAPSHOT)
         gc.collect()
         after, _ = tracemalloc.get_traced_memory()
         tracemalloc.stop()
--- a/bench/scale/module.py
+++ b/bench/scale/module.py
@@ -65,8 +65,8 @@
     """`keyed`: servers know keys and their weights tell of load, as in bench.many."""
     answer = RequestClass(300.0, 900.0)
     return Settings(
-        (answer,), proxies=PROXIES, me=17, zones=ZONES, quotas=quotas, most_attempts=4, may_cancel=True,
-        ask_for_list=True, warm_keys=keyed, live_weights=keyed,
+        (answer,), proxies=PROXIES, me=17, zones=ZONES, quotas=quotas, max_attempts=4, may_cancel=True,
+        ask_for_list=True, key_affinity=keyed, weights_report_load=keyed,
     )  # fmt: skip
 
 
@@ -75,7 +75,7 @@
 
 
 def listing(servers: int) -> ServerList:
-    return ServerList(ListKind.FULL, tuple(entry(number) for number in range(servers)))
+    return ServerList(ListKind.SNAPSHOT, tuple(entry(number) for number in range(servers)))
 
 
 class Play:
@@ -85,7 +85,7 @@
         self.balancer, self.rng = Balancer(config, seed), Random(seed)
         self.now, self.ids, self.order = 1000.0, count(), count()
         self.due: list[tuple[float, int, Event]] = []
-        ranks = range(1, ROUTES + 1 if config.warm_keys else 1)
+        ranks = range(1, ROUTES + 1 if config.key_affinity else 1)
         self.keys = list(accumulate(1 / rank**POPULARITY for rank in ranks))
         self.rest: list[float] = []
         self.request: list[float] = []
@@ -136,7 +136,7 @@
     def change(self, number: int) -> float:
         """One entry of a delta: the first server drains, then is active again."""
         state = ServerState.DRAINING if number % 2 else ServerState.ACTIVE
-        return self.step(ServerList(ListKind.CHANGES, (entry(0, state=state),)))
+        return self.step(ServerList(ListKind.DELTA, (entry(0, state=state),)))
 
 
 def settle() -> None:
@@ -176,7 +176,7 @@
         "beats": beats,
         "requests": arrivals,
         "unsent": unsent / max(arrivals, 1),
-        "near": len(play.balancer.near),
+        "near": len(play.balancer.preferred),
     }
 
 
@@ -188,7 +188,7 @@
     kept = [Balancer(built, seed + n) for n in range(balancers)]
     for balancer in kept:
         balancer.step(1000.0, [listing(servers)])
-        balancer.out.clear()
+        balancer.actions.clear()
     gc.collect()
     held, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
--- a/bench/verdicts.py
+++ b/bench/verdicts.py
@@ -24,7 +24,7 @@
 import uvloop
 
 from bench.many import BEAT_MS, LIST_MS, PURCHASES, WORK_MS, World
-from flintlatch.api import Event, Shun
+from flintlatch.api import Ejection, Event
 from flintlatch.standin.fleets import fleets
 from flintlatch.standin.rig import MIX
 from flintlatch.verdicts.api import Rules, judge
@@ -58,10 +58,10 @@
             bad: dict[str, dict[str, int]] = {}
             good: dict[str, set[str]] = {}
             for n, one in enumerate(world.proxies):
-                for name, count in one.found_bad(world.now).items():
+                for name, count in one.failing_servers(world.now).items():
                     bad.setdefault(name, {})[f"p{n}"] = count
             for n, one in enumerate(world.proxies):
-                for name in one.found_good(world.now, bad):
+                for name in one.healthy_servers(world.now, bad):
                     good.setdefault(name, set()).add(f"p{n}")
             told.append((world.now, bad, good))
             while len(told) > 1 and told[1][0] <= world.now - WORD_MS:
@@ -71,8 +71,8 @@
                 wrong |= found.out.keys() - {server.name for server in struck}
                 for n in range(proxies):
                     wanted = set(found.shuns(f"p{n}", fleets_[f"p{n}"]))
-                    events: list[Event] = [Shun(name, 0.0) for name in shunned[n] - wanted]
-                    events += [Shun(name, HOLDS_MS) for name in wanted]
+                    events: list[Event] = [Ejection(name, 0.0) for name in shunned[n] - wanted]
+                    events += [Ejection(name, HOLDS_MS) for name in wanted]
                     shunned[n] = wanted
                     if events:
                         world.step(n, events)
--- a/flintlatch/config/__init__.py
+++ b/flintlatch/config/__init__.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from flintlatch.api import Part, Settings
+from flintlatch.api import LimitAllocation, Settings
 from flintlatch.config.reader import Problem, Reader, Unusable
 from flintlatch.config.tables import (
     CONTROL,
@@ -43,7 +43,7 @@
     unique,
 )
 from flintlatch.limits.rows import MOST_LIMITS, Limit, Terms, WhenCut
-from flintlatch.settings import Wire
+from flintlatch.settings import SocketSettings
 from flintlatch.verdicts.rows import Rules
 
 if TYPE_CHECKING:
@@ -96,14 +96,14 @@
             may_cancel=nodes.may_cancel,
             retry_after=True,
             max_retry_after_ms=nodes.max_retry_after_ms,
-            most_attempts=nodes.attempts,
+            max_attempts=nodes.attempts,
             start_capacity=nodes.start_capacity,
             cold_ms=nodes.cold_ms,
             fall_multiple=nodes.fall_multiple,
             fall_ms=nodes.fall_ms,
         )
 
-    def parts_alone(self) -> tuple[Part, ...]:
+    def parts_alone(self) -> tuple[LimitAllocation, ...]:
         """Of each shared limit what one instance may use while nobody says anything."""
         classes = [row.name for row in self.classes]
         tenants = [row.name for row in self.tenants]
@@ -112,12 +112,12 @@
             part = row.alone(self.terms) / self.fleet.instances
             cls = classes.index(row.cls) if row.cls else -1
             tenant = tenants.index(row.tenant) if row.tenant else -1
-            parts.append(Part(row.name, cls, tenant, part, row.burst * part / row.per_s))
+            parts.append(LimitAllocation(row.name, cls, tenant, part, row.burst * part / row.per_s))
         return tuple(parts)
 
-    def wire(self) -> Wire:
+    def wire(self) -> SocketSettings:
         """The names on the sockets; new ones among the nodes get the next numbers."""
-        return Wire(
+        return SocketSettings(
             classes={row.name: place for place, row in enumerate(self.classes)},
             tenants={row.name: place for place, row in enumerate(self.tenants)},
             zones={name: place for place, name in enumerate(self.nodes.zones)},
--- a/flintlatch/fleet/heard.py
+++ b/flintlatch/fleet/heard.py
@@ -11,15 +11,15 @@
 from math import inf
 from typing import Any
 
-from flintlatch.api import Event, Part, Proxies, Shun
+from flintlatch.api import Ejection, Event, LimitAllocation, TierMembership
 
 
 class Heard:
     def __init__(
         self,
         number: int,
-        alone: Proxies,
-        limits: Iterable[Part],
+        alone: TierMembership,
+        limits: Iterable[LimitAllocation],
         clock: Callable[[], float],
         log: Callable[[str], None],
     ) -> None:
@@ -30,8 +30,8 @@
         self.lone = True
         self.life = -1  # of the module that was told
         self.fixed = {part.limit: part for part in limits}
-        self.lent: dict[str, tuple[Part, float, list[int]]] = {}  # what, until, which grant
-        self.told: dict[str, Part] = {}
+        self.lent: dict[str, tuple[LimitAllocation, float, list[int]]] = {}  # what, until, which grant
+        self.told: dict[str, LimitAllocation] = {}
         self.follows: dict[str, list[int]] = {}  # grants that the module goes by, by limit
         self.next_end, self.news = 0.0, True
         self.shunned: set[str] = set()  # as the module was told
@@ -43,7 +43,7 @@
         """Raises KeyError, TypeError or ValueError for what is no word. One about something else is left."""
         if word["about"] == "proxies":
             proxies, first = map(int, word["value"])
-            self.place = Proxies(max(proxies, 1), max(first, 0) + self.number)
+            self.place = TierMembership(max(proxies, 1), max(first, 0) + self.number)
             self.until = float(word["until"])
         elif word["about"] == "shun":
             self.shun = set(map(str, word["value"])), float(word["until"])
@@ -85,9 +85,9 @@
         self.shun_news = False
         left = max(until - now, 0.0) * 1000
         wanted = servers if left else set()
-        ended = [Shun(server, 0.0) for server in sorted(self.shunned - wanted)]
+        ended = [Ejection(server, 0.0) for server in sorted(self.shunned - wanted)]
         self.shunned = set(wanted)
-        return [*ended, *(Shun(server, left) for server in sorted(wanted))]
+        return [*ended, *(Ejection(server, left) for server in sorted(wanted))]
 
     def _parts(self, now: float) -> list[Event]:
         self.news, self.next_end = False, inf
--- a/flintlatch/fleet/worker.py
+++ b/flintlatch/fleet/worker.py
@@ -19,7 +19,7 @@
 
 import uvloop
 
-from flintlatch.api import Proxies
+from flintlatch.api import TierMembership
 from flintlatch.config import Config, Unusable, parse
 from flintlatch.fleet.channel import Channel, Message, open_channel
 from flintlatch.fleet.spread import REST_S, Spread
@@ -161,7 +161,7 @@
             from flintlatch.fleet.heard import Heard  # only where it is wanted
             from flintlatch.peers.clock import clock
 
-            place = Proxies(settings.proxies, settings.me)
+            place = TierMembership(settings.proxies, settings.me)
             self.heard = Heard(number, place, self.config.parts_alone(), clock, log)
             for word in message.get("words", ()):
                 self.heard.on_word(word)
@@ -266,9 +266,9 @@
         engine = self.engine
         if engine is not None and self.channel.unread() <= MOST_UNREAD:
             now = now_ms()
-            bad = engine.balancer.found_bad(now)
+            bad = engine.balancer.failing_servers(now)
             accused = self.heard.accused if self.heard is not None else ()
-            good = engine.balancer.found_good(now, accused)
+            good = engine.balancer.healthy_servers(now, accused)
             if bad or good or self.seen:
                 self.channel.say({"kind": "seen", "bad": bad, "good": good})
             self.seen = bool(bad or good)
@@ -278,7 +278,7 @@
         engine, heard = self.engine, self.heard
         if engine is None or heard is None or self.channel.unread() > MOST_UNREAD:
             return
-        asked = {name: bucket.asked for name, bucket in engine.balancer.buckets.items()}
+        asked = {name: bucket.demand for name, bucket in engine.balancer.buckets.items()}
         self.channel.say({"kind": "limits", "asked": asked, "follows": heard.follows})
 
     def _access_log(self) -> dict[str, Any] | None:
--- a/flintlatch/net/discovery.py
+++ b/flintlatch/net/discovery.py
@@ -11,7 +11,16 @@
 
 from flintlatch.api import ServerInfo, ServerState
 from flintlatch.net.http1 import Exchange, Response, split_address
-from flintlatch.settings import Malformed, Wire, choice, listing, mapping, number, text, whole
+from flintlatch.settings import (
+    Malformed,
+    SocketSettings,
+    require_array,
+    require_choice,
+    require_integer,
+    require_number,
+    require_object,
+    require_string,
+)
 
 STATES = {"active": ServerState.ACTIVE, "leaving": ServerState.DRAINING, "left": ServerState.GONE}
 # A change counts as told NOTICE_MS after discovery had it, whether or not it arrived, and what a silent watch
@@ -50,31 +59,31 @@
     """The number of a zone or kind; one that the settings do not name gets the next."""
     if value is None:
         return 0
-    return value if type(value) is int else names.setdefault(text(value, member), len(names))
+    return value if type(value) is int else names.setdefault(require_string(value, member), len(names))
 
 
-def read_target(raw: object, wire: Wire) -> Target:
-    entry = mapping(raw, "targets")
-    uid, started = text(entry["uid"], "uid"), entry.get("boot_ms")
-    host, port = split_address(text(entry["endpoint"], "endpoint"))
+def read_target(raw: object, wire: SocketSettings) -> Target:
+    entry = require_object(raw, "targets")
+    uid, started = require_string(entry["uid"], "uid"), entry.get("boot_ms")
+    host, port = split_address(require_string(entry["endpoint"], "endpoint"))
     ip_address(host)  # a name would have to be looked up, and there is no DNS
     info = ServerInfo(
         uid,
-        choice(STATES, entry["state"], "state"),
+        require_choice(STATES, entry["state"], "state"),
         place(wire.zones, entry.get("az"), "az"),
         place(wire.kinds, entry.get("model"), "model"),
-        whole(entry.get("pod_group") or 0, "pod_group"),
-        number(started, "boot_ms") if started else None,
-        number(entry.get("capacity_hint") or 1, "capacity_hint"),
+        require_integer(entry.get("pod_group") or 0, "pod_group"),
+        require_number(started, "boot_ms") if started else None,
+        require_number(entry.get("capacity_hint") or 1, "capacity_hint"),
     )
     return Target(uid, host, port, info)
 
 
-def read_listing(raw: object, wire: Wire) -> Listing:
+def read_listing(raw: object, wire: SocketSettings) -> Listing:
     try:
-        data = mapping(raw, "list")
-        targets = tuple(read_target(entry, wire) for entry in listing(data["targets"], "targets"))
-        return Listing(whole(data["rev"], "rev"), data["all"] is True, targets)
+        data = require_object(raw, "list")
+        targets = tuple(read_target(entry, wire) for entry in require_array(data["targets"], "targets"))
+        return Listing(require_integer(data["rev"], "rev"), data["all"] is True, targets)
     except KeyError as error:
         raise Malformed(f"list: {error.args[0]} is missing") from None
     except ValueError as error:
@@ -120,7 +129,7 @@
     def __init__(
         self,
         address: str,
-        wire: Wire,
+        wire: SocketSettings,
         rev: int | None,
         on_list: Callable[[Listing], None],
         on_failure: Callable[[str], None],
--- a/flintlatch/net/engine.py
+++ b/flintlatch/net/engine.py
@@ -14,7 +14,8 @@
     Action,
     Arrival,
     Cancel,
-    ClientGone,
+    ClientDisconnected,
+    DiscoveryServiceChanged,
     Event,
     Fail,
     ListKind,
@@ -22,14 +23,13 @@
     Outcome,
     Probe,
     ProbeResult,
-    Proxies,
     Refuse,
     Result,
     Send,
     ServerList,
-    ServiceMoved,
     SetTimer,
     Settings,
+    TierMembership,
     TimerFired,
     Watch,
 )
@@ -38,7 +38,7 @@
 from flintlatch.net.clock import now_ms
 from flintlatch.net.discovery import Discovery, Listing
 from flintlatch.net.http1 import Response
-from flintlatch.settings import Malformed, Wire
+from flintlatch.settings import Malformed, SocketSettings
 
 MODULE_REST_S = 0.1  # s from the end of a broken module to the first step of the next
 KNOWN_AFTER_S = 1.0  # s that an agent has for its first answer before the list known from before counts
@@ -113,7 +113,7 @@
 
 
 class Engine:
-    def __init__(self, settings: Settings, wire: Wire, seed: int, most_connections: int) -> None:
+    def __init__(self, settings: Settings, wire: SocketSettings, seed: int, most_connections: int) -> None:
         self.settings, self.seed = settings, seed
         self.balancer = Balancer(settings, seed)
         self.backends = Backends(
@@ -149,7 +149,7 @@
         # The pools hear of a drain here and now, before anything else of this turn can be written.
         self.list_rev = listing.rev
         self.backends.update(listing.targets, listing.whole)
-        kind = kind or (ListKind.FULL if listing.whole else ListKind.CHANGES)
+        kind = kind or (ListKind.SNAPSHOT if listing.whole else ListKind.DELTA)
         self.news.append(ServerList(kind, tuple(target.info for target in listing.targets)))
         self._wake()
 
@@ -177,7 +177,7 @@
         if self.discovery is not None and self.discovery.move(address):
             log(f"list: now from {address}")
             if self.settings.ask_for_list:
-                self._raise(ServiceMoved())
+                self._raise(DiscoveryServiceChanged())
             else:
                 self.discovery.watch()
 
@@ -212,13 +212,13 @@
         if held is None or held.over:
             return
         self._close(held)
-        self._raise(ClientGone(request_id))
+        self._raise(ClientDisconnected(request_id))
 
     def _deadline(self, held: Held) -> None:
         """The module let the client's time run out; the client gets its one answer all the same."""
         if not held.over:
             self._answer(held, Answer(504))
-            self._raise(ClientGone(held.taken.id))
+            self._raise(ClientDisconnected(held.taken.id))
 
     def give_up_all(self) -> None:
         """The proxy ends: whatever has no answer yet gets its final one now."""
@@ -269,7 +269,7 @@
         if self.agreed is not None and (words := self.agreed(self.life)):
             batch = [*words, *batch]
             for word in words:
-                if isinstance(word, Proxies):  # a module that takes over after a fault begins there
+                if isinstance(word, TierMembership):  # a module that takes over after a fault begins there
                     self.settings = replace(self.settings, proxies=max(word.proxies, 1), me=word.me)
         self.news, self.events = [], []
         ended, self.ended = self.ended, []
@@ -338,12 +338,12 @@
             action.server,
             taken.head,
             taken.body,
-            action.limit_ms,
+            action.attempt_timeout_ms,
             lambda ended, result, response: self._on_attempt(held, number, ended, result, response),
-            action.within_ms,
+            action.write_within_ms,
         )
         held.attempts.append(attempt)
-        if held.over or number >= self.settings.most_attempts:
+        if held.over or number >= self.settings.max_attempts:
             attempt.end(Result.NOT_SENT)
         else:
             self.backends.start(attempt)
--- a/flintlatch/net/relay.py
+++ b/flintlatch/net/relay.py
@@ -9,23 +9,23 @@
 from flintlatch.api import (
     NEVER_RAN,
     Action,
-    BodyCame,
-    BodyGone,
-    BodySent,
-    ClientGone,
-    Limit,
+    BodyDiscarded,
+    BodyForwarded,
+    BodyReceived,
+    ClientDisconnected,
     Outcome,
+    ResponseStarted,
     Result,
     Send,
+    SetAttemptTimeout,
     Settings,
-    StreamStarted,
 )
 from flintlatch.exchange import Budget, Ending, Exchange, NodeSide, Own, Phase, Response, Terms
 from flintlatch.net.backends import Attempt, Backend, Backends, Connection
 from flintlatch.net.clock import now_ms
 from flintlatch.net.engine import Answer, Engine, Held, Taken, log
 from flintlatch.net.http1 import Response as ReadWhole
-from flintlatch.settings import Wire
+from flintlatch.settings import SocketSettings
 
 GATHER_S = 0.05  # s for the rest of a short request: most come in one or two segments, and then cost a place
 TICK_S = 0.25  # s between looks at what stalls
@@ -54,7 +54,7 @@
         super().__init__(uid, b"", b"", limit_ms, done, within_ms)
         self.exchange = exchange
         self.whole_ms = self.started if exchange.upload.complete else 0.0  # when its node had all of it
-        self.told: StreamStarted | None = None  # its answer has begun
+        self.told: ResponseStarted | None = None  # its answer has begun
         self.node: NodeSide | None = None  # the connection that has carried it
 
     def wanted(self) -> bool:
@@ -71,7 +71,7 @@
     def __init__(
         self,
         settings: Settings,
-        wire: Wire,
+        wire: SocketSettings,
         seed: int,
         most_connections: int,
         body_bytes: int,
@@ -134,13 +134,13 @@
             raise AssertionError(f"{ask.id} was opened, and is taken")
 
     def body_came(self, exchange: Exchange) -> None:
-        self._raise(BodyCame(exchange.ask.id))
+        self._raise(BodyReceived(exchange.ask.id))
         held = self.requests.get(exchange.ask.id)
         if held is not None and not held.over:
             self._deadline_in(held, exchange.ask.budget_ms)
 
     def body_gone(self, exchange: Exchange) -> None:
-        self._raise(BodyGone(exchange.ask.id))
+        self._raise(BodyDiscarded(exchange.ask.id))
 
     def body_sent(self, exchange: Exchange, node: NodeSide) -> None:
         found = self._attempt_of(exchange, node)
@@ -149,7 +149,7 @@
             attempt.whole_ms = now_ms()
             if not held.over:
                 self._deadline_in(held, exchange.ask.budget_ms)
-            self._raise(BodySent(exchange.ask.id, number))
+            self._raise(BodyForwarded(exchange.ask.id, number))
 
     def begun(self, exchange: Exchange, node: NodeSide, head: Response) -> None:
         """The deadline has been met, and time is the transfer's from here on."""
@@ -160,7 +160,7 @@
         if attempt.timer is not None:
             attempt.timer.cancel()
         delay = now_ms() - attempt.whole_ms if attempt.whole_ms else 0.0
-        attempt.told = StreamStarted(exchange.ask.id, number, delay, result_of(head))
+        attempt.told = ResponseStarted(exchange.ask.id, number, delay, result_of(head))
         self._raise(attempt.told)
         self._close(held)
 
@@ -217,7 +217,7 @@
         if held.over:
             return
         unsent = all(attempt.result in NEVER_RAN for attempt in held.attempts)
-        self._raise(ClientGone(held.taken.id))
+        self._raise(ClientDisconnected(held.taken.id))
         self._answer(held, Answer(503, retry_after_ms=RETRY_MS) if unsent else Answer(504))
 
     def _tick(self) -> None:
@@ -231,10 +231,10 @@
     # The module's actions
 
     def _carry_out(self, action: Action) -> None:
-        if isinstance(action, Limit):
+        if isinstance(action, SetAttemptTimeout):
             held = self.requests.get(action.request)
             if held is not None and action.attempt < len(held.attempts):
-                self.backends.limit(held.attempts[action.attempt], action.limit_ms)
+                self.backends.limit(held.attempts[action.attempt], action.attempt_timeout_ms)
         else:
             super()._carry_out(action)
 
@@ -248,7 +248,7 @@
                 action.server,
                 b"",
                 b"",
-                action.limit_ms,
+                action.attempt_timeout_ms,
                 lambda ended, result, _: self._on_attempt(held, number, ended, result, None),
             )
             held.attempts.append(late)
@@ -257,12 +257,12 @@
         attempt = RelayAttempt(
             action.server,
             exchange,
-            action.limit_ms,
+            action.attempt_timeout_ms,
             lambda ended, result, _: self._on_end(held, number, cast(RelayAttempt, ended), result),
-            action.within_ms,
+            action.write_within_ms,
         )
         held.attempts.append(attempt)
-        if held.over or number >= self.settings.most_attempts or exchange.upload.gone:
+        if held.over or number >= self.settings.max_attempts or exchange.upload.gone:
             attempt.end(Result.NOT_SENT)
         else:
             self.backends.start(attempt)
@@ -273,7 +273,7 @@
             exchange.detach(now_ms() / 1000, attempt.node)  # nothing, if it has finished
         if attempt.told is not None and self.events and self.events[-1] is attempt.told and attempt.whole_ms:
             self.events.pop()  # a short answer, here whole in the same turn: it never was a transfer
-            delay = attempt.told.delay
+            delay = attempt.told.latency_ms
         else:
             delay = now_ms() - (attempt.whole_ms or attempt.started)
         self._raise(Outcome(held.taken.id, number, result, delay, held.over))
--- a/flintlatch/settings.py
+++ b/flintlatch/settings.py
@@ -1,4 +1,4 @@
-"""The deployment's settings as JSON, read for both programs: the simulator's host and the real proxy."""
+"""Reads the deployment's settings from JSON, for the simulator's adapter and for the proxy on sockets."""
 
 from __future__ import annotations
 
@@ -13,92 +13,97 @@
 
 
 class Malformed(Exception):
-    """Input that breaks the wire's rules; the text is for a person."""
+    """Input that violates the format; the text is for operators."""
 
 
-def choice(table: dict[str, Any], value: object, member: str) -> Any:
+def require_choice(table: dict[str, Any], value: object, member: str) -> Any:
+    """Returns the entry of the table under `value`; `member` names the JSON member in the error."""
     if not isinstance(value, str) or value not in table:
-        raise Malformed(f"unknown {member} {value!r}")
+        raise Malformed(f"unknown {member} {value!r}, expected one of {sorted(table)}")
     return table[value]
 
 
-def number(value: object, member: str) -> float:
+def require_number(value: object, member: str) -> float:
     if isinstance(value, bool) or not isinstance(value, (int, float)):
         raise Malformed(f"{member} is not a number: {value!r}")
     return float(value)
 
 
-def whole(value: object, member: str) -> int:
+def require_integer(value: object, member: str) -> int:
     if isinstance(value, bool) or not isinstance(value, int):
         raise Malformed(f"{member} is not a whole number: {value!r}")
     return value
 
 
-def text(value: object, member: str) -> str:
+def require_string(value: object, member: str) -> str:
     if not isinstance(value, str):
         raise Malformed(f"{member} is not a string: {value!r}")
     return value
 
 
-def mapping(value: object, member: str) -> Message:
+def require_object(value: object, member: str) -> Message:
     if not isinstance(value, dict):
-        raise Malformed(f"{member} is not an object")
+        raise Malformed(f"{member} is not an object but {type(value).__name__}")
     return value
 
 
-def listing(value: object, member: str) -> list[Any]:
+def require_array(value: object, member: str) -> list[Any]:
     if not isinstance(value, list):
-        raise Malformed(f"{member} is not an array")
+        raise Malformed(f"{member} is not an array but {type(value).__name__}")
     return value
 
 
 def read_class(raw: Message) -> RequestClass:
     return RequestClass(
-        aim_ms=number(raw["AimMs"], "AimMs"),
-        deadline_ms=number(raw["HardLimitMs"], "HardLimitMs"),
-        effect=choice(EFFECTS, raw["Effect"], "Effect"),
-        scope=choice({s.value: s for s in Scope}, raw.get("KeyScope") or "all", "KeyScope"),
-        window_ms=number(raw.get("KeyTtlMs") or 0, "KeyTtlMs"),
-        worth=number(raw.get("Points", 1), "Points"),
-        late_worth=number(raw.get("LateWorth") or 0, "LateWorth"),
+        aim_ms=require_number(raw["AimMs"], "AimMs"),
+        deadline_ms=require_number(raw["HardLimitMs"], "HardLimitMs"),
+        effect=require_choice(EFFECTS, raw["Effect"], "Effect"),
+        scope=require_choice({s.value: s for s in Scope}, raw.get("KeyScope") or "all", "KeyScope"),
+        window_ms=require_number(raw.get("KeyTtlMs") or 0, "KeyTtlMs"),
+        worth=require_number(raw.get("Points", 1), "Points"),
+        late_worth=require_number(raw.get("LateWorth") or 0, "LateWorth"),
         stream=bool(raw.get("Stream")),
     )
 
 
 def read_settings(info: Message) -> Settings:
-    limits = mapping(info.get("Limits") or {}, "Limits")
-    rules = mapping(info.get("Obligations") or {}, "Obligations")
-    domain = mapping(info.get("Domain") or {}, "Domain")
-    tenants = [mapping(t, "Projects") for t in listing(info.get("Projects") or [], "Projects")]
+    """Raises Malformed for values of a wrong type and KeyError for a missing member."""
+    limits = require_object(info.get("Limits") or {}, "Limits")
+    obligations = require_object(info.get("Obligations") or {}, "Obligations")
+    domain = require_object(info.get("Domain") or {}, "Domain")
+    tenants = [require_object(t, "Projects") for t in require_array(info.get("Projects") or [], "Projects")]
     return Settings(
-        classes=tuple(read_class(mapping(c, "Lanes")) for c in listing(info["Lanes"], "Lanes")),
-        proxies=whole(info.get("Balancers", 1), "Balancers"),
-        me=whole(info.get("Me", 0), "Me"),
-        zone=whole(info.get("Az") or 0, "Az"),
-        zones=max(1, len(listing(info.get("Dcs") or [], "Dcs"))),
-        quotas=tuple(number(t["QuotaPerS"], "QuotaPerS") for t in tenants),
-        over_share_worth=number(info.get("OverShareWorth", 1), "OverShareWorth"),
-        tick_ms=number(info.get("TickMs", 1), "TickMs"),
+        classes=tuple(read_class(require_object(c, "Lanes")) for c in require_array(info["Lanes"], "Lanes")),
+        proxies=require_integer(info.get("Balancers", 1), "Balancers"),
+        me=require_integer(info.get("Me", 0), "Me"),
+        zone=require_integer(info.get("Az") or 0, "Az"),
+        zones=max(1, len(require_array(info.get("Dcs") or [], "Dcs"))),
+        quotas=tuple(require_number(t["QuotaPerS"], "QuotaPerS") for t in tenants),
+        over_share_worth=require_number(info.get("OverShareWorth", 1), "OverShareWorth"),
+        tick_ms=require_number(info.get("TickMs", 1), "TickMs"),
         ask_for_list=info.get("Discovery") == "ask",
-        must_ask_ms=number(rules.get("MustAskInMs", 10000), "MustAskInMs"),
+        must_ask_ms=require_number(obligations.get("MustAskInMs", 10000), "MustAskInMs"),
         may_cancel=bool(limits.get("MayCancel")),
         may_duplicate=bool(limits.get("MayDuplicate")),
         may_probe=bool(limits.get("Probes")),
         retry_after=bool(limits.get("RetryAfter")),
-        max_retry_after_ms=number(limits.get("MaxRetryAfterMs") or 0, "MaxRetryAfterMs"),
-        most_attempts=whole(limits.get("MostTries", 1), "MostTries"),
-        warm_keys=bool(domain.get("WarmKeys")),
-        live_weights=info.get("Weights") == "live",
-        start_capacity=number(rules.get("StartCapacity", 1), "StartCapacity"),
-        cold_ms=number(rules.get("ColdMs") or 0, "ColdMs"),
-        fall_multiple=number(rules.get("FallMultiple", 2), "FallMultiple"),
-        fall_ms=number(rules.get("OverloadForMs", 1000), "OverloadForMs"),
+        max_retry_after_ms=require_number(limits.get("MaxRetryAfterMs") or 0, "MaxRetryAfterMs"),
+        max_attempts=require_integer(limits.get("MostTries", 1), "MostTries"),
+        key_affinity=bool(domain.get("WarmKeys")),
+        weights_report_load=info.get("Weights") == "live",
+        start_capacity=require_number(obligations.get("StartCapacity", 1), "StartCapacity"),
+        cold_ms=require_number(obligations.get("ColdMs") or 0, "ColdMs"),
+        fall_multiple=require_number(obligations.get("FallMultiple", 2), "FallMultiple"),
+        fall_ms=require_number(obligations.get("OverloadForMs", 1000), "OverloadForMs"),
     )
 
 
 @dataclass(frozen=True, slots=True)
-class Wire:
-    """What only a proxy on sockets needs: the names that clients and discovery use, and connection limits."""
+class SocketSettings:
+    """Settings that only a proxy on sockets needs: names that clients and discovery use, and timeouts.
+
+    The mappings lead from a name to the number that the decision module uses.
+    """
 
     classes: dict[str, int]
     tenants: dict[str, int]
@@ -106,26 +111,28 @@
     kinds: dict[str, int]
     connect_timeout_ms: float
     conn_idle_ms: float
-    source_host: str = ""  # where connections to backends and discovery come from; empty: the system's choice
-
-
-def numbered(names: list[Any], member: str) -> dict[str, int]:
-    return {text(name, member): place for place, name in enumerate(names)}
-
-
-def read_wire(info: Message) -> Wire:
-    limits = mapping(info.get("Limits") or {}, "Limits")
-    lanes = [mapping(c, "Lanes") for c in listing(info["Lanes"], "Lanes")]
-    tenants = [mapping(t, "Projects") for t in listing(info.get("Projects") or [], "Projects")]
-    wire = Wire(
-        classes=numbered([c["Name"] for c in lanes], "Name"),
-        tenants=numbered([t["Name"] for t in tenants], "Name"),
-        zones=numbered(listing(info.get("Dcs") or [], "Dcs"), "Dcs"),
-        kinds=numbered(listing(info.get("Kinds") or [], "Kinds"), "Kinds"),
-        connect_timeout_ms=number(limits.get("ConnectTimeoutMs", 250), "ConnectTimeoutMs"),
-        conn_idle_ms=number(limits.get("ConnIdleMs", 15000), "ConnIdleMs"),
+    source_host: str = ""  # local address of connections to backends and discovery; empty: any
+
+
+def index_by_name(names: list[Any], member: str) -> dict[str, int]:
+    """Maps each name to its position in the list."""
+    return {require_string(name, member): index for index, name in enumerate(names)}
+
+
+def read_socket_settings(info: Message) -> SocketSettings:
+    """Raises Malformed for values of a wrong type or out of range and KeyError for a missing member."""
+    limits = require_object(info.get("Limits") or {}, "Limits")
+    classes = [require_object(c, "Lanes") for c in require_array(info["Lanes"], "Lanes")]
+    tenants = [require_object(t, "Projects") for t in require_array(info.get("Projects") or [], "Projects")]
+    sockets = SocketSettings(
+        classes=index_by_name([c["Name"] for c in classes], "Name"),
+        tenants=index_by_name([t["Name"] for t in tenants], "Name"),
+        zones=index_by_name(require_array(info.get("Dcs") or [], "Dcs"), "Dcs"),
+        kinds=index_by_name(require_array(info.get("Kinds") or [], "Kinds"), "Kinds"),
+        connect_timeout_ms=require_number(limits.get("ConnectTimeoutMs", 250), "ConnectTimeoutMs"),
+        conn_idle_ms=require_number(limits.get("ConnIdleMs", 15000), "ConnIdleMs"),
     )
     for name in ("connect_timeout_ms", "conn_idle_ms"):
-        if not 0 < getattr(wire, name) < inf:
-            raise Malformed(f"{name} must be above 0 and finite")
-    return wire
+        if not 0 < getattr(sockets, name) < inf:
+            raise Malformed(f"{name} must be above 0 and finite, not {getattr(sockets, name)!r}")
+    return sockets
--- a/tests/capacity/test_module.py
+++ b/tests/capacity/test_module.py
@@ -75,11 +75,11 @@
     balancer = Counting(module.settings(), 1)
     whole = read_listing(orjson.loads(lists.snapshot(registry)), lists.wire())
     assert whole.whole and len(whole.targets) == servers
-    balancer.step(1000.0, [ServerList(ListKind.FULL, tuple(target.info for target in whole.targets))])
+    balancer.step(1000.0, [ServerList(ListKind.SNAPSHOT, tuple(target.info for target in whole.targets))])
     assert balancer.entries == servers
     change = read_listing(orjson.loads(lists.delta(registry)), lists.wire())
     assert not change.whole and change.rev == whole.rev + 1
-    news: list[Event] = [ServerList(ListKind.CHANGES, tuple(target.info for target in change.targets))]
+    news: list[Event] = [ServerList(ListKind.DELTA, tuple(target.info for target in change.targets))]
     balancer.step(1025.0, news)
     assert balancer.entries == servers + 1
     assert len(balancer.servers) == servers and len(balancer.active) == servers - 1
@@ -111,7 +111,7 @@
     play = module.Play(module.settings(keyed), 18, 1)
     play.arrive()
     play.run(1.0)
-    waiting = sum(request.held for request in play.balancer.requests.values())
+    waiting = sum(request.is_queued for request in play.balancer.requests.values())
     assert play.arrivals > module.RATE / 2
     assert play.sent + play.final + waiting == play.arrivals
     assert len(play.rest) == 1000 / module.BEAT_MS
--- a/tests/limits/test_cores.py
+++ b/tests/limits/test_cores.py
@@ -10,12 +10,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from flintlatch.api import Part, Proxies, Refuse
+from flintlatch.api import LimitAllocation, Refuse, TierMembership
 from flintlatch.fleet.heard import Heard
 from flintlatch.lab.explore import Broken, explore, wander
 from flintlatch.limits.api import Keeper, Limit, Malformed, Seat, Split, Terms, Vote, WhenCut, fair, over_s
 from flintlatch.limits.model import Ask, Grant, Mark, read_ask, read_grant, read_vote, write_ask, write_grant
-from tests.support import Driver, fleet, of
+from tests.support import Driver, actions_of, server_entries
 from tests.support import settings as module_settings
 
 TERMS = Terms(("a", "b", "c"), 3, term_s=2.0)
@@ -208,11 +208,11 @@
     assert split.deal(0.3, 10.0, {"a": 0.0, "b": 10.0})["b"] == pytest.approx(10.0)
 
 
-LIMIT = Part("l", -1, -1, 5.0, 1.0)
+LIMIT = LimitAllocation("l", -1, -1, 5.0, 1.0)
 
 
 def heard(now: list[float], said: list[str] | None = None) -> Heard:
-    return Heard(1, Proxies(2, 1), (LIMIT,), lambda: now[0], (said if said is not None else []).append)
+    return Heard(1, TierMembership(2, 1), (LIMIT,), lambda: now[0], (said if said is not None else []).append)
 
 
 def test_an_instance_goes_by_a_word_until_its_end_and_then_by_what_it_knows_alone() -> None:
@@ -222,13 +222,13 @@
     core.on_word({"about": "proxies", "value": [9, 4], "until": 3.0})
     core.on_word({"about": "limit", "limit": "l", "value": [50.0, 7.0, 1, 4], "until": 2.0})
     lent = LIMIT._replace(per_s=50.0, burst=7.0)
-    assert core.due(0) == [lent, Proxies(9, 5)] and core.follows == {"l": [1, 4]}
+    assert core.due(0) == [lent, TierMembership(9, 5)] and core.follows == {"l": [1, 4]}
     assert core.due(0) == []
     assert core.due(1) == [lent]  # a module that took over after a fault
     now[0] = 2.0
     assert core.due(1) == [LIMIT] and core.follows == {"l": []}
     now[0] = 3.0
-    assert core.due(1) == [Proxies(2, 1)] and len(said) == 1
+    assert core.due(1) == [TierMembership(2, 1)] and len(said) == 1
     core.on_word(
         {"about": "limit", "limit": "l", "value": [50.0, 7.0, 1, 5], "until": 2.5}
     )  # old, from a buffer
@@ -238,22 +238,22 @@
 
 
 def test_the_module_takes_no_more_than_its_part_and_says_when_there_is_room() -> None:
-    driver = Driver(module_settings(retry_after=True, max_retry_after_ms=60_000.0), *fleet(10))
-    driver.step(Part("l", 0, -1, 10.0, 2.0))
+    driver = Driver(module_settings(retry_after=True, max_retry_after_ms=60_000.0), *server_entries(10))
+    driver.step(LimitAllocation("l", 0, -1, 10.0, 2.0))
     taken, waits, began = 0, [], driver.now
     for _ in range(500):  # 5 s at 100 a second
         request = driver.arrive()
         if request in driver.sends:
             taken += 1
             driver.end(request, after=1.0)
-        waits += [a.retry_after_ms for a in of(Refuse, driver.last)]
-        driver.beat(after=10.0)
+        waits += [a.retry_after_ms for a in actions_of(Refuse, driver.last)]
+        driver.tick(after=10.0)
     span = (driver.now - began) / 1000
     assert 10 * span - 2 <= taken <= 10 * span + 2
     assert len(waits) + taken == 500 and all(0 < wait <= 100.0 for wait in waits)  # the next whole one
-    assert driver.balancer.buckets["l"].asked == 500
-    driver.step(Part("l", 0, -1, 0.0, 0.0))
-    driver.beats(5000)
+    assert driver.balancer.buckets["l"].demand == 500
+    driver.step(LimitAllocation("l", 0, -1, 0.0, 0.0))
+    driver.tick_for(5000)
     assert driver.arrive() not in driver.sends  # nothing is kept beyond the new burst
-    driver.step(Part("l", 0, 3, 0.0, 0.0))
+    driver.step(LimitAllocation("l", 0, 3, 0.0, 0.0))
     assert driver.arrive() in driver.sends  # another tenant's limit is none of this one's
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -12,7 +12,7 @@
     Action,
     Arrival,
     Cancel,
-    ClientGone,
+    ClientDisconnected,
     Fail,
     ListKind,
     Log,
@@ -89,7 +89,7 @@
             await client.ask("/purchase/x", idempotency_key="k", x_route_hash="7f3a9c21e0b4d655", x_again="1")
             (arrival,) = events(Arrival)
             assert (arrival.request, arrival.cls, arrival.key) == ("c1", 0, 0x7F3A9C21E0B4D655)
-            assert arrival.repeat
+            assert arrival.is_retry
 
     run(test())
 
@@ -101,7 +101,7 @@
     async def test() -> None:
         async with proxy() as p:
             await (await p.client()).ask(x_budget_ms="999999999")
-            assert events(Arrival)[0].give_up <= now_ms() + 30000
+            assert events(Arrival)[0].client_deadline <= now_ms() + 30000
 
     run(test())
 
@@ -120,7 +120,7 @@
             plain = await client.ask(x_call_id="p")
             assert plain.status == 503 and "retry-after" not in plain.headers
             assert (await client.ask(x_call_id="f")).status == 504
-            assert p.backends[0].connections == 0 and not events(ClientGone)
+            assert p.backends[0].connections == 0 and not events(ClientDisconnected)
 
     run(test())
 
@@ -130,7 +130,7 @@
         async with proxy() as p:
             client = await p.client()
             assert (await client.ask(x_budget_ms="30")).status == 504
-            await until(lambda: events(ClientGone))
+            await until(lambda: events(ClientDisconnected))
 
     run(test())
 
