--- a/flintlatch/__main__.py
+++ b/flintlatch/__main__.py
@@ -19,7 +19,7 @@
 import uvloop
 
 from flintlatch.api import ListKind, Settings
-from flintlatch.net.backends import share_out
+from flintlatch.net.backends import split_descriptors
 from flintlatch.net.discovery import Discovery, Listing, read_listing
 from flintlatch.net.engine import Engine, log
 from flintlatch.net.frontend import open_listener
@@ -77,7 +77,7 @@
     config: Config, listeners: list[socket.socket] | None = None
 ) -> tuple[PlatformEngine, PlatformFrontend]:
     """Wire the parts; from here on clients are served, on `listeners` where another has opened them."""
-    to_backends, to_clients = share_out(config.sockets)
+    to_backends, to_clients = split_descriptors(config.sockets)
     engine, frontend = build(
         config.settings, config.wire, config.seed, to_backends, to_clients, config.memory_mb
     )
--- a/flintlatch/fleet/worker.py
+++ b/flintlatch/fleet/worker.py
@@ -24,7 +24,7 @@
 from flintlatch.fleet.channel import Channel, Message, open_channel
 from flintlatch.fleet.spread import REST_S, Spread
 from flintlatch.handover import Offer
-from flintlatch.net.backends import share_out
+from flintlatch.net.backends import split_descriptors
 from flintlatch.net.clock import now_ms
 from flintlatch.net.discovery import read_listing
 from flintlatch.net.engine import Engine, log
@@ -135,7 +135,7 @@
         _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
         sockets = limits.sockets if hard == resource.RLIM_INFINITY else min(limits.sockets, hard)
         resource.setrlimit(resource.RLIMIT_NOFILE, (sockets, hard))
-        to_backends, to_clients = share_out(sockets)
+        to_backends, to_clients = split_descriptors(sockets)
         if self.config.fleet.log_format == "json":
             from flintlatch.fleet.log import make  # only where it is wanted
 
--- a/flintlatch/net/backends.py
+++ b/flintlatch/net/backends.py
@@ -24,7 +24,7 @@
 SWEEPS = 20  # looks at idle connections within that limit
 
 
-def share_out(sockets: int) -> tuple[int, int]:
+def split_descriptors(sockets: int) -> tuple[int, int]:
     """Of so many descriptors: how many connections to backends there may be, and how many of clients."""
     sockets -= min(SPARE_SOCKETS, sockets // 4)
     to_backends = int(sockets * BACKEND_PART)
--- a/flintlatch/ops/succession.py
+++ b/flintlatch/ops/succession.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from flintlatch import handover
-from flintlatch.net.backends import share_out
+from flintlatch.net.backends import split_descriptors
 from flintlatch.net.engine import Engine, log
 from flintlatch.net.frontend import Frontend
 from flintlatch.net.http1 import split_address
@@ -105,7 +105,7 @@
     def _share(self) -> None:
         """Two processes hold together what one may."""
         both = self.succeeded or self.before is not None
-        to_backends, to_clients = share_out(self.sockets // 2 if both else self.sockets)
+        to_backends, to_clients = split_descriptors(self.sockets // 2 if both else self.sockets)
         self.engine.backends.most, self.frontend.most = to_backends, to_clients
 
     def close(self) -> None:
--- a/tests/ops/test_succession.py
+++ b/tests/ops/test_succession.py
@@ -12,7 +12,7 @@
 import pytest
 
 from flintlatch import handover
-from flintlatch.net.backends import share_out
+from flintlatch.net.backends import split_descriptors
 from flintlatch.ops.succession import Succession, predecessor, prefix
 from flintlatch.standin.proxy import ProxyProcess, free_address, write
 from tests.loopback import Client, Peer, configuration, proxy, run, target
@@ -97,7 +97,7 @@
     # Guards against a limit on descriptors that counts for both, and each using it whole.
     async def test() -> None:
         async with proxy() as first:
-            whole, half = share_out(1000), share_out(500)
+            whole, half = split_descriptors(1000), split_descriptors(500)
             old = Succession(first.engine, first.frontend, 1000)
             old.offer(str(tmp_path), first.frontend.address)
             before = await asyncio.to_thread(predecessor, str(tmp_path), first.frontend.address)
