--- a/flintlatch/net/backends.py
+++ b/flintlatch/net/backends.py
@@ -15,7 +15,7 @@
 IDLE_PART = 0.6  # part of the backend's idle limit after which we close first: a late reuse ends as a reset
 # A second answer, noise, or the server's close may come right behind an answer: lent out later than this, the
 # connection shows it. The pool needs a connection or two more for that, not a handshake each time.
-REST_MS = 10.0
+REUSE_DELAY_MS = 10.0
 OWN_LACK = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL))
 SPARE_SOCKETS = 40  # descriptors for the program itself, discovery, and those that are just closing
 # Of the other descriptors: clients hold a third of all for requests at most, each in flight once or waiting
@@ -235,7 +235,7 @@
     @staticmethod
     def _lend(backend: Backend) -> Connection | None:
         """The connection used last that has rested since, with nothing on it that nobody asked for."""
-        rested = now_ms() - REST_MS
+        rested = now_ms() - REUSE_DELAY_MS
         for place in range(len(backend.idle) - 1, -1, -1):
             connection = backend.idle[place]
             if connection.idle_since <= rested:
--- a/tests/http/test_front.py
+++ b/tests/http/test_front.py
@@ -14,7 +14,7 @@
 from flintlatch.http.front import HttpClient
 from flintlatch.http.head import Limits
 from flintlatch.http.sockets import ANSWER_BYTES, READ_BYTES
-from flintlatch.net.backends import REST_MS
+from flintlatch.net.backends import REUSE_DELAY_MS
 from tests.http.support import Front, answering, front, head_of
 from tests.loopback import run
 
@@ -47,7 +47,7 @@
                 assert any(line.startswith(b"forwarded: for=127.0.0.1;") for line in lines)
                 assert not any(line.startswith(b"connection:") for line in lines)
             # Kept, and lent again once they have rested.
-            await asyncio.sleep(2 * REST_MS / 1000)
+            await asyncio.sleep(2 * REUSE_DELAY_MS / 1000)
             opened = made.nodes[0].connections
             assert (await client.get("/again")).status_code == 200
             assert made.nodes[0].connections == opened
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -44,7 +44,7 @@
 
     async def served(self, peer: Peer, uid: str = "s") -> int:
         """One attempt served; the number of the connection that carried it."""
-        await asyncio.sleep(2 * backends_module.REST_MS / 1000)  # those kept may be lent again
+        await asyncio.sleep(2 * backends_module.REUSE_DELAY_MS / 1000)  # those kept may be lent again
         self.start(uid)
         call = await peer.calls.get()
         call.reply()
@@ -287,7 +287,7 @@
             for _ in range(2):
                 (await peer.calls.get()).reply()
                 await attempts.result()
-            await asyncio.sleep(2 * backends_module.REST_MS / 1000)
+            await asyncio.sleep(2 * backends_module.REUSE_DELAY_MS / 1000)
             attempts.start(limit_ms=50.0)
             await peer.calls.get()
             assert await attempts.result() is Result.TIMEOUT
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -60,7 +60,7 @@
 @pytest.fixture(autouse=True)
 def no_sweeps(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(frontend_module, "SWEEP_S", 1000.0)
-    monkeypatch.setattr(backends_module, "REST_MS", 0.0)
+    monkeypatch.setattr(backends_module, "REUSE_DELAY_MS", 0.0)
 
 
 @pytest.mark.parametrize("how", ["fin", "rst"])
