--- a/flintlatch/net/frontend.py
+++ b/flintlatch/net/frontend.py
@@ -25,7 +25,7 @@
 BAD_IN_A_ROW = 8  # refused requests after which a connection closes: one that only errs must come anew
 # s from connecting, or from its first byte, in which a head must be here: an honest client may take 2, and
 # what never comes is owed an end after 3. A body may take longer as long as it moves.
-WHOLE_S = 2.5
+REQUEST_READ_TIMEOUT_S = 2.5
 MOVE_S = 0.75  # s without a byte of such a body
 SWEEP_S = 0.25  # s between looks at what is late
 IDLE_S = 30.0  # s that a kept connection may idle while there are places to spare
@@ -460,7 +460,7 @@
     def _sweep(self) -> None:
         """Neither who never sends a whole request nor who asked once and stays may hold a place for good."""
         self.sweeper = self.loop.call_later(SWEEP_S, self._sweep)
-        for client in self._over(self.waiting, WHOLE_S):
+        for client in self._over(self.waiting, REQUEST_READ_TIMEOUT_S):
             client.late()
         for client in self._over(self.ending, LINGER_S):
             client.transport.abort()
--- a/tests/fleet/test_daemon.py
+++ b/tests/fleet/test_daemon.py
@@ -13,7 +13,7 @@
 
 from flintlatch.fleet.control import ask
 from flintlatch.net.clock import now_ms
-from flintlatch.net.frontend import WHOLE_S
+from flintlatch.net.frontend import REQUEST_READ_TIMEOUT_S
 from flintlatch.standin.client import Prober
 from flintlatch.standin.node import Shape
 from flintlatch.standin.process import FleetProcess, alive, ports_of
@@ -280,7 +280,7 @@
                 reply = await client.reply()
                 # Others serve at the address, so it is ready, also by one that drains. A machine so busy that
                 # the reload outlasts what a half-read head has gets what is said of late ones.
-                late = now_ms() - begun > 900 * WHOLE_S
+                late = now_ms() - begun > 900 * REQUEST_READ_TIMEOUT_S
                 assert reply.status == 200 or (late and reply.status == 408)
                 told.append((client, reply.headers.get("connection") == "close"))
             for number, client in enumerate(idle[:4]):
--- a/tests/platform/test_long.py
+++ b/tests/platform/test_long.py
@@ -324,7 +324,7 @@
 def test_a_short_body_has_time_as_long_as_it_moves_and_a_head_has_its_own(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(frontend_module, "WHOLE_S", 0.1)
+    monkeypatch.setattr(frontend_module, "REQUEST_READ_TIMEOUT_S", 0.1)
     monkeypatch.setattr(frontend_module, "MOVE_S", 0.4)
     monkeypatch.setattr(frontend_module, "SWEEP_S", 0.02)
 
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -299,7 +299,7 @@
 
 def test_a_request_that_never_comes_in_whole_loses_its_connection(monkeypatch: pytest.MonkeyPatch) -> None:
     # Also one of which a byte comes now and then, and one that comes on a connection kept from before.
-    monkeypatch.setattr(frontend_module, "WHOLE_S", 0.02)
+    monkeypatch.setattr(frontend_module, "REQUEST_READ_TIMEOUT_S", 0.02)
 
     async def test() -> None:
         async with proxy() as p:
