--- a/flintlatch/fleet/worker.py
+++ b/flintlatch/fleet/worker.py
@@ -28,7 +28,7 @@
 from flintlatch.net.clock import now_ms
 from flintlatch.net.discovery import read_listing
 from flintlatch.net.engine import Engine, log
-from flintlatch.net.frontend import ACCEPT_SHARED, Frontend
+from flintlatch.net.frontend import ACCEPTS_PER_TURN_SHARED, Frontend
 from flintlatch.net.request import Reader
 from flintlatch.settings import Malformed
 
@@ -147,11 +147,11 @@
             from flintlatch.http.build import build  # only where it is wanted
 
             self.engine, self.frontend = build(
-                self.config, self.config.http, number, seed, to_backends, to_clients, ACCEPT_SHARED
+                self.config, self.config.http, number, seed, to_backends, to_clients, ACCEPTS_PER_TURN_SHARED
             )
         else:
             self.engine = Engine(settings, wire, seed, to_backends)
-            self.frontend = Frontend(self.engine, Reader(settings, wire), to_clients, ACCEPT_SHARED)
+            self.frontend = Frontend(self.engine, Reader(settings, wire), to_clients, ACCEPTS_PER_TURN_SHARED)
         if self.config.access_log is not None or self.config.fleet.metrics:
             from flintlatch.fleet.observe import Observer  # only where it is wanted
 
--- a/flintlatch/net/frontend.py
+++ b/flintlatch/net/frontend.py
@@ -18,7 +18,9 @@
 
 BACKLOG = 512
 ACCEPT_AT_ONCE = 16  # connections a turn: requests on open ones must not wait for a flood of new ones
-ACCEPT_SHARED = 1  # the same where other processes accept on the socket too: one must not take them all
+ACCEPTS_PER_TURN_SHARED = (
+    1  # the same where other processes accept on the socket too: one must not take them all
+)
 PIPELINED = 2  # requests read ahead on one connection before it is not read any further
 PIECE = 4096  # bytes parsed before the requests in them are looked at: hundreds sent at once must not be
 MAX_MESSAGE = MAX_HEAD + 4 * MAX_BODY  # bytes of one request as sent, so many for the framing of chunks
