--- a/flintlatch/fleet/nodes.py
+++ b/flintlatch/fleet/nodes.py
@@ -10,13 +10,13 @@
 from flintlatch.config import Config
 from flintlatch.fleet.members import Members
 from flintlatch.net.clock import now_ms
-from flintlatch.net.discovery import STATES, Listing, Target
+from flintlatch.net.discovery import SERVER_STATES, Listing, Target
 from flintlatch.net.http1 import split_address
 
 if TYPE_CHECKING:
     from flintlatch.fleet.delivered import Supply
 
-STATE_NAMES = {state: name for name, state in STATES.items()}
+STATE_NAMES = {state: name for name, state in SERVER_STATES.items()}
 
 
 def described(listing: Listing) -> dict[str, Any]:
--- a/flintlatch/net/discovery.py
+++ b/flintlatch/net/discovery.py
@@ -13,7 +13,7 @@
 from flintlatch.net.http1 import Exchange, Response, split_address
 from flintlatch.settings import Malformed, Wire, choice, listing, mapping, number, text, whole
 
-STATES = {"active": ServerState.ACTIVE, "leaving": ServerState.DRAINING, "left": ServerState.GONE}
+SERVER_STATES = {"active": ServerState.ACTIVE, "leaving": ServerState.DRAINING, "left": ServerState.GONE}
 # A change counts as told NOTICE_MS after discovery had it, whether or not it arrived, and what a silent watch
 # misses so long after its silence began. So whatever becomes of one call, the next one's answer must be here
 # by then. With the module's wait after a failure (`ASK_RETRY_MS` there, 800 ms at most) the longest are
@@ -60,7 +60,7 @@
     ip_address(host)  # a name would have to be looked up, and there is no DNS
     info = ServerInfo(
         uid,
-        choice(STATES, entry["state"], "state"),
+        choice(SERVER_STATES, entry["state"], "state"),
         place(wire.zones, entry.get("az"), "az"),
         place(wire.kinds, entry.get("model"), "model"),
         whole(entry.get("pod_group") or 0, "pod_group"),
