--- a/flintlatch/fleet/observe.py
+++ b/flintlatch/fleet/observe.py
@@ -11,7 +11,7 @@
 from flintlatch.metrics import Counts
 from flintlatch.net.backends import Attempt
 from flintlatch.net.clock import now_ms
-from flintlatch.net.engine import Engine, Held
+from flintlatch.net.engine import Engine, PendingRequest
 from flintlatch.net.relay import Refusal, RelayEngine
 
 
@@ -65,7 +65,7 @@
             Record(at, "", "", "", method, path, refusal.status, refusal.reason, 0.0, 0.0, None, 0, 0, ())
         )
 
-    def on_held(self, held: Held) -> None:
+    def on_held(self, held: PendingRequest) -> None:
         """The platform's protocol: requests and answers are whole, and short."""
         taken = held.taken
         method, target, *_ = *taken.head.split(b" ", 2), b""
--- a/flintlatch/net/engine.py
+++ b/flintlatch/net/engine.py
@@ -99,7 +99,7 @@
     holds: int = 0  # bytes that it may take up here
 
 
-class Held:
+class PendingRequest:
     """A request until it is answered and its last attempt has ended."""
 
     def __init__(self, taken: Taken) -> None:
@@ -121,20 +121,22 @@
         )
         self.probe_limit_ms = wire.connect_timeout_ms
         self.discovery: Discovery | None = None
-        self.requests: dict[str, Held] = {}
+        self.requests: dict[str, PendingRequest] = {}
         self.known: dict[str, float] = {}  # ids of late, with the time at which they came, oldest first
         self.longest_ms = max(c.deadline_ms for c in settings.classes)
         self.list_rev = 0  # version of the list held
         self.list_complaint = ""  # why the last call for it failed
         self.news: list[ServerList] = []
         self.events: list[Event] = []
-        self.ended: list[Held] = []  # to be forgotten once the module has been told of their end
+        self.ended: list[PendingRequest] = []  # to be forgotten once the module has been told of their end
         self.turn: asyncio.Handle | None = None
         self.life = 0  # of the module; a new one starts after it broke
         # What others agreed on, as events that are due: asked before each step, so that the end of a word is
         # tested when it is used.
         self.agreed: Callable[[int], list[Event]] | None = None  # given the module's life
-        self.observer: Callable[[Held], None] | None = None  # hears of each request when all of it is over
+        self.observer: Callable[[PendingRequest], None] | None = (
+            None  # hears of each request when all of it is over
+        )
         self.on_end: Callable[[int, int], None] = lambda cls, status: None  # of each final answer, at once
         self.loop = asyncio.get_running_loop()
 
@@ -191,7 +193,7 @@
         budget = taken.budget_ms
         if not taken.uploading:
             budget = min(budget, self.settings.classes[taken.cls].deadline_ms)
-        held = self.requests[taken.id] = Held(taken)
+        held = self.requests[taken.id] = PendingRequest(taken)
         held.timer = self.loop.call_later(max(budget, 0.0) / 1000, self._deadline, held)
         key, repeat = taken.key, taken.repeat
         until = now_ms() + budget
@@ -214,7 +216,7 @@
         self._close(held)
         self._raise(ClientGone(request_id))
 
-    def _deadline(self, held: Held) -> None:
+    def _deadline(self, held: PendingRequest) -> None:
         """The module let the client's time run out; the client gets its one answer all the same."""
         if not held.over:
             self._answer(held, Answer(504))
@@ -233,7 +235,7 @@
         return sum(not held.over for held in self.requests.values())
 
     def _on_attempt(
-        self, held: Held, number: int, attempt: Attempt, result: Result, got: Response | None
+        self, held: PendingRequest, number: int, attempt: Attempt, result: Result, got: Response | None
     ) -> None:
         if result is Result.OK and got is not None and not held.over:
             headers = b"".join(b"%b: %b\r\n" % pair for pair in got.headers if pair[0] in PASSED_ON)
@@ -355,19 +357,19 @@
 
     # The end of a request
 
-    def _answer(self, held: Held, answer: Answer) -> None:
+    def _answer(self, held: PendingRequest, answer: Answer) -> None:
         held.status, held.sent_bytes = answer.status, len(answer.body)
         self.on_end(held.taken.cls, answer.status)
         self._close(held)
         held.taken.answer(answer)
 
-    def _close(self, held: Held) -> None:
+    def _close(self, held: PendingRequest) -> None:
         held.over, held.over_ms = True, now_ms()
         if held.timer is not None:
             held.timer.cancel()
         self._forget(held)
 
-    def _forget(self, held: Held) -> None:
+    def _forget(self, held: PendingRequest) -> None:
         if held.over and all(attempt.ended for attempt in held.attempts):
             self.ended.append(held)
 
--- a/flintlatch/net/relay.py
+++ b/flintlatch/net/relay.py
@@ -23,7 +23,7 @@
 from flintlatch.exchange import Budget, Ending, Exchange, NodeSide, Own, Phase, Response, Terms
 from flintlatch.net.backends import Attempt, Backend, Backends, Connection
 from flintlatch.net.clock import now_ms
-from flintlatch.net.engine import Answer, Engine, Held, Taken, log
+from flintlatch.net.engine import Answer, Engine, PendingRequest, Taken, log
 from flintlatch.net.http1 import Response as ReadWhole
 from flintlatch.settings import Wire
 
@@ -196,7 +196,9 @@
         if self.refusal_observer is not None:
             self.refusal_observer(refusal)
 
-    def _attempt_of(self, exchange: Exchange, node: NodeSide) -> tuple[Held, int, RelayAttempt] | None:
+    def _attempt_of(
+        self, exchange: Exchange, node: NodeSide
+    ) -> tuple[PendingRequest, int, RelayAttempt] | None:
         held = self.requests.get(exchange.ask.id)
         for number, attempt in enumerate(held.attempts if held is not None else ()):
             relayed = cast(RelayAttempt, attempt)
@@ -207,13 +209,13 @@
 
     # Time
 
-    def _deadline_in(self, held: Held, budget_ms: float) -> None:
+    def _deadline_in(self, held: PendingRequest, budget_ms: float) -> None:
         """From here on it is waited for so long, and no longer than was said before."""
         if held.timer is not None and self.loop.time() + budget_ms / 1000 < held.timer.when():
             held.timer.cancel()
             held.timer = self.loop.call_later(budget_ms / 1000, self._deadline, held)
 
-    def _deadline(self, held: Held) -> None:
+    def _deadline(self, held: PendingRequest) -> None:
         if held.over:
             return
         unsent = all(attempt.result in NEVER_RAN for attempt in held.attempts)
@@ -267,7 +269,7 @@
         else:
             self.backends.start(attempt)
 
-    def _on_end(self, held: Held, number: int, attempt: RelayAttempt, result: Result) -> None:
+    def _on_end(self, held: PendingRequest, number: int, attempt: RelayAttempt, result: Result) -> None:
         exchange = attempt.exchange
         if attempt.node is not None:
             exchange.detach(now_ms() / 1000, attempt.node)  # nothing, if it has finished
@@ -279,14 +281,14 @@
         self._raise(Outcome(held.taken.id, number, result, delay, held.over))
         self._forget(held)
 
-    def _forget(self, held: Held) -> None:
+    def _forget(self, held: PendingRequest) -> None:
         super()._forget(held)
         name = held.taken.id
         exchange = self.exchanges.get(name)
         if held.over and all(a.ended for a in held.attempts) and (exchange is None or exchange.over):
             self._drop(name, held)
 
-    def _drop(self, name: str, held: Held | None = None) -> None:
+    def _drop(self, name: str, held: PendingRequest | None = None) -> None:
         exchange = self.exchanges.pop(name, None)
         if exchange is not None:
             self.budget.release(self.reserved.pop(name))
--- a/flintlatch/platform/engine.py
+++ b/flintlatch/platform/engine.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from flintlatch.exchange import Exchange, Request
-from flintlatch.net.engine import Engine, Held
+from flintlatch.net.engine import Engine, PendingRequest
 from flintlatch.net.relay import RelayEngine
 
 
@@ -21,7 +21,7 @@
         """Those here whole and not ended; an answer that is still passed on has not."""
         return sum(exchange.upload.complete and not exchange.over for exchange in self.exchanges.values())
 
-    def _deadline(self, held: Held) -> None:
+    def _deadline(self, held: PendingRequest) -> None:
         # Its client is leaving in this moment: nothing is promised any more.
         Engine._deadline(self, held)
 
