--- a/flintlatch/fleet/observe.py
+++ b/flintlatch/fleet/observe.py
@@ -67,7 +67,7 @@
 
     def on_held(self, held: PendingRequest) -> None:
         """The platform's protocol: requests and answers are whole, and short."""
-        taken = held.taken
+        taken = held.request
         method, target, *_ = *taken.head.split(b" ", 2), b""
         total = held.over_ms - held.came_ms
         self.put(
--- a/flintlatch/net/engine.py
+++ b/flintlatch/net/engine.py
@@ -103,7 +103,7 @@
     """A request until it is answered and its last attempt has ended."""
 
     def __init__(self, taken: Taken) -> None:
-        self.taken = taken
+        self.request = taken
         self.attempts: list[Attempt] = []
         self.over = False
         self.came_ms = now_ms()
@@ -220,7 +220,7 @@
         """The module let the client's time run out; the client gets its one answer all the same."""
         if not held.over:
             self._answer(held, Answer(504))
-            self._raise(ClientGone(held.taken.id))
+            self._raise(ClientGone(held.request.id))
 
     def give_up_all(self) -> None:
         """The proxy ends: whatever has no answer yet gets its final one now."""
@@ -241,7 +241,7 @@
             headers = b"".join(b"%b: %b\r\n" % pair for pair in got.headers if pair[0] in PASSED_ON)
             self._answer(held, Answer(200, headers, got.body))
         delay = now_ms() - attempt.started
-        self._raise(Outcome(held.taken.id, number, result, delay, held.over))
+        self._raise(Outcome(held.request.id, number, result, delay, held.over))
         self._forget(held)
 
     def _on_probe(self, attempt: Attempt, result: Result, _: Response | None) -> None:
@@ -288,8 +288,8 @@
         for held in ended:
             # Not earlier: the module may have sent it again in the step that told it of the end, and each
             # sending is owed its outcome.
-            if self.requests.get(held.taken.id) is held and all(attempt.ended for attempt in held.attempts):
-                del self.requests[held.taken.id]
+            if self.requests.get(held.request.id) is held and all(attempt.ended for attempt in held.attempts):
+                del self.requests[held.request.id]
                 if self.observer is not None:
                     self.observer(held)
 
@@ -335,7 +335,7 @@
         held = self.requests.get(action.request)
         if held is None:
             return
-        number, taken = len(held.attempts), held.taken
+        number, taken = len(held.attempts), held.request
         attempt = Attempt(
             action.server,
             taken.head,
@@ -359,9 +359,9 @@
 
     def _answer(self, held: PendingRequest, answer: Answer) -> None:
         held.status, held.sent_bytes = answer.status, len(answer.body)
-        self.on_end(held.taken.cls, answer.status)
+        self.on_end(held.request.cls, answer.status)
         self._close(held)
-        held.taken.answer(answer)
+        held.request.answer(answer)
 
     def _close(self, held: PendingRequest) -> None:
         held.over, held.over_ms = True, now_ms()
--- a/flintlatch/net/relay.py
+++ b/flintlatch/net/relay.py
@@ -219,7 +219,7 @@
         if held.over:
             return
         unsent = all(attempt.result in NEVER_RAN for attempt in held.attempts)
-        self._raise(ClientGone(held.taken.id))
+        self._raise(ClientGone(held.request.id))
         self._answer(held, Answer(503, retry_after_ms=RETRY_MS) if unsent else Answer(504))
 
     def _tick(self) -> None:
@@ -278,12 +278,12 @@
             delay = attempt.told.delay
         else:
             delay = now_ms() - (attempt.whole_ms or attempt.started)
-        self._raise(Outcome(held.taken.id, number, result, delay, held.over))
+        self._raise(Outcome(held.request.id, number, result, delay, held.over))
         self._forget(held)
 
     def _forget(self, held: PendingRequest) -> None:
         super()._forget(held)
-        name = held.taken.id
+        name = held.request.id
         exchange = self.exchanges.get(name)
         if held.over and all(a.ended for a in held.attempts) and (exchange is None or exchange.over):
             self._drop(name, held)
