--- a/flintlatch/fleet/observe.py
+++ b/flintlatch/fleet/observe.py
@@ -69,10 +69,10 @@
         """The platform's protocol: requests and answers are whole, and short."""
         taken = held.request
         method, target, *_ = *taken.head.split(b" ", 2), b""
-        total = held.over_ms - held.came_ms
+        total = held.over_ms - held.arrived_ms
         self.put(
             Record(
-                held.came_ms,
+                held.arrived_ms,
                 taken.id,
                 self.classes[taken.cls],
                 self._tenant(taken.tenant),
@@ -85,7 +85,7 @@
                 0.0,
                 len(taken.body),
                 held.sent_bytes,
-                attempts_of(held.attempts, held.came_ms),
+                attempts_of(held.attempts, held.arrived_ms),
             )
         )
 
--- a/flintlatch/net/engine.py
+++ b/flintlatch/net/engine.py
@@ -106,7 +106,7 @@
         self.request = taken
         self.attempts: list[Attempt] = []
         self.over = False
-        self.came_ms = now_ms()
+        self.arrived_ms = now_ms()
         self.sent_bytes = 0  # of the final answer's body
         self.status, self.over_ms = 0, 0.0  # of the final answer; 0: the client left before it
         self.timer: asyncio.TimerHandle | None = None
