--- a/flintlatch/fleet/observe.py
+++ b/flintlatch/fleet/observe.py
@@ -69,7 +69,7 @@
         """The platform's protocol: requests and answers are whole, and short."""
         taken = held.request
         method, target, *_ = *taken.head.split(b" ", 2), b""
-        total = held.over_ms - held.arrived_ms
+        total = held.completed_ms - held.arrived_ms
         self.put(
             Record(
                 held.arrived_ms,
--- a/flintlatch/net/engine.py
+++ b/flintlatch/net/engine.py
@@ -108,7 +108,7 @@
         self.over = False
         self.arrived_ms = now_ms()
         self.sent_bytes = 0  # of the final answer's body
-        self.status, self.over_ms = 0, 0.0  # of the final answer; 0: the client left before it
+        self.status, self.completed_ms = 0, 0.0  # of the final answer; 0: the client left before it
         self.timer: asyncio.TimerHandle | None = None
 
 
@@ -364,7 +364,7 @@
         held.request.answer(answer)
 
     def _close(self, held: PendingRequest) -> None:
-        held.over, held.over_ms = True, now_ms()
+        held.over, held.completed_ms = True, now_ms()
         if held.timer is not None:
             held.timer.cancel()
         self._forget(held)
