--- a/flintlatch/fleet/observe.py
+++ b/flintlatch/fleet/observe.py
@@ -84,7 +84,7 @@
                 total if held.status else None,
                 0.0,
                 len(taken.body),
-                held.sent_bytes,
+                held.response_body_bytes,
                 attempts_of(held.attempts, held.arrived_ms),
             )
         )
--- a/flintlatch/net/engine.py
+++ b/flintlatch/net/engine.py
@@ -107,7 +107,7 @@
         self.attempts: list[Attempt] = []
         self.over = False
         self.arrived_ms = now_ms()
-        self.sent_bytes = 0  # of the final answer's body
+        self.response_body_bytes = 0  # of the final answer's body
         self.status, self.completed_ms = 0, 0.0  # of the final answer; 0: the client left before it
         self.timer: asyncio.TimerHandle | None = None
 
@@ -358,7 +358,7 @@
     # The end of a request
 
     def _answer(self, held: PendingRequest, answer: Answer) -> None:
-        held.status, held.sent_bytes = answer.status, len(answer.body)
+        held.status, held.response_body_bytes = answer.status, len(answer.body)
         self.on_end(held.request.cls, answer.status)
         self._close(held)
         held.request.answer(answer)
