--- a/flintlatch/fleet/observe.py
+++ b/flintlatch/fleet/observe.py
@@ -106,8 +106,8 @@
         AttemptRecord(
             attempt.uid,
             attempt.result.value if attempt.result is not None else "",
-            attempt.started - came_ms,
-            attempt.ended_ms - attempt.started,
+            attempt.start_ms - came_ms,
+            attempt.ended_ms - attempt.start_ms,
             attempt.result not in NEVER_RAN,
         )
         for attempt in attempts
--- a/flintlatch/net/backends.py
+++ b/flintlatch/net/backends.py
@@ -44,10 +44,10 @@
         within_ms: float = inf,
     ) -> None:
         self.uid, self.head, self.body, self.done = uid, head, body, done
-        self.started = now_ms()
-        self.deadline = self.started + limit_ms
+        self.start_ms = now_ms()
+        self.deadline = self.start_ms + limit_ms
         # Servers drop a repeat for so long only: a connection that comes up later must not carry it.
-        self.write_by = self.started + within_ms
+        self.write_by = self.start_ms + within_ms
         self.connection: Connection | None = None
         self.timer: asyncio.TimerHandle | None = None
         self.ended = False
@@ -284,7 +284,7 @@
         never = connection is None or connection.never_ran()
         self._give_up(attempt, Result.CONNECT_FAILED if never else Result.TIMEOUT)
         backend = self.backends.get(attempt.uid)
-        if backend is not None and not never and backend.heard < attempt.started:
+        if backend is not None and not never and backend.heard < attempt.start_ms:
             # Nothing came from there in all that time: a machine cut off leaves connections that look fit.
             backend.close_idle()
 
--- a/flintlatch/net/engine.py
+++ b/flintlatch/net/engine.py
@@ -240,12 +240,12 @@
         if result is Result.OK and got is not None and not held.over:
             headers = b"".join(b"%b: %b\r\n" % pair for pair in got.headers if pair[0] in PASSED_ON)
             self._answer(held, Answer(200, headers, got.body))
-        delay = now_ms() - attempt.started
+        delay = now_ms() - attempt.start_ms
         self._raise(Outcome(held.request.id, number, result, delay, held.over))
         self._forget(held)
 
     def _on_probe(self, attempt: Attempt, result: Result, _: Response | None) -> None:
-        self._raise(ProbeResult(attempt.uid, result, now_ms() - attempt.started))
+        self._raise(ProbeResult(attempt.uid, result, now_ms() - attempt.start_ms))
 
     def _on_timer(self, token: int, life: int) -> None:
         if life == self.life:
--- a/flintlatch/net/relay.py
+++ b/flintlatch/net/relay.py
@@ -53,7 +53,7 @@
     ) -> None:
         super().__init__(uid, b"", b"", limit_ms, done, within_ms)
         self.exchange = exchange
-        self.whole_ms = self.started if exchange.upload.complete else 0.0  # when its node had all of it
+        self.whole_ms = self.start_ms if exchange.upload.complete else 0.0  # when its node had all of it
         self.told: StreamStarted | None = None  # its answer has begun
         self.node: NodeSide | None = None  # the connection that has carried it
 
@@ -277,7 +277,7 @@
             self.events.pop()  # a short answer, here whole in the same turn: it never was a transfer
             delay = attempt.told.delay
         else:
-            delay = now_ms() - (attempt.whole_ms or attempt.started)
+            delay = now_ms() - (attempt.whole_ms or attempt.start_ms)
         self._raise(Outcome(held.request.id, number, result, delay, held.over))
         self._forget(held)
 
