--- a/flintlatch/http/node.py
+++ b/flintlatch/http/node.py
@@ -166,7 +166,7 @@
                 raise Malformed(502, "too many interim answers")
             exchange.interim(response_of(head))
             return
-        self.backend.heard = now_ms()
+        self.backend.last_response_ms = now_ms()
         self.response, self.body = head, Body(head.framing)
         if head.status in (503, 504) and values(head.fields, b"x-rejected") == [b"1"]:
             # Turned away, and never run. Nothing is passed on; a body may follow, so the connection goes.
--- a/flintlatch/net/backends.py
+++ b/flintlatch/net/backends.py
@@ -75,7 +75,7 @@
 
     def __init__(self, target: Target) -> None:
         self.target, self.generation = target, 0
-        self.heard = 0.0  # when it last answered
+        self.last_response_ms = 0.0  # when it last answered
         self.idle: list[Connection] = []  # the most recently used last
         self.connecting: set[Connection] = set()
 
@@ -136,7 +136,7 @@
 
     def on_response(self, response: Response) -> None:
         attempt, self.attempt = self.attempt, None
-        self.backend.heard = now_ms()
+        self.backend.last_response_ms = now_ms()
         self.pool.put_back(self)
         if attempt is None:
             return
@@ -284,7 +284,7 @@
         never = connection is None or connection.never_ran()
         self._give_up(attempt, Result.CONNECT_FAILED if never else Result.TIMEOUT)
         backend = self.backends.get(attempt.uid)
-        if backend is not None and not never and backend.heard < attempt.start_ms:
+        if backend is not None and not never and backend.last_response_ms < attempt.start_ms:
             # Nothing came from there in all that time: a machine cut off leaves connections that look fit.
             backend.close_idle()
 
