--- a/flintlatch/http/node.py
+++ b/flintlatch/http/node.py
@@ -65,7 +65,7 @@
         self.transport = cast(asyncio.Transport, transport)
         self.transport.set_write_buffer_limits(high=HIGH_BYTES)
         bound_buffers(transport, False)
-        self.came_up()
+        self.on_connected()
 
     def carry(self, attempt: Attempt) -> None:
         assert self.transport is not None
--- a/flintlatch/net/backends.py
+++ b/flintlatch/net/backends.py
@@ -102,9 +102,9 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
-        self.came_up()
+        self.on_connected()
 
-    def came_up(self) -> None:
+    def on_connected(self) -> None:
         """Carry what it was opened for, unless nobody waits for that, or it is too late to be written."""
         self.backend.connecting.discard(self)
         attempt = self.attempt
