--- a/flintlatch/http/node.py
+++ b/flintlatch/http/node.py
@@ -67,7 +67,7 @@
         bound_buffers(transport, False)
         self.on_connected()
 
-    def carry(self, attempt: Attempt) -> None:
+    def send_attempt(self, attempt: Attempt) -> None:
         assert self.transport is not None
         self.attempt, attempt.connection = attempt, self
         relayed = cast(RelayAttempt, attempt)
--- a/flintlatch/net/backends.py
+++ b/flintlatch/net/backends.py
@@ -116,11 +116,11 @@
             self.pool.put_back(self)
             attempt.end(Result.NOT_SENT)  # its server is well: a failure would rest it
         elif attempt.wanted():
-            self.carry(attempt)
+            self.send_attempt(attempt)
         else:
             self.pool.put_back(self)  # fit for another's
 
-    def carry(self, attempt: Attempt) -> None:
+    def send_attempt(self, attempt: Attempt) -> None:
         self.attempt, attempt.connection = attempt, self
         budget = max(1, int(attempt.deadline - now_ms()))
         self.ask(b"%bx-budget-ms: %d\r\n\r\n%b" % (attempt.head, budget, attempt.body))
@@ -221,7 +221,7 @@
         attempt.timer = self.loop.call_later(seconds, self._limit, attempt)
         kept = self._lend(backend)
         if kept is not None:
-            kept.carry(attempt)
+            kept.send_attempt(attempt)
             return
         if not self._make_room():
             attempt.end(Result.NO_ROOM)
--- a/flintlatch/platform/node.py
+++ b/flintlatch/platform/node.py
@@ -42,12 +42,12 @@
 
     # The request
 
-    def carry(self, attempt: Attempt) -> None:
+    def send_attempt(self, attempt: Attempt) -> None:
         self.begun = self.held = self.until_close = self.sent_all = False
         self.length, self.came = None, 0
         if not isinstance(attempt, RelayAttempt):  # a probe
             self.uploading = False
-            super().carry(attempt)
+            super().send_attempt(attempt)
             return
         self.attempt, attempt.connection, attempt.node = attempt, self, self
         exchange, now = attempt.exchange, now_ms()
