--- a/flintlatch/http/node.py
+++ b/flintlatch/http/node.py
@@ -185,7 +185,7 @@
         exchange.finish(now_ms() / 1000, self, body.trailers)
         self.hold(False)
         self.attempt = None
-        self.pool.put_back(self)
+        self.pool.release_connection(self)
         if response.status >= 500:
             attempt.end(Result.ERROR)
         else:
--- a/flintlatch/net/backends.py
+++ b/flintlatch/net/backends.py
@@ -113,12 +113,12 @@
             return
         self.attempt = attempt.connection = None
         if now_ms() > attempt.write_by:
-            self.pool.put_back(self)
+            self.pool.release_connection(self)
             attempt.end(Result.NOT_SENT)  # its server is well: a failure would rest it
         elif attempt.wanted():
             self.send_attempt(attempt)
         else:
-            self.pool.put_back(self)  # fit for another's
+            self.pool.release_connection(self)  # fit for another's
 
     def send_attempt(self, attempt: Attempt) -> None:
         self.attempt, attempt.connection = attempt, self
@@ -137,7 +137,7 @@
     def on_response(self, response: Response) -> None:
         attempt, self.attempt = self.attempt, None
         self.backend.last_response_ms = now_ms()
-        self.pool.put_back(self)
+        self.pool.release_connection(self)
         if attempt is None:
             return
         if response.status == 200:
@@ -302,7 +302,7 @@
         ):  # its opener may be cancelled before it has begun, and clear up nothing
             self.connections.discard(connection)
 
-    def put_back(self, connection: Connection) -> None:
+    def release_connection(self, connection: Connection) -> None:
         backend = connection.backend
         if not connection.usable or connection.generation != backend.generation or not backend.active():
             connection.close()
