--- a/flintlatch/http/node.py
+++ b/flintlatch/http/node.py
@@ -76,7 +76,7 @@
         self.head.clear()
         self.response = self.body = None
         self.interim, self.begun_ms = 0, now_ms()
-        self.sent_all, self.wrote, self.waiting, self.held = False, True, True, False
+        self.sent_all, self.wrote, self.awaiting_response, self.held = False, True, True, False
         exchange.attach(self.begun_ms / 1000, self)
         budget = max(1, int(attempt.deadline - self.begun_ms))
         head = request_head(exchange.request, exchange.ask.id)
@@ -178,7 +178,7 @@
         attempt, response, body = self.attempt, self.response, self.body
         assert attempt is not None and response is not None and body is not None
         exchange = cast(RelayAttempt, attempt).exchange
-        self.waiting = False
+        self.awaiting_response = False
         self.usable = (
             response.keep and self.sent_all and not surplus and response.framing.kind is not Kind.UNTIL_CLOSE
         )
--- a/flintlatch/net/http1.py
+++ b/flintlatch/net/http1.py
@@ -62,7 +62,7 @@
         self.max_body = max_body
         self.most = MAX_HEAD + 4 * max_body  # bytes of one answer as sent, so many for the framing of chunks
         self._parser: httptools.HttpResponseParser | None = None
-        self.waiting = False  # a request is out and its answer is not here
+        self.awaiting_response = False  # a request is out and its answer is not here
         self.usable = True  # another exchange may follow
         self.unsent = False  # a part of the request has surely not left
 
@@ -88,7 +88,7 @@
         self._body = bytearray()
         self._size, self._interim = 0, 0
         self._head_done, self._spoilt, self._done, self._keep = False, False, False, False
-        self.waiting, self.unsent = True, False
+        self.awaiting_response, self.unsent = True, False
         self.transport.write(request)
         if self.transport.is_closing():
             self.unsent = True  # the write itself failed
@@ -100,22 +100,22 @@
 
     def resume_writing(self) -> None:
         self.unsent = False
-        if self.waiting:
+        if self.awaiting_response:
             self.on_written()
 
     def close(self) -> None:
         """Give it up, with whatever it carries; nothing is reported any more."""
-        self.waiting = self.usable = False
+        self.awaiting_response = self.usable = False
         if self.transport is not None:
             self.transport.abort()
 
     def _break(self) -> None:
-        if self.usable or self.waiting:
+        if self.usable or self.awaiting_response:
             self.close()
             self.on_broken()
 
     def data_received(self, data: bytes) -> None:
-        if not self.waiting:
+        if not self.awaiting_response:
             self._break()  # unasked bytes: an answer to nobody must never meet the next request
             return
         self._size += len(data)
@@ -132,7 +132,7 @@
 
     def _finish(self) -> None:
         # Answered before the request was written whole: its rest must not run into the next one.
-        self.waiting, self.usable = False, self._keep and not self.unsent
+        self.awaiting_response, self.usable = False, self._keep and not self.unsent
         if not self.usable and self.transport is not None:
             self.transport.abort()
         self.on_response(Response(self._status, self._headers, bytes(self._body)))
--- a/flintlatch/platform/node.py
+++ b/flintlatch/platform/node.py
@@ -156,7 +156,7 @@
     def _begin(self) -> None:
         """Hold it no longer: from here on it is the final answer, whole or visibly broken."""
         exchange = self.exchange
-        if self.begun or not self.waiting or self._done or exchange is None:
+        if self.begun or not self.awaiting_response or self._done or exchange is None:
             return
         self.begun = True
         self._cancel_timer()
@@ -206,7 +206,7 @@
         super().close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        if exc is None and self.waiting and self.until_close and not (self._done or self._spoilt):
+        if exc is None and self.awaiting_response and self.until_close and not (self._done or self._spoilt):
             self._done, self._keep = True, False
             self._finish()
         super().connection_lost(exc)
