--- a/flintlatch/fleet/worker.py
+++ b/flintlatch/fleet/worker.py
@@ -246,7 +246,7 @@
             {
                 "kind": "beat",
                 "in_flight": engine.open_requests(),
-                "clients": frontend.held,
+                "clients": frontend.connection_count,
                 "rss_mb": round(resident_mb(), 1),
                 "rev": engine.list_rev,
                 "nodes": len(engine.backends.backends),
--- a/flintlatch/net/frontend.py
+++ b/flintlatch/net/frontend.py
@@ -316,7 +316,9 @@
         self.waiting: dict[Client, float] = {}  # owe a whole request: new ones, and half-read ones
         self.idle: dict[Client, float] = {}  # kept between two requests
         self.ending: dict[Client, float] = {}  # have their last answer, and a moment to read it
-        self.held = 0  # descriptors of clients, those just accepted and those just closing included
+        self.connection_count = (
+            0  # descriptors of clients, those just accepted and those just closing included
+        )
         self.paused: set[Client] = set()  # not read for now
         self.opening: set[asyncio.Task[object]] = set()
         self.stopping = self.accepting = False
@@ -391,7 +393,7 @@
             return
         self.rested = False
         for _ in range(self.accept_at_once):
-            full = self.held >= self.most
+            full = self.connection_count >= self.most
             victim = self._victim() if full else None
             if full and victim is None:
                 self._accept_later()  # the kernel's queue holds those that come
@@ -407,9 +409,9 @@
             if victim is not None:  # only now that somebody needs its place
                 self.put(victim, None)
                 victim.transport.abort() if victim.closing else victim.transport.close()
-            self.held += 1
+            self.connection_count += 1
             if self.tell_held is not None:
-                self.tell_held(self.held)
+                self.tell_held(self.connection_count)
             task = self.loop.create_task(self.loop.connect_accepted_socket(self.make_client, sock))
             self.opening.add(cast("asyncio.Task[object]", task))
             task.add_done_callback(self._opened)
@@ -452,11 +454,11 @@
         self._freed()
 
     def _freed(self) -> None:
-        self.held -= 1
+        self.connection_count -= 1
         if self.tell_held is not None and self.socks:
-            self.tell_held(self.held)
+            self.tell_held(self.connection_count)
         self._accept_on()
-        if self.stopping and not self.held:
+        if self.stopping and not self.connection_count:
             self.empty.set()
 
     def _sweep(self) -> None:
@@ -466,7 +468,7 @@
             client.late()
         for client in self._over(self.ending, LINGER_S):
             client.transport.abort()
-        idle_s = IDLE_FULL_S if self.held > self.most / 2 else IDLE_S
+        idle_s = IDLE_FULL_S if self.connection_count > self.most / 2 else IDLE_S
         if self.parting:  # each has its second, however long it was idle before
             idle_s = PARTING_S if now_ms() > self.parting_since + PARTING_S * 1000 else IDLE_S
         for client in self._over(self.idle, idle_s):
@@ -504,10 +506,10 @@
         """Take all connections that wait in the kernel's queue, whatever the share of one turn; no more than
         there is room for."""
         for listener in self.socks:
-            while self.held < self.most:
-                held = self.held
+            while self.connection_count < self.most:
+                held = self.connection_count
                 self._accept(listener)
-                if self.held == held:
+                if self.connection_count == held:
                     break
 
     def stop_accepting(self) -> None:
@@ -522,14 +524,14 @@
         self.stop_accepting()
         for client in [*self.idle, *(client for client in self.waiting if not client.begun)]:
             client.part()
-        if self.held:
+        if self.connection_count:
             # A proxy with little to do may have been empty for a moment since it was told to stop.
             self.empty.clear()
             try:
                 async with asyncio.timeout(within_s):
                     await self.empty.wait()
             except TimeoutError:
-                log(f"stop: {self.held} client connections were still open")
+                log(f"stop: {self.connection_count} client connections were still open")
                 # What came on one of them after the stop, or is passed on still, gets its end before ours.
                 self.engine.give_up_all()
                 await asyncio.sleep(FLUSH_S)
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -477,7 +477,7 @@
             assert (await first.ask("/health/ready", "GET")).status == 200
             p.frontend.stop_keeping()
             first.close()
-            while p.frontend.held:
+            while p.frontend.connection_count:
                 await asyncio.sleep(0.001)
             late = await Client.open(p.frontend.address)
             late.send()
