--- a/flintlatch/fleet/worker.py
+++ b/flintlatch/fleet/worker.py
@@ -172,7 +172,10 @@
                 self.say_seen()
         if message.get("spread") is not None and self.config.fleet.instances > 1:
             self.spread = Spread(message["spread"], int(message["worker"]))
-            self.frontend.tell_held, self.frontend.should_rest = self.spread.tell, self.spread.should_rest
+            self.frontend.on_connection_count, self.frontend.should_rest = (
+                self.spread.tell,
+                self.spread.should_rest,
+            )
             self.frontend.rest_s = REST_S
         self.take_list(message["list"])
         self.beat(self.config.start.watchdog_s / BEATS)
--- a/flintlatch/net/frontend.py
+++ b/flintlatch/net/frontend.py
@@ -329,7 +329,7 @@
         self.socks: list[socket.socket] = []
         self.address = ""  # where it listens, the first if on several
         # Where others accept on the same sockets: told of `held` as it changes, and asked before accepting.
-        self.tell_held: Callable[[int], None] | None = None
+        self.on_connection_count: Callable[[int], None] | None = None
         self.should_rest: Callable[[], bool] | None = None
         self.rest_s, self.rested = 0.0, False
         self.sweeper: asyncio.TimerHandle | None = None
@@ -410,8 +410,8 @@
                 self.put(victim, None)
                 victim.transport.abort() if victim.closing else victim.transport.close()
             self.connection_count += 1
-            if self.tell_held is not None:
-                self.tell_held(self.connection_count)
+            if self.on_connection_count is not None:
+                self.on_connection_count(self.connection_count)
             task = self.loop.create_task(self.loop.connect_accepted_socket(self.make_client, sock))
             self.opening.add(cast("asyncio.Task[object]", task))
             task.add_done_callback(self._opened)
@@ -455,8 +455,8 @@
 
     def _freed(self) -> None:
         self.connection_count -= 1
-        if self.tell_held is not None and self.socks:
-            self.tell_held(self.connection_count)
+        if self.on_connection_count is not None and self.socks:
+            self.on_connection_count(self.connection_count)
         self._accept_on()
         if self.stopping and not self.connection_count:
             self.empty.set()
