--- a/flintlatch/fleet/worker.py
+++ b/flintlatch/fleet/worker.py
@@ -172,7 +172,7 @@
                 self.say_seen()
         if message.get("spread") is not None and self.config.fleet.instances > 1:
             self.spread = Spread(message["spread"], int(message["worker"]))
-            self.frontend.on_connection_count, self.frontend.should_rest = (
+            self.frontend.on_connection_count, self.frontend.should_pause_accepting = (
                 self.spread.tell,
                 self.spread.should_rest,
             )
--- a/flintlatch/net/frontend.py
+++ b/flintlatch/net/frontend.py
@@ -330,7 +330,7 @@
         self.address = ""  # where it listens, the first if on several
         # Where others accept on the same sockets: told of `held` as it changes, and asked before accepting.
         self.on_connection_count: Callable[[int], None] | None = None
-        self.should_rest: Callable[[], bool] | None = None
+        self.should_pause_accepting: Callable[[], bool] | None = None
         self.rest_s, self.rested = 0.0, False
         self.sweeper: asyncio.TimerHandle | None = None
 
@@ -387,7 +387,7 @@
         self.loop.call_later(RETRY_ACCEPT_S, self._accept_on)
 
     def _accept(self, listener: socket.socket) -> None:
-        if self.should_rest is not None and not self.rested and self.should_rest():
+        if self.should_pause_accepting is not None and not self.rested and self.should_pause_accepting():
             self._accept_off()
             self.loop.call_later(self.rest_s, self._accept_rested)
             return
