--- a/flintlatch/fleet/worker.py
+++ b/flintlatch/fleet/worker.py
@@ -176,7 +176,7 @@
                 self.spread.tell,
                 self.spread.should_rest,
             )
-            self.frontend.rest_s = REST_S
+            self.frontend.accept_pause_s = REST_S
         self.take_list(message["list"])
         self.beat(self.config.start.watchdog_s / BEATS)
 
--- a/flintlatch/net/frontend.py
+++ b/flintlatch/net/frontend.py
@@ -331,7 +331,7 @@
         # Where others accept on the same sockets: told of `held` as it changes, and asked before accepting.
         self.on_connection_count: Callable[[int], None] | None = None
         self.should_pause_accepting: Callable[[], bool] | None = None
-        self.rest_s, self.rested = 0.0, False
+        self.accept_pause_s, self.rested = 0.0, False
         self.sweeper: asyncio.TimerHandle | None = None
 
     def make_client(self) -> Client:
@@ -389,7 +389,7 @@
     def _accept(self, listener: socket.socket) -> None:
         if self.should_pause_accepting is not None and not self.rested and self.should_pause_accepting():
             self._accept_off()
-            self.loop.call_later(self.rest_s, self._accept_rested)
+            self.loop.call_later(self.accept_pause_s, self._accept_rested)
             return
         self.rested = False
         for _ in range(self.accept_at_once):
