--- a/flintlatch/net/frontend.py
+++ b/flintlatch/net/frontend.py
@@ -87,7 +87,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
         self.frontend.clients.add(self)
-        self.frontend.put(self, self.frontend.waiting)
+        self.frontend.put(self, self.frontend.reading_clients)
 
     def eof_received(self) -> bool | None:
         """It has gone, also if answers that it does not read keep the transport open for longer."""
@@ -141,7 +141,7 @@
             self.frontend.put(self, None)
         else:
             self.frontend.put(
-                self, self.frontend.waiting if self.begun or not self.served else self.frontend.idle
+                self, self.frontend.reading_clients if self.begun or not self.served else self.frontend.idle
             )
         if not self.closing:
             if len(self.queue) >= PIPELINED or len(self.rest) > PIECE:
@@ -313,7 +313,7 @@
         self.accept_at_once = accept_at_once
         self.loop = asyncio.get_running_loop()
         self.clients: set[Client] = set()
-        self.waiting: dict[Client, float] = {}  # owe a whole request: new ones, and half-read ones
+        self.reading_clients: dict[Client, float] = {}  # owe a whole request: new ones, and half-read ones
         self.idle: dict[Client, float] = {}  # kept between two requests
         self.ending: dict[Client, float] = {}  # have their last answer, and a moment to read it
         self.connection_count = (
@@ -359,7 +359,7 @@
         return self.stopping or self.away
 
     def put(self, client: Client, places: dict[Client, float] | None) -> None:
-        if places is self.waiting and client.places is places:
+        if places is self.reading_clients and client.places is places:
             return  # its time runs on: a byte now and then must not win it more
         if client.places is not None:
             client.places.pop(client, None)
@@ -436,7 +436,7 @@
         for places, spared_ms in (
             (self.ending, SPARE_MS),
             (self.idle, IDLE_FULL_S * 1000),
-            (self.waiting, SPARE_MS),
+            (self.reading_clients, SPARE_MS),
             (self.idle, 0.0),
         ):
             client = next(iter(places), None)
@@ -464,7 +464,7 @@
     def _sweep(self) -> None:
         """Neither who never sends a whole request nor who asked once and stays may hold a place for good."""
         self.sweeper = self.loop.call_later(SWEEP_S, self._sweep)
-        for client in self._over(self.waiting, REQUEST_READ_TIMEOUT_S):
+        for client in self._over(self.reading_clients, REQUEST_READ_TIMEOUT_S):
             client.late()
         for client in self._over(self.ending, LINGER_S):
             client.transport.abort()
@@ -522,7 +522,7 @@
         """Accept no more, close between requests, and wait until nothing is open."""
         self.accept_waiting()  # what waits in the kernel's queue may hold a request that was sent in time
         self.stop_accepting()
-        for client in [*self.idle, *(client for client in self.waiting if not client.begun)]:
+        for client in [*self.idle, *(client for client in self.reading_clients if not client.begun)]:
             client.part()
         if self.connection_count:
             # A proxy with little to do may have been empty for a moment since it was told to stop.
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -323,11 +323,11 @@
             client = await p.client()
             for byte in (b"G", b"E", b"T"):
                 client.writer.write(byte)
-                while not p.frontend.waiting:
+                while not p.frontend.reading_clients:
                     await asyncio.sleep(0.001)
-                since = next(iter(p.frontend.waiting.values()))
+                since = next(iter(p.frontend.reading_clients.values()))
                 await asyncio.sleep(0.01)
-                assert next(iter(p.frontend.waiting.values())) == since
+                assert next(iter(p.frontend.reading_clients.values())) == since
 
     run(test())
 
@@ -342,7 +342,7 @@
             p.frontend.most = 2
             used, silent = await p.client(), await p.client()
             assert (await used.ask("/health/ready", "GET")).status == 200
-            while len(p.frontend.waiting) != 1:
+            while len(p.frontend.reading_clients) != 1:
                 await asyncio.sleep(0.001)
             third = await p.client()
             assert (await third.ask("/health/ready", "GET")).status == 200
