--- a/flintlatch/http/front.py
+++ b/flintlatch/http/front.py
@@ -115,7 +115,9 @@
         if exchange is None:
             self._read(True)
             self.begun = bool(self.buffer)
-            places = self.frontend.reading_clients if self.begun or not self.served else self.frontend.idle
+            places = (
+                self.frontend.reading_clients if self.begun or not self.served else self.frontend.idle_clients
+            )
             self.frontend.put(self, places)
         else:
             # That a client leaves is seen by reading alone: so on to a bound, while its answer is due.
--- a/flintlatch/net/frontend.py
+++ b/flintlatch/net/frontend.py
@@ -141,7 +141,10 @@
             self.frontend.put(self, None)
         else:
             self.frontend.put(
-                self, self.frontend.reading_clients if self.begun or not self.served else self.frontend.idle
+                self,
+                self.frontend.reading_clients
+                if self.begun or not self.served
+                else self.frontend.idle_clients,
             )
         if not self.closing:
             if len(self.queue) >= PIPELINED or len(self.rest) > PIECE:
@@ -314,7 +317,7 @@
         self.loop = asyncio.get_running_loop()
         self.clients: set[Client] = set()
         self.reading_clients: dict[Client, float] = {}  # owe a whole request: new ones, and half-read ones
-        self.idle: dict[Client, float] = {}  # kept between two requests
+        self.idle_clients: dict[Client, float] = {}  # kept between two requests
         self.ending: dict[Client, float] = {}  # have their last answer, and a moment to read it
         self.connection_count = (
             0  # descriptors of clients, those just accepted and those just closing included
@@ -435,9 +438,9 @@
         now = now_ms()
         for places, spared_ms in (
             (self.ending, SPARE_MS),
-            (self.idle, IDLE_FULL_S * 1000),
+            (self.idle_clients, IDLE_FULL_S * 1000),
             (self.reading_clients, SPARE_MS),
-            (self.idle, 0.0),
+            (self.idle_clients, 0.0),
         ):
             client = next(iter(places), None)
             # What the kernel holds already is a request that was sent in time.
@@ -471,7 +474,7 @@
         idle_s = IDLE_FULL_S if self.connection_count > self.most / 2 else IDLE_S
         if self.parting:  # each has its second, however long it was idle before
             idle_s = PARTING_S if now_ms() > self.parting_since + PARTING_S * 1000 else IDLE_S
-        for client in self._over(self.idle, idle_s):
+        for client in self._over(self.idle_clients, idle_s):
             client.part()
         for client in list(self.paused):
             client.gone()
@@ -522,7 +525,7 @@
         """Accept no more, close between requests, and wait until nothing is open."""
         self.accept_waiting()  # what waits in the kernel's queue may hold a request that was sent in time
         self.stop_accepting()
-        for client in [*self.idle, *(client for client in self.reading_clients if not client.begun)]:
+        for client in [*self.idle_clients, *(client for client in self.reading_clients if not client.begun)]:
             client.part()
         if self.connection_count:
             # A proxy with little to do may have been empty for a moment since it was told to stop.
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -57,7 +57,7 @@
                 if kept:
                     sock.sendall(head("before"))
                     (await p.backends[0].calls.get()).reply(b"first")
-                    await until(lambda: client in p.frontend.idle)
+                    await until(lambda: client in p.frontend.idle_clients)
                     sock.sendall(head("crossing"))
                     client.part()
                 else:
@@ -79,7 +79,7 @@
                 client = await served(p)
                 sock.sendall(head("before"))
                 (await p.backends[0].calls.get()).reply(b"first")
-                await until(lambda: client in p.frontend.idle)
+                await until(lambda: client in p.frontend.idle_clients)
                 client.part()
                 sock.sendall(head("crossing"))
                 assert (await read(sock)).endswith(b"first")  # no reset takes the answer along
