--- a/flintlatch/http/front.py
+++ b/flintlatch/http/front.py
@@ -118,12 +118,12 @@
             places = (
                 self.frontend.reading_clients if self.begun or not self.served else self.frontend.idle_clients
             )
-            self.frontend.put(self, places)
+            self.frontend.move_client(self, places)
         else:
             # That a client leaves is seen by reading alone: so on to a bound, while its answer is due.
             most = AHEAD_BYTES if self.body is None or self.body.done else 0
             self._read(len(self.buffer) <= most and (most > 0 or exchange.room > 0))
-            self.frontend.put(self, None)
+            self.frontend.move_client(self, None)
 
     more = read_on  # there is room again for the upload
 
--- a/flintlatch/net/frontend.py
+++ b/flintlatch/net/frontend.py
@@ -87,7 +87,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
         self.frontend.clients.add(self)
-        self.frontend.put(self, self.frontend.reading_clients)
+        self.frontend.move_client(self, self.frontend.reading_clients)
 
     def eof_received(self) -> bool | None:
         """It has gone, also if answers that it does not read keep the transport open for longer."""
@@ -138,9 +138,9 @@
         if self.places is self.frontend.ending or self.transport.is_closing():
             return
         if self.request_id is not None or self.queue:
-            self.frontend.put(self, None)
+            self.frontend.move_client(self, None)
         else:
-            self.frontend.put(
+            self.frontend.move_client(
                 self,
                 self.frontend.reading_clients
                 if self.begun or not self.served
@@ -302,7 +302,7 @@
         self.transport.resume_reading()
         self.frontend.paused.discard(self)
         self.transport.write_eof()
-        self.frontend.put(self, self.frontend.ending)
+        self.frontend.move_client(self, self.frontend.ending)
 
 
 class Frontend:
@@ -361,7 +361,7 @@
         """Whether each answer closes its connection."""
         return self.stopping or self.away
 
-    def put(self, client: Client, places: dict[Client, float] | None) -> None:
+    def move_client(self, client: Client, places: dict[Client, float] | None) -> None:
         if places is self.reading_clients and client.places is places:
             return  # its time runs on: a byte now and then must not win it more
         if client.places is not None:
@@ -410,7 +410,7 @@
                 self._accept_later()
                 return
             if victim is not None:  # only now that somebody needs its place
-                self.put(victim, None)
+                self.move_client(victim, None)
                 victim.transport.abort() if victim.closing else victim.transport.close()
             self.connection_count += 1
             if self.on_connection_count is not None:
@@ -451,7 +451,7 @@
         return None
 
     def lost(self, client: Client) -> None:
-        self.put(client, None)
+        self.move_client(client, None)
         self.clients.discard(client)
         self.paused.discard(client)
         self._freed()
