--- a/flintlatch/http/front.py
+++ b/flintlatch/http/front.py
@@ -251,7 +251,7 @@
                 lines.append((b"Transfer-Encoding", b"chunked"))
             else:
                 self.keep = False
-        self.keep = self.keep and not self.front.parting
+        self.keep = self.keep and not self.front.keep_alive_disabled
         if not self.keep:
             lines.append((b"Connection", b"close"))
         elif self.minor == 0:
@@ -292,7 +292,7 @@
         """One of the proxy's own."""
         if self.transport.is_closing():
             return
-        keep = self.keep = self.keep and not self.frontend.parting
+        keep = self.keep = self.keep and not self.frontend.keep_alive_disabled
         phrase = PHRASES.get(answer.status, b"")
         head = b"HTTP/1.1 %d %b\r\n%bContent-Length: %d\r\n%b\r\n" % (
             answer.status,
--- a/flintlatch/net/frontend.py
+++ b/flintlatch/net/frontend.py
@@ -270,7 +270,7 @@
         if self.transport.is_closing():
             return
         # What was sent ahead on this connection is taken too: it closes after the last of it.
-        keep = self.keep and not (self.frontend.parting and not self.queue and not self.rest)
+        keep = self.keep and not (self.frontend.keep_alive_disabled and not self.queue and not self.rest)
         self.transport.write(
             b"HTTP/1.1 %d %b\r\n%bcontent-length: %d\r\n%b\r\n%b"
             % (
@@ -357,7 +357,7 @@
         return here and not self.away and self.engine.backends.active() > 0
 
     @property
-    def parting(self) -> bool:
+    def keep_alive_disabled(self) -> bool:
         """Whether each answer closes its connection."""
         return self.stopping or self.away
 
@@ -472,7 +472,7 @@
         for client in self._over(self.ending, LINGER_S):
             client.transport.abort()
         idle_s = IDLE_FULL_S if self.connection_count > self.most / 2 else IDLE_S
-        if self.parting:  # each has its second, however long it was idle before
+        if self.keep_alive_disabled:  # each has its second, however long it was idle before
             idle_s = PARTING_S if now_ms() > self.parting_since + PARTING_S * 1000 else IDLE_S
         for client in self._over(self.idle_clients, idle_s):
             client.part()
--- a/flintlatch/ops/staff.py
+++ b/flintlatch/ops/staff.py
@@ -22,7 +22,7 @@
 
     def takes_clients(self) -> bool:
         frontend = self.frontend
-        return bool(frontend.socks) and not frontend.parting
+        return bool(frontend.socks) and not frontend.keep_alive_disabled
 
     def stats(self) -> str:
         engine = self.engine
--- a/flintlatch/platform/front.py
+++ b/flintlatch/platform/front.py
@@ -212,7 +212,7 @@
 
     def _stays(self) -> bool:
         """Whether the connection outlives this answer; what it was told holds."""
-        self.keep = self.keep and not (self.frontend.parting and not self.queue and not self.rest)
+        self.keep = self.keep and not (self.frontend.keep_alive_disabled and not self.queue and not self.rest)
         return self.keep
 
     def pieces(self, pieces: list[Piece], size: int) -> None:
