--- a/flintlatch/__main__.py
+++ b/flintlatch/__main__.py
@@ -134,12 +134,12 @@
     await stop.wait()
     log("stopping")
     if succession.succeeded:
-        frontend.stop_keeping(served_on=True)
+        frontend.disable_keep_alive(served_on=True)
         succession.close()
         frontend.stop_accepting()
         await asyncio.sleep(KEEP_ON_S)
     else:
-        frontend.stop_keeping()
+        frontend.disable_keep_alive()
         await asyncio.sleep(ACCEPT_ON_S)
         succession.close()
     await frontend.finish(max(c.deadline_ms for c in config.settings.classes) / 1000)
--- a/flintlatch/net/frontend.py
+++ b/flintlatch/net/frontend.py
@@ -500,7 +500,7 @@
 
     # Stopping
 
-    def stop_keeping(self, served_on: bool = False) -> None:
+    def disable_keep_alive(self, served_on: bool = False) -> None:
         """Unready from now on, unless others serve at the same address. Connections are accepted and served
         still, and closed after each answer."""
         self.stopping, self.served_on, self.parting_since = True, served_on, now_ms()
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -65,7 +65,7 @@
                     client.late()
                 call = await p.backends[0].calls.get()
                 assert call.headers["x-call-id"] == "crossing"
-                p.frontend.stop_keeping()
+                p.frontend.disable_keep_alive()
                 call.reply(b"crossed")
                 assert (await read(sock)).endswith(b"crossed")
 
@@ -99,7 +99,7 @@
                 sock.sendall(request[:20])
                 client = await served(p)
                 await until(lambda: client.begun)
-                p.frontend.stop_keeping()
+                p.frontend.disable_keep_alive()
                 stop = asyncio.create_task(p.frontend.finish(0.3))
                 await until(lambda: not p.frontend.socks)
                 sock.sendall(request[20:])
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -176,7 +176,7 @@
             client.send(x_call_id="c0")
             client.send(x_call_id="c1")
             call = await p.backends[0].calls.get()
-            p.frontend.stop_keeping()
+            p.frontend.disable_keep_alive()
             call.reply(b"0")
             assert (await client.reply()).body == b"0"
             (await p.backends[0].calls.get()).reply(b"1")
@@ -448,7 +448,7 @@
             busy.send()
             assert (await idle.ask("/health/ready", "GET")).status == 200
             call = await p.backends[0].calls.get()
-            p.frontend.stop_keeping()
+            p.frontend.disable_keep_alive()
             late = await Client.open(p.frontend.address)
             reply = await late.ask("/health/ready", "GET")
             assert (reply.status, reply.headers["connection"]) == (503, "close")
@@ -475,7 +475,7 @@
         async with proxy() as p:
             first = await p.client()
             assert (await first.ask("/health/ready", "GET")).status == 200
-            p.frontend.stop_keeping()
+            p.frontend.disable_keep_alive()
             first.close()
             while p.frontend.connection_count:
                 await asyncio.sleep(0.001)
@@ -498,7 +498,7 @@
 def test_a_stop_serves_what_waits_in_the_queue_of_connections() -> None:
     async def test() -> None:
         async with proxy() as p:
-            p.frontend.stop_keeping()
+            p.frontend.disable_keep_alive()
             p.frontend._accept_off()  # busy elsewhere
             late = await Client.open(p.frontend.address)
             late.send()
