--- a/flintlatch/__main__.py
+++ b/flintlatch/__main__.py
@@ -134,7 +134,7 @@
     await stop.wait()
     log("stopping")
     if succession.succeeded:
-        frontend.disable_keep_alive(served_on=True)
+        frontend.disable_keep_alive(address_still_served=True)
         succession.close()
         frontend.stop_accepting()
         await asyncio.sleep(KEEP_ON_S)
--- a/flintlatch/fleet/worker.py
+++ b/flintlatch/fleet/worker.py
@@ -213,7 +213,7 @@
         if self.spread is not None:
             self.spread.leave()
         # Who asks on a connection of before hears of the address, not of this process.
-        frontend.disable_keep_alive(served_on=not last)
+        frontend.disable_keep_alive(address_still_served=not last)
         if not last:
             frontend.stop_accepting()
         idle = self.loop.create_task(asyncio.sleep(self.config.drain.idle_s))
--- a/flintlatch/net/frontend.py
+++ b/flintlatch/net/frontend.py
@@ -327,7 +327,7 @@
         self.stopping = self.accepting = False
         self.away = False  # operators send its clients away
         self.parting_since = 0.0
-        self.served_on = False  # stopping, and others serve at the same address
+        self.address_still_served = False  # stopping, and others serve at the same address
         self.empty = asyncio.Event()
         self.socks: list[socket.socket] = []
         self.address = ""  # where it listens, the first if on several
@@ -353,7 +353,7 @@
         self._sweep()
 
     def ready(self) -> bool:
-        here = not self.stopping or self.served_on
+        here = not self.stopping or self.address_still_served
         return here and not self.away and self.engine.backends.active() > 0
 
     @property
@@ -500,10 +500,10 @@
 
     # Stopping
 
-    def disable_keep_alive(self, served_on: bool = False) -> None:
+    def disable_keep_alive(self, address_still_served: bool = False) -> None:
         """Unready from now on, unless others serve at the same address. Connections are accepted and served
         still, and closed after each answer."""
-        self.stopping, self.served_on, self.parting_since = True, served_on, now_ms()
+        self.stopping, self.address_still_served, self.parting_since = True, address_still_served, now_ms()
 
     def accept_waiting(self) -> None:
         """Take all connections that wait in the kernel's queue, whatever the share of one turn; no more than
