--- a/flintlatch/fleet/worker.py
+++ b/flintlatch/fleet/worker.py
@@ -222,7 +222,7 @@
         # `finish` looks at both.
         await self._unless_over(self.loop.create_task(frontend.finish(self.config.drain.limit_s)))
         if self.limit.is_set():
-            engine.give_up_all()
+            engine.fail_all()
             await asyncio.sleep(LAST_WORDS_S / 2)
         engine.close()
         self.ended.set()
--- a/flintlatch/net/engine.py
+++ b/flintlatch/net/engine.py
@@ -222,7 +222,7 @@
             self._answer(held, Answer(504))
             self._raise(ClientGone(held.request.id))
 
-    def give_up_all(self) -> None:
+    def fail_all(self) -> None:
         """The proxy ends: whatever has no answer yet gets its final one now."""
         for held in list(self.requests.values()):
             self._deadline(held)
--- a/flintlatch/net/frontend.py
+++ b/flintlatch/net/frontend.py
@@ -536,7 +536,7 @@
             except TimeoutError:
                 log(f"stop: {self.connection_count} client connections were still open")
                 # What came on one of them after the stop, or is passed on still, gets its end before ours.
-                self.engine.give_up_all()
+                self.engine.fail_all()
                 await asyncio.sleep(FLUSH_S)
         if self.sweeper is not None:
             self.sweeper.cancel()
