--- a/flintlatch/http/front.py
+++ b/flintlatch/http/front.py
@@ -64,7 +64,7 @@
         whole = self.body is not None and self.body.done
         if self.closing or self.exchange is None or not whole:
             return False
-        self.half_closed, self.keep = True, False
+        self.half_closed, self.keep_alive = True, False
         return True
 
     def pause_writing(self) -> None:
@@ -179,7 +179,7 @@
         self.asked = (b"", b"")
         head = read_request_head(raw, limits)
         self.asked = (head.method, head.target)
-        self.keep, self.minor = head.keep, head.minor
+        self.keep_alive, self.minor = head.keep, head.minor
         if head.target.partition(b"?")[0] == READY_PATH and head.method in (b"GET", b"HEAD"):
             self.write(Answer(200 if self.frontend.ready() else 503))
             return not self.closing
@@ -217,7 +217,7 @@
 
     def _refuse(self, error: Malformed) -> None:
         """What follows can't be told apart, or is not wanted: answer, and close."""
-        self.keep = False
+        self.keep_alive = False
         if self.exchange is not None:
             self.exchange.client_faulty(now_ms() / 1000, error.status)
         else:
@@ -241,7 +241,8 @@
         exchange = self.exchange
         assert exchange is not None
         if not exchange.upload.complete:
-            self.keep = False  # what follows of the upload is dropped, and can't be told from a next request
+            # what follows of the upload is dropped, and can't be told from a next request
+            self.keep_alive = False
         lines = to_client(head.fields, self.minor, self.front.origin.via)
         if not head.bodyless:
             if head.length is not None:
@@ -250,9 +251,9 @@
                 self.chunked = True
                 lines.append((b"Transfer-Encoding", b"chunked"))
             else:
-                self.keep = False
-        self.keep = self.keep and not self.front.keep_alive_disabled
-        if not self.keep:
+                self.keep_alive = False
+        self.keep_alive = self.keep_alive and not self.front.keep_alive_disabled
+        if not self.keep_alive:
             lines.append((b"Connection", b"close"))
         elif self.minor == 0:
             lines.append((b"Connection", b"keep-alive"))
@@ -270,7 +271,7 @@
     def own(self, answer: Own) -> None:
         exchange = self.exchange
         if exchange is not None and not exchange.upload.complete:
-            self.keep = False
+            self.keep_alive = False
         wait = b""
         if answer.status == 503 and answer.retry_after_ms > 0:
             # Whole seconds, RFC 9110 section 10.2.3; earlier than it was told, nobody should come.
@@ -292,7 +293,7 @@
         """One of the proxy's own."""
         if self.transport.is_closing():
             return
-        keep = self.keep = self.keep and not self.frontend.keep_alive_disabled
+        keep = self.keep_alive = self.keep_alive and not self.frontend.keep_alive_disabled
         phrase = PHRASES.get(answer.status, b"")
         head = b"HTTP/1.1 %d %b\r\n%bContent-Length: %d\r\n%b\r\n" % (
             answer.status,
@@ -312,7 +313,7 @@
         self.served = True
         if self.transport.is_closing():
             return
-        if not self.keep:
+        if not self.keep_alive:
             if not self.closing:
                 self.finish()
             return
--- a/flintlatch/net/frontend.py
+++ b/flintlatch/net/frontend.py
@@ -70,7 +70,7 @@
         self.parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
         self.queue: deque[Message | Bad] = deque()
         self.request_id: str | None = None  # of the request in the engine's hands
-        self.keep = True
+        self.keep_alive = True
         self.closing = False  # nothing more is read
         self.places: dict[Client, float] | None = None  # where the frontend keeps it, see there
         self.served, self.bad, self.dropped = False, 0, 0
@@ -237,15 +237,15 @@
     def _handle(self, message: Message | Bad) -> None:
         try:
             if isinstance(message, Bad):
-                self.keep = False
+                self.keep_alive = False
                 raise message
-            self.keep = message.keep
+            self.keep_alive = message.keep
             self._take(message)
             self.bad = 0
         except Bad as bad:
             self.bad += 1
             if self.bad >= BAD_IN_A_ROW:
-                self.keep = False
+                self.keep_alive = False
             self.write(Answer(bad.status))
 
     def _take(self, message: Message) -> None:
@@ -270,7 +270,9 @@
         if self.transport.is_closing():
             return
         # What was sent ahead on this connection is taken too: it closes after the last of it.
-        keep = self.keep and not (self.frontend.keep_alive_disabled and not self.queue and not self.rest)
+        keep = self.keep_alive and not (
+            self.frontend.keep_alive_disabled and not self.queue and not self.rest
+        )
         self.transport.write(
             b"HTTP/1.1 %d %b\r\n%bcontent-length: %d\r\n%b\r\n%b"
             % (
--- a/flintlatch/platform/front.py
+++ b/flintlatch/platform/front.py
@@ -134,8 +134,8 @@
         if not coming.long(len(self._body)):
             return
         assert self.parser is not None
-        method, self.keep = self.parser.get_method(), self.parser.should_keep_alive()
-        message = Message(method, self._target, self._headers, b"", self.keep, now_ms())
+        method, self.keep_alive = self.parser.get_method(), self.parser.should_keep_alive()
+        message = Message(method, self._target, self._headers, b"", self.keep_alive, now_ms())
         try:
             if method == b"GET":
                 raise Bad(400)
@@ -183,7 +183,7 @@
         if exchange is None or self.closing:
             super()._bad(status)
             return
-        self.closing, self.rest, self.keep = True, b"", False
+        self.closing, self.rest, self.keep_alive = True, b"", False
         exchange.client_faulty(now_ms() / 1000, status)
 
     # The client's side of an exchange
@@ -195,7 +195,7 @@
         exchange = self.exchange
         assert exchange is not None
         if not exchange.upload.complete:
-            self.keep = False  # what follows of the upload can't be told from a next request
+            self.keep_alive = False  # what follows of the upload can't be told from a next request
         self.chunked = head.length is None
         if head.length is None or head.length > MAX_BODY:
             # Left to itself the kernel takes 4 MB, and asks for more only when a third has gone: a client
@@ -212,8 +212,10 @@
 
     def _stays(self) -> bool:
         """Whether the connection outlives this answer; what it was told holds."""
-        self.keep = self.keep and not (self.frontend.keep_alive_disabled and not self.queue and not self.rest)
-        return self.keep
+        self.keep_alive = self.keep_alive and not (
+            self.frontend.keep_alive_disabled and not self.queue and not self.rest
+        )
+        return self.keep_alive
 
     def pieces(self, pieces: list[Piece], size: int) -> None:
         self.transport.writelines([b"%x\r\n" % size, *pieces, b"\r\n"] if self.chunked else pieces)
@@ -226,7 +228,7 @@
     def own(self, answer: Own) -> None:
         exchange = self.exchange
         if exchange is not None and not exchange.upload.complete:
-            self.keep = False
+            self.keep_alive = False
         wait = b""
         if answer.retry_after_ms > 0:
             wait = b"retry-after: %.3f\r\n" % (answer.retry_after_ms / 1000)
@@ -243,7 +245,7 @@
     def _answered(self) -> None:
         self.exchange = self.request_id = None
         self.served = True
-        if not self.keep:
+        if not self.keep_alive:
             if not self.transport.is_closing():
                 self.finish()
         else:
