--- a/flintlatch/http/front.py
+++ b/flintlatch/http/front.py
@@ -114,9 +114,11 @@
         exchange = self.exchange
         if exchange is None:
             self._read(True)
-            self.begun = bool(self.buffer)
+            self.request_started = bool(self.buffer)
             places = (
-                self.frontend.reading_clients if self.begun or not self.served else self.frontend.idle_clients
+                self.frontend.reading_clients
+                if self.request_started or not self.served
+                else self.frontend.idle_clients
             )
             self.frontend.move_client(self, places)
         else:
@@ -225,7 +227,7 @@
             self.own(Own(error.status, 1000.0 if error.status == 503 else 0.0))
 
     def late(self) -> None:
-        if self.begun:
+        if self.request_started:
             self._refuse(Malformed(408, "a head that does not come"))
         else:
             self.transport.close()
--- a/flintlatch/net/frontend.py
+++ b/flintlatch/net/frontend.py
@@ -75,7 +75,7 @@
         self.places: dict[Client, float] | None = None  # where the frontend keeps it, see there
         self.served, self.bad, self.dropped = False, 0, 0
         self.rest = b""  # read, not parsed yet
-        self.begun = False  # a request has begun that is not here whole
+        self.request_started = False  # a request has begun that is not here whole
         self.moved = 0.0  # when something of it last came
         self._reset()
 
@@ -143,7 +143,7 @@
             self.frontend.move_client(
                 self,
                 self.frontend.reading_clients
-                if self.begun or not self.served
+                if self.request_started or not self.served
                 else self.frontend.idle_clients,
             )
         if not self.closing:
@@ -178,12 +178,12 @@
         """What follows on this connection can't be told apart any more, so it is not read."""
         if not self.closing:
             self.closing, self.rest = True, b""
-            self.begun = False
+            self.request_started = False
             self.queue.append(Bad(status))
 
     def late(self) -> None:
         """Its time to send a whole request is over."""
-        if not self.begun:
+        if not self.request_started:
             self.part()
         elif not self._head_done or now_ms() - self.moved > MOVE_S * 1000:
             self._bad(408)
@@ -192,7 +192,7 @@
     # httptools calls these
 
     def on_message_begin(self) -> None:
-        self.begun = True
+        self.request_started = True
 
     def on_url(self, url: bytes) -> None:
         self._target += url
@@ -229,7 +229,7 @@
         assert self.parser is not None
         method, keep = self.parser.get_method(), self.parser.should_keep_alive()
         self.queue.append(Message(method, self._target, self._headers, bytes(self._body), keep, now_ms()))
-        self.begun = False
+        self.request_started = False
         self._reset()
 
     # Answers
@@ -527,7 +527,10 @@
         """Accept no more, close between requests, and wait until nothing is open."""
         self.accept_waiting()  # what waits in the kernel's queue may hold a request that was sent in time
         self.stop_accepting()
-        for client in [*self.idle_clients, *(client for client in self.reading_clients if not client.begun)]:
+        for client in [
+            *self.idle_clients,
+            *(client for client in self.reading_clients if not client.request_started),
+        ]:
             client.part()
         if self.connection_count:
             # A proxy with little to do may have been empty for a moment since it was told to stop.
--- a/flintlatch/platform/front.py
+++ b/flintlatch/platform/front.py
@@ -122,7 +122,7 @@
         if exchange is None:
             super().on_message_complete()
             return
-        self.begun = False
+        self.request_started = False
         self._reset()
         exchange.came_all(now_ms() / 1000)
 
