--- a/flintlatch/http/front.py
+++ b/flintlatch/http/front.py
@@ -117,7 +117,7 @@
             self.request_started = bool(self.buffer)
             places = (
                 self.frontend.reading_clients
-                if self.request_started or not self.served
+                if self.request_started or not self.response_sent
                 else self.frontend.idle_clients
             )
             self.frontend.move_client(self, places)
@@ -305,14 +305,14 @@
             b"" if keep else b"Connection: close\r\n",
         )
         self.transport.write(head + answer.body)
-        self.served = True
+        self.response_sent = True
         if not keep:
             self.finish()
 
     def _answered(self) -> None:
         """Its answer is out whole, or the proxy's own in its place."""
         self.exchange = self.body = None
-        self.served = True
+        self.response_sent = True
         if self.transport.is_closing():
             return
         if not self.keep_alive:
--- a/flintlatch/net/frontend.py
+++ b/flintlatch/net/frontend.py
@@ -73,7 +73,7 @@
         self.keep_alive = True
         self.closing = False  # nothing more is read
         self.places: dict[Client, float] | None = None  # where the frontend keeps it, see there
-        self.served, self.bad, self.dropped = False, 0, 0
+        self.response_sent, self.bad, self.dropped = False, 0, 0
         self.rest = b""  # read, not parsed yet
         self.request_started = False  # a request has begun that is not here whole
         self.moved = 0.0  # when something of it last came
@@ -143,7 +143,7 @@
             self.frontend.move_client(
                 self,
                 self.frontend.reading_clients
-                if self.request_started or not self.served
+                if self.request_started or not self.response_sent
                 else self.frontend.idle_clients,
             )
         if not self.closing:
@@ -284,7 +284,7 @@
                 answer.body,
             )
         )
-        self.served = True
+        self.response_sent = True
         if not keep:
             self.finish()
         elif self.transport.get_write_buffer_size() > UNREAD_ANSWERS:
--- a/flintlatch/platform/front.py
+++ b/flintlatch/platform/front.py
@@ -244,7 +244,7 @@
 
     def _answered(self) -> None:
         self.exchange = self.request_id = None
-        self.served = True
+        self.response_sent = True
         if not self.keep_alive:
             if not self.transport.is_closing():
                 self.finish()
