--- a/flintlatch/http/front.py
+++ b/flintlatch/http/front.py
@@ -226,7 +226,7 @@
             self.front.engine.refused(Refusal(error.status, error.reason, *self.asked))
             self.own(Own(error.status, 1000.0 if error.status == 503 else 0.0))
 
-    def late(self) -> None:
+    def on_read_timeout(self) -> None:
         if self.request_started:
             self._refuse(Malformed(408, "a head that does not come"))
         else:
--- a/flintlatch/net/frontend.py
+++ b/flintlatch/net/frontend.py
@@ -181,7 +181,7 @@
             self.request_started = False
             self.queue.append(Bad(status))
 
-    def late(self) -> None:
+    def on_read_timeout(self) -> None:
         """Its time to send a whole request is over."""
         if not self.request_started:
             self.part()
@@ -470,7 +470,7 @@
         """Neither who never sends a whole request nor who asked once and stays may hold a place for good."""
         self.sweeper = self.loop.call_later(SWEEP_S, self._sweep)
         for client in self._over(self.reading_clients, REQUEST_READ_TIMEOUT_S):
-            client.late()
+            client.on_read_timeout()
         for client in self._over(self.ending, LINGER_S):
             client.transport.abort()
         idle_s = IDLE_FULL_S if self.connection_count > self.most / 2 else IDLE_S
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -62,7 +62,7 @@
                     client.part()
                 else:
                     sock.sendall(head("crossing"))
-                    client.late()
+                    client.on_read_timeout()
                 call = await p.backends[0].calls.get()
                 assert call.headers["x-call-id"] == "crossing"
                 p.frontend.disable_keep_alive()
