--- a/flintlatch/http/front.py
+++ b/flintlatch/http/front.py
@@ -307,7 +307,7 @@
         self.transport.write(head + answer.body)
         self.response_sent = True
         if not keep:
-            self.finish()
+            self.close_lingering()
 
     def _answered(self) -> None:
         """Its answer is out whole, or the proxy's own in its place."""
@@ -317,12 +317,12 @@
             return
         if not self.keep_alive:
             if not self.closing:
-                self.finish()
+                self.close_lingering()
             return
         self.frontend.loop.call_soon(self.read_on)
 
-    def finish(self) -> None:
-        super().finish()
+    def close_lingering(self) -> None:
+        super().close_lingering()
         self.buffer.clear()
         self.reading = True
 
--- a/flintlatch/net/frontend.py
+++ b/flintlatch/net/frontend.py
@@ -286,7 +286,7 @@
         )
         self.response_sent = True
         if not keep:
-            self.finish()
+            self.close_lingering()
         elif self.transport.get_write_buffer_size() > UNREAD_ANSWERS:
             self.transport.abort()
 
@@ -294,9 +294,9 @@
         """Close between two requests, unless the next one has just come: that one is answered first. What
         comes after this is dropped, and its client asks again elsewhere."""
         if not self.transport.is_closing() and not unread(self.transport):
-            self.finish()
+            self.close_lingering()
 
-    def finish(self) -> None:
+    def close_lingering(self) -> None:
         """Close after what is written. Closed at once with bytes unread, the kernel would reset the
         connection and the client could lose its answer; so the client gets a moment to close first."""
         self.closing, self.rest = True, b""
--- a/flintlatch/platform/front.py
+++ b/flintlatch/platform/front.py
@@ -247,7 +247,7 @@
         self.response_sent = True
         if not self.keep_alive:
             if not self.transport.is_closing():
-                self.finish()
+                self.close_lingering()
         else:
             self._next()
 
@@ -256,9 +256,9 @@
         if not self.transport.is_closing() and not self.closing:
             self._go_on()
 
-    def finish(self) -> None:
+    def close_lingering(self) -> None:
         self.coming = None
-        super().finish()
+        super().close_lingering()
 
 
 class PlatformFrontend(Frontend):
