--- a/flintlatch/http/front.py
+++ b/flintlatch/http/front.py
@@ -51,7 +51,7 @@
         self.closing = True
         self.buffer.clear()
         exchange, self.exchange = self.exchange, None
-        self.frontend.lost(self)
+        self.frontend.on_client_lost(self)
         if exchange is not None:
             exchange.client_left(now_ms() / 1000)
 
--- a/flintlatch/net/frontend.py
+++ b/flintlatch/net/frontend.py
@@ -108,7 +108,7 @@
         self.closing = True
         self.queue.clear()
         self.rest, self.parser = b"", None  # it holds this connection in turn: nothing should wait for the GC
-        self.frontend.lost(self)
+        self.frontend.on_client_lost(self)
         if self.request_id is not None:
             self.frontend.engine.client_gone(self.request_id)
             self.request_id = None
@@ -452,7 +452,7 @@
                 return client
         return None
 
-    def lost(self, client: Client) -> None:
+    def on_client_lost(self, client: Client) -> None:
         self.move_client(client, None)
         self.clients.discard(client)
         self.paused.discard(client)
