--- a/flintlatch/fleet/worker.py
+++ b/flintlatch/fleet/worker.py
@@ -251,7 +251,7 @@
                 "in_flight": engine.open_requests(),
                 "clients": frontend.connection_count,
                 "rss_mb": round(resident_mb(), 1),
-                "rev": engine.list_rev,
+                "rev": engine.list_revision,
                 "nodes": len(engine.backends.backends),
                 "access_log": self._access_log(),
                 "proxies": self.heard.used.proxies if self.heard is not None else None,
--- a/flintlatch/net/engine.py
+++ b/flintlatch/net/engine.py
@@ -124,7 +124,7 @@
         self.requests: dict[str, PendingRequest] = {}
         self.known: dict[str, float] = {}  # ids of late, with the time at which they came, oldest first
         self.longest_ms = max(c.deadline_ms for c in settings.classes)
-        self.list_rev = 0  # version of the list held
+        self.list_revision = 0  # version of the list held
         self.list_complaint = ""  # why the last call for it failed
         self.news: list[ServerList] = []
         self.events: list[Event] = []
@@ -149,7 +149,7 @@
             raise Malformed("list: empty, and the one held is not")
         self.list_complaint = ""
         # The pools hear of a drain here and now, before anything else of this turn can be written.
-        self.list_rev = listing.rev
+        self.list_revision = listing.rev
         self.backends.update(listing.targets, listing.whole)
         kind = kind or (ListKind.FULL if listing.whole else ListKind.CHANGES)
         self.news.append(ServerList(kind, tuple(target.info for target in listing.targets)))
