--- a/flintlatch/fleet/worker.py
+++ b/flintlatch/fleet/worker.py
@@ -165,7 +165,7 @@
             self.heard = Heard(number, place, self.config.parts_alone(), clock, log)
             for word in message.get("words", ()):
                 self.heard.on_word(word)
-            self.engine.agreed = self.heard.due
+            self.engine.agreed_events = self.heard.due
             if self.config.shared:
                 self.say_limits()
             if self.config.verdicts is not None:
--- a/flintlatch/net/engine.py
+++ b/flintlatch/net/engine.py
@@ -133,7 +133,7 @@
         self.life = 0  # of the module; a new one starts after it broke
         # What others agreed on, as events that are due: asked before each step, so that the end of a word is
         # tested when it is used.
-        self.agreed: Callable[[int], list[Event]] | None = None  # given the module's life
+        self.agreed_events: Callable[[int], list[Event]] | None = None  # given the module's life
         self.observer: Callable[[PendingRequest], None] | None = (
             None  # hears of each request when all of it is over
         )
@@ -268,7 +268,7 @@
     def _step(self) -> None:
         self.turn = None
         batch: list[Event] = [*self.news, *self.events]
-        if self.agreed is not None and (words := self.agreed(self.life)):
+        if self.agreed_events is not None and (words := self.agreed_events(self.life)):
             batch = [*words, *batch]
             for word in words:
                 if isinstance(word, Proxies):  # a module that takes over after a fault begins there
