--- a/flintlatch/fleet/observe.py
+++ b/flintlatch/fleet/observe.py
@@ -31,7 +31,7 @@
             engine.exchange_observer = self.on_exchange
             engine.refusal_observer = self.on_refusal
         else:
-            engine.observer = self.on_held
+            engine.request_observer = self.on_held
 
     def on_exchange(self, exchange: Exchange, attempts: list[Attempt]) -> None:
         ask, began = exchange.ask, exchange.began_s
--- a/flintlatch/net/engine.py
+++ b/flintlatch/net/engine.py
@@ -134,7 +134,7 @@
         # What others agreed on, as events that are due: asked before each step, so that the end of a word is
         # tested when it is used.
         self.agreed_events: Callable[[int], list[Event]] | None = None  # given the module's life
-        self.observer: Callable[[PendingRequest], None] | None = (
+        self.request_observer: Callable[[PendingRequest], None] | None = (
             None  # hears of each request when all of it is over
         )
         self.on_end: Callable[[int, int], None] = lambda cls, status: None  # of each final answer, at once
@@ -290,8 +290,8 @@
             # sending is owed its outcome.
             if self.requests.get(held.request.id) is held and all(attempt.ended for attempt in held.attempts):
                 del self.requests[held.request.id]
-                if self.observer is not None:
-                    self.observer(held)
+                if self.request_observer is not None:
+                    self.request_observer(held)
 
     def _module_broke(self) -> None:
         """What a module that raised still knows can't be trusted: its requests fail, a new one takes over."""
