--- a/flintlatch/net/engine.py
+++ b/flintlatch/net/engine.py
@@ -126,7 +126,7 @@
         self.longest_ms = max(c.deadline_ms for c in settings.classes)
         self.list_revision = 0  # version of the list held
         self.list_complaint = ""  # why the last call for it failed
-        self.news: list[ServerList] = []
+        self.list_events: list[ServerList] = []
         self.events: list[Event] = []
         self.ended: list[PendingRequest] = []  # to be forgotten once the module has been told of their end
         self.turn: asyncio.Handle | None = None
@@ -152,7 +152,7 @@
         self.list_revision = listing.rev
         self.backends.update(listing.targets, listing.whole)
         kind = kind or (ListKind.FULL if listing.whole else ListKind.CHANGES)
-        self.news.append(ServerList(kind, tuple(target.info for target in listing.targets)))
+        self.list_events.append(ServerList(kind, tuple(target.info for target in listing.targets)))
         self._wake()
 
     def watch_agent(self, known: Listing) -> None:
@@ -171,7 +171,7 @@
             log(f"list: {reason}")
         self.list_complaint = reason
         if self.settings.ask_for_list:
-            self.news.append(ServerList(ListKind.FAILED))
+            self.list_events.append(ServerList(ListKind.FAILED))
             self._wake()
 
     def move_list(self, address: str) -> None:
@@ -267,13 +267,13 @@
 
     def _step(self) -> None:
         self.turn = None
-        batch: list[Event] = [*self.news, *self.events]
+        batch: list[Event] = [*self.list_events, *self.events]
         if self.agreed_events is not None and (words := self.agreed_events(self.life)):
             batch = [*words, *batch]
             for word in words:
                 if isinstance(word, Proxies):  # a module that takes over after a fault begins there
                     self.settings = replace(self.settings, proxies=max(word.proxies, 1), me=word.me)
-        self.news, self.events = [], []
+        self.list_events, self.events = [], []
         ended, self.ended = self.ended, []
         try:
             actions = self.balancer.step(now_ms(), batch)
@@ -299,7 +299,7 @@
         self.life += 1
         self.balancer = Balancer(self.settings, self.seed + self.life)
         entries = tuple(backend.target.info for backend in self.backends.backends.values())
-        self.news, self.events, self.ended = [ServerList(ListKind.SAVED, entries)], [], []
+        self.list_events, self.events, self.ended = [ServerList(ListKind.SAVED, entries)], [], []
         # One that breaks at once, again and again, must leave time for answering.
         self.turn = self.loop.call_later(MODULE_REST_S, self._step)
         # An answer may bring the next request of its connection, which is the new module's.
