--- a/flintlatch/net/engine.py
+++ b/flintlatch/net/engine.py
@@ -278,7 +278,7 @@
         try:
             actions = self.balancer.step(now_ms(), batch)
         except Exception:
-            self._module_broke()
+            self._restart_decision_module()
             return
         for action in actions:
             try:
@@ -293,7 +293,7 @@
                 if self.request_observer is not None:
                     self.request_observer(held)
 
-    def _module_broke(self) -> None:
+    def _restart_decision_module(self) -> None:
         """What a module that raised still knows can't be trusted: its requests fail, a new one takes over."""
         log(f"the decision module broke\n{traceback.format_exc()}")
         self.life += 1
--- a/flintlatch/net/relay.py
+++ b/flintlatch/net/relay.py
@@ -295,8 +295,8 @@
             if self.exchange_observer is not None:
                 self.exchange_observer(exchange, held.attempts if held is not None else [])
 
-    def _module_broke(self) -> None:
-        super()._module_broke()
+    def _restart_decision_module(self) -> None:
+        super()._restart_decision_module()
         for name, exchange in list(self.exchanges.items()):
             if name not in self.requests and exchange.phase is not Phase.GATHERING:
                 exchange.answer(now_ms() / 1000, Own(500))
--- a/tests/http/test_long.py
+++ b/tests/http/test_long.py
@@ -432,7 +432,7 @@
             reader, writer = await made.ask(b"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n\r\nab")
             while not made.engine.exchanges:
                 await asyncio.sleep(0)
-            made.engine._module_broke()
+            made.engine._restart_decision_module()
             writer.write(b"cd")
             assert (await reader.readuntil(b"ok")).startswith(b"HTTP/1.1 200 ")
             writer.close()
