--- a/flintlatch/http/front.py
+++ b/flintlatch/http/front.py
@@ -223,7 +223,7 @@
         if self.exchange is not None:
             self.exchange.client_faulty(now_ms() / 1000, error.status)
         else:
-            self.front.engine.refused(Refusal(error.status, error.reason, *self.asked))
+            self.front.engine.report_refusal(Refusal(error.status, error.reason, *self.asked))
             self.own(Own(error.status, 1000.0 if error.status == 503 else 0.0))
 
     def on_read_timeout(self) -> None:
--- a/flintlatch/net/relay.py
+++ b/flintlatch/net/relay.py
@@ -191,7 +191,7 @@
         if held is None or all(attempt.ended for attempt in held.attempts):
             self._drop(name, held)
 
-    def refused(self, refusal: Refusal) -> None:
+    def report_refusal(self, refusal: Refusal) -> None:
         """A front has turned a request away before it was one."""
         if self.refusal_observer is not None:
             self.refusal_observer(refusal)
