--- a/flintlatch/http/front.py
+++ b/flintlatch/http/front.py
@@ -215,7 +215,7 @@
         else:
             self._step()  # most short bodies come with their head
             if exchange.phase is Phase.GATHERING:
-                front.engine.gather(exchange)
+                front.engine.start_gather_timer(exchange)
 
     def _refuse(self, error: Malformed) -> None:
         """What follows can't be told apart, or is not wanted: answer, and close."""
--- a/flintlatch/net/relay.py
+++ b/flintlatch/net/relay.py
@@ -110,7 +110,7 @@
         """Bytes that it may hold at most."""
         return exchange.terms.holds(uploading)
 
-    def gather(self, exchange: Exchange) -> None:
+    def start_gather_timer(self, exchange: Exchange) -> None:
         """Its rest may be on the way: it has a moment to come."""
         self.loop.call_later(GATHER_S, self._gathered, exchange)
 
