--- a/bench/scale/lists.py
+++ b/bench/scale/lists.py
@@ -70,8 +70,8 @@
 
     def read(self, body: bytes) -> Listing:
         listing = read_listing(orjson.loads(body), self.wire)
-        self.backends.update(listing.targets, listing.whole)
-        kind = ListKind.FULL if listing.whole else ListKind.CHANGES
+        self.backends.update(listing.targets, listing.is_snapshot)
+        kind = ListKind.FULL if listing.is_snapshot else ListKind.CHANGES
         self.event = ServerList(kind, tuple(target.info for target in listing.targets))
         return listing
 
--- a/flintlatch/fleet/nodes.py
+++ b/flintlatch/fleet/nodes.py
@@ -23,7 +23,7 @@
     """A list in the registry's own form, with numbers for zones and kinds, as `read_listing` takes it."""
     return {
         "rev": listing.rev,
-        "all": listing.whole,
+        "all": listing.is_snapshot,
         "targets": [
             {
                 "uid": target.uid,
@@ -81,7 +81,7 @@
         return Listing(self.rev, True, tuple(self.targets.values()))
 
     def _take(self, news: Listing) -> None:
-        if news.whole:
+        if news.is_snapshot:
             self.targets = {}
         for target in news.targets:
             if target.info.state is ServerState.GONE:
@@ -90,7 +90,7 @@
                 self.targets[target.uid] = target
         self.rev, self.taken_ms = news.rev, now_ms()
         if self.come.is_set():
-            if news.whole or news.targets:
+            if news.is_snapshot or news.targets:
                 self.on_news(self, news)
         else:
             self.come.set()
--- a/flintlatch/membership/registry.py
+++ b/flintlatch/membership/registry.py
@@ -47,7 +47,7 @@
         self.wait_s = RETRY_S[0]
         zones = {number: name for name, number in self.wire.zones.items()}
         kinds = {number: name for name, number in self.wire.kinds.items()}
-        nodes = {} if listing.whole else dict(self.nodes)
+        nodes = {} if listing.is_snapshot else dict(self.nodes)
         for target in listing.targets:
             if target.info.state is ServerState.GONE:
                 nodes.pop(target.uid, None)
--- a/flintlatch/net/discovery.py
+++ b/flintlatch/net/discovery.py
@@ -42,7 +42,7 @@
 
 class Listing(NamedTuple):
     rev: int
-    whole: bool
+    is_snapshot: bool
     targets: tuple[Target, ...]
 
 
--- a/flintlatch/net/engine.py
+++ b/flintlatch/net/engine.py
@@ -145,13 +145,18 @@
     def on_list(self, listing: Listing, kind: ListKind | None = None) -> None:
         """Raises Malformed for a whole list without a server while one with some is held: a service that
         recovers may say so, and there is nobody to serve by it."""
-        if listing.whole and not listing.targets and self.backends.backends and kind is not ListKind.SAVED:
+        if (
+            listing.is_snapshot
+            and not listing.targets
+            and self.backends.backends
+            and kind is not ListKind.SAVED
+        ):
             raise Malformed("list: empty, and the one held is not")
         self.list_complaint = ""
         # The pools hear of a drain here and now, before anything else of this turn can be written.
         self.list_revision = listing.rev
-        self.backends.update(listing.targets, listing.whole)
-        kind = kind or (ListKind.FULL if listing.whole else ListKind.CHANGES)
+        self.backends.update(listing.targets, listing.is_snapshot)
+        kind = kind or (ListKind.FULL if listing.is_snapshot else ListKind.CHANGES)
         self.list_events.append(ServerList(kind, tuple(target.info for target in listing.targets)))
         self._wake()
 
--- a/tests/capacity/test_module.py
+++ b/tests/capacity/test_module.py
@@ -74,11 +74,11 @@
     registry = lists.fill(Registry(), servers)
     balancer = Counting(module.settings(), 1)
     whole = read_listing(orjson.loads(lists.snapshot(registry)), lists.wire())
-    assert whole.whole and len(whole.targets) == servers
+    assert whole.is_snapshot and len(whole.targets) == servers
     balancer.step(1000.0, [ServerList(ListKind.FULL, tuple(target.info for target in whole.targets))])
     assert balancer.entries == servers
     change = read_listing(orjson.loads(lists.delta(registry)), lists.wire())
-    assert not change.whole and change.rev == whole.rev + 1
+    assert not change.is_snapshot and change.rev == whole.rev + 1
     news: list[Event] = [ServerList(ListKind.CHANGES, tuple(target.info for target in change.targets))]
     balancer.step(1025.0, news)
     assert balancer.entries == servers + 1
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -55,7 +55,7 @@
             heard.discovery.watch()  # one watch is on: no second one
             reply(second, listing(43, target("s", ADDRESS, "leaving", 7), whole=False))
             news = await heard.lists.get()
-            assert (news.rev, news.whole) == (43, False)
+            assert (news.rev, news.is_snapshot) == (43, False)
             (info,) = (t.info for t in news.targets)
             assert (info.server, info.state, info.started, info.cell) == ("s", ServerState.DRAINING, 7.0, 1)
             third = await peer.calls.get()
