--- a/flintlatch/__main__.py
+++ b/flintlatch/__main__.py
@@ -82,7 +82,9 @@
         config.settings, config.wire, config.seed, to_backends, to_clients, config.memory_mb
     )
     pushed = not config.settings.ask_for_list
-    rev = None if pushed else config.known.rev  # an agent's whole list costs nothing, and needs no older one
+    rev = (
+        None if pushed else config.known.revision
+    )  # an agent's whole list costs nothing, and needs no older one
     engine.discovery = Discovery(
         config.discovery, config.wire, rev, engine.on_list, engine.on_list_failure, pushed
     )
--- a/flintlatch/fleet/nodes.py
+++ b/flintlatch/fleet/nodes.py
@@ -22,7 +22,7 @@
 def described(listing: Listing) -> dict[str, Any]:
     """A list in the registry's own form, with numbers for zones and kinds, as `read_listing` takes it."""
     return {
-        "rev": listing.rev,
+        "rev": listing.revision,
         "all": listing.is_snapshot,
         "targets": [
             {
@@ -88,7 +88,7 @@
                 self.targets.pop(target.uid, None)
             else:
                 self.targets[target.uid] = target
-        self.rev, self.taken_ms = news.rev, now_ms()
+        self.rev, self.taken_ms = news.revision, now_ms()
         if self.come.is_set():
             if news.is_snapshot or news.targets:
                 self.on_news(self, news)
--- a/flintlatch/net/discovery.py
+++ b/flintlatch/net/discovery.py
@@ -41,7 +41,7 @@
 
 
 class Listing(NamedTuple):
-    rev: int
+    revision: int
     is_snapshot: bool
     targets: tuple[Target, ...]
 
@@ -173,15 +173,15 @@
                 await asyncio.sleep(AGENT_RETRY_S)
                 wait, grace = FIRST_WAIT_MS, first
                 continue
-            self.rev, wait, grace = news.rev, WAIT_MS, GRACE_MS
+            self.rev, wait, grace = news.revision, WAIT_MS, GRACE_MS
 
     def _check_order(self, news: Listing) -> None:
         """A version older than the one held is no news: the whole list is asked for, and that answer stands,
         as a service that has begun anew counts from its own start."""
         held = self.rev
-        if held is not None and news.rev < held:
+        if held is not None and news.revision < held:
             self.rev = None
-            raise Malformed(f"list: version {news.rev} after {held}")
+            raise Malformed(f"list: version {news.revision} after {held}")
 
     async def _fetch(self, wait: int) -> Listing:
         if self.call is None or not self.call.usable:
--- a/flintlatch/net/engine.py
+++ b/flintlatch/net/engine.py
@@ -154,7 +154,7 @@
             raise Malformed("list: empty, and the one held is not")
         self.list_complaint = ""
         # The pools hear of a drain here and now, before anything else of this turn can be written.
-        self.list_revision = listing.rev
+        self.list_revision = listing.revision
         self.backends.update(listing.targets, listing.is_snapshot)
         kind = kind or (ListKind.FULL if listing.is_snapshot else ListKind.CHANGES)
         self.list_events.append(ServerList(kind, tuple(target.info for target in listing.targets)))
--- a/tests/capacity/test_module.py
+++ b/tests/capacity/test_module.py
@@ -78,7 +78,7 @@
     balancer.step(1000.0, [ServerList(ListKind.FULL, tuple(target.info for target in whole.targets))])
     assert balancer.entries == servers
     change = read_listing(orjson.loads(lists.delta(registry)), lists.wire())
-    assert not change.is_snapshot and change.rev == whole.rev + 1
+    assert not change.is_snapshot and change.revision == whole.revision + 1
     news: list[Event] = [ServerList(ListKind.CHANGES, tuple(target.info for target in change.targets))]
     balancer.step(1025.0, news)
     assert balancer.entries == servers + 1
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -55,7 +55,7 @@
             heard.discovery.watch()  # one watch is on: no second one
             reply(second, listing(43, target("s", ADDRESS, "leaving", 7), whole=False))
             news = await heard.lists.get()
-            assert (news.rev, news.is_snapshot) == (43, False)
+            assert (news.revision, news.is_snapshot) == (43, False)
             (info,) = (t.info for t in news.targets)
             assert (info.server, info.state, info.started, info.cell) == ("s", ServerState.DRAINING, 7.0, 1)
             third = await peer.calls.get()
@@ -89,7 +89,7 @@
             call = await peer.calls.get()
             assert call.line.startswith("GET /registry/instances?since=41&")
             reply(call, listing(44))
-            assert (await heard.lists.get()).rev == 44
+            assert (await heard.lists.get()).revision == 44
 
     run(test())
 
@@ -159,7 +159,7 @@
             assert again.connection == call.connection + 1
             assert "since=41&timeout_ms=1 " in again.line
             reply(again, listing(43, whole=False))
-            assert (await heard.lists.get()).rev == 43
+            assert (await heard.lists.get()).revision == 43
 
     run(test())
 
@@ -226,7 +226,7 @@
             call = await peer.calls.get()
             assert call.line.startswith("GET /registry/instances HTTP")  # a service that has begun anew
             reply(call, listing(7, target("s", ADDRESS)))
-            assert (await heard.lists.get()).rev == 7
+            assert (await heard.lists.get()).revision == 7
 
     run(test())
 
