--- a/flintlatch/handover.py
+++ b/flintlatch/handover.py
@@ -102,7 +102,7 @@
             sock.close()
 
 
-def find(prefix: str) -> list[str]:
+def find_offers(prefix: str) -> list[str]:
     """Where those that offer under this prefix may be reached."""
     return sorted(glob.glob(glob.escape(prefix) + "+*"))
 
--- a/flintlatch/ops/succession.py
+++ b/flintlatch/ops/succession.py
@@ -30,7 +30,7 @@
     if not folder:
         return None
     host, port = split_address(listen)
-    for path in handover.find(prefix(folder, listen)):
+    for path in handover.find_offers(prefix(folder, listen)):
         socks = handover.take(path)
         if len(socks) == 1 and socks[0].getsockname()[:2] == (host, port):
             return Predecessor(path, socks)
--- a/tests/fleet/test_heir.py
+++ b/tests/fleet/test_heir.py
@@ -83,7 +83,7 @@
             await load
             # None refused, none closed: whoever came was served by one or the other.
             assert set(found) <= {"200", "503"} and found["200"] > 0.9 * found.total(), found
-            assert handover.find(str(tmp_path / "c.sock")) == []
+            assert handover.find_offers(str(tmp_path / "c.sock")) == []
             assert await successor.stop() == 0
 
     run(test())
@@ -95,7 +95,7 @@
             pids = await kill_supervisor(made)
             assert await ask_once(made.fleet.address) == "200"
             await none_left(pids)
-            assert handover.find(str(tmp_path / "c.sock")) == []
+            assert handover.find_offers(str(tmp_path / "c.sock")) == []
             assert (await ask_once(made.fleet.address)).startswith("connect")
 
     run(test())
@@ -129,21 +129,21 @@
         offer = handover.Offer(control, [listener], taken.set)
         waiting = socket.create_connection(listener.getsockname())
         listener.close()
-        (path,) = handover.find(control)
+        (path,) = handover.find_offers(control)
         assert os.stat(path).st_mode & 0o777 == 0o600
         (mine,) = await asyncio.to_thread(handover.take, path)
         assert not taken.is_set()
         assert await asyncio.to_thread(handover.tell_serving, path)
         await taken.wait()
         offer.close()
-        assert handover.find(control) == []
+        assert handover.find_offers(control) == []
         accepted, _ = mine.accept()  # the connection that came before is still there
         for sock in (waiting, accepted, mine):
             sock.close()
         # What a killed orphan left behind is found empty, and removed.
         with socket.socket(socket.AF_UNIX) as dead:
             dead.bind(f"{control}+1")
-        assert handover.take(f"{control}+1") == [] and handover.find(control) == []
+        assert handover.take(f"{control}+1") == [] and handover.find_offers(control) == []
         assert not handover.tell_serving(f"{control}+1")
 
     run(test())
