--- a/flintlatch/fleet/supervisor.py
+++ b/flintlatch/fleet/supervisor.py
@@ -294,7 +294,7 @@
     def _inherit(self) -> None:
         """Take the listening sockets that a dead supervisor's workers hold, with all that waits there."""
         for path in handover.find_offers(self.config.control_path):
-            socks = handover.take(path)
+            socks = handover.receive_listeners(path)
             if not socks:
                 continue
             self.orphans.append(path)
--- a/flintlatch/handover.py
+++ b/flintlatch/handover.py
@@ -107,7 +107,7 @@
     return sorted(glob.glob(glob.escape(prefix) + "+*"))
 
 
-def take(path: str) -> list[socket.socket]:
+def receive_listeners(path: str) -> list[socket.socket]:
     """The listening sockets offered there; empty if nobody is there any more, whose path is removed."""
     with socket.socket(socket.AF_UNIX) as sock:
         sock.settimeout(ANSWER_S)
--- a/flintlatch/ops/succession.py
+++ b/flintlatch/ops/succession.py
@@ -31,7 +31,7 @@
         return None
     host, port = split_address(listen)
     for path in handover.find_offers(prefix(folder, listen)):
-        socks = handover.take(path)
+        socks = handover.receive_listeners(path)
         if len(socks) == 1 and socks[0].getsockname()[:2] == (host, port):
             return Predecessor(path, socks)
         for sock in socks:  # another's address: not ours to serve
--- a/tests/fleet/test_heir.py
+++ b/tests/fleet/test_heir.py
@@ -131,7 +131,7 @@
         listener.close()
         (path,) = handover.find_offers(control)
         assert os.stat(path).st_mode & 0o777 == 0o600
-        (mine,) = await asyncio.to_thread(handover.take, path)
+        (mine,) = await asyncio.to_thread(handover.receive_listeners, path)
         assert not taken.is_set()
         assert await asyncio.to_thread(handover.tell_serving, path)
         await taken.wait()
@@ -143,7 +143,7 @@
         # What a killed orphan left behind is found empty, and removed.
         with socket.socket(socket.AF_UNIX) as dead:
             dead.bind(f"{control}+1")
-        assert handover.take(f"{control}+1") == [] and handover.find_offers(control) == []
+        assert handover.receive_listeners(f"{control}+1") == [] and handover.find_offers(control) == []
         assert not handover.tell_serving(f"{control}+1")
 
     run(test())
