--- a/flintlatch/handover.py
+++ b/flintlatch/handover.py
@@ -124,7 +124,7 @@
         return [socket.socket(fileno=fd) for fd in fds]
 
 
-def follow(path: str) -> socket.socket | None:
+def announce_serving(path: str) -> socket.socket | None:
     """Say that this process serves what it took there. A connection that ends with the other process, or
     None if it has not heard."""
     sock = socket.socket(socket.AF_UNIX)
@@ -142,7 +142,7 @@
 
 def tell_serving(path: str) -> bool:
     """The one there may drain now; whether it has heard."""
-    sock = follow(path)
+    sock = announce_serving(path)
     if sock is not None:
         sock.close()
     return sock is not None
--- a/flintlatch/ops/succession.py
+++ b/flintlatch/ops/succession.py
@@ -52,7 +52,7 @@
 
     def follow(self, before: Predecessor) -> None:
         """Tell the predecessor that this process serves, and hear of its end."""
-        sock = handover.follow(before.path)
+        sock = handover.announce_serving(before.path)
         if sock is None:
             return  # it has ended between two words; its socket is ours
         sock.setblocking(False)
--- a/tests/ops/test_succession.py
+++ b/tests/ops/test_succession.py
@@ -103,7 +103,7 @@
             before = await asyncio.to_thread(predecessor, str(tmp_path), first.frontend.address)
             assert before is not None
             assert before.listeners[0].getsockname() == first.frontend.socks[0].getsockname()
-            sock = await asyncio.to_thread(handover.follow, before.path)
+            sock = await asyncio.to_thread(handover.announce_serving, before.path)
             assert sock is not None
             assert old.succeeded
             assert (first.engine.backends.most, first.frontend.most) == half
