--- a/flintlatch/fleet/supervisor.py
+++ b/flintlatch/fleet/supervisor.py
@@ -304,7 +304,7 @@
     def _tell_orphans(self) -> None:
         orphans, self.orphans = self.orphans, []
         for path in orphans:
-            self.loop.run_in_executor(None, handover.tell_serving, path)
+            self.loop.run_in_executor(None, handover.notify_serving, path)
 
     def _alive(self) -> None:
         self.notifier.alive()
--- a/flintlatch/handover.py
+++ b/flintlatch/handover.py
@@ -140,7 +140,7 @@
     return None
 
 
-def tell_serving(path: str) -> bool:
+def notify_serving(path: str) -> bool:
     """The one there may drain now; whether it has heard."""
     sock = announce_serving(path)
     if sock is not None:
--- a/tests/fleet/test_heir.py
+++ b/tests/fleet/test_heir.py
@@ -133,7 +133,7 @@
         assert os.stat(path).st_mode & 0o777 == 0o600
         (mine,) = await asyncio.to_thread(handover.receive_listeners, path)
         assert not taken.is_set()
-        assert await asyncio.to_thread(handover.tell_serving, path)
+        assert await asyncio.to_thread(handover.notify_serving, path)
         await taken.wait()
         offer.close()
         assert handover.find_offers(control) == []
@@ -144,7 +144,7 @@
         with socket.socket(socket.AF_UNIX) as dead:
             dead.bind(f"{control}+1")
         assert handover.receive_listeners(f"{control}+1") == [] and handover.find_offers(control) == []
-        assert not handover.tell_serving(f"{control}+1")
+        assert not handover.notify_serving(f"{control}+1")
 
     run(test())
 
