--- a/flintlatch/http/node.py
+++ b/flintlatch/http/node.py
@@ -179,7 +179,7 @@
         assert attempt is not None and response is not None and body is not None
         exchange = cast(RelayAttempt, attempt).exchange
         self.awaiting_response = False
-        self.usable = (
+        self.reusable = (
             response.keep and self.sent_all and not surplus and response.framing.kind is not Kind.UNTIL_CLOSE
         )
         exchange.finish(now_ms() / 1000, self, body.trailers)
@@ -202,7 +202,7 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.pool.connections.discard(self)
-        self.usable = False
+        self.reusable = False
         if self in self.backend.idle:
             self.backend.idle.remove(self)
         if self.attempt is None:
--- a/flintlatch/net/backends.py
+++ b/flintlatch/net/backends.py
@@ -304,7 +304,7 @@
 
     def release_connection(self, connection: Connection) -> None:
         backend = connection.backend
-        if not connection.usable or connection.generation != backend.generation or not backend.active():
+        if not connection.reusable or connection.generation != backend.generation or not backend.active():
             connection.close()
             return
         connection.idle_since = now_ms()
--- a/flintlatch/net/discovery.py
+++ b/flintlatch/net/discovery.py
@@ -184,7 +184,7 @@
             raise Malformed(f"list: version {news.revision} after {held}")
 
     async def _fetch(self, wait: int) -> Listing:
-        if self.call is None or not self.call.usable:
+        if self.call is None or not self.call.reusable:
             self._hang_up()
             host, port = split_address(self.address)
             local = (self.wire.source_host, 0) if self.wire.source_host else None
--- a/flintlatch/net/http1.py
+++ b/flintlatch/net/http1.py
@@ -63,7 +63,7 @@
         self.most = MAX_HEAD + 4 * max_body  # bytes of one answer as sent, so many for the framing of chunks
         self._parser: httptools.HttpResponseParser | None = None
         self.awaiting_response = False  # a request is out and its answer is not here
-        self.usable = True  # another exchange may follow
+        self.reusable = True  # another exchange may follow
         self.unsent = False  # a part of the request has surely not left
 
     def on_response(self, response: Response) -> None:
@@ -105,12 +105,12 @@
 
     def close(self) -> None:
         """Give it up, with whatever it carries; nothing is reported any more."""
-        self.awaiting_response = self.usable = False
+        self.awaiting_response = self.reusable = False
         if self.transport is not None:
             self.transport.abort()
 
     def _break(self) -> None:
-        if self.usable or self.awaiting_response:
+        if self.reusable or self.awaiting_response:
             self.close()
             self.on_broken()
 
@@ -132,8 +132,8 @@
 
     def _finish(self) -> None:
         # Answered before the request was written whole: its rest must not run into the next one.
-        self.awaiting_response, self.usable = False, self._keep and not self.unsent
-        if not self.usable and self.transport is not None:
+        self.awaiting_response, self.reusable = False, self._keep and not self.unsent
+        if not self.reusable and self.transport is not None:
             self.transport.abort()
         self.on_response(Response(self._status, self._headers, bytes(self._body)))
 
