--- a/flintlatch/net/__init__.py
+++ b/flintlatch/net/__init__.py
@@ -1,1 +1,1 @@
-"""The proxy on real sockets: carries out what the decision module decides."""
+"""The proxy on real sockets: carries out the actions of the decision module."""
--- a/flintlatch/net/backends.py
+++ b/flintlatch/net/backends.py
@@ -1,4 +1,4 @@
-"""Connections to backends and the attempts on them: pools by uid, limits, and how each attempt ended."""
+"""Connection pools to the backends, keyed by uid, and the attempts that are sent on their connections."""
 
 from __future__ import annotations
 
@@ -10,29 +10,35 @@
 from flintlatch.api import Result, ServerState
 from flintlatch.net.clock import now_ms
 from flintlatch.net.discovery import Target
-from flintlatch.net.http1 import Exchange, Response, unread
-
-IDLE_PART = 0.6  # part of the backend's idle limit after which we close first: a late reuse ends as a reset
-# A second answer, noise, or the server's close may come right behind an answer: lent out later than this, the
-# connection shows it. The pool needs a connection or two more for that, not a handshake each time.
+from flintlatch.net.http1 import Http1Connection, Response, has_unread_data
+
+# Fraction of a backend's idle limit after which the proxy closes an idle connection. A connection reused just
+# as the backend closes it would end in a reset.
+IDLE_TIMEOUT_FRACTION = 0.6
+# A second response, stray bytes or the backend's close may follow directly after a response. A connection
+# that has been idle for this long has received them, and is then found unusable before it is reused. The cost
+# is one or two more pooled connections, not a handshake for each request.
 REUSE_DELAY_MS = 10.0
-OWN_LACK = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL))
-SPARE_SOCKETS = 40  # descriptors for the program itself, discovery, and those that are just closing
-# Of the other descriptors: clients hold a third of all for requests at most, each in flight once or waiting
-# here, and beside them there are kept and silent ones.
-BACKEND_PART = 0.42
-SWEEPS = 20  # looks at idle connections within that limit
+LOCAL_SHORTAGE_ERRNOS = frozenset(
+    (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
+)
+RESERVED_DESCRIPTORS = 40  # for the process itself, discovery and connections that are being closed
+# Fraction of the other descriptors for connections to backends. Clients with open requests, each of them in
+# flight once or queued in the proxy, hold at most a third of all descriptors; the others of the clients'
+# share are for kept and for silent client connections.
+BACKEND_FRACTION = 0.42
+SWEEPS_PER_IDLE_TIMEOUT = 20
 
 
 def split_descriptors(sockets: int) -> tuple[int, int]:
-    """Of so many descriptors: how many connections to backends there may be, and how many of clients."""
-    sockets -= min(SPARE_SOCKETS, sockets // 4)
-    to_backends = int(sockets * BACKEND_PART)
+    """Splits a number of file descriptors into the caps on backend connections and on client connections."""
+    sockets -= min(RESERVED_DESCRIPTORS, sockets // 4)
+    to_backends = int(sockets * BACKEND_FRACTION)
     return to_backends, sockets - to_backends
 
 
 class Attempt:
-    """One sending of a request, or a probe, to one backend. It ends once, by a call of `done`."""
+    """One attempt of a request, or a probe, at one backend. It ends exactly once, by a call of `done`."""
 
     def __init__(
         self,
@@ -46,16 +52,18 @@
         self.uid, self.head, self.body, self.done = uid, head, body, done
         self.start_ms = now_ms()
         self.deadline = self.start_ms + limit_ms
-        # Servers drop a repeat for so long only: a connection that comes up later must not carry it.
-        self.write_by = self.start_ms + within_ms
+        # Servers deduplicate a repeated request only for a limited time: it must not be written later than
+        # this.
+        self.write_by_ms = self.start_ms + within_ms
         self.connection: Connection | None = None
         self.timer: asyncio.TimerHandle | None = None
         self.ended = False
         self.result: Result | None = None
         self.ended_ms = 0.0
 
-    def wanted(self) -> bool:
-        """Whether somebody waits for it still; if not, it has ended now and must not be written."""
+    def still_wanted(self) -> bool:
+        """Whether the client still waits. If not, this call has ended the attempt, and it must not be
+        written."""
         return True
 
     def end(self, result: Result, response: Response | None = None) -> None:
@@ -71,18 +79,18 @@
 
 
 class Backend:
-    """One uid of the list. A new generation begins when its old connections must not be used again."""
+    """One backend of the list. A new generation begins when its old connections must not be reused."""
 
     def __init__(self, target: Target) -> None:
         self.target, self.generation = target, 0
-        self.last_response_ms = 0.0  # when it last answered
-        self.idle: list[Connection] = []  # the most recently used last
+        self.last_response_ms = 0.0  # time of its last response
+        self.idle: list[Connection] = []  # most recently used last
         self.connecting: set[Connection] = set()
 
     def active(self) -> bool:
         return self.target.info.state is ServerState.ACTIVE
 
-    def renew(self) -> None:
+    def start_generation(self) -> None:
         self.generation += 1
         self.close_idle()
 
@@ -92,12 +100,14 @@
         self.idle.clear()
 
 
-class Connection(Exchange):
+class Connection(Http1Connection):
+    """A pooled connection to one backend; it carries one attempt at a time."""
+
     def __init__(self, pool: Backends, backend: Backend) -> None:
         super().__init__()
         self.pool, self.backend, self.generation = pool, backend, backend.generation
         self.attempt: Attempt | None = None
-        self.opener: asyncio.Task[None] | None = None
+        self.connect_task: asyncio.Task[None] | None = None
         self.idle_since = 0.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -105,34 +115,36 @@
         self.on_connected()
 
     def on_connected(self) -> None:
-        """Carry what it was opened for, unless nobody waits for that, or it is too late to be written."""
+        """Sends the attempt that this connection was opened for, unless its client has left or its write
+        limit has passed."""
         self.backend.connecting.discard(self)
         attempt = self.attempt
         if attempt is None:
             self.close()
             return
         self.attempt = attempt.connection = None
-        if now_ms() > attempt.write_by:
+        if now_ms() > attempt.write_by_ms:
             self.pool.release_connection(self)
-            attempt.end(Result.NOT_SENT)  # its server is well: a failure would rest it
-        elif attempt.wanted():
+            attempt.end(Result.NOT_SENT)  # not a failure: that would eject a healthy server
+        elif attempt.still_wanted():
             self.send_attempt(attempt)
         else:
-            self.pool.release_connection(self)  # fit for another's
+            self.pool.release_connection(self)  # usable by another attempt
 
     def send_attempt(self, attempt: Attempt) -> None:
         self.attempt, attempt.connection = attempt, self
         budget = max(1, int(attempt.deadline - now_ms()))
-        self.ask(b"%bx-budget-ms: %d\r\n\r\n%b" % (attempt.head, budget, attempt.body))
+        self.send_request(b"%bx-budget-ms: %d\r\n\r\n%b" % (attempt.head, budget, attempt.body))
 
     def close(self) -> None:
         super().close()
-        if self.transport is None and self.opener is not None:
-            self.opener.cancel()
+        if self.transport is None and self.connect_task is not None:
+            self.connect_task.cancel()
 
     def never_ran(self) -> bool:
-        """The last byte of the request was surely not written."""
-        return self.transport is None or self.unsent
+        """Whether the last byte of the request has certainly not been written, so that the server has not run
+        it."""
+        return self.transport is None or self.write_incomplete
 
     def on_response(self, response: Response) -> None:
         attempt, self.attempt = self.attempt, None
@@ -164,22 +176,25 @@
 
 
 class Backends:
-    make: Callable[[Backends, Backend], Connection] = Connection  # a front of another kind has its own
+    """The connection pools of all backends on the list, under one cap on connections."""
+
+    # Front ends for other protocols replace it.
+    connection_factory: Callable[[Backends, Backend], Connection] = Connection
 
     def __init__(
-        self, connect_timeout_ms: float, conn_idle_ms: float, most: int, source_host: str = ""
+        self, connect_timeout_ms: float, conn_idle_ms: float, max_connections: int, source_host: str = ""
     ) -> None:
-        self.local = (source_host, 0) if source_host else None  # where connections come from
-        self.connect_timeout_s, self.idle_ms = connect_timeout_ms / 1000, conn_idle_ms * IDLE_PART
-        self.most = most  # connections, those being opened included
-        self.on_written: Callable[[], None] = lambda: None  # told of each attempt that is written whole
+        self.local_address = (source_host, 0) if source_host else None  # source address of the connections
+        self.connect_timeout_s, self.idle_ms = connect_timeout_ms / 1000, conn_idle_ms * IDLE_TIMEOUT_FRACTION
+        self.max_connections = max_connections  # including those that are being opened
+        self.on_written: Callable[[], None] = lambda: None  # called for each completely written attempt
         self.connections: set[Connection] = set()
         self.backends: dict[str, Backend] = {}
         self.loop = asyncio.get_running_loop()
-        self.sweeper = self.loop.call_later(self.idle_ms / 1000 / SWEEPS, self._sweep)
+        self.sweep_timer = self.loop.call_later(self.idle_ms / 1000 / SWEEPS_PER_IDLE_TIMEOUT, self._sweep)
 
-    def update(self, targets: tuple[Target, ...], whole: bool) -> None:
-        if whole:
+    def update(self, targets: tuple[Target, ...], is_snapshot: bool) -> None:
+        if is_snapshot:
             listed = {target.uid for target in targets}
             for uid in [uid for uid in self.backends if uid not in listed]:
                 self._retire(self.backends.pop(uid))
@@ -191,16 +206,17 @@
             elif backend is None:
                 self.backends[target.uid] = Backend(target)
             else:
-                old, backend.target = backend.target, target
-                moved = (old.host, old.port) != (target.host, target.port)
+                previous, backend.target = backend.target, target
+                moved = (previous.host, previous.port) != (target.host, target.port)
                 if moved or not backend.active():
                     self._retire(backend)
-                elif old.info.started != target.info.started:
-                    backend.renew()
+                elif previous.info.started != target.info.started:
+                    backend.start_generation()
 
     def _retire(self, backend: Backend) -> None:
-        # A drain counts from the first byte sent: what still waits for its connection must not go out.
-        backend.renew()
+        # A draining server must not receive a new request, so attempts that wait for their connection fail
+        # here.
+        backend.start_generation()
         for connection in list(backend.connecting):
             attempt = connection.attempt
             self._drop(connection)
@@ -215,33 +231,34 @@
         if backend is None or not backend.active():
             attempt.end(Result.CONNECT_FAILED)
             return
-        if not attempt.wanted():
+        if not attempt.still_wanted():
             return
         seconds = max(attempt.deadline - now_ms(), 0.0) / 1000
-        attempt.timer = self.loop.call_later(seconds, self._limit, attempt)
-        kept = self._lend(backend)
-        if kept is not None:
-            kept.send_attempt(attempt)
+        attempt.timer = self.loop.call_later(seconds, self._on_timeout, attempt)
+        reused = self._reuse_idle(backend)
+        if reused is not None:
+            reused.send_attempt(attempt)
             return
         if not self._make_room():
             attempt.end(Result.NO_ROOM)
             return
-        connection = self.make(self, backend)
+        connection = self.connection_factory(self, backend)
         connection.attempt, attempt.connection = attempt, connection
         self.connections.add(connection)
         backend.connecting.add(connection)
-        connection.opener = self.loop.create_task(self._open(connection))
+        connection.connect_task = self.loop.create_task(self._open(connection))
 
     @staticmethod
-    def _lend(backend: Backend) -> Connection | None:
-        """The connection used last that has rested since, with nothing on it that nobody asked for."""
-        rested = now_ms() - REUSE_DELAY_MS
-        for place in range(len(backend.idle) - 1, -1, -1):
-            connection = backend.idle[place]
-            if connection.idle_since <= rested:
-                del backend.idle[place]
+    def _reuse_idle(backend: Backend) -> Connection | None:
+        """Takes the most recently used connection that has been idle for REUSE_DELAY_MS and has no unread
+        bytes."""
+        latest_idle_since = now_ms() - REUSE_DELAY_MS
+        for index in range(len(backend.idle) - 1, -1, -1):
+            connection = backend.idle[index]
+            if connection.idle_since <= latest_idle_since:
+                del backend.idle[index]
                 assert connection.transport is not None
-                if not connection.transport.is_closing() and not unread(connection.transport):
+                if not connection.transport.is_closing() and not has_unread_data(connection.transport):
                     return connection
                 connection.close()
         return None
@@ -251,44 +268,46 @@
         try:
             async with asyncio.timeout(self.connect_timeout_s):
                 await self.loop.create_connection(
-                    lambda: connection, target.host, target.port, local_addr=self.local
+                    lambda: connection, target.host, target.port, local_addr=self.local_address
                 )
-        except OSError as error:  # refused, unreachable, out of descriptors, or too slow
-            # The time may run out just as the connection comes up: the request is written then, and how it
-            # ended is told by the connection.
+        except OSError as error:  # refused, unreachable, no descriptor left, or timed out
+            # The timeout may fire just as the connection is established. The request has been written then,
+            # and the connection reports its outcome.
             if connection.attempt is not None and connection.transport is None:
-                lack = error.errno in OWN_LACK
-                connection.attempt.end(Result.NO_ROOM if lack else Result.CONNECT_FAILED)
+                local_shortage = error.errno in LOCAL_SHORTAGE_ERRNOS
+                connection.attempt.end(Result.NO_ROOM if local_shortage else Result.CONNECT_FAILED)
         finally:
             connection.backend.connecting.discard(connection)
             if connection.transport is None:
                 self.connections.discard(connection)
 
     def cancel(self, attempt: Attempt) -> None:
-        self._give_up(attempt, Result.CANCELLED)
+        self._abort(attempt, Result.CANCELLED)
 
     def time_out(self, attempt: Attempt) -> None:
-        """Its node has kept it waiting for too long."""
-        self._give_up(attempt, Result.TIMEOUT)
+        """Ends an attempt whose node has stalled."""
+        self._abort(attempt, Result.TIMEOUT)
 
-    def limit(self, attempt: Attempt, limit_ms: float) -> None:
-        """It may take so long from now on. One whose answer has begun has no limit any more."""
+    def set_timeout(self, attempt: Attempt, timeout_ms: float) -> None:
+        """Gives the attempt `timeout_ms` from now on. Does nothing once its response has begun, which stops
+        the timer."""
         if attempt.ended or attempt.timer is None or attempt.timer.cancelled():
             return
         attempt.timer.cancel()
-        attempt.deadline = now_ms() + limit_ms
-        attempt.timer = self.loop.call_later(max(limit_ms, 0.0) / 1000, self._limit, attempt)
+        attempt.deadline = now_ms() + timeout_ms
+        attempt.timer = self.loop.call_later(max(timeout_ms, 0.0) / 1000, self._on_timeout, attempt)
 
-    def _limit(self, attempt: Attempt) -> None:
+    def _on_timeout(self, attempt: Attempt) -> None:
         connection = attempt.connection
-        never = connection is None or connection.never_ran()
-        self._give_up(attempt, Result.CONNECT_FAILED if never else Result.TIMEOUT)
+        never_ran = connection is None or connection.never_ran()
+        self._abort(attempt, Result.CONNECT_FAILED if never_ran else Result.TIMEOUT)
         backend = self.backends.get(attempt.uid)
-        if backend is not None and not never and backend.last_response_ms < attempt.start_ms:
-            # Nothing came from there in all that time: a machine cut off leaves connections that look fit.
+        if backend is not None and not never_ran and backend.last_response_ms < attempt.start_ms:
+            # No response from this backend since the attempt started. Connections to a machine that is cut
+            # off from the network still look open, so none of them is reused.
             backend.close_idle()
 
-    def _give_up(self, attempt: Attempt, result: Result) -> None:
+    def _abort(self, attempt: Attempt, result: Result) -> None:
         if attempt.connection is not None:
             self._drop(attempt.connection)
         attempt.end(result)
@@ -297,9 +316,8 @@
         connection.backend.connecting.discard(connection)
         connection.attempt = None
         connection.close()
-        if (
-            connection.transport is None
-        ):  # its opener may be cancelled before it has begun, and clear up nothing
+        if connection.transport is None:
+            # Its connect task may be cancelled before its first step, and does no cleanup then.
             self.connections.discard(connection)
 
     def release_connection(self, connection: Connection) -> None:
@@ -311,11 +329,14 @@
         backend.idle.append(connection)
 
     def _make_room(self) -> bool:
-        """At the cap the connection that has been idle for longest goes; with none idle there is no room."""
-        if len(self.connections) < self.most:
+        """Closes the longest idle connection if the cap is reached. False if the cap is reached and none is
+        idle."""
+        if len(self.connections) < self.max_connections:
             return True
         oldest = min(
-            (b.idle[0] for b in self.backends.values() if b.idle), key=lambda c: c.idle_since, default=None
+            (backend.idle[0] for backend in self.backends.values() if backend.idle),
+            key=lambda connection: connection.idle_since,
+            default=None,
         )
         if oldest is None:
             return False
@@ -325,13 +346,13 @@
         return True
 
     def _sweep(self) -> None:
-        self.sweeper = self.loop.call_later(self.idle_ms / 1000 / SWEEPS, self._sweep)
-        oldest = now_ms() - self.idle_ms
+        self.sweep_timer = self.loop.call_later(self.idle_ms / 1000 / SWEEPS_PER_IDLE_TIMEOUT, self._sweep)
+        oldest_kept = now_ms() - self.idle_ms
         for backend in self.backends.values():
-            while backend.idle and backend.idle[0].idle_since < oldest:
+            while backend.idle and backend.idle[0].idle_since < oldest_kept:
                 backend.idle.pop(0).close()
 
     def close(self) -> None:
-        self.sweeper.cancel()
+        self.sweep_timer.cancel()
         for connection in list(self.connections):
             connection.close()
--- a/flintlatch/net/clock.py
+++ b/flintlatch/net/clock.py
@@ -1,11 +1,12 @@
-"""The one clock of the proxy: monotonic milliseconds, anchored once to Unix time for `boot_ms`."""
+"""The proxy's clock: monotonic milliseconds, offset once to Unix time so that `boot_ms` can be compared with
+it."""
 
 from __future__ import annotations
 
 import time
 
-_ANCHOR = (time.time() - time.monotonic()) * 1000
+_UNIX_OFFSET_MS = (time.time() - time.monotonic()) * 1000
 
 
 def now_ms() -> float:
-    return _ANCHOR + time.monotonic() * 1000
+    return _UNIX_OFFSET_MS + time.monotonic() * 1000
--- a/flintlatch/net/discovery.py
+++ b/flintlatch/net/discovery.py
@@ -1,4 +1,4 @@
-"""The list of backends: reading it, and the watch that keeps it fresh."""
+"""Reads the list of backends from its discovery service and keeps it up to date by long polling."""
 
 from __future__ import annotations
 
@@ -10,30 +10,35 @@
 import orjson
 
 from flintlatch.api import ServerInfo, ServerState
-from flintlatch.net.http1 import Exchange, Response, split_address
+from flintlatch.net.http1 import Http1Connection, Response, split_address
 from flintlatch.settings import Malformed, Wire, choice, listing, mapping, number, text, whole
 
 SERVER_STATES = {"active": ServerState.ACTIVE, "leaving": ServerState.DRAINING, "left": ServerState.GONE}
-# A change counts as told NOTICE_MS after discovery had it, whether or not it arrived, and what a silent watch
-# misses so long after its silence began. So whatever becomes of one call, the next one's answer must be here
-# by then. With the module's wait after a failure (`ASK_RETRY_MS` there, 800 ms at most) the longest are
-#   a watch falls silent:   WAIT_MS + GRACE_MS + 800 + FIRST_GRACE_MS = 5500
-#   a call is not answered: FIRST_GRACE_MS + 800 + FIRST_GRACE_MS = 5200
-NOTICE_MS = 6000
-FIRST_WAIT_MS = 1  # a new watch asks for what is known now, so that success shows at once
-WAIT_MS = 1500  # how long a watch waits for news: short, since silence is noticed only after it
-GRACE_MS = 1000  # time beyond that wait after which the service counts as silent
-# The service works through calls in turn and lets one wait for 2 s. Who hangs up earlier has used a turn for
-# nothing and asks again: where many do, none is answered any more.
-FIRST_GRACE_MS = 2200
-# An agent on this machine answers at once or, while discovery is down, not at all; what it gets at the return
-# counts as told at once. So it is asked again and again, with a limit that its answers are far below.
-AGENT_GRACE_MS = 250
-AGENT_RETRY_S = 0.05
-MAX_LIST = 1024 * 1024  # bytes; a list of some 8,000 servers. Memory may be 32 MB
+# A change counts as known to the proxy PROPAGATION_LIMIT_MS after the service had it, whether or not it
+# arrived; what a silent long poll misses counts as known that long after its silence began. The response to
+# the next poll must therefore arrive within this limit, whatever becomes of one poll. With the decision
+# module's retry delay after a failure (`ASK_RETRY_MS` there, at most 800 ms), the longest sequences are
+#   a long poll becomes silent: LONG_POLL_MS + RESPONSE_GRACE_MS + 800 + FIRST_RESPONSE_GRACE_MS = 5500
+#   a request gets no response: FIRST_RESPONSE_GRACE_MS + 800 + FIRST_RESPONSE_GRACE_MS = 5200
+PROPAGATION_LIMIT_MS = 6000
+FIRST_LONG_POLL_MS = 1  # the first poll gets the present list, so that its success is known at once
+LONG_POLL_MS = 1500  # short, because silence is detected only after this time
+RESPONSE_GRACE_MS = 1000  # beyond the long poll; then the service counts as silent
+# The service handles requests one after another, and a request may be queued for 2 s. A client that
+# disconnects earlier has still used a turn and then sends the request again: if many clients do this, none
+# gets a response.
+FIRST_RESPONSE_GRACE_MS = 2200
+# An agent on this machine responds at once or, while discovery is down, not at all. What it learns when
+# discovery returns counts as known to the proxy at once, so the proxy polls it continuously, with a timeout
+# far above the agent's response time.
+AGENT_TIMEOUT_MS = 250
+AGENT_RETRY_DELAY_S = 0.05
+MAX_LIST = 1024 * 1024  # bytes, about 8,000 servers; the process may have only 32 MB of memory
 
 
 class Target(NamedTuple):
+    """A server on the list with its address."""
+
     uid: str
     host: str
     port: int
@@ -41,13 +46,15 @@
 
 
 class Listing(NamedTuple):
+    """A snapshot of the list, or a delta with the servers that changed."""
+
     revision: int
     is_snapshot: bool
     targets: tuple[Target, ...]
 
 
-def place(names: dict[str, int], value: object, member: str) -> int:
-    """The number of a zone or kind; one that the settings do not name gets the next."""
+def zone_or_kind_number(names: dict[str, int], value: object, member: str) -> int:
+    """The number of a zone or kind. A name that the settings do not list gets the next free number."""
     if value is None:
         return 0
     return value if type(value) is int else names.setdefault(text(value, member), len(names))
@@ -57,12 +64,12 @@
     entry = mapping(raw, "targets")
     uid, started = text(entry["uid"], "uid"), entry.get("boot_ms")
     host, port = split_address(text(entry["endpoint"], "endpoint"))
-    ip_address(host)  # a name would have to be looked up, and there is no DNS
+    ip_address(host)  # raises ValueError for a host name: there is no DNS to resolve it
     info = ServerInfo(
         uid,
         choice(SERVER_STATES, entry["state"], "state"),
-        place(wire.zones, entry.get("az"), "az"),
-        place(wire.kinds, entry.get("model"), "model"),
+        zone_or_kind_number(wire.zones, entry.get("az"), "az"),
+        zone_or_kind_number(wire.kinds, entry.get("model"), "model"),
         whole(entry.get("pod_group") or 0, "pod_group"),
         number(started, "boot_ms") if started else None,
         number(entry.get("capacity_hint") or 1, "capacity_hint"),
@@ -71,6 +78,7 @@
 
 
 def read_listing(raw: object, wire: Wire) -> Listing:
+    """Checks a decoded list and converts it. Raises Malformed."""
     try:
         data = mapping(raw, "list")
         targets = tuple(read_target(entry, wire) for entry in listing(data["targets"], "targets"))
@@ -81,121 +89,128 @@
         raise Malformed(f"list: {error}") from None
 
 
-class Call(Exchange):
-    """A kept connection to the list service; each answer is awaited."""
+class ListConnection(Http1Connection):
+    """A persistent connection to the list service, with one request at a time."""
 
     def __init__(self) -> None:
         super().__init__(MAX_LIST)
-        self.answer: asyncio.Future[Response] | None = None
-        self.told = 0  # the length of an answer that is too long, where it tells it
+        self.response: asyncio.Future[Response] | None = None
+        self.announced_bytes = 0  # Content-Length of the response, if it has one
 
     async def get(self, request: bytes) -> Response:
-        self.answer = asyncio.get_running_loop().create_future()
-        self.ask(request)
-        return await self.answer
+        self.response = asyncio.get_running_loop().create_future()
+        self.send_request(request)
+        return await self.response
 
     def on_response(self, response: Response) -> None:
-        if self.answer is not None and not self.answer.done():
-            self.answer.set_result(response)
+        if self.response is not None and not self.response.done():
+            self.response.set_result(response)
 
-    def fits(self, lengths: list[bytes], codings: list[bytes]) -> bool:
+    def accepts_framing(self, lengths: list[bytes], codings: list[bytes]) -> bool:
         if len(lengths) == 1 and lengths[0].strip().isdigit():
-            self.told = int(lengths[0].strip()[:18])
-        return super().fits(lengths, codings)
+            self.announced_bytes = int(lengths[0].strip()[:18])
+        return super().accepts_framing(lengths, codings)
 
     def on_broken(self) -> None:
-        if self.answer is None or self.answer.done():
+        if self.response is None or self.response.done():
             return
-        if max(self.told, len(self._body)) > MAX_LIST:
-            size = f"{self.told}" if self.told > MAX_LIST else f"over {MAX_LIST}"
-            self.answer.set_exception(Malformed(f"a list of {size} bytes, {MAX_LIST} at most can be taken"))
+        if max(self.announced_bytes, len(self._body)) > MAX_LIST:
+            size = f"{self.announced_bytes}" if self.announced_bytes > MAX_LIST else f"over {MAX_LIST}"
+            self.response.set_exception(Malformed(f"a list of {size} bytes, {MAX_LIST} at most can be taken"))
         else:
-            self.answer.set_exception(ConnectionError("connection broken"))
+            self.response.set_exception(ConnectionError("connection broken"))
 
 
 class Discovery:
-    """Watches back to back from `watch` on, until a call fails. An agent (`pushed`) is called on and on,
-    whatever becomes of a call: asking costs nothing there, and what it has counts as told."""
+    """Long-polls the list service from `watch` on, until a request fails.
+
+    An agent on this machine (`from_agent`) is polled on after failures too: a request costs nothing there,
+    and what the agent knows counts as known to the proxy.
+    """
 
     def __init__(
         self,
         address: str,
         wire: Wire,
-        rev: int | None,
+        revision: int | None,
         on_list: Callable[[Listing], None],
         on_failure: Callable[[str], None],
-        pushed: bool = False,
+        from_agent: bool = False,
     ) -> None:
-        self.address, self.wire, self.rev, self.pushed = address, wire, rev, pushed
+        self.address, self.wire, self.revision, self.from_agent = address, wire, revision, from_agent
         self.on_list, self.on_failure = on_list, on_failure
-        self.call: Call | None = None
+        self.connection: ListConnection | None = None
         self.task: asyncio.Task[None] | None = None
 
     def watch(self) -> None:
         if self.task is None or self.task.done():
             self.task = asyncio.get_running_loop().create_task(self._run())
 
-    def move(self, address: str) -> bool:
-        """Ask the service at `address` from the next watch on; False if that is the one asked already."""
+    def change_address(self, address: str) -> bool:
+        """Polls the service at `address` from the next `watch` on. False if that is the present address."""
         if address == self.address:
             return False
-        self.close()  # a watch called off is no failed one
+        self.close()  # a cancelled poll is not reported as a failure
         self.task = None
-        self.address, self.rev = address, None  # its versions are its own: `since` would skip news
+        # Revisions of another service: `since` would skip changes.
+        self.address, self.revision = address, None
         return True
 
     def close(self) -> None:
         if self.task is not None:
             self.task.cancel()
-        self._hang_up()
+        self._disconnect()
 
-    def _hang_up(self) -> None:
-        if self.call is not None:
-            self.call.close()
-        self.call = None
+    def _disconnect(self) -> None:
+        if self.connection is not None:
+            self.connection.close()
+        self.connection = None
 
     async def _run(self) -> None:
-        first = AGENT_GRACE_MS if self.pushed else FIRST_GRACE_MS
-        wait, grace = FIRST_WAIT_MS, first
+        first_grace_ms = AGENT_TIMEOUT_MS if self.from_agent else FIRST_RESPONSE_GRACE_MS
+        long_poll_ms, grace_ms = FIRST_LONG_POLL_MS, first_grace_ms
         while True:
             try:
-                async with asyncio.timeout((wait + grace) / 1000):
-                    news = await self._fetch(wait)
-                self._check_order(news)
-                self.on_list(news)
+                async with asyncio.timeout((long_poll_ms + grace_ms) / 1000):
+                    update = await self._fetch(long_poll_ms)
+                self._check_order(update)
+                self.on_list(update)
             except Exception as error:
-                # Whatever went wrong here, the module must hear of it: with a watch that has died unseen it
-                # would believe its list for good and send to what drains.
-                self._hang_up()
+                # Any failure must be reported: if polling stopped silently, the decision module would rely on
+                # an outdated list and send requests to draining servers.
+                self._disconnect()
                 self.on_failure(f"{type(error).__name__}: {error}")
-                if not self.pushed:
-                    return  # the module says when to ask again
-                await asyncio.sleep(AGENT_RETRY_S)
-                wait, grace = FIRST_WAIT_MS, first
+                if not self.from_agent:
+                    return  # the decision module decides when to poll again
+                await asyncio.sleep(AGENT_RETRY_DELAY_S)
+                long_poll_ms, grace_ms = FIRST_LONG_POLL_MS, first_grace_ms
                 continue
-            self.rev, wait, grace = news.revision, WAIT_MS, GRACE_MS
-
-    def _check_order(self, news: Listing) -> None:
-        """A version older than the one held is no news: the whole list is asked for, and that answer stands,
-        as a service that has begun anew counts from its own start."""
-        held = self.rev
-        if held is not None and news.revision < held:
-            self.rev = None
-            raise Malformed(f"list: version {news.revision} after {held}")
-
-    async def _fetch(self, wait: int) -> Listing:
-        if self.call is None or not self.call.reusable:
-            self._hang_up()
+            self.revision, long_poll_ms, grace_ms = update.revision, LONG_POLL_MS, RESPONSE_GRACE_MS
+
+    def _check_order(self, update: Listing) -> None:
+        """Raises Malformed for a revision older than the one held, and makes the next poll request a
+        snapshot. That snapshot is accepted with any revision, because a restarted service numbers its
+        revisions anew."""
+        held_revision = self.revision
+        if held_revision is not None and update.revision < held_revision:
+            self.revision = None
+            raise Malformed(f"list: version {update.revision} after {held_revision}")
+
+    async def _fetch(self, long_poll_ms: int) -> Listing:
+        if self.connection is None or not self.connection.reusable:
+            self._disconnect()
             host, port = split_address(self.address)
-            local = (self.wire.source_host, 0) if self.wire.source_host else None
+            local_address = (self.wire.source_host, 0) if self.wire.source_host else None
             loop = asyncio.get_running_loop()
-            _, self.call = await loop.create_connection(Call, host, port, local_addr=local)
+            _, self.connection = await loop.create_connection(
+                ListConnection, host, port, local_addr=local_address
+            )
         path = "/registry/instances"
-        if self.rev is not None:
-            path += f"?since={self.rev}&timeout_ms={wait}"
-        response = await self.call.get(f"GET {path} HTTP/1.1\r\nHost: {self.address}\r\n\r\n".encode())
+        if self.revision is not None:
+            path += f"?since={self.revision}&timeout_ms={long_poll_ms}"
+        response = await self.connection.get(f"GET {path} HTTP/1.1\r\nHost: {self.address}\r\n\r\n".encode())
         if response.status != 200:
-            raise Malformed(f"status {response.status}")
+            raise Malformed(f"the list service answered with status {response.status}, expected 200")
         try:
             return read_listing(orjson.loads(response.body), self.wire)
         except orjson.JSONDecodeError as error:
--- a/flintlatch/net/engine.py
+++ b/flintlatch/net/engine.py
@@ -181,7 +181,7 @@
 
     def move_list(self, address: str) -> None:
         """The list comes from another service from now on; the one held stands until that has answered."""
-        if self.discovery is not None and self.discovery.move(address):
+        if self.discovery is not None and self.discovery.change_address(address):
             log(f"list: now from {address}")
             if self.settings.ask_for_list:
                 self._raise(ServiceMoved())
--- a/flintlatch/net/frontend.py
+++ b/flintlatch/net/frontend.py
@@ -13,7 +13,7 @@
 
 from flintlatch.net.clock import now_ms
 from flintlatch.net.engine import Answer, Engine, log
-from flintlatch.net.http1 import MAX_BODY, MAX_HEAD, Headers, hung_up, split_address, unread
+from flintlatch.net.http1 import MAX_BODY, MAX_HEAD, Headers, has_unread_data, peer_closed, split_address
 from flintlatch.net.request import Bad, Message, Reader, check_framing
 
 BACKLOG = 512
@@ -99,7 +99,7 @@
 
     def gone(self) -> bool:
         """Whether it has closed its connection, by what the system knows at this moment."""
-        if not hung_up(self.transport):
+        if not peer_closed(self.transport):
             return False
         self.transport.abort()
         return True
@@ -293,7 +293,7 @@
     def part(self) -> None:
         """Close between two requests, unless the next one has just come: that one is answered first. What
         comes after this is dropped, and its client asks again elsewhere."""
-        if not self.transport.is_closing() and not unread(self.transport):
+        if not self.transport.is_closing() and not has_unread_data(self.transport):
             self.close_lingering()
 
     def close_lingering(self) -> None:
@@ -448,7 +448,7 @@
             # What the kernel holds already is a request that was sent in time.
             if client is None or places[client] > now - spared_ms:
                 continue
-            if places is self.ending or not unread(client.transport):
+            if places is self.ending or not has_unread_data(client.transport):
                 return client
         return None
 
--- a/flintlatch/net/relay.py
+++ b/flintlatch/net/relay.py
@@ -57,7 +57,7 @@
         self.told: StreamStarted | None = None  # its answer has begun
         self.node: NodeSide | None = None  # the connection that has carried it
 
-    def wanted(self) -> bool:
+    def still_wanted(self) -> bool:
         """A client that left may not have been heard yet: it is not read while it has sent much, and what it
         sent last is read before its end."""
         if not self.exchange.client.gone():
@@ -81,7 +81,7 @@
         """`body_bytes`: that the bodies of all requests may hold together. `terms`: by class. `make`: a
         connection to a node, which is a `NodeSide` too."""
         super().__init__(settings, wire, seed, most_connections)
-        self.backends.make = make
+        self.backends.connection_factory = make
         self.budget = Budget(body_bytes)
         self.terms = terms
         self.exchanges: dict[str, Exchange] = {}
@@ -236,7 +236,7 @@
         if isinstance(action, Limit):
             held = self.requests.get(action.request)
             if held is not None and action.attempt < len(held.attempts):
-                self.backends.limit(held.attempts[action.attempt], action.limit_ms)
+                self.backends.set_timeout(held.attempts[action.attempt], action.limit_ms)
         else:
             super()._carry_out(action)
 
--- a/flintlatch/ops/succession.py
+++ b/flintlatch/ops/succession.py
@@ -106,7 +106,7 @@
         """Two processes hold together what one may."""
         both = self.succeeded or self.before is not None
         to_backends, to_clients = split_descriptors(self.sockets // 2 if both else self.sockets)
-        self.engine.backends.most, self.frontend.most = to_backends, to_clients
+        self.engine.backends.max_connections, self.frontend.most = to_backends, to_clients
 
     def close(self) -> None:
         """Offer nothing more; whether there was a successor stays known."""
--- a/flintlatch/platform/node.py
+++ b/flintlatch/platform/node.py
@@ -58,16 +58,16 @@
         self.uploading = not exchange.upload.complete
         if self.uploading:
             if request.length is None:
-                self.ask(head + b"transfer-encoding: chunked\r\n\r\n")
+                self.send_request(head + b"transfer-encoding: chunked\r\n\r\n")
             else:
-                self.ask(head + b"content-length: %d\r\n\r\n" % request.length)
-            self.unsent = True
+                self.send_request(head + b"content-length: %d\r\n\r\n" % request.length)
+            self.write_incomplete = True
             self.more()
         else:
             pieces, size = exchange.take(now / 1000)
             if request.method == b"POST":
                 head += b"content-length: %d\r\n" % size
-            self.ask(b"".join((head, b"\r\n", *pieces)))
+            self.send_request(b"".join((head, b"\r\n", *pieces)))
 
     def more(self) -> None:
         exchange, transport = self.exchange, self.transport
@@ -83,13 +83,13 @@
             if chunked:
                 transport.write(b"0\r\n\r\n")
         if self.sent_all and not self.paused and not transport.is_closing():
-            self.uploading = self.unsent = False
+            self.uploading = self.write_incomplete = False
             self.on_written()
         else:
             exchange.client.more()
 
     def pause_writing(self) -> None:
-        self.paused = self.unsent = True
+        self.paused = self.write_incomplete = True
 
     def resume_writing(self) -> None:
         self.paused = False
@@ -108,12 +108,12 @@
 
     # The answer
 
-    def fits(self, lengths: list[bytes], codings: list[bytes]) -> bool:
+    def accepts_framing(self, lengths: list[bytes], codings: list[bytes]) -> bool:
         if self._status != 200 or self.exchange is None:
-            return super().fits(lengths, codings)
+            return super().accepts_framing(lengths, codings)
         if len(lengths) + len(codings) > 1:
             return False
-        self.most = MAX_HEAD + 4 * MOST_BODY
+        self.max_message_bytes = MAX_HEAD + 4 * MOST_BODY
         if lengths:
             length = lengths[0].strip()
             if not length.isdigit() or len(length) > 18 or int(length) > MOST_BODY:
@@ -137,14 +137,14 @@
             self._begin()
 
     def on_body(self, body: bytes) -> None:
-        if self._done or self._spoilt:
+        if self._complete or self._malformed:
             return
         self.came += len(body)
         exchange = self.exchange
         if exchange is None:
             super().on_body(body)
         elif self.came > MOST_BODY:
-            self._spoilt = True
+            self._malformed = True
         elif self.begun:
             exchange.pieces(now_ms() / 1000, self, [body])
         else:
@@ -156,7 +156,7 @@
     def _begin(self) -> None:
         """Hold it no longer: from here on it is the final answer, whole or visibly broken."""
         exchange = self.exchange
-        if self.begun or not self.awaiting_response or self._done or exchange is None:
+        if self.begun or not self.awaiting_response or self._complete or exchange is None:
             return
         self.begun = True
         self._cancel_timer()
@@ -164,7 +164,7 @@
         body, self._body = bytes(self._body), bytearray()
         exchange.begin(now_s, self, Head(200, self._passed_on(), length=self.length))
         if exchange.phase is not Phase.BEGUN or exchange.node is not self:
-            self._spoilt = True  # another answer was quicker: this one is nobody's
+            self._malformed = True  # another answer was quicker: this one is nobody's
         elif body:
             exchange.pieces(now_s, self, [body])
 
@@ -206,7 +206,12 @@
         super().close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        if exc is None and self.awaiting_response and self.until_close and not (self._done or self._spoilt):
-            self._done, self._keep = True, False
+        if (
+            exc is None
+            and self.awaiting_response
+            and self.until_close
+            and not (self._complete or self._malformed)
+        ):
+            self._complete, self._keep_alive = True, False
             self._finish()
         super().connection_lost(exc)
--- a/tests/ops/test_succession.py
+++ b/tests/ops/test_succession.py
@@ -106,11 +106,11 @@
             sock = await asyncio.to_thread(handover.announce_serving, before.path)
             assert sock is not None
             assert old.succeeded
-            assert (first.engine.backends.most, first.frontend.most) == half
+            assert (first.engine.backends.max_connections, first.frontend.most) == half
             sock.close()  # it dies
             while old.succeeded:
                 await asyncio.sleep(0.001)
-            assert (first.engine.backends.most, first.frontend.most) == whole
+            assert (first.engine.backends.max_connections, first.frontend.most) == whole
             before.listeners[0].close()
             old.close()
 
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -9,10 +9,10 @@
 import pytest
 
 from flintlatch.net import engine as engine_module
-from flintlatch.net.discovery import AGENT_GRACE_MS, AGENT_RETRY_S
+from flintlatch.net.discovery import AGENT_TIMEOUT_MS, AGENT_RETRY_DELAY_S
 from tests.loopback import Call, Client, Peer, listing, proxy, run, target
 
-SOON_S = (AGENT_GRACE_MS / 1000 + AGENT_RETRY_S) * 10  # far above the time between two calls of an agent
+SOON_S = (AGENT_TIMEOUT_MS / 1000 + AGENT_RETRY_DELAY_S) * 10  # far above the time between two calls of an agent
 
 
 def reply(call: Call, what: Any) -> None:
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -16,7 +16,7 @@
 from flintlatch.net.backends import Attempt, Backends
 from flintlatch.net.clock import now_ms
 from flintlatch.net.discovery import Target
-from flintlatch.net.http1 import Response, unread
+from flintlatch.net.http1 import Response, has_unread_data
 from tests.loopback import Peer, run
 
 HEAD = b"POST /answer HTTP/1.1\r\nhost: b\r\n"
@@ -242,7 +242,7 @@
             assert kept.transport is not None
             kept.transport.pause_reading()
             peer.writers[0].write(more)
-            while not unread(kept.transport):
+            while not has_unread_data(kept.transport):
                 await asyncio.sleep(0.001)
             assert await attempts.served(peer) == 2
 
@@ -258,7 +258,7 @@
             assert kept.transport is not None
             kept.transport.pause_reading()
             peer.writers[0].close()
-            while not unread(kept.transport):
+            while not has_unread_data(kept.transport):
                 await asyncio.sleep(0.001)
             assert await attempts.served(peer) == 2
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -97,7 +97,7 @@
 @pytest.mark.parametrize("how", ["503", "reset", "refused", "silent"])
 def test_each_failed_call_is_told_once(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
     if how == "silent":
-        monkeypatch.setattr(discovery_module, "FIRST_GRACE_MS", 50)
+        monkeypatch.setattr(discovery_module, "FIRST_RESPONSE_GRACE_MS", 50)
 
     async def test() -> None:
         if how == "refused":
@@ -134,9 +134,9 @@
     begun: bytes | None, first: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """One limit holds for the whole call: bytes now and then win it nothing."""
-    monkeypatch.setattr(discovery_module, "FIRST_GRACE_MS", 100 if first else 20_000)
-    monkeypatch.setattr(discovery_module, "WAIT_MS", 50)
-    monkeypatch.setattr(discovery_module, "GRACE_MS", 50)
+    monkeypatch.setattr(discovery_module, "FIRST_RESPONSE_GRACE_MS", 100 if first else 20_000)
+    monkeypatch.setattr(discovery_module, "LONG_POLL_MS", 50)
+    monkeypatch.setattr(discovery_module, "RESPONSE_GRACE_MS", 50)
 
     async def test() -> None:
         async with watching() as (heard, peer):
@@ -190,7 +190,7 @@
             heard.discovery.on_list = lambda _: None if 1 / 0 else None
             reply(await peer.calls.get(), listing(42))
             assert "ZeroDivisionError" in await heard.failures.get()
-            assert heard.discovery.rev == 41  # that news is asked for again
+            assert heard.discovery.revision == 41  # that news is asked for again
 
     run(test())
 
--- a/tests/test_instants.py
+++ b/tests/test_instants.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from flintlatch.net.discovery import Call as ListCall
+from flintlatch.net.discovery import ListConnection
 from flintlatch.net.discovery import read_listing
-from flintlatch.net.http1 import Response, hung_up
+from flintlatch.net.http1 import Response, peer_closed
 from flintlatch.platform.node import PlatformConnection
 from tests.loopback import Peer, listing, proxy, run, target
 from tests.test_closing import raw, served
@@ -69,7 +69,7 @@
                     sock.shutdown(1)
                 else:
                     sock.close()
-                assert hung_up(client.transport)  # and unread: the loop has had no turn since
+                assert peer_closed(client.transport)  # and unread: the loop has had no turn since
                 raw_list = listing(2, target("s", backend.address))
                 p.engine.on_list(read_listing(raw_list, p.engine.discovery.wire))  # type: ignore[union-attr]
                 await settled(p)
@@ -82,21 +82,21 @@
 def test_a_watch_answered_in_the_turn_of_a_move_brings_nothing_of_the_old_service(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    took = ListCall.on_response
+    took = ListConnection.on_response
 
     async def test() -> None:
         old, new = await Peer().open(), await Peer().open()
         heard = Heard(old.address)
 
-        def crossed(call: ListCall, response: Response) -> None:
+        def crossed(call: ListConnection, response: Response) -> None:
             took(call, response)
-            monkeypatch.setattr(ListCall, "on_response", took)
-            assert heard.discovery.move(new.address)
+            monkeypatch.setattr(ListConnection, "on_response", took)
+            assert heard.discovery.change_address(new.address)
             heard.discovery.watch()
 
         heard.discovery.watch()
         watch = await old.calls.get()
-        monkeypatch.setattr(ListCall, "on_response", crossed)
+        monkeypatch.setattr(ListConnection, "on_response", crossed)
         watch.reply(json.dumps(listing(99, target("old", "127.0.0.9:80"))).encode())
         call = await new.calls.get()
         assert call.line == "GET /registry/instances HTTP/1.1"
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -15,7 +15,7 @@
 from flintlatch.net import frontend as frontend_module
 from flintlatch.net.backends import Backends, Connection
 from flintlatch.net.frontend import Client as ServedClient
-from flintlatch.net.http1 import hung_up
+from flintlatch.net.http1 import peer_closed
 from tests.loopback import Client, Proxy, proxy, run
 
 RESET = b"\x01\x00\x00\x00\x00\x00\x00\x00"  # SO_LINGER on, 0 s: close resets
@@ -75,7 +75,7 @@
                 sock = client.writer.get_extra_info("socket")
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
             client.writer.transport.abort()
-            await until(lambda: hung_up(served.transport))
+            await until(lambda: peer_closed(served.transport))
             call.writer.transport.abort()  # a reset: what is safe would be sent again
             await settled(p)
             assert p.backends[0].calls.empty()
@@ -92,7 +92,7 @@
             call = await p.backends[0].calls.get()
             served = await paused(p, client)
             client.writer.transport.abort()
-            await until(lambda: hung_up(served.transport))
+            await until(lambda: peer_closed(served.transport))
             call.reply()
             await until(lambda: not p.frontend.clients)
             await settled(p)
@@ -120,7 +120,7 @@
             await until(lambda: p.engine.backends.connections)
             served = await paused(p, client)
             client.writer.transport.abort()
-            await until(lambda: hung_up(served.transport))
+            await until(lambda: peer_closed(served.transport))
             gate.set()
             await settled(p)
             assert p.backends[0].calls.empty()
--- a/tests/test_notice.py
+++ b/tests/test_notice.py
@@ -8,16 +8,16 @@
 
 from flintlatch.api import ListKind, ServerList, ServiceMoved, Watch
 from flintlatch.net.discovery import (
-    FIRST_GRACE_MS,
-    FIRST_WAIT_MS,
-    GRACE_MS,
-    NOTICE_MS,
-    WAIT_MS,
+    FIRST_RESPONSE_GRACE_MS,
+    FIRST_LONG_POLL_MS,
+    RESPONSE_GRACE_MS,
+    PROPAGATION_LIMIT_MS,
+    LONG_POLL_MS,
 )
 from tests.support import Driver, fleet, of, settings
 from tests.test_list_service import Tier
 
-CALL_MS = FIRST_WAIT_MS + FIRST_GRACE_MS
+CALL_MS = FIRST_LONG_POLL_MS + FIRST_RESPONSE_GRACE_MS
 PROXIES = [1, 3, 5, 30, 200, 1000]
 
 
@@ -40,7 +40,7 @@
         driver = asking(proxies, me)
         driver.step(ServerList(ListKind.FULL, tuple(fleet(3))))
         driver.step(ServerList(ListKind.FAILED))  # the silence was noticed
-        assert WAIT_MS + GRACE_MS + wait(driver) + CALL_MS <= NOTICE_MS
+        assert LONG_POLL_MS + RESPONSE_GRACE_MS + wait(driver) + CALL_MS <= PROPAGATION_LIMIT_MS
 
 
 @pytest.mark.parametrize("proxies", PROXIES)
@@ -50,17 +50,17 @@
         driver = asking(proxies, me)
         for _ in range(12):
             driver.step(ServerList(ListKind.FAILED))
-            assert CALL_MS + wait(driver) + CALL_MS <= NOTICE_MS
+            assert CALL_MS + wait(driver) + CALL_MS <= PROPAGATION_LIMIT_MS
 
 
 @pytest.mark.parametrize("proxies", PROXIES)
 def test_the_first_call_to_any_service_comes_in_time(proxies: int) -> None:
     for me in {0, proxies // 2, proxies - 1}:
         driver = asking(proxies, me)
-        assert wait(driver) + CALL_MS <= NOTICE_MS
+        assert wait(driver) + CALL_MS <= PROPAGATION_LIMIT_MS
         driver.step(ServerList(ListKind.FULL, tuple(fleet(3))))
         if not of(Watch, driver.step(ServiceMoved())):
-            assert wait(driver) + CALL_MS <= NOTICE_MS
+            assert wait(driver) + CALL_MS <= PROPAGATION_LIMIT_MS
 
 
 def test_a_shorter_time_that_the_settings_oblige_to_is_kept_too() -> None:
@@ -76,4 +76,4 @@
     """At a service that takes one call of each in 6.5 s."""
     tier = Tier(200, 32.5, 5, range(200 - callers, 200))
     tier.play({me: 1000.0 + (me * 37) % 100 for me in tier.drivers}, False, 11_000)
-    assert len(tier.told) == callers and max(tier.told.values()) <= NOTICE_MS
+    assert len(tier.told) == callers and max(tier.told.values()) <= PROPAGATION_LIMIT_MS
