--- a/flintlatch/__main__.py
+++ b/flintlatch/__main__.py
@@ -104,7 +104,7 @@
     except Malformed as error:
         log(f"reload: {error}; going on as before")
         return
-    engine.move_list(config.discovery)
+    engine.change_list_address(config.discovery)
 
 
 async def serve(config: Config) -> None:
--- a/flintlatch/net/engine.py
+++ b/flintlatch/net/engine.py
@@ -1,4 +1,5 @@
-"""Between the decision module and the sockets: events in, actions out, requests and attempts by id."""
+"""Connects the decision module with the sockets: posts events to it, executes its actions, and keeps the
+requests and their attempts by id."""
 
 from __future__ import annotations
 
@@ -40,18 +41,19 @@
 from flintlatch.net.http1 import Response
 from flintlatch.settings import Malformed, Wire
 
-MODULE_REST_S = 0.1  # s from the end of a broken module to the first step of the next
-KNOWN_AFTER_S = 1.0  # s that an agent has for its first answer before the list known from before counts
-KNOWN_S = 4.0  # s at least that an id is remembered after its request came: no client waits for longer
-KNOWN_MOST = 20_000  # ids remembered at most
-LOG_LINES = 20  # lines a second: whatever floods the log must not keep the proxy from its work
-# What a client needs to read a body; all else is between the proxy and the backend.
-PASSED_ON = (b"content-type", b"content-encoding", b"content-language")
+MODULE_RESTART_DELAY_S = 0.1  # between the failure of a decision module and the first step of the next
+SAVED_LIST_DELAY_S = 1.0  # for the first response of an agent; then the saved list is used
+MIN_ID_RETENTION_S = 4.0  # for request ids, counted from the arrival: no client waits for longer
+MAX_RECENT_IDS = 20_000
+MAX_LOG_LINES_PER_S = 20  # so that a flood of log lines can't block the proxy
+# The headers that a client needs to read the body. All others concern only the proxy and the backend.
+FORWARDED_RESPONSE_HEADERS = (b"content-type", b"content-encoding", b"content-language")
 PROBE_HEAD = b"GET /stats HTTP/1.1\r\nhost: backend.local\r\n"
 
 
 class Logger:
-    """Lines to standard error, so many a second; how many more there were is told in the next one."""
+    """Writes at most MAX_LOG_LINES_PER_S lines to standard error; the next line tells how many were
+    dropped."""
 
     def __init__(self) -> None:
         self.second, self.lines, self.dropped = 0, 0, 0
@@ -61,11 +63,11 @@
         if second != self.second:
             self.second, self.lines = second, 0
         self.lines += 1
-        if self.lines > LOG_LINES:
+        if self.lines > MAX_LOG_LINES_PER_S:
             self.dropped += 1
             return
         if self.dropped:
-            line, self.dropped = f"{line} ({self.dropped} lines before it left out)", 0
+            line, self.dropped = f"{line} ({self.dropped} lines before this one were dropped)", 0
         self.write(line)
 
     def write(self, line: str) -> None:
@@ -76,14 +78,16 @@
 
 
 class Answer(NamedTuple):
+    """A complete response to a client."""
+
     status: int
-    headers: bytes = b""  # whole lines
+    headers: bytes = b""  # complete lines, each with its CRLF
     body: bytes = b""
-    retry_after_ms: float = 0.0  # the same that the headers say
+    retry_after_ms: float = 0.0  # as in `headers`; 0: none
 
 
-class Taken(NamedTuple):
-    """A request that the proxy has read whole."""
+class AcceptedRequest(NamedTuple):
+    """A checked request. Its body is complete unless `uploading` is set."""
 
     id: str
     cls: int
@@ -91,195 +95,206 @@
     key: int | None
     budget_ms: float
     repeat: bool
-    head: bytes  # request line and headers for the backend, without the empty line at the end
+    head: bytes  # request line and headers for the backend, without the final empty line
     body: bytes
-    answer: Callable[[Answer], None]
-    after_ms: float = inf  # what is left once an upload is here whole
-    uploading: bool = False  # the body is still on the way
-    holds: int = 0  # bytes that it may take up here
+    respond: Callable[[Answer], None]
+    budget_after_upload_ms: float = inf  # time left once an upload is complete
+    uploading: bool = False  # the body is not complete yet
+    memory_bytes: int = 0  # memory reserved for its body
 
 
 class PendingRequest:
-    """A request until it is answered and its last attempt has ended."""
+    """A request, kept until it has a final answer and its last attempt has ended."""
 
-    def __init__(self, taken: Taken) -> None:
-        self.request = taken
+    def __init__(self, accepted: AcceptedRequest) -> None:
+        self.request = accepted
         self.attempts: list[Attempt] = []
-        self.over = False
+        self.completed = False
         self.arrived_ms = now_ms()
-        self.response_body_bytes = 0  # of the final answer's body
-        self.status, self.completed_ms = 0, 0.0  # of the final answer; 0: the client left before it
+        self.response_body_bytes = 0  # body of the final answer
+        self.status, self.completed_ms = 0, 0.0  # of the final answer; status 0: the client left before it
         self.timer: asyncio.TimerHandle | None = None
 
 
 class Engine:
-    def __init__(self, settings: Settings, wire: Wire, seed: int, most_connections: int) -> None:
+    """Runs one proxy's decision module: events of one loop turn go to it in one step, and its actions are
+    executed."""
+
+    def __init__(self, settings: Settings, wire: Wire, seed: int, max_connections: int) -> None:
         self.settings, self.seed = settings, seed
         self.balancer = Balancer(settings, seed)
         self.backends = Backends(
-            wire.connect_timeout_ms, wire.conn_idle_ms, most_connections, wire.source_host
+            wire.connect_timeout_ms, wire.conn_idle_ms, max_connections, wire.source_host
         )
-        self.probe_limit_ms = wire.connect_timeout_ms
+        self.probe_timeout_ms = wire.connect_timeout_ms
         self.discovery: Discovery | None = None
         self.requests: dict[str, PendingRequest] = {}
-        self.known: dict[str, float] = {}  # ids of late, with the time at which they came, oldest first
-        self.longest_ms = max(c.deadline_ms for c in settings.classes)
-        self.list_revision = 0  # version of the list held
-        self.list_complaint = ""  # why the last call for it failed
+        self.recent_ids: dict[str, float] = {}  # ids of recent requests with their arrival time, oldest first
+        self.max_deadline_ms = max(c.deadline_ms for c in settings.classes)
+        self.list_revision = 0  # of the present list
+        self.list_failure = ""  # reason of the last failed poll; empty after a success
         self.list_events: list[ServerList] = []
         self.events: list[Event] = []
-        self.ended: list[PendingRequest] = []  # to be forgotten once the module has been told of their end
-        self.turn: asyncio.Handle | None = None
-        self.life = 0  # of the module; a new one starts after it broke
-        # What others agreed on, as events that are due: asked before each step, so that the end of a word is
-        # tested when it is used.
-        self.agreed_events: Callable[[int], list[Event]] | None = None  # given the module's life
-        self.request_observer: Callable[[PendingRequest], None] | None = (
-            None  # hears of each request when all of it is over
-        )
-        self.on_end: Callable[[int, int], None] = lambda cls, status: None  # of each final answer, at once
+        self.to_forget: list[PendingRequest] = []  # to be removed after the step that reports their end
+        self.scheduled_step: asyncio.Handle | None = None
+        self.module_generation = 0  # incremented when a failed module is replaced
+        # Called with `module_generation` before each step, so that expiry is checked at the time of use.
+        # Returns due events that carry the state agreed with other proxies.
+        self.agreed_events: Callable[[int], list[Event]] | None = None
+        # Called for each request once its attempts have ended.
+        self.request_observer: Callable[[PendingRequest], None] | None = None
+        # Called with class and status of each final answer.
+        self.on_final_status: Callable[[int, int], None] = lambda cls, status: None
         self.loop = asyncio.get_running_loop()
 
-    # What happens outside
+    # Events from the sockets and the list service
 
     def on_list(self, listing: Listing, kind: ListKind | None = None) -> None:
-        """Raises Malformed for a whole list without a server while one with some is held: a service that
-        recovers may say so, and there is nobody to serve by it."""
+        """Applies a snapshot or a delta of the list. Raises Malformed for an empty snapshot while the present
+        list has servers: a service that recovers may send one, and it would leave no server for requests."""
         if (
             listing.is_snapshot
             and not listing.targets
             and self.backends.backends
             and kind is not ListKind.SAVED
         ):
-            raise Malformed("list: empty, and the one held is not")
-        self.list_complaint = ""
-        # The pools hear of a drain here and now, before anything else of this turn can be written.
+            raise Malformed("list: the snapshot has no server, but the present list has")
+        self.list_failure = ""
+        # The pools get a drain immediately, before any other request of this loop turn is written.
         self.list_revision = listing.revision
         self.backends.update(listing.targets, listing.is_snapshot)
         kind = kind or (ListKind.FULL if listing.is_snapshot else ListKind.CHANGES)
         self.list_events.append(ServerList(kind, tuple(target.info for target in listing.targets)))
-        self._wake()
+        self._schedule_step()
 
-    def watch_agent(self, known: Listing) -> None:
-        """Watch an agent. Until it has answered, `known` may name servers that drain and count as told of; if
-        it does not answer, or names nobody, `known` is all there is."""
+    def watch_agent(self, saved: Listing) -> None:
+        """Polls an agent on this machine. `saved` is used only if the agent does not respond or has no
+        servers, because it may contain servers whose drain already counts as known to the proxy."""
         assert self.discovery is not None
         self.discovery.watch()
-        self.loop.call_later(KNOWN_AFTER_S, self._fall_back, known)
+        self.loop.call_later(SAVED_LIST_DELAY_S, self._use_saved_list, saved)
 
-    def _fall_back(self, known: Listing) -> None:
+    def _use_saved_list(self, saved: Listing) -> None:
         if not self.backends.backends:
-            self.on_list(known, ListKind.SAVED)
+            self.on_list(saved, ListKind.SAVED)
 
     def on_list_failure(self, reason: str) -> None:
-        if reason != self.list_complaint:  # said once, not at each of the calls that follow
+        if reason != self.list_failure:  # logged once, not for each poll that fails
             log(f"list: {reason}")
-        self.list_complaint = reason
+        self.list_failure = reason
         if self.settings.ask_for_list:
             self.list_events.append(ServerList(ListKind.FAILED))
-            self._wake()
+            self._schedule_step()
 
-    def move_list(self, address: str) -> None:
-        """The list comes from another service from now on; the one held stands until that has answered."""
+    def change_list_address(self, address: str) -> None:
+        """Polls another list service from now on; the present list stays in use until the first response."""
         if self.discovery is not None and self.discovery.change_address(address):
             log(f"list: now from {address}")
             if self.settings.ask_for_list:
-                self._raise(ServiceMoved())
+                self._post_event(ServiceMoved())
             else:
                 self.discovery.watch()
 
-    def take(self, taken: Taken) -> bool:
-        """False if a request of this id is open or was of late: ids don't return, and another's must not."""
-        self._forget_ids()
-        if taken.id in self.known or taken.id in self.requests:
+    def accept(self, accepted: AcceptedRequest) -> bool:
+        """Adds a request. False if a request with this id is open or was recently, because ids must be
+        unique."""
+        self._expire_recent_ids()
+        if accepted.id in self.recent_ids or accepted.id in self.requests:
             return False
-        self.known[taken.id] = now_ms()
-        # No client waits longer than its class allows: a larger budget would skew what the module learns.
-        budget = taken.budget_ms
-        if not taken.uploading:
-            budget = min(budget, self.settings.classes[taken.cls].deadline_ms)
-        held = self.requests[taken.id] = PendingRequest(taken)
-        held.timer = self.loop.call_later(max(budget, 0.0) / 1000, self._deadline, held)
-        key, repeat = taken.key, taken.repeat
+        self.recent_ids[accepted.id] = now_ms()
+        # Capped at the deadline of the class: a larger budget would distort what the decision module learns.
+        budget = accepted.budget_ms
+        if not accepted.uploading:
+            budget = min(budget, self.settings.classes[accepted.cls].deadline_ms)
+        pending = self.requests[accepted.id] = PendingRequest(accepted)
+        pending.timer = self.loop.call_later(max(budget, 0.0) / 1000, self._on_deadline, pending)
+        key, repeat = accepted.key, accepted.repeat
         until = now_ms() + budget
-        more = (taken.after_ms, taken.uploading, taken.holds)
-        self._raise(Arrival(taken.id, taken.cls, taken.tenant, key, until, repeat, *more))
+        more = (accepted.budget_after_upload_ms, accepted.uploading, accepted.memory_bytes)
+        self._post_event(Arrival(accepted.id, accepted.cls, accepted.tenant, key, until, repeat, *more))
         return True
 
-    def _forget_ids(self) -> None:
-        oldest = now_ms() - max(KNOWN_S * 1000, self.longest_ms)
-        while self.known:
-            first = next(iter(self.known))
-            if self.known[first] > oldest and len(self.known) < KNOWN_MOST:
+    def _expire_recent_ids(self) -> None:
+        oldest = now_ms() - max(MIN_ID_RETENTION_S * 1000, self.max_deadline_ms)
+        while self.recent_ids:
+            first = next(iter(self.recent_ids))
+            if self.recent_ids[first] > oldest and len(self.recent_ids) < MAX_RECENT_IDS:
                 break
-            del self.known[first]
+            del self.recent_ids[first]
 
     def client_gone(self, request_id: str) -> None:
-        held = self.requests.get(request_id)
-        if held is None or held.over:
+        pending = self.requests.get(request_id)
+        if pending is None or pending.completed:
             return
-        self._close(held)
-        self._raise(ClientGone(request_id))
+        self._complete(pending)
+        self._post_event(ClientGone(request_id))
 
-    def _deadline(self, held: PendingRequest) -> None:
-        """The module let the client's time run out; the client gets its one answer all the same."""
-        if not held.over:
-            self._answer(held, Answer(504))
-            self._raise(ClientGone(held.request.id))
+    def _on_deadline(self, pending: PendingRequest) -> None:
+        """Answers a request that the decision module has not answered within the client's budget."""
+        if not pending.completed:
+            self._respond(pending, Answer(504))
+            self._post_event(ClientGone(pending.request.id))
 
     def fail_all(self) -> None:
-        """The proxy ends: whatever has no answer yet gets its final one now."""
-        for held in list(self.requests.values()):
-            self._deadline(held)
+        """Answers all open requests as expired, when the proxy stops."""
+        for pending in list(self.requests.values()):
+            self._on_deadline(pending)
 
-    def unavailable(self) -> int:
-        """Servers on the list that get nothing new, by the module's word."""
+    def unavailable_servers(self) -> int:
+        """Servers on the list to which the decision module sends no new requests."""
         return self.balancer.unavailable(now_ms())
 
     def open_requests(self) -> int:
-        return sum(not held.over for held in self.requests.values())
-
-    def _on_attempt(
-        self, held: PendingRequest, number: int, attempt: Attempt, result: Result, got: Response | None
+        return sum(not pending.completed for pending in self.requests.values())
+
+    def _on_attempt_end(
+        self,
+        pending: PendingRequest,
+        number: int,
+        attempt: Attempt,
+        result: Result,
+        response: Response | None,
     ) -> None:
-        if result is Result.OK and got is not None and not held.over:
-            headers = b"".join(b"%b: %b\r\n" % pair for pair in got.headers if pair[0] in PASSED_ON)
-            self._answer(held, Answer(200, headers, got.body))
+        if result is Result.OK and response is not None and not pending.completed:
+            headers = b"".join(
+                b"%b: %b\r\n" % pair for pair in response.headers if pair[0] in FORWARDED_RESPONSE_HEADERS
+            )
+            self._respond(pending, Answer(200, headers, response.body))
         delay = now_ms() - attempt.start_ms
-        self._raise(Outcome(held.request.id, number, result, delay, held.over))
-        self._forget(held)
+        self._post_event(Outcome(pending.request.id, number, result, delay, pending.completed))
+        self._forget_if_finished(pending)
 
     def _on_probe(self, attempt: Attempt, result: Result, _: Response | None) -> None:
-        self._raise(ProbeResult(attempt.uid, result, now_ms() - attempt.start_ms))
+        self._post_event(ProbeResult(attempt.uid, result, now_ms() - attempt.start_ms))
 
-    def _on_timer(self, token: int, life: int) -> None:
-        if life == self.life:
-            self._raise(TimerFired(token))
+    def _on_timer(self, token: int, generation: int) -> None:
+        if generation == self.module_generation:
+            self._post_event(TimerFired(token))
 
-    # One turn of the loop, one step
+    # Steps of the decision module: one for each loop turn that has events
 
-    def _raise(self, event: Event) -> None:
+    def _post_event(self, event: Event) -> None:
         self.events.append(event)
-        self._wake()
+        self._schedule_step()
 
     def wake(self) -> None:
-        """A step in the next turn, whatever has happened."""
-        self._wake()
+        """Schedules a step for the next loop turn even without events."""
+        self._schedule_step()
 
-    def _wake(self) -> None:
-        if self.turn is None:
-            self.turn = self.loop.call_soon(self._step)
+    def _schedule_step(self) -> None:
+        if self.scheduled_step is None:
+            self.scheduled_step = self.loop.call_soon(self._step)
 
     def _step(self) -> None:
-        self.turn = None
+        self.scheduled_step = None
         batch: list[Event] = [*self.list_events, *self.events]
-        if self.agreed_events is not None and (words := self.agreed_events(self.life)):
-            batch = [*words, *batch]
-            for word in words:
-                if isinstance(word, Proxies):  # a module that takes over after a fault begins there
-                    self.settings = replace(self.settings, proxies=max(word.proxies, 1), me=word.me)
+        if self.agreed_events is not None and (agreed := self.agreed_events(self.module_generation)):
+            batch = [*agreed, *batch]
+            for event in agreed:
+                if isinstance(event, Proxies):  # the initial state of a module that replaces a failed one
+                    self.settings = replace(self.settings, proxies=max(event.proxies, 1), me=event.me)
         self.list_events, self.events = [], []
-        ended, self.ended = self.ended, []
+        finished, self.to_forget = self.to_forget, []
         try:
             actions = self.balancer.step(now_ms(), batch)
         except Exception:
@@ -287,70 +302,75 @@
             return
         for action in actions:
             try:
-                self._carry_out(action)
-            except Exception:  # the other actions of the batch, the next beat among them, must not go with it
+                self._execute(action)
+            except Exception:  # the other actions, such as the next timer, must still run
                 log(f"bug: {action} was not carried out\n{traceback.format_exc()}")
-        for held in ended:
-            # Not earlier: the module may have sent it again in the step that told it of the end, and each
-            # sending is owed its outcome.
-            if self.requests.get(held.request.id) is held and all(attempt.ended for attempt in held.attempts):
-                del self.requests[held.request.id]
+        for pending in finished:
+            # Not earlier: in the step that reports the end, the decision module may have started another
+            # attempt, and it must get an outcome for each attempt.
+            if self.requests.get(pending.request.id) is pending and all(
+                attempt.ended for attempt in pending.attempts
+            ):
+                del self.requests[pending.request.id]
                 if self.request_observer is not None:
-                    self.request_observer(held)
+                    self.request_observer(pending)
 
     def _restart_decision_module(self) -> None:
-        """What a module that raised still knows can't be trusted: its requests fail, a new one takes over."""
-        log(f"the decision module broke\n{traceback.format_exc()}")
-        self.life += 1
-        self.balancer = Balancer(self.settings, self.seed + self.life)
+        """Replaces a decision module that raised, because its state can't be trusted, and fails its
+        requests."""
+        log(f"the decision module failed and is replaced\n{traceback.format_exc()}")
+        self.module_generation += 1
+        self.balancer = Balancer(self.settings, self.seed + self.module_generation)
         entries = tuple(backend.target.info for backend in self.backends.backends.values())
-        self.list_events, self.events, self.ended = [ServerList(ListKind.SAVED, entries)], [], []
-        # One that breaks at once, again and again, must leave time for answering.
-        self.turn = self.loop.call_later(MODULE_REST_S, self._step)
-        # An answer may bring the next request of its connection, which is the new module's.
-        broken, self.requests = self.requests, {}
-        for held in broken.values():
-            for attempt in held.attempts:
+        self.list_events, self.events, self.to_forget = [ServerList(ListKind.SAVED, entries)], [], []
+        # A module that fails at once each time must leave time to answer requests.
+        self.scheduled_step = self.loop.call_later(MODULE_RESTART_DELAY_S, self._step)
+        # Answering a request may accept the next one on its connection, which belongs to the new module.
+        failed, self.requests = self.requests, {}
+        for pending in failed.values():
+            for attempt in pending.attempts:
                 self.backends.cancel(attempt)
-            if not held.over:
-                self._answer(held, Answer(500))
+            if not pending.completed:
+                self._respond(pending, Answer(500))
 
-    def _carry_out(self, action: Action) -> None:
+    def _execute(self, action: Action) -> None:
         if isinstance(action, Send):
             self._send(action)
         elif isinstance(action, (Refuse, Fail)):
-            held = self.requests.get(action.request)
-            if held is not None and not held.over:
-                self._answer(held, refusal(action) if isinstance(action, Refuse) else Answer(504))
+            pending = self.requests.get(action.request)
+            if pending is not None and not pending.completed:
+                self._respond(pending, refusal_answer(action) if isinstance(action, Refuse) else Answer(504))
         elif isinstance(action, Cancel):
-            held = self.requests.get(action.request)
-            if held is not None and action.attempt < len(held.attempts):
-                self.backends.cancel(held.attempts[action.attempt])
+            pending = self.requests.get(action.request)
+            if pending is not None and action.attempt < len(pending.attempts):
+                self.backends.cancel(pending.attempts[action.attempt])
         elif isinstance(action, SetTimer):
-            self.loop.call_later(action.delay_ms / 1000, self._on_timer, action.token, self.life)
+            self.loop.call_later(action.delay_ms / 1000, self._on_timer, action.token, self.module_generation)
         elif isinstance(action, Watch):
             if self.discovery is not None:
                 self.discovery.watch()
         elif isinstance(action, Probe):
-            self.backends.start(Attempt(action.server, PROBE_HEAD, b"", self.probe_limit_ms, self._on_probe))
+            self.backends.start(
+                Attempt(action.server, PROBE_HEAD, b"", self.probe_timeout_ms, self._on_probe)
+            )
         elif isinstance(action, Log):
             log(action.text)
 
     def _send(self, action: Send) -> None:
-        held = self.requests.get(action.request)
-        if held is None:
+        pending = self.requests.get(action.request)
+        if pending is None:
             return
-        number, taken = len(held.attempts), held.request
+        number, accepted = len(pending.attempts), pending.request
         attempt = Attempt(
             action.server,
-            taken.head,
-            taken.body,
+            accepted.head,
+            accepted.body,
             action.limit_ms,
-            lambda ended, result, response: self._on_attempt(held, number, ended, result, response),
+            lambda ended, result, response: self._on_attempt_end(pending, number, ended, result, response),
             action.within_ms,
         )
-        held.attempts.append(attempt)
-        if held.over or number >= self.settings.most_attempts:
+        pending.attempts.append(attempt)
+        if pending.completed or number >= self.settings.most_attempts:
             attempt.end(Result.NOT_SENT)
         else:
             self.backends.start(attempt)
@@ -360,26 +380,27 @@
         if self.discovery is not None:
             self.discovery.close()
 
-    # The end of a request
+    # End of a request
 
-    def _answer(self, held: PendingRequest, answer: Answer) -> None:
-        held.status, held.response_body_bytes = answer.status, len(answer.body)
-        self.on_end(held.request.cls, answer.status)
-        self._close(held)
-        held.request.answer(answer)
+    def _respond(self, pending: PendingRequest, answer: Answer) -> None:
+        pending.status, pending.response_body_bytes = answer.status, len(answer.body)
+        self.on_final_status(pending.request.cls, answer.status)
+        self._complete(pending)
+        pending.request.respond(answer)
 
-    def _close(self, held: PendingRequest) -> None:
-        held.over, held.completed_ms = True, now_ms()
-        if held.timer is not None:
-            held.timer.cancel()
-        self._forget(held)
+    def _complete(self, pending: PendingRequest) -> None:
+        pending.completed, pending.completed_ms = True, now_ms()
+        if pending.timer is not None:
+            pending.timer.cancel()
+        self._forget_if_finished(pending)
 
-    def _forget(self, held: PendingRequest) -> None:
-        if held.over and all(attempt.ended for attempt in held.attempts):
-            self.ended.append(held)
+    def _forget_if_finished(self, pending: PendingRequest) -> None:
+        if pending.completed and all(attempt.ended for attempt in pending.attempts):
+            self.to_forget.append(pending)
 
 
-def refusal(action: Refuse) -> Answer:
+def refusal_answer(action: Refuse) -> Answer:
+    """503, with Retry-After if the decision module gave a delay."""
     if action.retry_after_ms <= 0:
         return Answer(503)
     line = b"retry-after: %.3f\r\n" % (action.retry_after_ms / 1000)
--- a/flintlatch/net/frontend.py
+++ b/flintlatch/net/frontend.py
@@ -1,4 +1,4 @@
-"""Client connections: reading requests, writing answers, and how many there may be."""
+"""Client connections: accepts them within a limit, reads requests and writes responses."""
 
 from __future__ import annotations
 
@@ -14,39 +14,42 @@
 from flintlatch.net.clock import now_ms
 from flintlatch.net.engine import Answer, Engine, log
 from flintlatch.net.http1 import MAX_BODY, MAX_HEAD, Headers, has_unread_data, peer_closed, split_address
-from flintlatch.net.request import Bad, Message, Reader, check_framing
-
-BACKLOG = 512
-ACCEPT_AT_ONCE = 16  # connections a turn: requests on open ones must not wait for a flood of new ones
-ACCEPTS_PER_TURN_SHARED = (
-    1  # the same where other processes accept on the socket too: one must not take them all
-)
-PIPELINED = 2  # requests read ahead on one connection before it is not read any further
-PIECE = 4096  # bytes parsed before the requests in them are looked at: hundreds sent at once must not be
-MAX_MESSAGE = MAX_HEAD + 4 * MAX_BODY  # bytes of one request as sent, so many for the framing of chunks
-BAD_IN_A_ROW = 8  # refused requests after which a connection closes: one that only errs must come anew
-# s from connecting, or from its first byte, in which a head must be here: an honest client may take 2, and
-# what never comes is owed an end after 3. A body may take longer as long as it moves.
+from flintlatch.net.request import Message, Reader, RequestError, check_framing
+
+LISTEN_BACKLOG = 512
+ACCEPTS_PER_TURN = 16  # so that requests on open connections need not wait for a flood of new connections
+# Where other processes accept from the same socket, so that one of them does not take all connections.
+ACCEPTS_PER_TURN_SHARED = 1
+MAX_PIPELINED = 2  # requests read ahead on a connection before reading is paused
+# Parsed before the requests in it are handled, so that hundreds of pipelined requests are not parsed at once.
+PARSE_CHUNK_BYTES = 4096
+# One request as sent: the chunked framing of a body may take three times its size.
+MAX_MESSAGE_BYTES = MAX_HEAD + 4 * MAX_BODY
+MAX_CONSECUTIVE_ERRORS = 8  # rejected requests in a row, after which the connection is closed
+# For a head, from connecting or from its first byte. A well-behaved client may take 2 s, and an incomplete
+# request must be ended after 3 s. A body may take longer as long as bytes arrive.
 REQUEST_READ_TIMEOUT_S = 2.5
-MOVE_S = 0.75  # s without a byte of such a body
-SWEEP_S = 0.25  # s between looks at what is late
-IDLE_S = 30.0  # s that a kept connection may idle while there are places to spare
-IDLE_FULL_S = 2.0  # s, while over half of the places are taken
-PARTING_S = 1.0  # s that one may idle where clients are sent away: most are asked once more, and hear of it
-SPARE_MS = 250.0  # ms in which a new connection is spared at the cap: its first request is on the way
-LINGER_S = 1.0  # s that a closed connection may go on sending before it is cut off
-LINGER_BYTES = 1024 * 1024  # bytes that are read and dropped in that time: the answer is long out by then
-FLUSH_S = 0.05  # s at the end of a stop for the last answers to leave
-RETRY_ACCEPT_S = 0.05  # s until the next try when there was no descriptor to give
-UNREAD_ANSWERS = 2 * MAX_BODY  # bytes of answers that a client may leave unread
+BODY_IDLE_TIMEOUT_S = 0.75  # without a byte of such a body
+SWEEP_INTERVAL_S = 0.25  # between checks for expired timeouts
+IDLE_TIMEOUT_S = 30.0  # for a kept connection, while at most half of the connection limit is in use
+CROWDED_IDLE_TIMEOUT_S = 2.0  # while more than half of it is in use
+# While keep-alive is disabled: most idle clients send another request in this time, and its response closes
+# the connection in an orderly way.
+DRAIN_IDLE_TIMEOUT_S = 1.0
+EVICTION_GRACE_MS = 250.0  # for a new connection at the limit, whose first request is on the way
+LINGER_TIMEOUT_S = 1.0  # for the peer to close after the last response; then the connection is aborted
+MAX_LINGER_BYTES = 1024 * 1024  # read and dropped in that time; by then the response has long been sent
+FINAL_FLUSH_S = 0.05  # at the end of a stop, for the last responses to be sent
+ACCEPT_RETRY_DELAY_S = 0.05  # after a lack of descriptors
+MAX_UNREAD_RESPONSE_BYTES = 2 * MAX_BODY  # that a client may leave unread before its connection is aborted
 READY_PATH = b"/health/ready"
 
 PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}
 
 
 def open_listener(address: str, shared: bool = False) -> socket.socket:
-    """A socket that listens at `host:port`; OSError if the address is not to be had. `shared`: another
-    process of this user that asks the same may listen there too (SO_REUSEPORT, socket(7))."""
+    """Opens a socket that listens at `host:port`. Raises OSError if the address is not available. `shared`:
+    other processes of this user that set the same option may listen there too (SO_REUSEPORT, socket(7))."""
     host, port = split_address(address)
     sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET)
     try:
@@ -54,7 +57,7 @@
         if shared:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         sock.bind((host, port))
-        sock.listen(BACKLOG)
+        sock.listen(LISTEN_BACKLOG)
     except OSError:
         sock.close()
         raise
@@ -62,21 +65,22 @@
 
 
 class Client(asyncio.Protocol):
-    """One connection. Requests on it are answered one after the other, each once."""
+    """One client connection. Its requests are answered one after another, each exactly once."""
 
     def __init__(self, frontend: Frontend) -> None:
         self.frontend = frontend
         self.transport: asyncio.Transport
         self.parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
-        self.queue: deque[Message | Bad] = deque()
-        self.request_id: str | None = None  # of the request in the engine's hands
+        self.queue: deque[Message | RequestError] = deque()
+        self.request_id: str | None = None  # of the request that the engine handles
         self.keep_alive = True
-        self.closing = False  # nothing more is read
-        self.places: dict[Client, float] | None = None  # where the frontend keeps it, see there
-        self.response_sent, self.bad, self.dropped = False, 0, 0
-        self.rest = b""  # read, not parsed yet
-        self.request_started = False  # a request has begun that is not here whole
-        self.moved = 0.0  # when something of it last came
+        self.closing = False  # no further request is read
+        # The client group of the front end that contains it, see `Frontend`.
+        self.group: dict[Client, float] | None = None
+        self.response_sent, self.consecutive_errors, self.lingering_bytes = False, 0, 0
+        self.unparsed = b""  # received, but not parsed yet
+        self.request_started = False  # a request has begun and is not complete
+        self.last_data_ms = 0.0  # time at which bytes of a request last arrived
         self._reset()
 
     def _reset(self) -> None:
@@ -90,15 +94,16 @@
         self.frontend.move_client(self, self.frontend.reading_clients)
 
     def eof_received(self) -> bool | None:
-        """It has gone, also if answers that it does not read keep the transport open for longer."""
-        self.closing, self.rest = True, b""
+        """Handles a client that has closed its side, even if unread responses keep the transport open."""
+        self.closing, self.unparsed = True, b""
         self.queue.clear()
         if self.request_id is not None:
             self.transport.abort()
         return None
 
     def gone(self) -> bool:
-        """Whether it has closed its connection, by what the system knows at this moment."""
+        """Whether the client has closed its connection, according to the kernel; if so, the connection is
+        aborted."""
         if not peer_closed(self.transport):
             return False
         self.transport.abort()
@@ -107,7 +112,8 @@
     def connection_lost(self, exc: Exception | None) -> None:
         self.closing = True
         self.queue.clear()
-        self.rest, self.parser = b"", None  # it holds this connection in turn: nothing should wait for the GC
+        # The parser refers back to this connection; only the garbage collector would free the cycle.
+        self.unparsed, self.parser = b"", None
         self.frontend.on_client_lost(self)
         if self.request_id is not None:
             self.frontend.engine.client_gone(self.request_id)
@@ -115,27 +121,27 @@
 
     def data_received(self, data: bytes) -> None:
         if self.closing:
-            self.dropped += len(data)
-            if self.dropped > LINGER_BYTES:
+            self.lingering_bytes += len(data)
+            if self.lingering_bytes > MAX_LINGER_BYTES:
                 self.transport.abort()
             return
-        self.rest = self.rest + data if self.rest else data
-        self.moved = now_ms()
-        self._go_on()
+        self.unparsed = self.unparsed + data if self.unparsed else data
+        self.last_data_ms = now_ms()
+        self._process()
 
-    def _go_on(self) -> None:
-        """Take requests in turn, and read on while few are waiting."""
+    def _process(self) -> None:
+        """Handles queued requests in order, and parses more while few are queued."""
         while not self.closing or self.queue:
             while self.request_id is None and self.queue:
                 self._handle(self.queue.popleft())
-            if not self.rest or self.closing or len(self.queue) >= PIPELINED:
+            if not self.unparsed or self.closing or len(self.queue) >= MAX_PIPELINED:
                 break
-            size = self.appetite()
+            size = self.parse_limit()
             if size <= 0:
                 break
-            piece, self.rest = self.rest[:size], self.rest[size:]
-            self._feed(piece)
-        if self.places is self.frontend.ending or self.transport.is_closing():
+            chunk, self.unparsed = self.unparsed[:size], self.unparsed[size:]
+            self._parse(chunk)
+        if self.group is self.frontend.lingering_clients or self.transport.is_closing():
             return
         if self.request_id is not None or self.queue:
             self.frontend.move_client(self, None)
@@ -147,49 +153,52 @@
                 else self.frontend.idle_clients,
             )
         if not self.closing:
-            if len(self.queue) >= PIPELINED or len(self.rest) > PIECE:
+            if len(self.queue) >= MAX_PIPELINED or len(self.unparsed) > PARSE_CHUNK_BYTES:
                 self.transport.pause_reading()
-                self.frontend.paused.add(self)  # its end is not heard either
+                # Then the end of the connection is not reported either.
+                self.frontend.paused_clients.add(self)
             else:
                 self.transport.resume_reading()
-                self.frontend.paused.discard(self)
+                self.frontend.paused_clients.discard(self)
 
-    def appetite(self) -> int:
-        """Bytes that may be parsed now."""
-        return PIECE
+    def parse_limit(self) -> int:
+        """Number of bytes that may be parsed now."""
+        return PARSE_CHUNK_BYTES
 
-    def _feed(self, piece: bytes) -> None:
+    def _parse(self, chunk: bytes) -> None:
         assert self.parser is not None
-        self._size += len(piece)
+        self._size += len(chunk)
         before = len(self.queue)
         try:
-            self.parser.feed_data(piece)
+            self.parser.feed_data(chunk)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            # What comes at once behind a request and can't be one puts that one's length in doubt.
+            # Bytes directly after a request that are no valid request put the length of that request in
+            # doubt.
             if len(self.queue) > before and isinstance(self.queue[-1], Message):
                 self.queue.pop()
-            self._bad(400)
+            self._reject(400)
         if not self._head_done and self._size > MAX_HEAD:
-            self._bad(400)
-        elif self._size > MAX_MESSAGE:
-            self._bad(413)
+            self._reject(400)
+        elif self._size > MAX_MESSAGE_BYTES:
+            self._reject(413)
 
-    def _bad(self, status: int) -> None:
-        """What follows on this connection can't be told apart any more, so it is not read."""
+    def _reject(self, status: int) -> None:
+        """Queues an error response and stops reading, because the boundaries of further requests are
+        unknown."""
         if not self.closing:
-            self.closing, self.rest = True, b""
+            self.closing, self.unparsed = True, b""
             self.request_started = False
-            self.queue.append(Bad(status))
+            self.queue.append(RequestError(status))
 
     def on_read_timeout(self) -> None:
-        """Its time to send a whole request is over."""
+        """Handles a client that has not sent a complete request in time."""
         if not self.request_started:
-            self.part()
-        elif not self._head_done or now_ms() - self.moved > MOVE_S * 1000:
-            self._bad(408)
-            self._go_on()
+            self.close_when_idle()
+        elif not self._head_done or now_ms() - self.last_data_ms > BODY_IDLE_TIMEOUT_S * 1000:
+            self._reject(408)
+            self._process()
 
-    # httptools calls these
+    # Callbacks of httptools
 
     def on_message_begin(self) -> None:
         self.request_started = True
@@ -198,20 +207,20 @@
         self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        # A trailer must not pass for a header that was checked, nor pile up: it counts by its bytes alone.
+        # Trailers are dropped, as they must not be taken for checked headers; only their size is counted.
         if not self._head_done:
-            # White space around a value is no part of it, RFC 9110 section 5.5.
+            # White space around a value is not part of it, RFC 9110 section 5.5.
             self._headers.append((name.strip().lower(), value.strip(b" \t")))
 
     def on_headers_complete(self) -> None:
         self._head_done = True
         try:
             check_framing(self._headers)
-        except Bad as bad:
-            self._bad(bad.status)
+        except RequestError as error:
+            self._reject(error.status)
             return
         if sum(len(name) + len(value) for name, value in self._headers) + len(self._target) > MAX_HEAD:
-            self._bad(400)
+            self._reject(400)
         elif (b"expect", b"100-continue") in self._headers and self.request_id is None and not self.queue:
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
@@ -219,7 +228,7 @@
         if self.closing:
             return
         if len(self._body) + len(body) > MAX_BODY:
-            self._bad(413)
+            self._reject(413)
         else:
             self._body += body
 
@@ -232,46 +241,46 @@
         self.request_started = False
         self._reset()
 
-    # Answers
+    # Responses
 
-    def _handle(self, message: Message | Bad) -> None:
+    def _handle(self, message: Message | RequestError) -> None:
         try:
-            if isinstance(message, Bad):
+            if isinstance(message, RequestError):
                 self.keep_alive = False
                 raise message
-            self.keep_alive = message.keep
-            self._take(message)
-            self.bad = 0
-        except Bad as bad:
-            self.bad += 1
-            if self.bad >= BAD_IN_A_ROW:
+            self.keep_alive = message.keep_alive
+            self._accept_request(message)
+            self.consecutive_errors = 0
+        except RequestError as error:
+            self.consecutive_errors += 1
+            if self.consecutive_errors >= MAX_CONSECUTIVE_ERRORS:
                 self.keep_alive = False
-            self.write(Answer(bad.status))
+            self.write(Answer(error.status))
 
-    def _take(self, message: Message) -> None:
+    def _accept_request(self, message: Message) -> None:
         frontend = self.frontend
         if message.target.split(b"?", 1)[0] == READY_PATH:
             if message.method != b"GET":
-                raise Bad(405)
+                raise RequestError(405, f"method {message.method!r} for {READY_PATH!r}, expected GET")
             self.write(Answer(200 if frontend.ready() else 503))
             return
-        taken = frontend.reader.read(message, self.answer)
-        if not frontend.engine.take(taken):
-            raise Bad(400)
-        self.request_id = taken.id
+        accepted = frontend.reader.read(message, self.on_answer)
+        if not frontend.engine.accept(accepted):
+            raise RequestError(400, f"id {accepted.id!r} is in use or was recently")
+        self.request_id = accepted.id
 
-    def answer(self, answer: Answer) -> None:
+    def on_answer(self, answer: Answer) -> None:
         if self.request_id is not None:
             self.request_id = None
             self.write(answer)
-            self._go_on()
+            self._process()
 
     def write(self, answer: Answer) -> None:
         if self.transport.is_closing():
             return
-        # What was sent ahead on this connection is taken too: it closes after the last of it.
+        # Pipelined requests are answered too: the connection closes after the last of them.
         keep = self.keep_alive and not (
-            self.frontend.keep_alive_disabled and not self.queue and not self.rest
+            self.frontend.keep_alive_disabled and not self.queue and not self.unparsed
         )
         self.transport.write(
             b"HTTP/1.1 %d %b\r\n%bcontent-length: %d\r\n%b\r\n%b"
@@ -287,56 +296,60 @@
         self.response_sent = True
         if not keep:
             self.close_lingering()
-        elif self.transport.get_write_buffer_size() > UNREAD_ANSWERS:
+        elif self.transport.get_write_buffer_size() > MAX_UNREAD_RESPONSE_BYTES:
             self.transport.abort()
 
-    def part(self) -> None:
-        """Close between two requests, unless the next one has just come: that one is answered first. What
-        comes after this is dropped, and its client asks again elsewhere."""
+    def close_when_idle(self) -> None:
+        """Closes between two requests, unless the next one has just arrived, which is answered first. A
+        request that arrives later is dropped, and its client sends it again elsewhere."""
         if not self.transport.is_closing() and not has_unread_data(self.transport):
             self.close_lingering()
 
     def close_lingering(self) -> None:
-        """Close after what is written. Closed at once with bytes unread, the kernel would reset the
-        connection and the client could lose its answer; so the client gets a moment to close first."""
-        self.closing, self.rest = True, b""
+        """Closes after the written responses (lingering close). If the connection were closed at once with
+        unread bytes, the kernel would reset it and the client could lose its response, so the client may
+        close first."""
+        self.closing, self.unparsed = True, b""
         self.queue.clear()
         self.transport.resume_reading()
-        self.frontend.paused.discard(self)
+        self.frontend.paused_clients.discard(self)
         self.transport.write_eof()
-        self.frontend.move_client(self, self.frontend.ending)
+        self.frontend.move_client(self, self.frontend.lingering_clients)
 
 
 class Frontend:
-    """Accepts connections within the budget of descriptors. Each that has no request open is in one of
-    three places, with the time since which it is there; the longest there comes first."""
+    """Accepts connections within a limit.
+
+    A client without an open request is in one of the groups `reading_clients`, `idle_clients` and
+    `lingering_clients`, with the time at which it was added; the oldest entry is first.
+    """
 
     def __init__(
-        self, engine: Engine, reader: Reader, most: int, accept_at_once: int = ACCEPT_AT_ONCE
+        self, engine: Engine, reader: Reader, max_connections: int, accepts_per_turn: int = ACCEPTS_PER_TURN
     ) -> None:
-        self.engine, self.reader, self.most = engine, reader, most
-        self.accept_at_once = accept_at_once
+        self.engine, self.reader, self.max_connections = engine, reader, max_connections
+        self.accepts_per_turn = accepts_per_turn
         self.loop = asyncio.get_running_loop()
         self.clients: set[Client] = set()
-        self.reading_clients: dict[Client, float] = {}  # owe a whole request: new ones, and half-read ones
-        self.idle_clients: dict[Client, float] = {}  # kept between two requests
-        self.ending: dict[Client, float] = {}  # have their last answer, and a moment to read it
-        self.connection_count = (
-            0  # descriptors of clients, those just accepted and those just closing included
-        )
-        self.paused: set[Client] = set()  # not read for now
-        self.opening: set[asyncio.Task[object]] = set()
+        self.reading_clients: dict[Client, float] = {}  # new, or with an incomplete request
+        self.idle_clients: dict[Client, float] = {}  # kept open between two requests
+        self.lingering_clients: dict[Client, float] = {}  # in lingering close after their last response
+        # Descriptors in use by clients, including connections that are being opened or closed.
+        self.connection_count = 0
+        self.paused_clients: set[Client] = set()  # reading is paused
+        self.opening_tasks: set[asyncio.Task[object]] = set()
         self.stopping = self.accepting = False
-        self.away = False  # operators send its clients away
-        self.parting_since = 0.0
-        self.address_still_served = False  # stopping, and others serve at the same address
+        self.drained_by_operator = False  # an operator has started a drain
+        self.keep_alive_disabled_ms = 0.0
+        self.address_still_served = False  # stopping, and another process serves the same address
         self.empty = asyncio.Event()
-        self.socks: list[socket.socket] = []
-        self.address = ""  # where it listens, the first if on several
-        # Where others accept on the same sockets: told of `held` as it changes, and asked before accepting.
+        self.listeners: list[socket.socket] = []
+        self.address = ""  # of the first listening socket
+        # Set where other processes accept from the same sockets. The first is called with each new
+        # `connection_count`, the second before connections are accepted.
         self.on_connection_count: Callable[[int], None] | None = None
         self.should_pause_accepting: Callable[[], bool] | None = None
-        self.accept_pause_s, self.rested = 0.0, False
+        self.accept_pause_s, self.accept_pause_over = 0.0, False
         self.sweeper: asyncio.TimerHandle | None = None
 
     def make_client(self) -> Client:
@@ -345,63 +358,67 @@
     def listen(self, address: str) -> None:
         self.serve_on([open_listener(address)])
 
-    def serve_on(self, socks: list[socket.socket]) -> None:
-        """Accept on listening sockets, which are closed by `stop_accepting`."""
-        self.socks = socks
-        for sock in socks:
+    def serve_on(self, listeners: list[socket.socket]) -> None:
+        """Accepts from listening sockets, which are closed by `stop_accepting`."""
+        self.listeners = listeners
+        for sock in listeners:
             sock.setblocking(False)
-        self.address = "{}:{}".format(*socks[0].getsockname()[:2])
-        self._accept_on()
+        self.address = "{}:{}".format(*listeners[0].getsockname()[:2])
+        self._resume_accepting()
         self._sweep()
 
     def ready(self) -> bool:
         here = not self.stopping or self.address_still_served
-        return here and not self.away and self.engine.backends.active() > 0
+        return here and not self.drained_by_operator and self.engine.backends.active() > 0
 
     @property
     def keep_alive_disabled(self) -> bool:
-        """Whether each answer closes its connection."""
-        return self.stopping or self.away
-
-    def move_client(self, client: Client, places: dict[Client, float] | None) -> None:
-        if places is self.reading_clients and client.places is places:
-            return  # its time runs on: a byte now and then must not win it more
-        if client.places is not None:
-            client.places.pop(client, None)
-        client.places = places
-        if places is not None:
-            places[client] = now_ms()
-
-    # Accepting, within the budget of descriptors
-
-    def _accept_on(self) -> None:
-        if self.socks and not self.accepting:
+        """Whether each response closes its connection."""
+        return self.stopping or self.drained_by_operator
+
+    def move_client(self, client: Client, group: dict[Client, float] | None) -> None:
+        if group is self.reading_clients and client.group is group:
+            return  # its timeout is not restarted by each byte
+        if client.group is not None:
+            client.group.pop(client, None)
+        client.group = group
+        if group is not None:
+            group[client] = now_ms()
+
+    # Accepting within the connection limit
+
+    def _resume_accepting(self) -> None:
+        if self.listeners and not self.accepting:
             self.accepting = True
-            for sock in self.socks:
+            for sock in self.listeners:
                 self.loop.add_reader(sock.fileno(), self._accept, sock)
 
-    def _accept_off(self) -> None:
+    def _pause_accepting(self) -> None:
         if self.accepting:
             self.accepting = False
-            for sock in self.socks:
+            for sock in self.listeners:
                 self.loop.remove_reader(sock.fileno())
 
-    def _accept_later(self) -> None:
-        """There is no room; a client that goes makes some, and so does one that is idle by then."""
-        self._accept_off()
-        self.loop.call_later(RETRY_ACCEPT_S, self._accept_on)
+    def _retry_accepting_later(self) -> None:
+        """Pauses accepting while the limit is reached, until a client leaves or may be evicted."""
+        self._pause_accepting()
+        self.loop.call_later(ACCEPT_RETRY_DELAY_S, self._resume_accepting)
 
     def _accept(self, listener: socket.socket) -> None:
-        if self.should_pause_accepting is not None and not self.rested and self.should_pause_accepting():
-            self._accept_off()
-            self.loop.call_later(self.accept_pause_s, self._accept_rested)
+        if (
+            self.should_pause_accepting is not None
+            and not self.accept_pause_over
+            and self.should_pause_accepting()
+        ):
+            self._pause_accepting()
+            self.loop.call_later(self.accept_pause_s, self._resume_after_pause)
             return
-        self.rested = False
-        for _ in range(self.accept_at_once):
-            full = self.connection_count >= self.most
-            victim = self._victim() if full else None
-            if full and victim is None:
-                self._accept_later()  # the kernel's queue holds those that come
+        self.accept_pause_over = False
+        for _ in range(self.accepts_per_turn):
+            full = self.connection_count >= self.max_connections
+            evicted = self._eviction_candidate() if full else None
+            if full and evicted is None:
+                self._retry_accepting_later()  # new connections wait in the kernel's queue
                 return
             try:
                 sock, _ = listener.accept()
@@ -409,139 +426,150 @@
                 return
             except OSError as error:
                 log(f"accept: {error}")
-                self._accept_later()
+                self._retry_accepting_later()
                 return
-            if victim is not None:  # only now that somebody needs its place
-                self.move_client(victim, None)
-                victim.transport.abort() if victim.closing else victim.transport.close()
+            if evicted is not None:  # only after a connection was accepted that replaces it
+                self.move_client(evicted, None)
+                evicted.transport.abort() if evicted.closing else evicted.transport.close()
             self.connection_count += 1
             if self.on_connection_count is not None:
                 self.on_connection_count(self.connection_count)
             task = self.loop.create_task(self.loop.connect_accepted_socket(self.make_client, sock))
-            self.opening.add(cast("asyncio.Task[object]", task))
-            task.add_done_callback(self._opened)
-            if victim is not None:
-                return  # its descriptor is free only after this turn
-
-    def _accept_rested(self) -> None:
-        """What waits still, nobody else has taken."""
-        self.rested = True
-        self._accept_on()
-
-    def _opened(self, task: asyncio.Task[object]) -> None:
-        self.opening.discard(task)
+            self.opening_tasks.add(cast("asyncio.Task[object]", task))
+            task.add_done_callback(self._on_opened)
+            if evicted is not None:
+                return  # its descriptor is freed only after this loop turn
+
+    def _resume_after_pause(self) -> None:
+        """Accepts the connections that no other process has accepted during the pause."""
+        self.accept_pause_over = True
+        self._resume_accepting()
+
+    def _on_opened(self, task: asyncio.Task[object]) -> None:
+        self.opening_tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             log(f"accept: {task.exception()}")
-            self._freed()
+            self._release_descriptor()
 
-    def _victim(self) -> Client | None:
-        """Whose place a new connection gets: one that has its last answer, then one that may be closed by
-        agreement, then one that has said nothing for a while, and only then one that was of use just now."""
+    def _eviction_candidate(self) -> Client | None:
+        """The client to evict for a new connection: one in lingering close, then one past the idle timeout
+        under load, then one that has not sent a request, and only then one that was recently active."""
         now = now_ms()
-        for places, spared_ms in (
-            (self.ending, SPARE_MS),
-            (self.idle_clients, IDLE_FULL_S * 1000),
-            (self.reading_clients, SPARE_MS),
+        for group, grace_ms in (
+            (self.lingering_clients, EVICTION_GRACE_MS),
+            (self.idle_clients, CROWDED_IDLE_TIMEOUT_S * 1000),
+            (self.reading_clients, EVICTION_GRACE_MS),
             (self.idle_clients, 0.0),
         ):
-            client = next(iter(places), None)
-            # What the kernel holds already is a request that was sent in time.
-            if client is None or places[client] > now - spared_ms:
+            client = next(iter(group), None)
+            # Unread bytes in the kernel are a request that was sent in time.
+            if client is None or group[client] > now - grace_ms:
                 continue
-            if places is self.ending or not has_unread_data(client.transport):
+            if group is self.lingering_clients or not has_unread_data(client.transport):
                 return client
         return None
 
     def on_client_lost(self, client: Client) -> None:
         self.move_client(client, None)
         self.clients.discard(client)
-        self.paused.discard(client)
-        self._freed()
+        self.paused_clients.discard(client)
+        self._release_descriptor()
 
-    def _freed(self) -> None:
+    def _release_descriptor(self) -> None:
         self.connection_count -= 1
-        if self.on_connection_count is not None and self.socks:
+        if self.on_connection_count is not None and self.listeners:
             self.on_connection_count(self.connection_count)
-        self._accept_on()
+        self._resume_accepting()
         if self.stopping and not self.connection_count:
             self.empty.set()
 
     def _sweep(self) -> None:
-        """Neither who never sends a whole request nor who asked once and stays may hold a place for good."""
-        self.sweeper = self.loop.call_later(SWEEP_S, self._sweep)
-        for client in self._over(self.reading_clients, REQUEST_READ_TIMEOUT_S):
+        """Enforces all timeouts, so that clients that send nothing can't hold connections forever."""
+        self.sweeper = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
+        for client in self._overdue(self.reading_clients, REQUEST_READ_TIMEOUT_S):
             client.on_read_timeout()
-        for client in self._over(self.ending, LINGER_S):
+        for client in self._overdue(self.lingering_clients, LINGER_TIMEOUT_S):
             client.transport.abort()
-        idle_s = IDLE_FULL_S if self.connection_count > self.most / 2 else IDLE_S
-        if self.keep_alive_disabled:  # each has its second, however long it was idle before
-            idle_s = PARTING_S if now_ms() > self.parting_since + PARTING_S * 1000 else IDLE_S
-        for client in self._over(self.idle_clients, idle_s):
-            client.part()
-        for client in list(self.paused):
+        idle_s = (
+            CROWDED_IDLE_TIMEOUT_S if self.connection_count > self.max_connections / 2 else IDLE_TIMEOUT_S
+        )
+        if self.keep_alive_disabled:  # the full time for each client, however long it was idle before
+            idle_s = (
+                DRAIN_IDLE_TIMEOUT_S
+                if now_ms() > self.keep_alive_disabled_ms + DRAIN_IDLE_TIMEOUT_S * 1000
+                else IDLE_TIMEOUT_S
+            )
+        for client in self._overdue(self.idle_clients, idle_s):
+            client.close_when_idle()
+        for client in list(self.paused_clients):
             client.gone()
 
     @staticmethod
-    def _over(places: dict[Client, float], limit_s: float) -> list[Client]:
-        oldest, late = now_ms() - limit_s * 1000, []
-        for client, since in places.items():
+    def _overdue(group: dict[Client, float], limit_s: float) -> list[Client]:
+        oldest, overdue = now_ms() - limit_s * 1000, []
+        for client, since in group.items():
             if since > oldest:
                 break
-            late.append(client)
-        return late
+            overdue.append(client)
+        return overdue
 
-    # Sending clients away
+    # Drain by an operator
 
-    def send_away(self) -> None:
-        """Unready, and connections are given up one by one, each behind an answer or once it idles."""
-        if not self.away:
-            self.away, self.parting_since = True, now_ms()
+    def start_drain(self) -> None:
+        """Reports unready and closes each connection after a response or once it is idle."""
+        if not self.drained_by_operator:
+            self.drained_by_operator, self.keep_alive_disabled_ms = True, now_ms()
 
-    def take_back(self) -> None:
-        self.away = False
+    def stop_drain(self) -> None:
+        self.drained_by_operator = False
 
     # Stopping
 
     def disable_keep_alive(self, address_still_served: bool = False) -> None:
-        """Unready from now on, unless others serve at the same address. Connections are accepted and served
-        still, and closed after each answer."""
-        self.stopping, self.address_still_served, self.parting_since = True, address_still_served, now_ms()
-
-    def accept_waiting(self) -> None:
-        """Take all connections that wait in the kernel's queue, whatever the share of one turn; no more than
-        there is room for."""
-        for listener in self.socks:
-            while self.connection_count < self.most:
-                held = self.connection_count
+        """Reports unready from now on, unless another process serves the same address. Connections are still
+        accepted and served, but closed after each response."""
+        self.stopping, self.address_still_served, self.keep_alive_disabled_ms = (
+            True,
+            address_still_served,
+            now_ms(),
+        )
+
+    def accept_queued(self) -> None:
+        """Accepts all connections in the kernel's queue, regardless of the limit for one loop turn, up to the
+        connection limit."""
+        for listener in self.listeners:
+            while self.connection_count < self.max_connections:
+                count_before = self.connection_count
                 self._accept(listener)
-                if self.connection_count == held:
+                if self.connection_count == count_before:
                     break
 
     def stop_accepting(self) -> None:
-        self._accept_off()
-        for sock in self.socks:
+        self._pause_accepting()
+        for sock in self.listeners:
             sock.close()
-        self.socks = []
+        self.listeners = []
 
     async def finish(self, within_s: float) -> None:
-        """Accept no more, close between requests, and wait until nothing is open."""
-        self.accept_waiting()  # what waits in the kernel's queue may hold a request that was sent in time
+        """Stops accepting, closes connections between requests, and waits up to `within_s` until none is
+        open."""
+        self.accept_queued()  # queued connections may contain a request that was sent in time
         self.stop_accepting()
         for client in [
             *self.idle_clients,
             *(client for client in self.reading_clients if not client.request_started),
         ]:
-            client.part()
+            client.close_when_idle()
         if self.connection_count:
-            # A proxy with little to do may have been empty for a moment since it was told to stop.
+            # The event may have been set while no connection was open after the start of the stop.
             self.empty.clear()
             try:
                 async with asyncio.timeout(within_s):
                     await self.empty.wait()
             except TimeoutError:
                 log(f"stop: {self.connection_count} client connections were still open")
-                # What came on one of them after the stop, or is passed on still, gets its end before ours.
+                # Requests on these connections are answered before the process ends.
                 self.engine.fail_all()
-                await asyncio.sleep(FLUSH_S)
+                await asyncio.sleep(FINAL_FLUSH_S)
         if self.sweeper is not None:
             self.sweeper.cancel()
--- a/flintlatch/net/relay.py
+++ b/flintlatch/net/relay.py
@@ -1,4 +1,4 @@
-"""Hosts exchanges: the same events and actions as everywhere between them and the decision module."""
+"""Runs exchanges with the decision module, by the same events and actions as complete requests."""
 
 from __future__ import annotations
 
@@ -23,17 +23,21 @@
 from flintlatch.exchange import Budget, Ending, Exchange, NodeSide, Own, Phase, Response, Terms
 from flintlatch.net.backends import Attempt, Backend, Backends, Connection
 from flintlatch.net.clock import now_ms
-from flintlatch.net.engine import Answer, Engine, PendingRequest, Taken, log
-from flintlatch.net.http1 import Response as ReadWhole
+from flintlatch.net.engine import AcceptedRequest, Answer, Engine, PendingRequest, log
+from flintlatch.net.http1 import Response as WholeResponse
 from flintlatch.settings import Wire
 
-GATHER_S = 0.05  # s for the rest of a short request: most come in one or two segments, and then cost a place
-TICK_S = 0.25  # s between looks at what stalls
-BROKEN = 502  # stands for an answer that began and can't be finished
-RETRY_MS = 1000.0  # when to come back, where the module gave no time
+# For the rest of a short request: most arrive in one or two segments. After this time the request is offered
+# to the decision module, and then it occupies a slot.
+GATHER_TIMEOUT_S = 0.05
+STALL_CHECK_INTERVAL_S = 0.25
+BROKEN_RESPONSE_STATUS = 502  # recorded for a response that began and can't be completed
+DEFAULT_RETRY_AFTER_MS = 1000.0  # where the decision module gave no delay
 
 
 class Refusal(NamedTuple):
+    """A request that a front end rejected, for the access log."""
+
     status: int
     reason: str
     method: bytes = b""
@@ -41,25 +45,27 @@
 
 
 class RelayAttempt(Attempt):
-    """One sending of an exchange to one node."""
+    """One attempt of an exchange at one node."""
 
     def __init__(
         self,
         uid: str,
         exchange: Exchange,
         limit_ms: float,
-        done: Callable[[Attempt, Result, ReadWhole | None], None],
+        done: Callable[[Attempt, Result, WholeResponse | None], None],
         within_ms: float = inf,
     ) -> None:
         super().__init__(uid, b"", b"", limit_ms, done, within_ms)
         self.exchange = exchange
-        self.whole_ms = self.start_ms if exchange.upload.complete else 0.0  # when its node had all of it
-        self.told: StreamStarted | None = None  # its answer has begun
-        self.node: NodeSide | None = None  # the connection that has carried it
+        self.request_sent_ms = (
+            self.start_ms if exchange.upload.complete else 0.0
+        )  # time at which its node had all of it; 0: not yet
+        self.stream_started: StreamStarted | None = None  # set when its response begins
+        self.node: NodeSide | None = None  # the connection that carries it, or did
 
     def still_wanted(self) -> bool:
-        """A client that left may not have been heard yet: it is not read while it has sent much, and what it
-        sent last is read before its end."""
+        """As the base method. The loop may not have noticed yet that the client has left: a client that has
+        sent much is not read for a while, and its last bytes are read before the end of the connection."""
         if not self.exchange.client.gone():
             return True
         self.end(Result.NOT_SENT)
@@ -68,248 +74,267 @@
 
 
 class RelayEngine(Engine):
+    """An engine for exchanges, whose bodies are passed on while they arrive."""
+
     def __init__(
         self,
         settings: Settings,
         wire: Wire,
         seed: int,
-        most_connections: int,
+        max_connections: int,
         body_bytes: int,
         terms: tuple[Terms, ...],
         make: Callable[[Backends, Backend], Connection],
     ) -> None:
-        """`body_bytes`: that the bodies of all requests may hold together. `terms`: by class. `make`: a
-        connection to a node, which is a `NodeSide` too."""
-        super().__init__(settings, wire, seed, most_connections)
+        """`body_bytes`: memory for the bodies of all requests together. `terms`: by class. `make`: makes a
+        connection to a node, which is also a `NodeSide`."""
+        super().__init__(settings, wire, seed, max_connections)
         self.backends.connection_factory = make
         self.budget = Budget(body_bytes)
         self.terms = terms
         self.exchanges: dict[str, Exchange] = {}
-        self.reserved: dict[str, int] = {}
+        self.reserved_bytes: dict[str, int] = {}
         self.exchange_observer: Callable[[Exchange, list[Attempt]], None] | None = None
         self.refusal_observer: Callable[[Refusal], None] | None = None
-        self.ticker = self.loop.call_later(TICK_S, self._tick)
+        self.ticker = self.loop.call_later(STALL_CHECK_INTERVAL_S, self._tick)
 
-    # From a front
+    # Called by a front end
 
     def open(self, exchange: Exchange, uploading: bool) -> bool:
-        """Take it in, with the memory that it may need; false if there is none left. Raises KeyError if a
-        request of its id is open or was of late."""
-        name = exchange.ask.id
-        self._forget_ids()
-        if name in self.exchanges or name in self.known or name in self.requests:
-            raise KeyError(name)
-        # What it may hold at most is set aside at once: of many slow ones, none must find nothing left.
-        holds = self.holds(exchange, uploading)
-        if not self.budget.reserve(holds):
+        """Registers the exchange and reserves the memory that it may need; false if too little is left.
+        Raises KeyError if a request with its id is open or was recently."""
+        request_id = exchange.ask.id
+        self._expire_recent_ids()
+        if request_id in self.exchanges or request_id in self.recent_ids or request_id in self.requests:
+            raise KeyError(request_id)
+        # The maximum is reserved at once, so that no slow request runs out of memory half-way.
+        memory_bytes = self.max_memory_bytes(exchange, uploading)
+        if not self.budget.reserve(memory_bytes):
             return False
-        self.exchanges[name], self.reserved[name] = exchange, holds
+        self.exchanges[request_id], self.reserved_bytes[request_id] = exchange, memory_bytes
         return True
 
-    def holds(self, exchange: Exchange, uploading: bool) -> int:
-        """Bytes that it may hold at most."""
+    def max_memory_bytes(self, exchange: Exchange, uploading: bool) -> int:
+        """The largest number of bytes that the exchange may buffer."""
         return exchange.terms.holds(uploading)
 
     def start_gather_timer(self, exchange: Exchange) -> None:
-        """Its rest may be on the way: it has a moment to come."""
-        self.loop.call_later(GATHER_S, self._gathered, exchange)
+        """Waits GATHER_TIMEOUT_S for the rest of a request before it is offered to the decision module."""
+        self.loop.call_later(GATHER_TIMEOUT_S, self._on_gather_timeout, exchange)
 
-    def _gathered(self, exchange: Exchange) -> None:
+    def _on_gather_timeout(self, exchange: Exchange) -> None:
         if self.exchanges.get(exchange.ask.id) is exchange:
             exchange.offer(now_ms() / 1000)
 
-    # The owner of exchanges
+    # `Owner` of the exchanges
 
     def ask(self, exchange: Exchange, uploading: bool) -> None:
         ask, terms = exchange.ask, exchange.terms
-        total = ask.budget_ms if ask.whole_wait or not uploading else terms.upload_ms + ask.budget_ms
-        holds = self.reserved[ask.id]
+        total_budget_ms = (
+            ask.budget_ms if ask.whole_wait or not uploading else terms.upload_ms + ask.budget_ms
+        )
+        memory_bytes = self.reserved_bytes[ask.id]
 
-        def answer(given: Answer) -> None:
-            exchange.answer(now_ms() / 1000, Own(given.status, given.retry_after_ms))
+        def respond(answer: Answer) -> None:
+            exchange.answer(now_ms() / 1000, Own(answer.status, answer.retry_after_ms))
 
-        rest = (ask.budget_ms, uploading, holds)
-        told = (ask.id, ask.cls, ask.tenant, ask.key, total, ask.repeat, b"", b"", answer)
-        if not self.take(Taken(*told, *rest)):
-            raise AssertionError(f"{ask.id} was opened, and is taken")
+        upload_fields = (ask.budget_ms, uploading, memory_bytes)
+        fields = (ask.id, ask.cls, ask.tenant, ask.key, total_budget_ms, ask.repeat, b"", b"", respond)
+        if not self.accept(AcceptedRequest(*fields, *upload_fields)):
+            raise AssertionError(f"id {ask.id} was free in open(), but is in use now")
 
     def body_came(self, exchange: Exchange) -> None:
-        self._raise(BodyCame(exchange.ask.id))
-        held = self.requests.get(exchange.ask.id)
-        if held is not None and not held.over:
-            self._deadline_in(held, exchange.ask.budget_ms)
+        self._post_event(BodyCame(exchange.ask.id))
+        pending = self.requests.get(exchange.ask.id)
+        if pending is not None and not pending.completed:
+            self._shorten_deadline(pending, exchange.ask.budget_ms)
 
     def body_gone(self, exchange: Exchange) -> None:
-        self._raise(BodyGone(exchange.ask.id))
+        self._post_event(BodyGone(exchange.ask.id))
 
     def body_sent(self, exchange: Exchange, node: NodeSide) -> None:
-        found = self._attempt_of(exchange, node)
-        if found is not None and not found[2].whole_ms:
-            held, number, attempt = found
-            attempt.whole_ms = now_ms()
-            if not held.over:
-                self._deadline_in(held, exchange.ask.budget_ms)
-            self._raise(BodySent(exchange.ask.id, number))
+        located = self._find_attempt(exchange, node)
+        if located is not None and not located[2].request_sent_ms:
+            pending, number, attempt = located
+            attempt.request_sent_ms = now_ms()
+            if not pending.completed:
+                self._shorten_deadline(pending, exchange.ask.budget_ms)
+            self._post_event(BodySent(exchange.ask.id, number))
 
     def begun(self, exchange: Exchange, node: NodeSide, head: Response) -> None:
-        """The deadline has been met, and time is the transfer's from here on."""
-        found = self._attempt_of(exchange, node)
-        if found is None:
+        """The final response has begun: the deadline is met, and only the limits of the transfer apply from
+        now on."""
+        located = self._find_attempt(exchange, node)
+        if located is None:
             return
-        held, number, attempt = found
+        pending, number, attempt = located
         if attempt.timer is not None:
             attempt.timer.cancel()
-        delay = now_ms() - attempt.whole_ms if attempt.whole_ms else 0.0
-        attempt.told = StreamStarted(exchange.ask.id, number, delay, result_of(head))
-        self._raise(attempt.told)
-        self._close(held)
+        delay = now_ms() - attempt.request_sent_ms if attempt.request_sent_ms else 0.0
+        attempt.stream_started = StreamStarted(exchange.ask.id, number, delay, result_of_head(head))
+        self._post_event(attempt.stream_started)
+        self._complete(pending)
 
     def give_up(self, exchange: Exchange) -> None:
-        name = exchange.ask.id
-        held = self.requests.get(name)
-        if held is None:
+        request_id = exchange.ask.id
+        pending = self.requests.get(request_id)
+        if pending is None:
             return
-        self.client_gone(name)
-        for attempt in held.attempts:
+        self.client_gone(request_id)
+        for attempt in pending.attempts:
             if not attempt.ended:
                 self.backends.cancel(attempt)
 
     def blame(self, exchange: Exchange, node: NodeSide) -> None:
-        found = self._attempt_of(exchange, node)
-        if found is not None:
-            self.backends.time_out(found[2])
+        located = self._find_attempt(exchange, node)
+        if located is not None:
+            self.backends.time_out(located[2])
 
     def over(self, exchange: Exchange) -> None:
-        name = exchange.ask.id
+        request_id = exchange.ask.id
         if exchange.ending is Ending.ANSWERED:
-            self.on_end(exchange.ask.cls, exchange.status)
+            self.on_final_status(exchange.ask.cls, exchange.status)
         elif exchange.ending in (Ending.NODE_BROKE, Ending.NODE_STALLED):
-            self.on_end(
-                exchange.ask.cls, BROKEN
-            )  # what was told before, with the status of its head, is void
-        held = self.requests.get(name)
-        if held is None or all(attempt.ended for attempt in held.attempts):
-            self._drop(name, held)
+            # Replaces the status of the head, which was reported when the response began.
+            self.on_final_status(exchange.ask.cls, BROKEN_RESPONSE_STATUS)
+        pending = self.requests.get(request_id)
+        if pending is None or all(attempt.ended for attempt in pending.attempts):
+            self._remove_exchange(request_id, pending)
 
     def report_refusal(self, refusal: Refusal) -> None:
-        """A front has turned a request away before it was one."""
+        """A front end rejected a request before it became an exchange."""
         if self.refusal_observer is not None:
             self.refusal_observer(refusal)
 
-    def _attempt_of(
+    def _find_attempt(
         self, exchange: Exchange, node: NodeSide
     ) -> tuple[PendingRequest, int, RelayAttempt] | None:
-        held = self.requests.get(exchange.ask.id)
-        for number, attempt in enumerate(held.attempts if held is not None else ()):
+        pending = self.requests.get(exchange.ask.id)
+        for number, attempt in enumerate(pending.attempts if pending is not None else ()):
             relayed = cast(RelayAttempt, attempt)
             if not relayed.ended and relayed.node is node:
-                assert held is not None
-                return held, number, relayed
+                assert pending is not None
+                return pending, number, relayed
         return None
 
-    # Time
+    # Deadlines and stalls
 
-    def _deadline_in(self, held: PendingRequest, budget_ms: float) -> None:
-        """From here on it is waited for so long, and no longer than was said before."""
-        if held.timer is not None and self.loop.time() + budget_ms / 1000 < held.timer.when():
-            held.timer.cancel()
-            held.timer = self.loop.call_later(budget_ms / 1000, self._deadline, held)
+    def _shorten_deadline(self, pending: PendingRequest, budget_ms: float) -> None:
+        """Limits the wait for the response to `budget_ms` from now on, but never extends the deadline."""
+        if pending.timer is not None and self.loop.time() + budget_ms / 1000 < pending.timer.when():
+            pending.timer.cancel()
+            pending.timer = self.loop.call_later(budget_ms / 1000, self._on_deadline, pending)
 
-    def _deadline(self, held: PendingRequest) -> None:
-        if held.over:
+    def _on_deadline(self, pending: PendingRequest) -> None:
+        if pending.completed:
             return
-        unsent = all(attempt.result in NEVER_RAN for attempt in held.attempts)
-        self._raise(ClientGone(held.request.id))
-        self._answer(held, Answer(503, retry_after_ms=RETRY_MS) if unsent else Answer(504))
+        never_ran = all(attempt.result in NEVER_RAN for attempt in pending.attempts)
+        self._post_event(ClientGone(pending.request.id))
+        self._respond(
+            pending, Answer(503, retry_after_ms=DEFAULT_RETRY_AFTER_MS) if never_ran else Answer(504)
+        )
 
     def _tick(self) -> None:
-        self.ticker = self.loop.call_later(TICK_S, self._tick)
+        self.ticker = self.loop.call_later(STALL_CHECK_INTERVAL_S, self._tick)
         now_s = now_ms() / 1000
         for exchange in list(self.exchanges.values()):
             stall = exchange.tick(now_s)
             if stall is not None:
                 log(f"{exchange.ask.id}: {stall.value}")
 
-    # The module's actions
+    # Actions of the decision module
 
-    def _carry_out(self, action: Action) -> None:
+    def _execute(self, action: Action) -> None:
         if isinstance(action, Limit):
-            held = self.requests.get(action.request)
-            if held is not None and action.attempt < len(held.attempts):
-                self.backends.set_timeout(held.attempts[action.attempt], action.limit_ms)
+            pending = self.requests.get(action.request)
+            if pending is not None and action.attempt < len(pending.attempts):
+                self.backends.set_timeout(pending.attempts[action.attempt], action.limit_ms)
         else:
-            super()._carry_out(action)
+            super()._execute(action)
 
     def _send(self, action: Send) -> None:
-        held, exchange = self.requests.get(action.request), self.exchanges.get(action.request)
-        if held is None:
+        pending, exchange = self.requests.get(action.request), self.exchanges.get(action.request)
+        if pending is None:
             return
-        number = len(held.attempts)
-        if exchange is None:  # answered in this very step; each sending is owed its outcome
-            late = Attempt(
+        number = len(pending.attempts)
+        if exchange is None:  # answered in this step; each attempt needs an outcome all the same
+            unsent_attempt = Attempt(
                 action.server,
                 b"",
                 b"",
                 action.limit_ms,
-                lambda ended, result, _: self._on_attempt(held, number, ended, result, None),
+                lambda attempt, result, _: self._on_attempt_end(pending, number, attempt, result, None),
             )
-            held.attempts.append(late)
-            late.end(Result.NOT_SENT)
+            pending.attempts.append(unsent_attempt)
+            unsent_attempt.end(Result.NOT_SENT)
             return
         attempt = RelayAttempt(
             action.server,
             exchange,
             action.limit_ms,
-            lambda ended, result, _: self._on_end(held, number, cast(RelayAttempt, ended), result),
+            lambda ended, result, _: self._on_relay_attempt_end(
+                pending, number, cast(RelayAttempt, ended), result
+            ),
             action.within_ms,
         )
-        held.attempts.append(attempt)
-        if held.over or number >= self.settings.most_attempts or exchange.upload.gone:
+        pending.attempts.append(attempt)
+        if pending.completed or number >= self.settings.most_attempts or exchange.upload.gone:
             attempt.end(Result.NOT_SENT)
         else:
             self.backends.start(attempt)
 
-    def _on_end(self, held: PendingRequest, number: int, attempt: RelayAttempt, result: Result) -> None:
+    def _on_relay_attempt_end(
+        self, pending: PendingRequest, number: int, attempt: RelayAttempt, result: Result
+    ) -> None:
         exchange = attempt.exchange
         if attempt.node is not None:
-            exchange.detach(now_ms() / 1000, attempt.node)  # nothing, if it has finished
-        if attempt.told is not None and self.events and self.events[-1] is attempt.told and attempt.whole_ms:
-            self.events.pop()  # a short answer, here whole in the same turn: it never was a transfer
-            delay = attempt.told.delay
+            exchange.detach(now_ms() / 1000, attempt.node)  # no effect once the exchange has finished
+        if (
+            attempt.stream_started is not None
+            and self.events
+            and self.events[-1] is attempt.stream_started
+            and attempt.request_sent_ms
+        ):
+            self.events.pop()  # the response was complete in the same loop turn: not a transfer
+            delay = attempt.stream_started.delay
         else:
-            delay = now_ms() - (attempt.whole_ms or attempt.start_ms)
-        self._raise(Outcome(held.request.id, number, result, delay, held.over))
-        self._forget(held)
-
-    def _forget(self, held: PendingRequest) -> None:
-        super()._forget(held)
-        name = held.request.id
-        exchange = self.exchanges.get(name)
-        if held.over and all(a.ended for a in held.attempts) and (exchange is None or exchange.over):
-            self._drop(name, held)
-
-    def _drop(self, name: str, held: PendingRequest | None = None) -> None:
-        exchange = self.exchanges.pop(name, None)
+            delay = now_ms() - (attempt.request_sent_ms or attempt.start_ms)
+        self._post_event(Outcome(pending.request.id, number, result, delay, pending.completed))
+        self._forget_if_finished(pending)
+
+    def _forget_if_finished(self, pending: PendingRequest) -> None:
+        super()._forget_if_finished(pending)
+        request_id = pending.request.id
+        exchange = self.exchanges.get(request_id)
+        if (
+            pending.completed
+            and all(a.ended for a in pending.attempts)
+            and (exchange is None or exchange.over)
+        ):
+            self._remove_exchange(request_id, pending)
+
+    def _remove_exchange(self, request_id: str, pending: PendingRequest | None = None) -> None:
+        exchange = self.exchanges.pop(request_id, None)
         if exchange is not None:
-            self.budget.release(self.reserved.pop(name))
+            self.budget.release(self.reserved_bytes.pop(request_id))
             if self.exchange_observer is not None:
-                self.exchange_observer(exchange, held.attempts if held is not None else [])
+                self.exchange_observer(exchange, pending.attempts if pending is not None else [])
 
     def _restart_decision_module(self) -> None:
         super()._restart_decision_module()
-        for name, exchange in list(self.exchanges.items()):
-            if name not in self.requests and exchange.phase is not Phase.GATHERING:
+        for request_id, exchange in list(self.exchanges.items()):
+            if request_id not in self.requests and exchange.phase is not Phase.GATHERING:
                 exchange.answer(now_ms() / 1000, Own(500))
-                self._drop(name)
+                self._remove_exchange(request_id)
 
     def close(self) -> None:
         self.ticker.cancel()
         super().close()
 
 
-def result_of(head: Response) -> Result:
-    """What an answer's head tells of its node. An error is the client's all the same: a front is not to
-    guess what a node meant."""
+def result_of_head(head: Response) -> Result:
+    """The result of an attempt by the status of its response. A response with an error status is passed on to
+    the client in any case, because the proxy can't know what the node meant by it."""
     if head.status >= 500:
         return Result.ERROR
     return Result.INVALID if 400 <= head.status < 500 else Result.OK
--- a/flintlatch/ops/admin.py
+++ b/flintlatch/ops/admin.py
@@ -22,8 +22,8 @@
 
     def takes_clients(self) -> bool: ...
     def stats(self) -> str: ...
-    def send_away(self) -> None: ...
-    def take_back(self) -> None: ...
+    def start_drain(self) -> None: ...
+    def stop_drain(self) -> None: ...
 
 
 class Caller(asyncio.Protocol):
@@ -117,9 +117,9 @@
         if call is Call.STATS:
             return 200, self.staff.stats()
         if call is Call.DRAIN_START:
-            self.staff.send_away()
+            self.staff.start_drain()
             return 200, "sending clients away\n"
-        self.staff.take_back()
+        self.staff.stop_drain()
         return 200, "taking clients\n"
 
     def close(self) -> None:
--- a/flintlatch/ops/staff.py
+++ b/flintlatch/ops/staff.py
@@ -14,7 +14,7 @@
         """`classes`: their names, in the order of the settings."""
         self.engine, self.frontend = engine, frontend
         self.figures = Figures(classes)
-        engine.on_end = lambda cls, status: self.figures.end(cls, end_of(status))
+        engine.on_final_status = lambda cls, status: self.figures.end(cls, end_of(status))
         engine.backends.on_written = self._written
 
     def _written(self) -> None:
@@ -22,21 +22,21 @@
 
     def takes_clients(self) -> bool:
         frontend = self.frontend
-        return bool(frontend.socks) and not frontend.keep_alive_disabled
+        return bool(frontend.listeners) and not frontend.keep_alive_disabled
 
     def stats(self) -> str:
         engine = self.engine
         members = len(engine.backends.backends)
         # A list is in the pools at once, and with the module in the next turn.
-        avoided = min(engine.unavailable(), members)
+        avoided = min(engine.unavailable_servers(), members)
         return self.figures.lines(Standing(engine.open_requests(), members, avoided))
 
-    def send_away(self) -> None:
-        if not self.frontend.away:
+    def start_drain(self) -> None:
+        if not self.frontend.drained_by_operator:
             log("operators send clients away")
-        self.frontend.send_away()
+        self.frontend.start_drain()
 
-    def take_back(self) -> None:
-        if self.frontend.away:
+    def stop_drain(self) -> None:
+        if self.frontend.drained_by_operator:
             log("operators take clients back")
-        self.frontend.take_back()
+        self.frontend.stop_drain()
--- a/flintlatch/ops/succession.py
+++ b/flintlatch/ops/succession.py
@@ -87,7 +87,7 @@
             return
         try:
             self.offered = handover.Offer(
-                prefix(folder, listen), self.frontend.socks, self._taken, self._left
+                prefix(folder, listen), self.frontend.listeners, self._taken, self._left
             )
         except OSError as error:
             log(f"no successor can take the listening socket: {error}")
@@ -106,7 +106,7 @@
         """Two processes hold together what one may."""
         both = self.succeeded or self.before is not None
         to_backends, to_clients = split_descriptors(self.sockets // 2 if both else self.sockets)
-        self.engine.backends.max_connections, self.frontend.most = to_backends, to_clients
+        self.engine.backends.max_connections, self.frontend.max_connections = to_backends, to_clients
 
     def close(self) -> None:
         """Offer nothing more; whether there was a successor stays known."""
--- a/flintlatch/platform/engine.py
+++ b/flintlatch/platform/engine.py
@@ -21,10 +21,10 @@
         """Those here whole and not ended; an answer that is still passed on has not."""
         return sum(exchange.upload.complete and not exchange.over for exchange in self.exchanges.values())
 
-    def _deadline(self, held: PendingRequest) -> None:
+    def _on_deadline(self, pending: PendingRequest) -> None:
         # Its client is leaving in this moment: nothing is promised any more.
-        Engine._deadline(self, held)
+        Engine._on_deadline(self, pending)
 
-    def holds(self, exchange: Exchange, uploading: bool) -> int:
+    def max_memory_bytes(self, exchange: Exchange, uploading: bool) -> int:
         # What is short is bounded by the clients' number, and long answers by their kept buffers.
         return exchange.terms.holds(True) if uploading else 0
--- a/flintlatch/platform/front.py
+++ b/flintlatch/platform/front.py
@@ -11,7 +11,7 @@
 from flintlatch.net.engine import Answer
 from flintlatch.net.frontend import PHRASES, READY_PATH, Client, Frontend
 from flintlatch.net.http1 import MAX_BODY, MAX_HEAD
-from flintlatch.net.request import Bad, Message, Reader, check_framing
+from flintlatch.net.request import Message, Reader, RequestError, check_framing
 from flintlatch.platform.engine import Message as Passed
 from flintlatch.platform.engine import PlatformEngine
 from flintlatch.platform.limits import FEED_BYTES, HIGH_BYTES, MOST_BODY, SEND_BYTES, TERMS
@@ -60,30 +60,30 @@
 
     # Reading
 
-    def _go_on(self) -> None:
+    def _process(self) -> None:
         if self.stepping:
             return  # the call below goes on
         self.stepping = True
         try:
             self._start_long()
-            super()._go_on()
+            super()._process()
         finally:
             self.stepping = False
 
-    more = _go_on  # there is room again for an upload
+    more = _process  # there is room again for an upload
 
-    def appetite(self) -> int:
+    def parse_limit(self) -> int:
         coming = self.coming
         if coming is not None and coming.exchange is not None:
             return min(coming.exchange.room, FEED_BYTES)
         if coming is not None and coming.long(len(self._body)):
             return 0  # what was asked before it is answered first
-        return super().appetite()
+        return super().parse_limit()
 
-    def _feed(self, piece: bytes) -> None:
+    def _parse(self, chunk: bytes) -> None:
         if self.coming is not None and self.coming.exchange is not None:
             self._size = 0  # bounded by the body's length, and by its pace
-        super()._feed(piece)
+        super()._parse(chunk)
         self._start_long()
         if self.exchange is not None:
             self.exchange.push()
@@ -92,11 +92,11 @@
         self._head_done = True
         try:
             length = check_framing(self._headers, MOST_BODY)
-        except Bad as bad:
-            self._bad(bad.status)
+        except RequestError as error:
+            self._reject(error.status)
             return
         if sum(len(name) + len(value) for name, value in self._headers) + len(self._target) > MAX_HEAD:
-            self._bad(400)
+            self._reject(400)
             return
         self.coming = Coming(length)
         if (b"expect", b"100-continue") in self._headers and self.request_id is None and not self.queue:
@@ -112,7 +112,7 @@
         try:
             coming.exchange.came(now_ms() / 1000, [body])
         except TooLong:
-            self._bad(413)
+            self._reject(413)
 
     def on_message_complete(self) -> None:
         if self.closing or self.coming is None:
@@ -138,13 +138,20 @@
         message = Message(method, self._target, self._headers, b"", self.keep_alive, now_ms())
         try:
             if method == b"GET":
-                raise Bad(400)
-            taken = self.frontend.reader.read(message, self.answer, framed=False)
-            ask = Ask(taken.id, taken.cls, taken.tenant, taken.key, taken.budget_ms, repeat=taken.repeat)
-            request = Passed(method, message.target, b"", [], coming.length, head=taken.head)
+                raise RequestError(400)
+            accepted = self.frontend.reader.read(message, self.on_answer, with_length=False)
+            ask = Ask(
+                accepted.id,
+                accepted.cls,
+                accepted.tenant,
+                accepted.key,
+                accepted.budget_ms,
+                repeat=accepted.repeat,
+            )
+            request = Passed(method, message.target, b"", [], coming.length, head=accepted.head)
             coming.exchange = self._open(request, ask, True)
-        except Bad as bad:
-            self._bad(bad.status)
+        except RequestError as error:
+            self._reject(error.status)
             return
         now_s = now_ms() / 1000
         if self._body:
@@ -153,37 +160,37 @@
         coming.exchange.offer(now_s)
 
     def _open(self, request: Passed, ask: Ask, uploading: bool) -> Exchange:
-        """Raises Bad: its id is another's, or there is no memory for its body."""
+        """Raises RequestError: its id is another's, or there is no memory for its body."""
         exchange = Exchange(request, ask, TERMS, self, self.engine, now_ms() / 1000)
         try:
             if not self.engine.open(exchange, uploading):
-                raise Bad(503)
+                raise RequestError(503)
         except KeyError:
-            raise Bad(400) from None
+            raise RequestError(400) from None
         self.exchange, self.request_id = exchange, ask.id
         return exchange
 
-    def _take(self, message: Message) -> None:
+    def _accept_request(self, message: Message) -> None:
         if message.target.split(b"?", 1)[0] == READY_PATH:
-            super()._take(message)
+            super()._accept_request(message)
             return
-        taken = self.frontend.reader.read(message, self.answer, framed=False)
-        budget = min(taken.budget_ms, self.engine.settings.classes[taken.cls].deadline_ms)
-        ask = Ask(taken.id, taken.cls, taken.tenant, taken.key, budget, repeat=taken.repeat)
-        request = Passed(message.method, message.target, b"", [], len(message.body), head=taken.head)
+        accepted = self.frontend.reader.read(message, self.on_answer, with_length=False)
+        budget = min(accepted.budget_ms, self.engine.settings.classes[accepted.cls].deadline_ms)
+        ask = Ask(accepted.id, accepted.cls, accepted.tenant, accepted.key, budget, repeat=accepted.repeat)
+        request = Passed(message.method, message.target, b"", [], len(message.body), head=accepted.head)
         exchange = self._open(request, ask, False)
         now_s = now_ms() / 1000
         if message.body:
             exchange.came(now_s, [message.body])
         exchange.came_all(now_s)
 
-    def _bad(self, status: int) -> None:
+    def _reject(self, status: int) -> None:
         exchange = self.coming.exchange if self.coming is not None else None
         self.coming = None
         if exchange is None or self.closing:
-            super()._bad(status)
+            super()._reject(status)
             return
-        self.closing, self.rest, self.keep_alive = True, b"", False
+        self.closing, self.unparsed, self.keep_alive = True, b"", False
         exchange.client_faulty(now_ms() / 1000, status)
 
     # The client's side of an exchange
@@ -213,7 +220,7 @@
     def _stays(self) -> bool:
         """Whether the connection outlives this answer; what it was told holds."""
         self.keep_alive = self.keep_alive and not (
-            self.frontend.keep_alive_disabled and not self.queue and not self.rest
+            self.frontend.keep_alive_disabled and not self.queue and not self.unparsed
         )
         return self.keep_alive
 
@@ -254,7 +261,7 @@
     def _next(self) -> None:
         """Whatever waits behind the request just answered."""
         if not self.transport.is_closing() and not self.closing:
-            self._go_on()
+            self._process()
 
     def close_lingering(self) -> None:
         self.coming = None
@@ -262,8 +269,8 @@
 
 
 class PlatformFrontend(Frontend):
-    def __init__(self, engine: PlatformEngine, reader: Reader, most: int, *at_once: int) -> None:
-        super().__init__(engine, reader, most, *at_once)
+    def __init__(self, engine: PlatformEngine, reader: Reader, max_connections: int, *at_once: int) -> None:
+        super().__init__(engine, reader, max_connections, *at_once)
         self.relay = engine
 
     def make_client(self) -> Client:
--- a/flintlatch/platform/limits.py
+++ b/flintlatch/platform/limits.py
@@ -3,11 +3,13 @@
 from __future__ import annotations
 
 from flintlatch.exchange import Pace, Terms
-from flintlatch.net.frontend import PIECE
+from flintlatch.net.frontend import PARSE_CHUNK_BYTES
 from flintlatch.net.http1 import MAX_BODY
 
 MOST_BODY = 40 * 1024 * 1024  # bytes of any body: 32 MB occur, and what says 60 MB is nobody's request
-HELD_BYTES = MAX_BODY + 2 * PIECE  # of an upload that are kept for another attempt: a short body and a read
+HELD_BYTES = (
+    MAX_BODY + 2 * PARSE_CHUNK_BYTES
+)  # of an upload that are kept for another attempt: a short body and a read
 KERNEL_BYTES = 128 * 1024  # of the kernel's buffer for a server's connection; it doubles them, socket(7)
 SEND_BYTES = 128 * 1024  # of the kernel's buffer for a client that is sent a long answer; doubled too
 HIGH_BYTES = 64 * 1024  # of a client's write buffer, before its server is held back
--- a/flintlatch/platform/node.py
+++ b/flintlatch/platform/node.py
@@ -11,7 +11,7 @@
 from flintlatch.exchange import Response as Head
 from flintlatch.net.backends import Attempt, Backend, Backends, Connection
 from flintlatch.net.clock import now_ms
-from flintlatch.net.engine import PASSED_ON
+from flintlatch.net.engine import FORWARDED_RESPONSE_HEADERS
 from flintlatch.net.http1 import MAX_BODY, MAX_HEAD, Response
 from flintlatch.net.relay import RelayAttempt
 from flintlatch.platform.engine import Message
@@ -169,7 +169,7 @@
             exchange.pieces(now_s, self, [body])
 
     def _passed_on(self) -> list[tuple[bytes, bytes]]:
-        return [pair for pair in self._headers if pair[0] in PASSED_ON]
+        return [pair for pair in self._headers if pair[0] in FORWARDED_RESPONSE_HEADERS]
 
     def on_response(self, response: Response) -> None:
         self._cancel_timer()
--- a/tests/ops/test_admin.py
+++ b/tests/ops/test_admin.py
@@ -130,8 +130,8 @@
 def test_drain_sends_clients_away_and_stop_takes_them_back(monkeypatch: pytest.MonkeyPatch) -> None:
     # Guards against a readiness that stays at yes, a kept connection that stays open for good, an answer that
     # keeps its connection, and a request that was taken before and is cut off.
-    monkeypatch.setattr(frontend_module, "PARTING_S", 0.3)
-    monkeypatch.setattr(frontend_module, "SWEEP_S", 0.05)
+    monkeypatch.setattr(frontend_module, "DRAIN_IDLE_TIMEOUT_S", 0.3)
+    monkeypatch.setattr(frontend_module, "SWEEP_INTERVAL_S", 0.05)
 
     async def test() -> None:
         async with operated() as (p, address):
@@ -169,8 +169,8 @@
 def test_each_kept_connection_has_its_second_however_long_it_was_idle(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(frontend_module, "SWEEP_S", 0.01)
-    monkeypatch.setattr(frontend_module, "PARTING_S", 600.0)
+    monkeypatch.setattr(frontend_module, "SWEEP_INTERVAL_S", 0.01)
+    monkeypatch.setattr(frontend_module, "DRAIN_IDLE_TIMEOUT_S", 600.0)
 
     async def test() -> None:
         async with operated() as (p, address):
--- a/tests/ops/test_succession.py
+++ b/tests/ops/test_succession.py
@@ -102,15 +102,15 @@
             old.offer(str(tmp_path), first.frontend.address)
             before = await asyncio.to_thread(predecessor, str(tmp_path), first.frontend.address)
             assert before is not None
-            assert before.listeners[0].getsockname() == first.frontend.socks[0].getsockname()
+            assert before.listeners[0].getsockname() == first.frontend.listeners[0].getsockname()
             sock = await asyncio.to_thread(handover.announce_serving, before.path)
             assert sock is not None
             assert old.succeeded
-            assert (first.engine.backends.max_connections, first.frontend.most) == half
+            assert (first.engine.backends.max_connections, first.frontend.max_connections) == half
             sock.close()  # it dies
             while old.succeeded:
                 await asyncio.sleep(0.001)
-            assert (first.engine.backends.max_connections, first.frontend.most) == whole
+            assert (first.engine.backends.max_connections, first.frontend.max_connections) == whole
             before.listeners[0].close()
             old.close()
 
--- a/tests/platform/test_long.py
+++ b/tests/platform/test_long.py
@@ -325,8 +325,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(frontend_module, "REQUEST_READ_TIMEOUT_S", 0.1)
-    monkeypatch.setattr(frontend_module, "MOVE_S", 0.4)
-    monkeypatch.setattr(frontend_module, "SWEEP_S", 0.02)
+    monkeypatch.setattr(frontend_module, "BODY_IDLE_TIMEOUT_S", 0.4)
+    monkeypatch.setattr(frontend_module, "SWEEP_INTERVAL_S", 0.02)
 
     async def test() -> None:
         async with proxy() as p:
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -59,7 +59,7 @@
 
 @pytest.mark.parametrize("how", ["silent", "503", "reset"])
 def test_an_agent_that_fails_is_asked_again_at_once(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(engine_module, "KNOWN_AFTER_S", 1000.0)
+    monkeypatch.setattr(engine_module, "SAVED_LIST_DELAY_S", 1000.0)
 
     async def test() -> None:
         async with proxy(backends=1, lists="push") as p:
@@ -80,7 +80,7 @@
 def test_with_an_agent_that_says_nothing_the_list_known_before_counts(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(engine_module, "KNOWN_AFTER_S", 0.05)
+    monkeypatch.setattr(engine_module, "SAVED_LIST_DELAY_S", 0.05)
 
     async def test() -> None:
         async with proxy(backends=1, lists="push") as p:
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -43,7 +43,7 @@
 
 @pytest.fixture(autouse=True)
 def no_sweeps(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(frontend_module, "SWEEP_S", 1000.0)
+    monkeypatch.setattr(frontend_module, "SWEEP_INTERVAL_S", 1000.0)
 
 
 @pytest.mark.parametrize("kept", [False, True])
@@ -59,7 +59,7 @@
                     (await p.backends[0].calls.get()).reply(b"first")
                     await until(lambda: client in p.frontend.idle_clients)
                     sock.sendall(head("crossing"))
-                    client.part()
+                    client.close_when_idle()
                 else:
                     sock.sendall(head("crossing"))
                     client.on_read_timeout()
@@ -80,7 +80,7 @@
                 sock.sendall(head("before"))
                 (await p.backends[0].calls.get()).reply(b"first")
                 await until(lambda: client in p.frontend.idle_clients)
-                client.part()
+                client.close_when_idle()
                 sock.sendall(head("crossing"))
                 assert (await read(sock)).endswith(b"first")  # no reset takes the answer along
                 await settled(p)
@@ -101,7 +101,7 @@
                 await until(lambda: client.request_started)
                 p.frontend.disable_keep_alive()
                 stop = asyncio.create_task(p.frontend.finish(0.3))
-                await until(lambda: not p.frontend.socks)
+                await until(lambda: not p.frontend.listeners)
                 sock.sendall(request[20:])
                 await p.backends[0].calls.get()
                 async with asyncio.timeout(5):  # its own time runs for longer
@@ -141,8 +141,8 @@
                 client = await served(p)
                 sock.shutdown(socket.SHUT_WR)
                 await until(lambda: client.transport.is_closing())
-                client.part()
-                assert client not in p.frontend.ending
+                client.close_when_idle()
+                assert client not in p.frontend.lingering_clients
                 await p.frontend.finish(5.0)
                 assert not p.frontend.clients
 
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -140,10 +140,10 @@
         async with proxy() as p:
             await until(lambda: script.batches)
             script.batches.clear()
-            p.engine.client_gone("nobody")  # no longer held: no event
-            p.engine._on_timer(7, p.engine.life)
+            p.engine.client_gone("nobody")  # no longer pending: no event
+            p.engine._on_timer(7, p.engine.module_generation)
             p.engine.on_list_failure("test")
-            p.engine._on_timer(8, p.engine.life)
+            p.engine._on_timer(8, p.engine.module_generation)
             await until(lambda: script.batches)
             assert script.batches == [[ServerList(ListKind.FAILED), TimerFired(7), TimerFired(8)]]
 
@@ -197,8 +197,8 @@
             client = await p.client()
             client.send()
             await p.backends[0].calls.get()
-            held = p.engine.requests["c1"]
-            held.attempts[0].end(Result.FULL)
+            pending = p.engine.requests["c1"]
+            pending.attempts[0].end(Result.FULL)
             p.engine.client_gone("c1")
             await until(lambda: len(events(Outcome)) == 2)
             assert [(e.attempt, e.result) for e in events(Outcome)] == [
@@ -244,7 +244,7 @@
     async def test() -> None:
         async with proxy() as p:
             first, second = await p.client(), await p.client()
-            first.send(x_call_id="held")
+            first.send(x_call_id="pending")
             call = await p.backends[0].calls.get()
             assert (await second.ask(x_call_id="break")).status == 500
             assert (await first.reply()).status == 500
@@ -257,7 +257,7 @@
 
     run(test())
     shown = capsys.readouterr().err
-    assert shown.count("the decision module broke") == 1 and "in the module" in shown
+    assert shown.count("the decision module failed and is replaced") == 1 and "in the module" in shown
 
 
 def test_a_request_sent_ahead_of_a_break_is_served_by_the_new_module(script: type[Script]) -> None:
@@ -302,4 +302,4 @@
     log.second -= 1  # the next second
     log("later")
     lines = capsys.readouterr().err.splitlines()
-    assert len(lines) < 3 * engine_module.LOG_LINES and "left out" in lines[-1]
+    assert len(lines) < 3 * engine_module.MAX_LOG_LINES_PER_S and "were dropped" in lines[-1]
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -246,7 +246,7 @@
 def test_a_client_gets_its_answer_while_it_still_sends_what_nobody_reads(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(frontend_module, "LINGER_S", 30.0)
+    monkeypatch.setattr(frontend_module, "LINGER_TIMEOUT_S", 30.0)
 
     def ask(address: str) -> bytes:
         host, port = address.split(":")
@@ -265,7 +265,7 @@
 def test_at_the_cap_the_connection_idle_for_longest_makes_room() -> None:
     async def test() -> None:
         async with proxy() as p:
-            p.frontend.most = 2
+            p.frontend.max_connections = 2
             busy, idle = await p.client(), await p.client()
             busy.send()
             call = await p.backends[0].calls.get()
@@ -282,7 +282,7 @@
 def test_at_the_cap_with_all_busy_the_next_client_waits_its_turn() -> None:
     async def test() -> None:
         async with proxy() as p:
-            p.frontend.most = 1
+            p.frontend.max_connections = 1
             busy = await p.client()
             busy.send()
             call = await p.backends[0].calls.get()
@@ -335,11 +335,11 @@
 def test_at_the_cap_a_silent_connection_goes_before_one_that_was_used(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(frontend_module, "SPARE_MS", 0.0)
+    monkeypatch.setattr(frontend_module, "EVICTION_GRACE_MS", 0.0)
 
     async def test() -> None:
         async with proxy() as p:
-            p.frontend.most = 2
+            p.frontend.max_connections = 2
             used, silent = await p.client(), await p.client()
             assert (await used.ask("/health/ready", "GET")).status == 200
             while len(p.frontend.reading_clients) != 1:
@@ -353,11 +353,11 @@
 
 
 def test_idle_connections_do_not_pile_up_to_the_cap(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(frontend_module, "IDLE_FULL_S", 0.02)
+    monkeypatch.setattr(frontend_module, "CROWDED_IDLE_TIMEOUT_S", 0.02)
 
     async def test() -> None:
         async with proxy() as p:
-            p.frontend.most = 3
+            p.frontend.max_connections = 3
             first, second = await p.client(), await p.client()
             for client in (first, second):
                 assert (await client.ask("/health/ready", "GET")).status == 200
@@ -381,7 +381,7 @@
 
 
 def test_ids_are_remembered_for_a_while_and_no_longer(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(engine_module, "KNOWN_MOST", 3)
+    monkeypatch.setattr(engine_module, "MAX_RECENT_IDS", 3)
 
     async def test() -> None:
         async with proxy() as p:
@@ -390,7 +390,7 @@
                 client.send(x_call_id=f"c{number}")
                 (await p.backends[0].calls.get()).reply()
                 assert (await client.reply()).status == 200
-            assert len(p.engine.known) == 3
+            assert len(p.engine.recent_ids) == 3
 
     run(test())
 
@@ -401,7 +401,7 @@
             client = await p.client()
             for _ in range(500):
                 client.send("/unknown")
-            statuses = [(await client.reply()).status for _ in range(frontend_module.BAD_IN_A_ROW)]
+            statuses = [(await client.reply()).status for _ in range(frontend_module.MAX_CONSECUTIVE_ERRORS)]
             assert set(statuses) == {404}
             assert await client.ended()
 
@@ -426,8 +426,8 @@
 
 def test_what_is_sent_after_the_last_answer_is_read_up_to_a_bound(monkeypatch: pytest.MonkeyPatch) -> None:
     # 60 MB sent at full speed must not cost the time of the other clients.
-    monkeypatch.setattr(frontend_module, "LINGER_S", 1000.0)
-    monkeypatch.setattr(frontend_module, "LINGER_BYTES", 100_000)
+    monkeypatch.setattr(frontend_module, "LINGER_TIMEOUT_S", 1000.0)
+    monkeypatch.setattr(frontend_module, "MAX_LINGER_BYTES", 100_000)
 
     async def test() -> None:
         async with proxy() as p:
@@ -499,7 +499,7 @@
     async def test() -> None:
         async with proxy() as p:
             p.frontend.disable_keep_alive()
-            p.frontend._accept_off()  # busy elsewhere
+            p.frontend._pause_accepting()  # busy elsewhere
             late = await Client.open(p.frontend.address)
             late.send()
             ended = asyncio.create_task(p.frontend.finish(30.0))
--- a/tests/test_instants.py
+++ b/tests/test_instants.py
@@ -29,10 +29,10 @@
         async with proxy() as p:
 
             def crossed(connection: PlatformConnection, response: Response) -> None:
-                (held,) = p.engine.requests.values()
+                (pending,) = p.engine.requests.values()
                 if not deadline_first:
                     took(connection, response)
-                p.engine._deadline(held)
+                p.engine._on_deadline(pending)
                 if deadline_first:
                     took(connection, response)
 
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -44,8 +44,8 @@
     """A client that has sent so much behind its request that it is not read any further."""
     for number in range(6):
         client.writer.write(head(f"behind-{number}", pad=3000))
-    await until(lambda: p.frontend.paused)
-    (served,) = p.frontend.paused
+    await until(lambda: p.frontend.paused_clients)
+    (served,) = p.frontend.paused_clients
     return served
 
 
@@ -59,7 +59,7 @@
 
 @pytest.fixture(autouse=True)
 def no_sweeps(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(frontend_module, "SWEEP_S", 1000.0)
+    monkeypatch.setattr(frontend_module, "SWEEP_INTERVAL_S", 1000.0)
     monkeypatch.setattr(backends_module, "REUSE_DELAY_MS", 0.0)
 
 
@@ -176,7 +176,7 @@
 
 
 def test_clients_that_are_not_read_are_looked_at_now_and_then(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(frontend_module, "SWEEP_S", 0.01)
+    monkeypatch.setattr(frontend_module, "SWEEP_INTERVAL_S", 0.01)
 
     async def test() -> None:
         async with proxy() as p:
