--- a/flintlatch/net/relay.py
+++ b/flintlatch/net/relay.py
@@ -263,7 +263,7 @@
                 b"",
                 b"",
                 action.limit_ms,
-                lambda attempt, result, _: self._on_attempt_end(pending, number, attempt, result, None),
+                lambda ended, result, _: self._on_attempt_end(pending, number, ended, result, None),
             )
             pending.attempts.append(unsent_attempt)
             unsent_attempt.end(Result.NOT_SENT)
--- a/flintlatch/platform/__init__.py
+++ b/flintlatch/platform/__init__.py
@@ -1,5 +1,5 @@
-"""The platform's protocol as two sides of an exchange: what is short is had whole before it goes on, what is
-long is passed on as it comes."""
+"""The platform's protocol as two sides of an exchange: short bodies are buffered completely before they are
+passed on, long bodies are passed on while they arrive."""
 
 from flintlatch.platform.build import build
 from flintlatch.platform.engine import PlatformEngine
--- a/flintlatch/platform/build.py
+++ b/flintlatch/platform/build.py
@@ -1,4 +1,4 @@
-"""An engine and a front for the platform's protocol."""
+"""Builds the engine and the front end for the platform's protocol."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from flintlatch.net.request import Reader
 from flintlatch.platform.engine import PlatformEngine
 from flintlatch.platform.front import PlatformFrontend
-from flintlatch.platform.limits import UPLOAD_PART
+from flintlatch.platform.limits import UPLOAD_MEMORY_FRACTION
 from flintlatch.platform.node import PlatformConnection
 from flintlatch.settings import Wire
 
-TRANSFER_PART = 0.9  # of connections to servers, and of the uploads' memory, that transfers may take
+TRANSFER_FRACTION = 0.9  # of the connections to servers and of the upload memory that transfers may use
 
 
 def build(
@@ -22,14 +22,15 @@
     to_backends: int,
     to_clients: int,
     memory_mb: float,
-    *at_once: int,
+    *accepts_per_turn: int,
 ) -> tuple[PlatformEngine, PlatformFrontend]:
-    """`memory_mb`: the process's limit. `at_once`: connections accepted a turn, where others accept too."""
-    uploads = int(memory_mb * 1e6 * UPLOAD_PART)
+    """`memory_mb`: the memory limit of the process. `accepts_per_turn`: connections accepted in one loop
+    turn, if other processes accept from the same socket."""
+    upload_bytes = int(memory_mb * 1e6 * UPLOAD_MEMORY_FRACTION)
     settings = replace(
         settings,
-        all_transfers=max(1, int(to_backends * TRANSFER_PART)),
-        all_transfer_bytes=int(uploads * TRANSFER_PART),
+        all_transfers=max(1, int(to_backends * TRANSFER_FRACTION)),
+        all_transfer_bytes=int(upload_bytes * TRANSFER_FRACTION),
     )
-    engine = PlatformEngine(settings, wire, seed, to_backends, uploads, (), PlatformConnection)
-    return engine, PlatformFrontend(engine, Reader(settings, wire), to_clients, *at_once)
+    engine = PlatformEngine(settings, wire, seed, to_backends, upload_bytes, (), PlatformConnection)
+    return engine, PlatformFrontend(engine, Reader(settings, wire), to_clients, *accepts_per_turn)
--- a/flintlatch/platform/engine.py
+++ b/flintlatch/platform/engine.py
@@ -1,4 +1,4 @@
-"""Hosts the exchanges of the platform's protocol."""
+"""Runs the exchanges of the platform's protocol."""
 
 from __future__ import annotations
 
@@ -10,21 +10,26 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Message(Request):
-    """A request whose head goes on as it was checked: lines without that on the length and the last one."""
+class ForwardedRequest(Request):
+    """A request with the checked head for the server: lines without the Content-Length and the final empty
+    line."""
 
     head: bytes = b""
 
 
 class PlatformEngine(RelayEngine):
+    """The relay engine with the rules of the platform's protocol."""
+
     def open_requests(self) -> int:
-        """Those here whole and not ended; an answer that is still passed on has not."""
+        """Requests that are complete and have not ended; one whose response is still passed on has not
+        ended."""
         return sum(exchange.upload.complete and not exchange.over for exchange in self.exchanges.values())
 
     def _on_deadline(self, pending: PendingRequest) -> None:
-        # Its client is leaving in this moment: nothing is promised any more.
+        # The client gives up at this moment too, so there is no 503 with a Retry-After as in RelayEngine.
         Engine._on_deadline(self, pending)
 
     def max_memory_bytes(self, exchange: Exchange, uploading: bool) -> int:
-        # What is short is bounded by the clients' number, and long answers by their kept buffers.
+        # Short bodies are bounded by the number of clients, long responses by the buffers of their
+        # connections.
         return exchange.terms.holds(True) if uploading else 0
--- a/flintlatch/platform/front.py
+++ b/flintlatch/platform/front.py
@@ -1,4 +1,5 @@
-"""Clients of the platform's protocol, on the exchange: short requests come whole, long ones as they come."""
+"""Client connections of the platform's protocol: short request bodies are buffered, long ones are passed on
+while they arrive."""
 
 from __future__ import annotations
 
@@ -12,39 +13,44 @@
 from flintlatch.net.frontend import PHRASES, READY_PATH, Client, Frontend
 from flintlatch.net.http1 import MAX_BODY, MAX_HEAD
 from flintlatch.net.request import Message, Reader, RequestError, check_framing
-from flintlatch.platform.engine import Message as Passed
-from flintlatch.platform.engine import PlatformEngine
-from flintlatch.platform.limits import FEED_BYTES, HIGH_BYTES, MOST_BODY, SEND_BYTES, TERMS
+from flintlatch.platform.engine import ForwardedRequest, PlatformEngine
+from flintlatch.platform.limits import (
+    CLIENT_SEND_BUFFER_BYTES,
+    CLIENT_WRITE_BUFFER_BYTES,
+    MAX_LONG_BODY,
+    TERMS,
+    UPLOAD_PARSE_BYTES,
+)
 
 
 @dataclass(slots=True)
-class Coming:
-    """A request with a body that is still on the way."""
+class IncomingBody:
+    """The body of a request that is not complete yet."""
 
-    length: int | None  # bytes; None: in chunks
-    exchange: Exchange | None = None  # once it is long, and its turn has come
+    length: int | None  # bytes; None: chunked
+    exchange: Exchange | None = None  # set once the body is long and the earlier requests are answered
 
-    def long(self, here: int) -> bool:
-        return here > MAX_BODY or (self.length or 0) > MAX_BODY
+    def is_long(self, received_bytes: int) -> bool:
+        return received_bytes > MAX_BODY or (self.length or 0) > MAX_BODY
 
 
 class PlatformClient(Client):
-    """One connection, and the `ClientSide` of one exchange after the other."""
+    """One client connection, and the `ClientSide` of one exchange after another."""
 
     def __init__(self, frontend: PlatformFrontend) -> None:
         super().__init__(frontend)
-        self.engine = frontend.relay
+        self.engine = frontend.relay_engine
         self.exchange: Exchange | None = None
-        self.coming: Coming | None = None
-        self.chunked = False  # the answer that goes out
-        self.stepping = False
+        self.incoming: IncomingBody | None = None
+        self.response_chunked = False  # whether the response being sent is chunked
+        self.processing = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
-        self.transport.set_write_buffer_limits(high=HIGH_BYTES)
+        self.transport.set_write_buffer_limits(high=CLIENT_WRITE_BUFFER_BYTES)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        exchange, self.exchange, self.coming = self.exchange, None, None
+        exchange, self.exchange, self.incoming = self.exchange, None, None
         self.request_id = None
         super().connection_lost(exc)
         if exchange is not None:
@@ -58,67 +64,67 @@
         if self.exchange is not None:
             self.exchange.client_full(False)
 
-    # Reading
+    # Reading requests
 
     def _process(self) -> None:
-        if self.stepping:
-            return  # the call below goes on
-        self.stepping = True
+        if self.processing:
+            return  # a call further up the stack continues
+        self.processing = True
         try:
-            self._start_long()
+            self._start_upload()
             super()._process()
         finally:
-            self.stepping = False
+            self.processing = False
 
-    more = _process  # there is room again for an upload
+    more = _process  # called when the upload buffer has room again
 
     def parse_limit(self) -> int:
-        coming = self.coming
-        if coming is not None and coming.exchange is not None:
-            return min(coming.exchange.room, FEED_BYTES)
-        if coming is not None and coming.long(len(self._body)):
-            return 0  # what was asked before it is answered first
+        incoming = self.incoming
+        if incoming is not None and incoming.exchange is not None:
+            return min(incoming.exchange.room, UPLOAD_PARSE_BYTES)
+        if incoming is not None and incoming.is_long(len(self._body)):
+            return 0  # earlier requests of the connection are answered first
         return super().parse_limit()
 
     def _parse(self, chunk: bytes) -> None:
-        if self.coming is not None and self.coming.exchange is not None:
-            self._size = 0  # bounded by the body's length, and by its pace
+        if self.incoming is not None and self.incoming.exchange is not None:
+            self._size = 0  # the limits for the body and its pace apply instead
         super()._parse(chunk)
-        self._start_long()
+        self._start_upload()
         if self.exchange is not None:
             self.exchange.push()
 
     def on_headers_complete(self) -> None:
         self._head_done = True
         try:
-            length = check_framing(self._headers, MOST_BODY)
+            length = check_framing(self._headers, MAX_LONG_BODY)
         except RequestError as error:
             self._reject(error.status)
             return
         if sum(len(name) + len(value) for name, value in self._headers) + len(self._target) > MAX_HEAD:
             self._reject(400)
             return
-        self.coming = Coming(length)
+        self.incoming = IncomingBody(length)
         if (b"expect", b"100-continue") in self._headers and self.request_id is None and not self.queue:
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, body: bytes) -> None:
-        coming = self.coming
-        if self.closing or coming is None:
+        incoming = self.incoming
+        if self.closing or incoming is None:
             return
-        if coming.exchange is None:
-            self._body += body  # no more than one feed beyond what is short
+        if incoming.exchange is None:
+            self._body += body  # exceeds the limit of a short body by at most one parsed chunk
             return
         try:
-            coming.exchange.came(now_ms() / 1000, [body])
+            incoming.exchange.came(now_ms() / 1000, [body])
         except TooLong:
             self._reject(413)
 
     def on_message_complete(self) -> None:
-        if self.closing or self.coming is None:
+        if self.closing or self.incoming is None:
             return
-        exchange = self.coming.exchange
-        self.coming = None
+        exchange = self.incoming.exchange
+        self.incoming = None
         if exchange is None:
             super().on_message_complete()
             return
@@ -126,19 +132,20 @@
         self._reset()
         exchange.came_all(now_ms() / 1000)
 
-    def _start_long(self) -> None:
-        """Ask for a server for a long request that is on the way, if it is its turn."""
-        coming = self.coming
-        if coming is None or coming.exchange is not None or self.closing or self.request_id or self.queue:
+    def _start_upload(self) -> None:
+        """Offers a long request to the decision module while its body arrives, once earlier requests are
+        answered."""
+        incoming = self.incoming
+        if incoming is None or incoming.exchange is not None or self.closing or self.request_id or self.queue:
             return
-        if not coming.long(len(self._body)):
+        if not incoming.is_long(len(self._body)):
             return
         assert self.parser is not None
         method, self.keep_alive = self.parser.get_method(), self.parser.should_keep_alive()
         message = Message(method, self._target, self._headers, b"", self.keep_alive, now_ms())
         try:
             if method == b"GET":
-                raise RequestError(400)
+                raise RequestError(400, "GET with a body, expected none")
             accepted = self.frontend.reader.read(message, self.on_answer, with_length=False)
             ask = Ask(
                 accepted.id,
@@ -148,25 +155,25 @@
                 accepted.budget_ms,
                 repeat=accepted.repeat,
             )
-            request = Passed(method, message.target, b"", [], coming.length, head=accepted.head)
-            coming.exchange = self._open(request, ask, True)
+            request = ForwardedRequest(method, message.target, b"", [], incoming.length, head=accepted.head)
+            incoming.exchange = self._open(request, ask, True)
         except RequestError as error:
             self._reject(error.status)
             return
         now_s = now_ms() / 1000
         if self._body:
-            coming.exchange.came(now_s, [bytes(self._body)])
+            incoming.exchange.came(now_s, [bytes(self._body)])
             self._body = bytearray()
-        coming.exchange.offer(now_s)
+        incoming.exchange.offer(now_s)
 
-    def _open(self, request: Passed, ask: Ask, uploading: bool) -> Exchange:
-        """Raises RequestError: its id is another's, or there is no memory for its body."""
+    def _open(self, request: ForwardedRequest, ask: Ask, uploading: bool) -> Exchange:
+        """Raises RequestError if the id belongs to another request or there is no memory for the body."""
         exchange = Exchange(request, ask, TERMS, self, self.engine, now_ms() / 1000)
         try:
             if not self.engine.open(exchange, uploading):
-                raise RequestError(503)
+                raise RequestError(503, f"no memory left for the body of {ask.id!r}")
         except KeyError:
-            raise RequestError(400) from None
+            raise RequestError(400, f"id {ask.id!r} is in use or was recently") from None
         self.exchange, self.request_id = exchange, ask.id
         return exchange
 
@@ -177,7 +184,9 @@
         accepted = self.frontend.reader.read(message, self.on_answer, with_length=False)
         budget = min(accepted.budget_ms, self.engine.settings.classes[accepted.cls].deadline_ms)
         ask = Ask(accepted.id, accepted.cls, accepted.tenant, accepted.key, budget, repeat=accepted.repeat)
-        request = Passed(message.method, message.target, b"", [], len(message.body), head=accepted.head)
+        request = ForwardedRequest(
+            message.method, message.target, b"", [], len(message.body), head=accepted.head
+        )
         exchange = self._open(request, ask, False)
         now_s = now_ms() / 1000
         if message.body:
@@ -185,63 +194,64 @@
         exchange.came_all(now_s)
 
     def _reject(self, status: int) -> None:
-        exchange = self.coming.exchange if self.coming is not None else None
-        self.coming = None
+        exchange = self.incoming.exchange if self.incoming is not None else None
+        self.incoming = None
         if exchange is None or self.closing:
             super()._reject(status)
             return
         self.closing, self.unparsed, self.keep_alive = True, b"", False
         exchange.client_faulty(now_ms() / 1000, status)
 
-    # The client's side of an exchange
+    # `ClientSide` of an exchange
 
     def interim(self, head: Response) -> None:
-        """The platform's protocol has none to pass on."""
+        """Does nothing: the platform's protocol passes no interim responses on."""
 
     def begin(self, head: Response) -> None:
         exchange = self.exchange
         assert exchange is not None
         if not exchange.upload.complete:
-            self.keep_alive = False  # what follows of the upload can't be told from a next request
-        self.chunked = head.length is None
+            self.keep_alive = False  # the rest of the upload can't be distinguished from a next request
+        self.response_chunked = head.length is None
         if head.length is None or head.length > MAX_BODY:
-            # Left to itself the kernel takes 4 MB, and asks for more only when a third has gone: a client
-            # that reads slowly would look like one that doesn't read. Made smaller it takes nothing back.
-            sock = self.transport.get_extra_info("socket")
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BYTES)
+            # By default the kernel buffers up to 4 MB and reports room only after a third of that has been
+            # sent, so a slow client would look like one that does not read at all. A smaller size discards
+            # nothing.
+            client_socket = self.transport.get_extra_info("socket")
+            client_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, CLIENT_SEND_BUFFER_BYTES)
         framing = (
             b"transfer-encoding: chunked" if head.length is None else b"content-length: %d" % head.length
         )
         fields = b"".join(b"%b: %b\r\n" % pair for pair in head.fields)
-        close = b"" if self._stays() else b"connection: close\r\n"
-        line = b"HTTP/1.1 %d %b\r\n" % (head.status, PHRASES[head.status])
-        self.transport.write(b"".join((line, fields, framing, b"\r\n", close, b"\r\n")))
+        connection = b"" if self._update_keep_alive() else b"connection: close\r\n"
+        status_line = b"HTTP/1.1 %d %b\r\n" % (head.status, PHRASES[head.status])
+        self.transport.write(b"".join((status_line, fields, framing, b"\r\n", connection, b"\r\n")))
 
-    def _stays(self) -> bool:
-        """Whether the connection outlives this answer; what it was told holds."""
+    def _update_keep_alive(self) -> bool:
+        """Decides whether the connection is kept after this response, and keeps the decision."""
         self.keep_alive = self.keep_alive and not (
             self.frontend.keep_alive_disabled and not self.queue and not self.unparsed
         )
         return self.keep_alive
 
     def pieces(self, pieces: list[Piece], size: int) -> None:
-        self.transport.writelines([b"%x\r\n" % size, *pieces, b"\r\n"] if self.chunked else pieces)
+        self.transport.writelines([b"%x\r\n" % size, *pieces, b"\r\n"] if self.response_chunked else pieces)
 
     def end(self, trailers: Fields) -> None:
-        if self.chunked:
+        if self.response_chunked:
             self.transport.write(b"0\r\n\r\n")
-        self._answered()
+        self._on_response_end()
 
     def own(self, answer: Own) -> None:
         exchange = self.exchange
         if exchange is not None and not exchange.upload.complete:
             self.keep_alive = False
-        wait = b""
+        retry_after = b""
         if answer.retry_after_ms > 0:
-            wait = b"retry-after: %.3f\r\n" % (answer.retry_after_ms / 1000)
+            retry_after = b"retry-after: %.3f\r\n" % (answer.retry_after_ms / 1000)
         self.exchange = self.request_id = None
-        self.write(Answer(answer.status, wait))
-        self._next()
+        self.write(Answer(answer.status, retry_after))
+        self._process_next()
 
     def reset(self) -> None:
         self.transport.abort()
@@ -249,29 +259,33 @@
     def unread(self) -> int:
         return self.transport.get_write_buffer_size()
 
-    def _answered(self) -> None:
+    def _on_response_end(self) -> None:
         self.exchange = self.request_id = None
         self.response_sent = True
         if not self.keep_alive:
             if not self.transport.is_closing():
                 self.close_lingering()
         else:
-            self._next()
+            self._process_next()
 
-    def _next(self) -> None:
-        """Whatever waits behind the request just answered."""
+    def _process_next(self) -> None:
+        """Continues with the requests queued behind the one just answered."""
         if not self.transport.is_closing() and not self.closing:
             self._process()
 
     def close_lingering(self) -> None:
-        self.coming = None
+        self.incoming = None
         super().close_lingering()
 
 
 class PlatformFrontend(Frontend):
-    def __init__(self, engine: PlatformEngine, reader: Reader, max_connections: int, *at_once: int) -> None:
-        super().__init__(engine, reader, max_connections, *at_once)
-        self.relay = engine
+    """Accepts clients of the platform's protocol."""
+
+    def __init__(
+        self, engine: PlatformEngine, reader: Reader, max_connections: int, *accepts_per_turn: int
+    ) -> None:
+        super().__init__(engine, reader, max_connections, *accepts_per_turn)
+        self.relay_engine = engine
 
     def make_client(self) -> Client:
         return PlatformClient(self)
--- a/flintlatch/platform/limits.py
+++ b/flintlatch/platform/limits.py
@@ -1,4 +1,4 @@
-"""What long bodies may cost on the platform."""
+"""Limits on the memory and time of long bodies in the platform's protocol."""
 
 from __future__ import annotations
 
@@ -6,17 +6,24 @@
 from flintlatch.net.frontend import PARSE_CHUNK_BYTES
 from flintlatch.net.http1 import MAX_BODY
 
-MOST_BODY = 40 * 1024 * 1024  # bytes of any body: 32 MB occur, and what says 60 MB is nobody's request
-HELD_BYTES = (
-    MAX_BODY + 2 * PARSE_CHUNK_BYTES
-)  # of an upload that are kept for another attempt: a short body and a read
-KERNEL_BYTES = 128 * 1024  # of the kernel's buffer for a server's connection; it doubles them, socket(7)
-SEND_BYTES = 128 * 1024  # of the kernel's buffer for a client that is sent a long answer; doubled too
-HIGH_BYTES = 64 * 1024  # of a client's write buffer, before its server is held back
-FEED_BYTES = 64 * 1024  # of an upload that are parsed at once
-IDLE_S = 15.0  # s without a byte from the side that is waited for
-UPLOAD_MS = 600_000.0  # ms that an upload may take: 32 MB at 64 kB a second, and as much again in hand
-UPLOAD_PART = 0.3  # part of the memory limit that the uploads' bodies may hold
-GATHER_S = 0.05  # s for the end of an answer that does not tell its length: most are short and come at once
+# Bytes; valid bodies have up to 32 MB, and one of 60 MB is certainly invalid.
+MAX_LONG_BODY = 40 * 1024 * 1024
+# Of an upload kept for a retry: a short body and one read.
+RETRY_BUFFER_BYTES = MAX_BODY + 2 * PARSE_CHUNK_BYTES
+SERVER_RECEIVE_BUFFER_BYTES = 128 * 1024  # SO_RCVBUF of a server connection; the kernel doubles it, socket(7)
+CLIENT_SEND_BUFFER_BYTES = 128 * 1024  # SO_SNDBUF of a client that is sent a long response; doubled too
+CLIENT_WRITE_BUFFER_BYTES = 64 * 1024  # in the process, above which reading from the server is paused
+UPLOAD_PARSE_BYTES = 64 * 1024  # of an upload parsed at once
+TRANSFER_IDLE_TIMEOUT_S = 15.0  # without a byte from the side that has to send
+UPLOAD_TIMEOUT_MS = 600_000.0  # 32 MB at 64 kB/s take 500 s, and the rest is a margin
+UPLOAD_MEMORY_FRACTION = 0.3  # of the memory limit, for the bodies of uploads
+GATHER_TIMEOUT_S = 0.05  # for the end of a response without a length: most are short and arrive at once
 
-TERMS = Terms(Pace(IDLE_S, 0.0), UPLOAD_MS, HELD_BYTES, HIGH_BYTES + 2 * KERNEL_BYTES, MOST_BODY, FEED_BYTES)
+TERMS = Terms(
+    Pace(TRANSFER_IDLE_TIMEOUT_S, 0.0),
+    UPLOAD_TIMEOUT_MS,
+    RETRY_BUFFER_BYTES,
+    CLIENT_WRITE_BUFFER_BYTES + 2 * SERVER_RECEIVE_BUFFER_BYTES,
+    MAX_LONG_BODY,
+    UPLOAD_PARSE_BYTES,
+)
--- a/flintlatch/platform/node.py
+++ b/flintlatch/platform/node.py
@@ -1,5 +1,8 @@
-"""The platform's way to a server, on the exchange: answers of 200 alone are passed on, short ones once they
-are here whole, so that another attempt may take the place of a spoilt one."""
+"""Server connections of the platform's protocol.
+
+Only responses with status 200 are passed on. A short response is buffered until it is complete, so that
+another attempt can replace one that is broken off.
+"""
 
 from __future__ import annotations
 
@@ -14,21 +17,22 @@
 from flintlatch.net.engine import FORWARDED_RESPONSE_HEADERS
 from flintlatch.net.http1 import MAX_BODY, MAX_HEAD, Response
 from flintlatch.net.relay import RelayAttempt
-from flintlatch.platform.engine import Message
-from flintlatch.platform.limits import GATHER_S, KERNEL_BYTES, MOST_BODY
+from flintlatch.platform.engine import ForwardedRequest
+from flintlatch.platform.limits import GATHER_TIMEOUT_S, MAX_LONG_BODY, SERVER_RECEIVE_BUFFER_BYTES
 
 
 class PlatformConnection(Connection):
-    """`Connection`'s place in the pools, and a `NodeSide` of exchanges."""
+    """A pooled connection that is also the `NodeSide` of exchanges."""
 
     def __init__(self, pool: Backends, backend: Backend) -> None:
         super().__init__(pool, backend)
-        self.uploading = self.sent_all = self.paused = False
-        self.begun = self.held = False  # its answer is passed on; its client takes no more of it
+        self.uploading = self.sent_all = self.writing_paused = False
+        # Whether the response is passed on while it arrives, and whether the client's buffers are full.
+        self.streaming = self.reading_paused = False
         self.until_close = False
-        self.length: int | None = None  # of the answer's body, if it was told
-        self.came = 0  # bytes of it
-        self.timer: asyncio.TimerHandle | None = None
+        self.body_length: int | None = None  # Content-Length of the response, if it has one
+        self.received_bytes = 0  # of the response's body
+        self.gather_timer: asyncio.TimerHandle | None = None
 
     @property
     def exchange(self) -> Exchange | None:
@@ -36,22 +40,24 @@
         return attempt.exchange if isinstance(attempt, RelayAttempt) else None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        # Before anything has come: made smaller later, the window may close for good.
-        transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, KERNEL_BYTES)
+        # Set before the first byte arrives: if it is reduced later, the TCP window may stay closed forever.
+        transport.get_extra_info("socket").setsockopt(
+            socket.SOL_SOCKET, socket.SO_RCVBUF, SERVER_RECEIVE_BUFFER_BYTES
+        )
         super().connection_made(transport)
 
-    # The request
+    # Sending the request
 
     def send_attempt(self, attempt: Attempt) -> None:
-        self.begun = self.held = self.until_close = self.sent_all = False
-        self.length, self.came = None, 0
+        self.streaming = self.reading_paused = self.until_close = self.sent_all = False
+        self.body_length, self.received_bytes = None, 0
         if not isinstance(attempt, RelayAttempt):  # a probe
             self.uploading = False
             super().send_attempt(attempt)
             return
         self.attempt, attempt.connection, attempt.node = attempt, self, self
         exchange, now = attempt.exchange, now_ms()
-        request = cast(Message, exchange.request)
+        request = cast(ForwardedRequest, exchange.request)
         exchange.attach(now / 1000, self)
         budget = max(1, int(min(attempt.deadline - now, exchange.ask.budget_ms)))
         head = b"%bx-budget-ms: %d\r\n" % (request.head, budget)
@@ -74,7 +80,7 @@
         if exchange is None or transport is None or not self.uploading or transport.is_closing():
             return
         chunked = exchange.request.length is None
-        if not self.paused:
+        if not self.writing_paused:
             pieces, size = exchange.take(now_ms() / 1000)
             if size:
                 transport.writelines([b"%x\r\n" % size, *pieces, b"\r\n"] if chunked else pieces)
@@ -82,17 +88,17 @@
             self.sent_all = True
             if chunked:
                 transport.write(b"0\r\n\r\n")
-        if self.sent_all and not self.paused and not transport.is_closing():
+        if self.sent_all and not self.writing_paused and not transport.is_closing():
             self.uploading = self.write_incomplete = False
             self.on_written()
         else:
             exchange.client.more()
 
     def pause_writing(self) -> None:
-        self.paused = self.write_incomplete = True
+        self.writing_paused = self.write_incomplete = True
 
     def resume_writing(self) -> None:
-        self.paused = False
+        self.writing_paused = False
         if self.uploading:
             self.more()
         else:
@@ -100,25 +106,25 @@
 
     def on_written(self) -> None:
         if self.uploading:
-            return  # its head
+            return  # only the head is written
         super().on_written()
         exchange = self.exchange
         if exchange is not None:
             exchange.sent(now_ms() / 1000, self)
 
-    # The answer
+    # Receiving the response
 
     def accepts_framing(self, lengths: list[bytes], codings: list[bytes]) -> bool:
         if self._status != 200 or self.exchange is None:
             return super().accepts_framing(lengths, codings)
         if len(lengths) + len(codings) > 1:
             return False
-        self.max_message_bytes = MAX_HEAD + 4 * MOST_BODY
+        self.max_message_bytes = MAX_HEAD + 4 * MAX_LONG_BODY
         if lengths:
             length = lengths[0].strip()
-            if not length.isdigit() or len(length) > 18 or int(length) > MOST_BODY:
+            if not length.isdigit() or len(length) > 18 or int(length) > MAX_LONG_BODY:
                 return False
-            self.length = int(length)
+            self.body_length = int(length)
             return True
         if codings:
             if codings[0].strip().lower() != b"chunked":
@@ -129,55 +135,58 @@
             self.until_close = True  # RFC 9112 section 6.3, rule 8
         else:
             return False
-        self.timer = self.pool.loop.call_later(GATHER_S, self._gathered)
+        self.gather_timer = self.pool.loop.call_later(GATHER_TIMEOUT_S, self._on_gather_timeout)
         return True
 
-    def _gathered(self) -> None:
+    def _on_gather_timeout(self) -> None:
         if self._body:
-            self._begin()
+            self._begin_streaming()
 
     def on_body(self, body: bytes) -> None:
         if self._complete or self._malformed:
             return
-        self.came += len(body)
+        self.received_bytes += len(body)
         exchange = self.exchange
         if exchange is None:
             super().on_body(body)
-        elif self.came > MOST_BODY:
+        elif self.received_bytes > MAX_LONG_BODY:
             self._malformed = True
-        elif self.begun:
+        elif self.streaming:
             exchange.pieces(now_ms() / 1000, self, [body])
         else:
             self._body += body
-            waited = self.timer is not None and self.timer.when() <= self.pool.loop.time()
-            if len(self._body) > MAX_BODY or waited or (self.length or 0) > MAX_BODY:
-                self._begin()
-
-    def _begin(self) -> None:
-        """Hold it no longer: from here on it is the final answer, whole or visibly broken."""
+            gather_time_over = (
+                self.gather_timer is not None and self.gather_timer.when() <= self.pool.loop.time()
+            )
+            if len(self._body) > MAX_BODY or gather_time_over or (self.body_length or 0) > MAX_BODY:
+                self._begin_streaming()
+
+    def _begin_streaming(self) -> None:
+        """Starts passing the response on. From now on it is the final one, and a failure is visible to the
+        client."""
         exchange = self.exchange
-        if self.begun or not self.awaiting_response or self._complete or exchange is None:
+        if self.streaming or not self.awaiting_response or self._complete or exchange is None:
             return
-        self.begun = True
-        self._cancel_timer()
+        self.streaming = True
+        self._cancel_gather_timer()
         now_s = now_ms() / 1000
         body, self._body = bytes(self._body), bytearray()
-        exchange.begin(now_s, self, Head(200, self._passed_on(), length=self.length))
+        exchange.begin(now_s, self, Head(200, self._forwarded_headers(), length=self.body_length))
         if exchange.phase is not Phase.BEGUN or exchange.node is not self:
-            self._malformed = True  # another answer was quicker: this one is nobody's
+            self._malformed = True  # another attempt's response was first: this one is dropped
         elif body:
             exchange.pieces(now_s, self, [body])
 
-    def _passed_on(self) -> list[tuple[bytes, bytes]]:
+    def _forwarded_headers(self) -> list[tuple[bytes, bytes]]:
         return [pair for pair in self._headers if pair[0] in FORWARDED_RESPONSE_HEADERS]
 
     def on_response(self, response: Response) -> None:
-        self._cancel_timer()
+        self._cancel_gather_timer()
         exchange = self.exchange
         if exchange is not None and response.status == 200:
             now_s = now_ms() / 1000
-            if not self.begun:
-                exchange.begin(now_s, self, Head(200, self._passed_on(), length=len(response.body)))
+            if not self.streaming:
+                exchange.begin(now_s, self, Head(200, self._forwarded_headers(), length=len(response.body)))
                 if response.body:
                     exchange.pieces(now_s, self, [response.body])
             exchange.finish(now_s, self)
@@ -186,23 +195,23 @@
 
     def hold(self, hold: bool) -> None:
         transport = self.transport
-        if transport is None or hold is self.held or transport.is_closing():
+        if transport is None or hold is self.reading_paused or transport.is_closing():
             return
-        self.held = hold
+        self.reading_paused = hold
         if hold:
             transport.pause_reading()
         else:
             transport.resume_reading()
 
-    # Its end
+    # Closing
 
-    def _cancel_timer(self) -> None:
-        if self.timer is not None:
-            self.timer.cancel()
-            self.timer = None
+    def _cancel_gather_timer(self) -> None:
+        if self.gather_timer is not None:
+            self.gather_timer.cancel()
+            self.gather_timer = None
 
     def close(self) -> None:
-        self._cancel_timer()
+        self._cancel_gather_timer()
         super().close()
 
     def connection_lost(self, exc: Exception | None) -> None:
--- a/tests/platform/test_long.py
+++ b/tests/platform/test_long.py
@@ -122,8 +122,11 @@
             here = next(iter(p.frontend.clients))
             # Nor may the kernel hold so much that a slow reader looks like one that has stopped.
             sock = here.transport.get_extra_info("socket")
-            assert sock.getsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF) <= 2 * limits.SEND_BYTES
-            assert here.transport.get_write_buffer_size() <= limits.HIGH_BYTES + 4 * limits.KERNEL_BYTES
+            assert sock.getsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF) <= 2 * limits.CLIENT_SEND_BUFFER_BYTES
+            assert (
+                here.transport.get_write_buffer_size()
+                <= limits.CLIENT_WRITE_BUFFER_BYTES + 4 * limits.SERVER_RECEIVE_BUFFER_BYTES
+            )
             assert sent < 24 * MIB  # the rest is held back there; kernels hold some MB
             whole = hashlib.sha256(await client.reader.readexactly(32 * MIB))
             assert whole.hexdigest() == digest(512)
@@ -186,7 +189,7 @@
 
 def test_chunks_that_come_slowly_begin_to_go_out_before_their_end(monkeypatch: pytest.MonkeyPatch) -> None:
     # Guards against an answer whose first bytes wait for its last.
-    monkeypatch.setattr(node_module, "GATHER_S", 0.01)
+    monkeypatch.setattr(node_module, "GATHER_TIMEOUT_S", 0.01)
 
     async def test() -> None:
         async with proxy() as p:
@@ -301,7 +304,7 @@
 @pytest.mark.parametrize(
     ("status", "sent"),
     [
-        (413, b"content-length: %d\r\n\r\n" % (limits.MOST_BODY + 1)),
+        (413, b"content-length: %d\r\n\r\n" % (limits.MAX_LONG_BODY + 1)),
         (400, b"content-length: 100000\r\ntransfer-encoding: chunked\r\n\r\n"),
         (400, b"transfer-encoding: chunked\r\n\r\n" + b"11170\r\n" + b"z" * 70_000 + b"\r\nnoise\r\n"),
     ],
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -244,7 +244,7 @@
     async def test() -> None:
         async with proxy() as p:
             first, second = await p.client(), await p.client()
-            first.send(x_call_id="pending")
+            first.send(x_call_id="held")
             call = await p.backends[0].calls.get()
             assert (await second.ask(x_call_id="break")).status == 500
             assert (await first.reply()).status == 500
