--- a/flintlatch/__main__.py
+++ b/flintlatch/__main__.py
@@ -1,6 +1,6 @@
-"""One proxy on real sockets: reads its configuration, wires the parts, obeys SIGHUP and SIGTERM.
+"""Runs one proxy: reads its configuration, starts its parts, and handles SIGHUP and SIGTERM.
 
-With arguments it is the command line instead, see cli.py.
+With arguments it runs the command line instead, see cli.py.
 """
 
 from __future__ import annotations
@@ -24,18 +24,20 @@
 from flintlatch.net.engine import Engine, log
 from flintlatch.net.frontend import open_listener
 from flintlatch.net.http1 import split_address
-from flintlatch.ops.admin import Admin
+from flintlatch.ops.admin import AdminServer
 from flintlatch.ops.staff import Operations
-from flintlatch.ops.succession import Succession, predecessor
+from flintlatch.ops.succession import HotRestart, find_predecessor
 from flintlatch.platform import PlatformEngine, PlatformFrontend, build
 from flintlatch.settings import Malformed, Wire, mapping, read_settings, read_wire, text, whole
 
-KEEP_ON_S = 1.5  # s after SIGTERM in which connections stay open where a successor accepts the new ones
-ACCEPT_ON_S = 0.55  # s after SIGTERM in which connections still come, and a little more for a busy machine
+# After SIGTERM connections stay open for this time if a successor accepts new ones.
+LINGER_WITH_SUCCESSOR_S = 1.5
+# Clients still connect for a while after SIGTERM; includes a margin for a busy machine.
+ACCEPT_AFTER_STOP_S = 0.55
 
 
 class Config:
-    """What the platform tells the proxy, checked; Malformed says what is wrong with it."""
+    """The checked configuration from the platform. Raises Malformed with a message for the operator."""
 
     def __init__(self, env: dict[str, str]) -> None:
         path = env.get("LB_CONFIG")
@@ -50,11 +52,11 @@
             raise Malformed(f"{path}: not JSON: {error}") from None
         try:
             info = mapping(raw["settings"], "settings")
-            # The limit tells what the simulator's clients are given; HTTP has Retry-After for all of them.
+            # This limit describes the simulator's clients; over HTTP every client understands Retry-After.
             self.settings: Settings = replace(read_settings(info), retry_after=True)
             self.settings.check()
             self.wire: Wire = read_wire(info)
-            self.known: Listing = read_listing(raw["known"], self.wire)
+            self.saved_list: Listing = read_listing(raw["known"], self.wire)
             self.name = env.get("LB_NAME") or text(raw["name"], "name")
             self.listen = env.get("LB_LISTEN") or text(raw["listen"], "listen")
             self.discovery = env.get("LB_DISCOVERY") or text(raw["discovery"], "discovery")
@@ -64,7 +66,7 @@
             self.memory_mb = float(whole(limits.get("memory_mb", 64), "memory_mb"))
             self.sockets = min(sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
             self.admin = env.get("LB_ADMIN") or text(raw.get("admin") or "", "admin")
-            self.shared_folder = env.get("TMPDIR") or ""  # where a process and its successor meet
+            self.handover_folder = env.get("TMPDIR") or ""  # for the handover to a successor
             for address in (self.listen, self.discovery, *filter(None, [self.admin])):
                 split_address(address)
         except KeyError as error:
@@ -76,29 +78,27 @@
 def start(
     config: Config, listeners: list[socket.socket] | None = None
 ) -> tuple[PlatformEngine, PlatformFrontend]:
-    """Wire the parts; from here on clients are served, on `listeners` where another has opened them."""
+    """Starts the parts and accepts clients, on `listeners` if they were received from a predecessor."""
     to_backends, to_clients = split_descriptors(config.sockets)
     engine, frontend = build(
         config.settings, config.wire, config.seed, to_backends, to_clients, config.memory_mb
     )
-    pushed = not config.settings.ask_for_list
-    rev = (
-        None if pushed else config.known.revision
-    )  # an agent's whole list costs nothing, and needs no older one
+    from_agent = not config.settings.ask_for_list
+    revision = None if from_agent else config.saved_list.revision  # an agent sends a snapshot at no cost
     engine.discovery = Discovery(
-        config.discovery, config.wire, rev, engine.on_list, engine.on_list_failure, pushed
+        config.discovery, config.wire, revision, engine.on_list, engine.on_list_failure, from_agent
     )
-    if pushed:
-        engine.watch_agent(config.known)
+    if from_agent:
+        engine.watch_agent(config.saved_list)
     else:
-        engine.on_list(config.known, ListKind.SAVED)
+        engine.on_list(config.saved_list, ListKind.SAVED)
     frontend.serve_on(listeners or [open_listener(config.listen, shared=True)])
     return engine, frontend
 
 
 def reload(engine: Engine, env: dict[str, str]) -> None:
-    """SIGHUP: the file has been replaced. Only where the list comes from may change while the proxy runs,
-    and there the file counts, since the environment can't change."""
+    """Handles SIGHUP after the file was replaced. Only the address of the list service may change while the
+    proxy runs, and for it the file takes precedence, because the environment can't change."""
     try:
         config = Config({name: value for name, value in env.items() if name != "LB_DISCOVERY"})
     except Malformed as error:
@@ -109,56 +109,58 @@
 
 async def serve(config: Config) -> None:
     loop = asyncio.get_running_loop()
-    # A bug in the code of one connection ends that connection, not the program.
+    # An exception in the code of one connection ends that connection, not the process.
     loop.set_exception_handler(
         lambda _, context: log(f"bug: {context.get('message')}: {context.get('exception')!r}")
     )
     stop = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
-    before = predecessor(config.shared_folder, config.listen)
-    engine, frontend = start(config, before.listeners if before is not None else None)
-    # In the same turn as the start: no client can have seen the proxy ready before.
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
+    predecessor = find_predecessor(config.handover_folder, config.listen)
+    engine, frontend = start(config, predecessor.listeners if predecessor is not None else None)
+    # In the same loop turn as the start, so that the handler is set before a client can see the proxy as
+    # ready.
     loop.add_signal_handler(signal.SIGHUP, reload, engine, dict(os.environ))
     signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
-    succession = Succession(engine, frontend, config.sockets)
-    if before is not None:
-        succession.follow(before)
-    succession.offer(config.shared_folder, config.listen)
+    restart = HotRestart(engine, frontend, config.sockets)
+    if predecessor is not None:
+        restart.join(predecessor)
+    restart.offer_listeners(config.handover_folder, config.listen)
     admin = None
     if config.admin:
-        staff = Operations(engine, frontend, list(config.wire.classes))
-        admin = await Admin.open(config.admin, staff)
+        operations = Operations(engine, frontend, list(config.wire.classes))
+        admin = await AdminServer.open(config.admin, operations)
     log(f"{config.name} listens on {frontend.address}")
-    # What start-up made stays for good: the collector need not walk it in the middle of a request.
+    # Objects from the start live as long as the process: excluded from garbage collection during requests.
     gc.collect()
     gc.freeze()
     await stop.wait()
     log("stopping")
-    if succession.succeeded:
+    if restart.successor_serves:
         frontend.disable_keep_alive(address_still_served=True)
-        succession.close()
+        restart.close()
         frontend.stop_accepting()
-        await asyncio.sleep(KEEP_ON_S)
+        await asyncio.sleep(LINGER_WITH_SUCCESSOR_S)
     else:
         frontend.disable_keep_alive()
-        await asyncio.sleep(ACCEPT_ON_S)
-        succession.close()
+        await asyncio.sleep(ACCEPT_AFTER_STOP_S)
+        restart.close()
     await frontend.finish(max(c.deadline_ms for c in config.settings.classes) / 1000)
     engine.close()
     if admin is not None:
         admin.close()
-    # The loop's handler goes with the loop: a SIGHUP in the last moment must not end the program in its way.
+    # The loop's handler ends with the loop: a late SIGHUP must not terminate the process with another exit
+    # code.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
     log("stopped")
 
 
 def main() -> int:
-    if len(sys.argv) > 1:  # the platform gives no argument, and must not pay for the rest
+    if len(sys.argv) > 1:  # the platform passes no argument, and the import must not slow its start
         from flintlatch.cli import main as command_line
 
         return command_line(sys.argv[1:])
-    # It waits until the loop has its handler: the file may be replaced just behind the reading below.
+    # Blocked until the loop has its handler, because the file may be replaced right after it is read below.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
     try:
         config = Config(dict(os.environ))
@@ -167,7 +169,7 @@
         return 2
     try:
         uvloop.run(serve(config))
-    except OSError as error:  # the address to listen on is not to be had
+    except OSError as error:  # the listening address is not available
         log(str(error))
         return 2
     return 0
--- a/flintlatch/handover.py
+++ b/flintlatch/handover.py
@@ -1,10 +1,11 @@
-"""Listening sockets from a process that serves to the one that comes after it.
+"""Hands the listening sockets of a serving process over to its successor.
 
-Who serves offers them at a Unix socket of its own, `PREFIX+PID`, mode 0600. The next one takes them there
-instead of binding, so that no connection that waits in the kernel's queue is dropped, and says when it
-serves. It may keep that connection: each then sees the other's end by it. A line each way:
+The serving process offers them at its own Unix socket, `PREFIX+PID`, mode 0600. The successor receives them
+there instead of binding, so that no connection in the kernel's queue is dropped, and announces when it
+serves. It may keep that connection open, and then each process detects the end of the other one. One line in
+each direction:
 
-    listeners    ->  {"count": N}, with N descriptors beside it (SCM_RIGHTS, unix(7))
+    listeners    ->  {"count": N}, with N descriptors as ancillary data (SCM_RIGHTS, unix(7))
     serving      ->  {"ok": true}
 """
 
@@ -19,31 +20,36 @@
 
 import orjson
 
-MOST_LISTENERS = 64  # descriptors in one message; a fleet listens on a handful of addresses
-ANSWER_S = 1.0  # s that the one asked may take to answer: it is busy, or hangs
-MOST_LINE = 64  # bytes
-MOST_CALLERS = 16  # at once; there is one successor, and whoever else may read the folder
+MAX_LISTENERS = 64  # descriptors in one message; a fleet listens at only a few addresses
+RESPONSE_TIMEOUT_S = 1.0  # for a process that is busy or hangs
+MAX_LINE_BYTES = 64
+MAX_CONNECTIONS = 16  # at once; one successor, and other processes with access to the folder
 
 
 class Offer:
-    """The side of the one that serves."""
+    """The offer of a serving process."""
 
     def __init__(
         self,
         prefix: str,
-        socks: list[socket.socket],
-        taken: Callable[[], None],
-        left: Callable[[], None] = lambda: None,
+        listeners: list[socket.socket],
+        on_successor: Callable[[], None],
+        on_successor_gone: Callable[[], None] = lambda: None,
     ) -> None:
-        """`taken` is called when a successor serves, `left` when the last such connection has ended. Raises
-        OSError if there can be no such socket."""
-        self.path, self.taken, self.left = f"{prefix}+{os.getpid()}", taken, left
-        # Their own numbers: whoever drains closes its sockets, and the queue must outlive that.
-        self.socks = [sock.dup() for sock in socks]
+        """`on_successor` is called when a successor serves, `on_successor_gone` when the last connection of a
+        successor has ended. Raises OSError if the Unix socket can't be created."""
+        self.path, self.on_successor, self.on_successor_gone = (
+            f"{prefix}+{os.getpid()}",
+            on_successor,
+            on_successor_gone,
+        )
+        # Duplicated, because a draining process closes its own descriptors, and the kernel's queue must
+        # outlive that.
+        self.listeners = [sock.dup() for sock in listeners]
         self.loop = asyncio.get_running_loop()
         self.sock = socket.socket(socket.AF_UNIX)
-        self.callers: dict[socket.socket, bool] = {}  # whether it has said that it serves
-        old = os.umask(0o177)
+        self.connections: dict[socket.socket, bool] = {}  # whether the peer has announced that it serves
+        previous_umask = os.umask(0o177)
         try:
             with contextlib.suppress(FileNotFoundError):
                 os.unlink(self.path)
@@ -53,68 +59,69 @@
             self.sock.close()
             raise
         finally:
-            os.umask(old)
+            os.umask(previous_umask)
         self.sock.setblocking(False)
         self.loop.add_reader(self.sock.fileno(), self._accept)
 
     def _accept(self) -> None:
         with contextlib.suppress(OSError):
-            caller, _ = self.sock.accept()
-            if len(self.callers) >= MOST_CALLERS:
-                caller.close()
+            connection, _ = self.sock.accept()
+            if len(self.connections) >= MAX_CONNECTIONS:
+                connection.close()
                 return
-            caller.setblocking(False)
-            self.callers[caller] = False
-            self.loop.add_reader(caller.fileno(), self._asked, caller)
+            connection.setblocking(False)
+            self.connections[connection] = False
+            self.loop.add_reader(connection.fileno(), self._on_request, connection)
 
-    def _asked(self, caller: socket.socket) -> None:
+    def _on_request(self, connection: socket.socket) -> None:
         try:
-            line = caller.recv(MOST_LINE)
+            line = connection.recv(MAX_LINE_BYTES)
             if line == b"listeners\n":
-                said = orjson.dumps({"count": len(self.socks)}) + b"\n"
-                socket.send_fds(caller, [said], [sock.fileno() for sock in self.socks])
+                response = orjson.dumps({"count": len(self.listeners)}) + b"\n"
+                socket.send_fds(connection, [response], [sock.fileno() for sock in self.listeners])
                 return
             if line == b"serving\n":
-                caller.send(b'{"ok":true}\n')
-                self.callers[caller] = True
-                self.taken()
+                connection.send(b'{"ok":true}\n')
+                self.connections[connection] = True
+                self.on_successor()
                 return
         except OSError:
             pass
-        self._hang_up(caller)
+        self._disconnect(connection)
 
-    def _hang_up(self, caller: socket.socket) -> None:
-        self.loop.remove_reader(caller.fileno())
-        served = self.callers.pop(caller)
-        caller.close()
-        if served and not any(self.callers.values()):
-            self.left()
+    def _disconnect(self, connection: socket.socket) -> None:
+        self.loop.remove_reader(connection.fileno())
+        was_successor = self.connections.pop(connection)
+        connection.close()
+        if was_successor and not any(self.connections.values()):
+            self.on_successor_gone()
 
     def close(self) -> None:
-        self.left = lambda: None
-        for caller in list(self.callers):
-            self._hang_up(caller)
+        self.on_successor_gone = lambda: None
+        for connection in list(self.connections):
+            self._disconnect(connection)
         self.loop.remove_reader(self.sock.fileno())
         self.sock.close()
         with contextlib.suppress(OSError):
             os.unlink(self.path)
-        for sock in self.socks:
+        for sock in self.listeners:
             sock.close()
 
 
 def find_offers(prefix: str) -> list[str]:
-    """Where those that offer under this prefix may be reached."""
+    """The paths of all offers with this prefix."""
     return sorted(glob.glob(glob.escape(prefix) + "+*"))
 
 
 def receive_listeners(path: str) -> list[socket.socket]:
-    """The listening sockets offered there; empty if nobody is there any more, whose path is removed."""
+    """Receives the listening sockets offered at a path. Empty if the process does not respond; if it is gone,
+    the path is removed."""
     with socket.socket(socket.AF_UNIX) as sock:
-        sock.settimeout(ANSWER_S)
+        sock.settimeout(RESPONSE_TIMEOUT_S)
         try:
             sock.connect(path)
             sock.send(b"listeners\n")
-            _, fds, _, _ = socket.recv_fds(sock, MOST_LINE, MOST_LISTENERS)
+            _, fds, _, _ = socket.recv_fds(sock, MAX_LINE_BYTES, MAX_LISTENERS)
         except (ConnectionRefusedError, FileNotFoundError):
             with contextlib.suppress(OSError):
                 os.unlink(path)
@@ -125,14 +132,14 @@
 
 
 def announce_serving(path: str) -> socket.socket | None:
-    """Say that this process serves what it took there. A connection that ends with the other process, or
-    None if it has not heard."""
+    """Announces that this process serves the received sockets. Returns a connection that ends with the other
+    process, or None if that has not confirmed."""
     sock = socket.socket(socket.AF_UNIX)
-    sock.settimeout(ANSWER_S)
+    sock.settimeout(RESPONSE_TIMEOUT_S)
     try:
         sock.connect(path)
         sock.send(b"serving\n")
-        if sock.recv(MOST_LINE):
+        if sock.recv(MAX_LINE_BYTES):
             return sock
     except OSError:
         pass
@@ -141,7 +148,7 @@
 
 
 def notify_serving(path: str) -> bool:
-    """The one there may drain now; whether it has heard."""
+    """Tells the process at a path that it may drain now. Returns whether it has confirmed."""
     sock = announce_serving(path)
     if sock is not None:
         sock.close()
--- a/flintlatch/ops/__init__.py
+++ b/flintlatch/ops/__init__.py
@@ -1,5 +1,5 @@
-"""What operators do with one proxy: its second address, its figures, sending its clients away."""
+"""Operation of one proxy: its admin address, its metrics and draining its clients."""
 
-from flintlatch.ops.figures import Figures
+from flintlatch.ops.figures import StatsdMetrics
 
-__all__ = ["Figures"]
+__all__ = ["StatsdMetrics"]
--- a/flintlatch/ops/calls.py
+++ b/flintlatch/ops/calls.py
@@ -1,4 +1,4 @@
-"""The calls of the second address: which there are, and what is wrong with one that isn't. No I/O."""
+"""The calls of the admin address: their paths and methods, and the errors for other requests. No I/O."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
     DRAIN_STOP = "/ops/drain/stop"
 
 
-METHODS = {
+METHOD_OF_CALL = {
     Call.READINESS: b"GET",
     Call.STATS: b"GET",
     Call.DRAIN_START: b"POST",
     Call.DRAIN_STOP: b"POST",
 }
-PATHS = {call.value.encode(): call for call in Call}
+CALL_OF_PATH = {call.value.encode(): call for call in Call}
 
 
-class NoCall(Exception):
-    """`status` is the answer; the text tells the caller what was expected."""
+class CallError(Exception):
+    """Not a valid call; answered with `status` and `text`, which says what was expected."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -30,10 +30,11 @@
 
 
 def read_call(method: bytes, target: bytes) -> Call:
-    """Raises NoCall: 404 for another path, 405 for another method (RFC 9110 sections 15.5.5 and 15.5.6)."""
-    call = PATHS.get(target.partition(b"?")[0])
+    """Raises CallError: 404 for an unknown path, 405 for a wrong method (RFC 9110 sections 15.5.5 and
+    15.5.6)."""
+    call = CALL_OF_PATH.get(target.partition(b"?")[0])
     if call is None:
-        raise NoCall(404, f"no such call; there are {', '.join(sorted(one.value for one in Call))}")
-    if method != METHODS[call]:
-        raise NoCall(405, f"{call.value} takes {METHODS[call].decode()}")
+        raise CallError(404, f"no such call; there are {', '.join(sorted(known.value for known in Call))}")
+    if method != METHOD_OF_CALL[call]:
+        raise CallError(405, f"{call.value} takes {METHOD_OF_CALL[call].decode()}")
     return call
--- a/flintlatch/ops/figures.py
+++ b/flintlatch/ops/figures.py
@@ -1,6 +1,7 @@
-"""What one proxy has done since its process began, and how it stands. No I/O.
+"""Counters since the start of one proxy process, and its current gauges. No I/O.
 
-Told as lines of StatsD, one a figure: `proxy.NAME:VALUE|c` counts, `proxy.NAME:VALUE|g` stands.
+Written as StatsD lines, one for each metric: `proxy.NAME:VALUE|c` for a counter, `proxy.NAME:VALUE|g` for a
+gauge.
 """
 
 from __future__ import annotations
@@ -9,51 +10,53 @@
 from enum import Enum
 from typing import NamedTuple
 
-PREFIX = "proxy"
+NAME_PREFIX = "proxy"
 
 
-class End(Enum):
-    """How a request ended, as its client sees it."""
+class ClientOutcome(Enum):
+    """How a request ended from the point of view of its client."""
 
     COMPLETED = "completed"
     REJECTED = "rejected"
     FAILED = "failed"
 
 
-class Standing(NamedTuple):
-    """Of this moment."""
+class Gauges(NamedTuple):
+    """The current values. The field names are the names of the metrics."""
 
-    pending: int  # requests taken and not ended
+    pending: int  # requests accepted and not ended
     members: int  # servers on the list
-    members_unavailable: int  # of those, the ones that get nothing new
+    members_unavailable: int  # of these, the servers that get no new requests
 
 
-def end_of(status: int) -> End:
-    """What an answer of this status means to a client: a refusal may be tried again, a failure promises
-    nothing."""
+def outcome_of_status(status: int) -> ClientOutcome:
+    """What a response with this status means to the client: a rejected request may be retried, and a failed
+    one may have been executed."""
     if status == 200:
-        return End.COMPLETED
-    return End.REJECTED if status in (429, 503) else End.FAILED
+        return ClientOutcome.COMPLETED
+    return ClientOutcome.REJECTED if status in (429, 503) else ClientOutcome.FAILED
 
 
-class Figures:
+class StatsdMetrics:
+    """The counters of one proxy."""
+
     def __init__(self, classes: Sequence[str]) -> None:
-        """`classes`: their names, in the order of the settings."""
+        """`classes`: the class names, in the order of the settings."""
         self.classes = tuple(classes)
-        self.ended = {end: [0] * len(self.classes) for end in End}
+        self.counts_by_outcome = {outcome: [0] * len(self.classes) for outcome in ClientOutcome}
         self.upstream_requests = 0  # attempts written whole to servers
 
-    def end(self, cls: int, end: End) -> None:
-        """A request of this class has got its final answer."""
-        self.ended[end][cls] += 1
+    def count(self, cls: int, outcome: ClientOutcome) -> None:
+        """Counts the final response of a request of this class."""
+        self.counts_by_outcome[outcome][cls] += 1
 
-    def lines(self, now: Standing) -> str:
-        """All figures as StatsD, a line each; a class is there from the start."""
-        told = [
-            f"{PREFIX}.{end.value}.{name}:{count}|c"
-            for end, counts in self.ended.items()
+    def lines(self, gauges: Gauges) -> str:
+        """All metrics as StatsD lines. Every class is included from the start, with zero counts."""
+        lines = [
+            f"{NAME_PREFIX}.{outcome.value}.{name}:{count}|c"
+            for outcome, counts in self.counts_by_outcome.items()
             for name, count in zip(self.classes, counts, strict=True)
         ]
-        told.append(f"{PREFIX}.upstream_requests:{self.upstream_requests}|c")
-        told += [f"{PREFIX}.{name}:{value}|g" for name, value in now._asdict().items()]
-        return "".join(f"{line}\n" for line in told)
+        lines.append(f"{NAME_PREFIX}.upstream_requests:{self.upstream_requests}|c")
+        lines += [f"{NAME_PREFIX}.{name}:{value}|g" for name, value in gauges._asdict().items()]
+        return "".join(f"{line}\n" for line in lines)
--- a/flintlatch/ops/succession.py
+++ b/flintlatch/ops/succession.py
@@ -1,5 +1,5 @@
-"""A new process of the same proxy beside the one that serves: it takes the listening socket over, and the
-two keep together to the limits of one until the old one is gone."""
+"""Hot restart: a new process of the same proxy receives the listening socket of the one that serves. Until
+the old process has ended, both together keep within the descriptor limits of one process."""
 
 from __future__ import annotations
 
@@ -16,101 +16,109 @@
 
 
 class Predecessor(NamedTuple):
-    path: str  # where it may be reached
+    """The process that served before, with the listening socket it handed over."""
+
+    path: str  # of its offer
     listeners: list[socket.socket]
 
 
-def prefix(folder: str, listen: str) -> str:
-    """Of the paths at which processes that serve `listen` meet."""
+def offer_path_prefix(folder: str, listen: str) -> str:
+    """Prefix of the paths at which processes that serve `listen` offer its socket."""
     return os.path.join(folder, f"flintlatch-{listen}")
 
 
-def predecessor(folder: str, listen: str) -> Predecessor | None:
-    """Whoever serves `listen` now and hands its socket on; None if there is nobody, or no folder."""
+def find_predecessor(folder: str, listen: str) -> Predecessor | None:
+    """Finds the process that serves `listen` and receives its listening socket. None if there is no such
+    process or no folder."""
     if not folder:
         return None
     host, port = split_address(listen)
-    for path in handover.find_offers(prefix(folder, listen)):
-        socks = handover.receive_listeners(path)
-        if len(socks) == 1 and socks[0].getsockname()[:2] == (host, port):
-            return Predecessor(path, socks)
-        for sock in socks:  # another's address: not ours to serve
+    for path in handover.find_offers(offer_path_prefix(folder, listen)):
+        listeners = handover.receive_listeners(path)
+        if len(listeners) == 1 and listeners[0].getsockname()[:2] == (host, port):
+            return Predecessor(path, listeners)
+        for sock in listeners:  # a socket of another address
             sock.close()
     return None
 
 
-class Succession:
-    """This process between the one before it and the one after it."""
+class HotRestart:
+    """Connects this process with its predecessor and with its successor."""
 
-    def __init__(self, engine: Engine, frontend: Frontend, sockets: int) -> None:
-        """`sockets`: descriptors that all processes of this proxy may hold together."""
-        self.engine, self.frontend, self.sockets = engine, frontend, sockets
-        self.before: socket.socket | None = None  # ends with the predecessor
-        self.offered: handover.Offer | None = None
-        self.succeeded = False  # another process accepts from the same socket
+    def __init__(self, engine: Engine, frontend: Frontend, max_descriptors: int) -> None:
+        """`max_descriptors`: for all processes of this proxy together."""
+        self.engine, self.frontend, self.max_descriptors = engine, frontend, max_descriptors
+        self.predecessor_socket: socket.socket | None = None  # closed by the predecessor's end
+        self.listener_offer: handover.Offer | None = None
+        self.successor_serves = False  # another process accepts from the same socket
         self.loop = asyncio.get_running_loop()
 
-    def follow(self, before: Predecessor) -> None:
-        """Tell the predecessor that this process serves, and hear of its end."""
-        sock = handover.announce_serving(before.path)
+    def join(self, predecessor: Predecessor) -> None:
+        """Tells the predecessor that this process serves, and watches for its end."""
+        sock = handover.announce_serving(predecessor.path)
         if sock is None:
-            return  # it has ended between two words; its socket is ours
+            return  # it has ended meanwhile, and its socket remains with this process
         sock.setblocking(False)
-        self.before = sock
-        self.loop.add_reader(sock.fileno(), self._before_ended)
+        self.predecessor_socket = sock
+        self.loop.add_reader(sock.fileno(), self._on_predecessor_socket)
         log("serving beside a predecessor")
-        self._share()
+        self._apply_limits()
 
-    def _before_ended(self) -> None:
-        if self.before is None:
+    def _on_predecessor_socket(self) -> None:
+        if self.predecessor_socket is None:
             return
         try:
-            if self.before.recv(64):
+            if self.predecessor_socket.recv(64):
                 return
         except BlockingIOError:
             return
         except OSError:
             pass
         log("the predecessor is gone")
-        self._forget_before()
-        self._share()
+        self._close_predecessor_socket()
+        self._apply_limits()
 
-    def _forget_before(self) -> None:
-        if self.before is not None:
-            self.loop.remove_reader(self.before.fileno())
-            self.before.close()
-            self.before = None
+    def _close_predecessor_socket(self) -> None:
+        if self.predecessor_socket is not None:
+            self.loop.remove_reader(self.predecessor_socket.fileno())
+            self.predecessor_socket.close()
+            self.predecessor_socket = None
 
-    def offer(self, folder: str, listen: str) -> None:
-        """Hold the listening socket out to a successor, if there is a folder for it."""
+    def offer_listeners(self, folder: str, listen: str) -> None:
+        """Offers the listening socket to a successor, if there is a folder for the offer."""
         if not folder:
             return
         try:
-            self.offered = handover.Offer(
-                prefix(folder, listen), self.frontend.listeners, self._taken, self._left
+            self.listener_offer = handover.Offer(
+                offer_path_prefix(folder, listen),
+                self.frontend.listeners,
+                self._on_successor,
+                self._on_successor_gone,
             )
         except OSError as error:
             log(f"no successor can take the listening socket: {error}")
 
-    def _taken(self) -> None:
+    def _on_successor(self) -> None:
         log("a successor serves beside this process")
-        self.succeeded = True
-        self._share()
+        self.successor_serves = True
+        self._apply_limits()
 
-    def _left(self) -> None:
+    def _on_successor_gone(self) -> None:
         log("the successor is gone")
-        self.succeeded = False
-        self._share()
-
-    def _share(self) -> None:
-        """Two processes hold together what one may."""
-        both = self.succeeded or self.before is not None
-        to_backends, to_clients = split_descriptors(self.sockets // 2 if both else self.sockets)
+        self.successor_serves = False
+        self._apply_limits()
+
+    def _apply_limits(self) -> None:
+        """Halves the limits of this process while another process serves the same address."""
+        shared = self.successor_serves or self.predecessor_socket is not None
+        to_backends, to_clients = split_descriptors(
+            self.max_descriptors // 2 if shared else self.max_descriptors
+        )
         self.engine.backends.max_connections, self.frontend.max_connections = to_backends, to_clients
 
     def close(self) -> None:
-        """Offer nothing more; whether there was a successor stays known."""
-        self._forget_before()
-        if self.offered is not None:
-            self.offered.close()
-            self.offered = None
+        """Withdraws the offer. `successor_serves` keeps its value."""
+        self._close_predecessor_socket()
+        if self.listener_offer is not None:
+            self.listener_offer.close()
+            self.listener_offer = None
--- a/tests/ops/test_admin.py
+++ b/tests/ops/test_admin.py
@@ -11,7 +11,7 @@
 
 from flintlatch.net import frontend as frontend_module
 from flintlatch.ops import admin as admin_module
-from flintlatch.ops.admin import Admin
+from flintlatch.ops.admin import AdminServer
 from flintlatch.ops.staff import Operations
 from tests.loopback import Call, Client, Proxy, proxy, run
 from tests.ops.test_figures import read
@@ -22,7 +22,7 @@
     """A proxy and the address of its second listener."""
     async with proxy(backends) as made:
         staff = Operations(made.engine, made.frontend, ["purchase", "answer", "lookup"])
-        admin = await Admin.open("127.0.0.1:0", staff)
+        admin = await AdminServer.open("127.0.0.1:0", staff)
         try:
             yield made, admin.address
         finally:
@@ -75,11 +75,11 @@
 
 def test_callers_that_say_nothing_or_half_a_call_keep_nobody_out(monkeypatch: pytest.MonkeyPatch) -> None:
     # Guards against callers that stay holding all places, or the loop, while others are due an answer.
-    monkeypatch.setattr(admin_module, "CALL_S", 600.0)
+    monkeypatch.setattr(admin_module, "CALL_TIMEOUT_S", 600.0)
 
     async def test() -> None:
         async with operated() as (_, address):
-            silent = [await Client.open(address) for _ in range(3 * admin_module.MOST_CALLERS)]
+            silent = [await Client.open(address) for _ in range(3 * admin_module.MAX_CONNECTIONS)]
             for client in silent[::2]:
                 client.writer.write(b"GET /ops/sta")
                 await client.writer.drain()
@@ -115,7 +115,7 @@
 
 
 def test_half_a_call_ends_after_its_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(admin_module, "CALL_S", 0.05)
+    monkeypatch.setattr(admin_module, "CALL_TIMEOUT_S", 0.05)
 
     async def test() -> None:
         async with operated() as (_, address):
--- a/tests/ops/test_succession.py
+++ b/tests/ops/test_succession.py
@@ -13,7 +13,7 @@
 
 from flintlatch import handover
 from flintlatch.net.backends import split_descriptors
-from flintlatch.ops.succession import Succession, predecessor, prefix
+from flintlatch.ops.succession import HotRestart, find_predecessor, offer_path_prefix
 from flintlatch.standin.proxy import ProxyProcess, free_address, write
 from tests.loopback import Client, Peer, configuration, proxy, run, target
 
@@ -85,12 +85,12 @@
 
 def test_what_a_killed_process_left_is_no_predecessor(tmp_path: Path) -> None:
     address = "127.0.0.1:9"
-    path = f"{prefix(str(tmp_path), address)}+1"
+    path = f"{offer_path_prefix(str(tmp_path), address)}+1"
     with socket.socket(socket.AF_UNIX) as dead:
         dead.bind(path)
-    assert predecessor(str(tmp_path), address) is None
+    assert find_predecessor(str(tmp_path), address) is None
     assert not os.path.exists(path)
-    assert predecessor("", address) is None
+    assert find_predecessor("", address) is None
 
 
 def test_two_together_hold_what_one_may_until_either_is_gone(tmp_path: Path) -> None:
@@ -98,17 +98,17 @@
     async def test() -> None:
         async with proxy() as first:
             whole, half = split_descriptors(1000), split_descriptors(500)
-            old = Succession(first.engine, first.frontend, 1000)
-            old.offer(str(tmp_path), first.frontend.address)
-            before = await asyncio.to_thread(predecessor, str(tmp_path), first.frontend.address)
+            old = HotRestart(first.engine, first.frontend, 1000)
+            old.offer_listeners(str(tmp_path), first.frontend.address)
+            before = await asyncio.to_thread(find_predecessor, str(tmp_path), first.frontend.address)
             assert before is not None
             assert before.listeners[0].getsockname() == first.frontend.listeners[0].getsockname()
             sock = await asyncio.to_thread(handover.announce_serving, before.path)
             assert sock is not None
-            assert old.succeeded
+            assert old.successor_serves
             assert (first.engine.backends.max_connections, first.frontend.max_connections) == half
             sock.close()  # it dies
-            while old.succeeded:
+            while old.successor_serves:
                 await asyncio.sleep(0.001)
             assert (first.engine.backends.max_connections, first.frontend.max_connections) == whole
             before.listeners[0].close()
