--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,4 @@
-"""Scripted peers on loopback: servers whose every answer the test gives by hand, and a plain client."""
+"""Scripted servers on loopback, whose every response the test gives, and a plain HTTP client."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from flintlatch.net.frontend import Frontend
 from flintlatch.platform import PlatformEngine
 
-LIMIT_S = 60.0  # far beyond what any test needs; only a hang comes near it
+TEST_TIMEOUT_S = 60.0  # far longer than any test needs: reached only by a test that hangs
 PURCHASE = {"Name": "purchase", "AimMs": 20000, "HardLimitMs": 30000, "Effect": "idempotency_key",
             "KeyScope": "cell", "KeyTtlMs": 10000, "Points": 12}  # fmt: skip
 ANSWER = {"Name": "answer", "AimMs": 20000, "HardLimitMs": 30000, "Effect": "non_idempotent", "Points": 12}
@@ -24,7 +24,7 @@
 
 
 def run(test: Coroutine[Any, Any, None]) -> None:
-    uvloop.run(asyncio.wait_for(test, LIMIT_S))
+    uvloop.run(asyncio.wait_for(test, TEST_TIMEOUT_S))
 
 
 class Reply(NamedTuple):
@@ -38,15 +38,15 @@
     return first, {k.lower(): v for k, v in (line.split(": ", 1) for line in lines)}
 
 
-class Call(NamedTuple):
-    """A request that a peer has read; the test answers it."""
+class ReceivedRequest(NamedTuple):
+    """A request that a scripted server has read; the test answers it."""
 
     line: str
     headers: dict[str, str]
     body: bytes
     writer: asyncio.StreamWriter
     connection: int
-    closed: asyncio.Event  # the proxy has closed this connection
+    closed: asyncio.Event  # set when the proxy has closed the connection
 
     def reply(self, body: bytes = b"done", status: int = 200, headers: dict[str, str] | None = None) -> None:
         lines = "".join(f"{name}: {value}\r\n" for name, value in (headers or {}).items())
@@ -54,16 +54,16 @@
         self.writer.write(head.encode() + body)
 
 
-class Peer:
-    """A server that puts each request it reads into `calls`."""
+class ScriptedServer:
+    """A server that puts each request it reads into `requests`."""
 
     def __init__(self) -> None:
-        self.calls: asyncio.Queue[Call] = asyncio.Queue()
+        self.requests: asyncio.Queue[ReceivedRequest] = asyncio.Queue()
         self.connections = 0
         self.writers: list[asyncio.StreamWriter] = []
         self.address = ""
 
-    async def open(self) -> Peer:
+    async def open(self) -> ScriptedServer:
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.address = "{}:{}".format(*self.server.sockets[0].getsockname())
         return self
@@ -76,7 +76,7 @@
             while True:
                 line, headers = await read_head(reader)
                 body = await reader.readexactly(int(headers.get("content-length", 0)))
-                await self.calls.put(Call(line, headers, body, writer, connection, closed))
+                await self.requests.put(ReceivedRequest(line, headers, body, writer, connection, closed))
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
             closed.set()
@@ -88,7 +88,7 @@
 
 
 class Client:
-    """One connection to the proxy."""
+    """One connection to a proxy."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
@@ -121,7 +121,7 @@
         return await self.reply()
 
     async def ended(self) -> bool:
-        """Waits for the end of the connection; whether nothing came before it."""
+        """Waits for the end of the connection. Returns whether no byte arrived before it."""
         try:
             return await self.reader.read() == b""
         except ConnectionError:
@@ -136,8 +136,8 @@
             "capacity_hint": 1.0, "boot_ms": boot_ms}  # fmt: skip
 
 
-def listing(rev: int, *targets: dict[str, Any], whole: bool = True) -> dict[str, Any]:
-    return {"rev": rev, "all": whole, "targets": list(targets)}
+def listing(rev: int, *targets: dict[str, Any], snapshot: bool = True) -> dict[str, Any]:
+    return {"rev": rev, "all": snapshot, "targets": list(targets)}
 
 
 def configuration(discovery: str, *targets: dict[str, Any], **limits: Any) -> dict[str, Any]:
@@ -163,8 +163,8 @@
 class Proxy(NamedTuple):
     engine: PlatformEngine
     frontend: Frontend
-    backends: list[Peer]
-    registry: Peer
+    backends: list[ScriptedServer]
+    registry: ScriptedServer
 
     async def client(self) -> Client:
         return await Client.open(self.frontend.address)
@@ -172,20 +172,21 @@
 
 @asynccontextmanager
 async def proxy(backends: int = 1, **limits: Any) -> AsyncIterator[Proxy]:
-    """The whole proxy in this process, with its peers; nobody answers at the registry but the test."""
-    peers = [await Peer().open() for _ in range(backends)]
-    registry = await Peer().open()
-    targets = [target(f"s{number}", peer.address) for number, peer in enumerate(peers)]
+    """A complete proxy in this process with its servers. The test answers all requests, also those to the
+    registry."""
+    servers = [await ScriptedServer().open() for _ in range(backends)]
+    registry = await ScriptedServer().open()
+    targets = [target(f"s{number}", server.address) for number, server in enumerate(servers)]
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "config.json"
         path.write_text(json.dumps(configuration(registry.address, *targets, **limits)))
         engine, frontend = start(Config({"LB_CONFIG": str(path)}))
     try:
-        yield Proxy(engine, frontend, peers, registry)
+        yield Proxy(engine, frontend, servers, registry)
     finally:
         await frontend.finish(0.0)
         for client in list(frontend.clients):
             client.transport.abort()
         engine.close()
-        for peer in [*peers, registry]:
-            peer.close()
+        for server in [*servers, registry]:
+            server.close()
--- a/tests/ops/test_figures.py
+++ b/tests/ops/test_figures.py
@@ -1,4 +1,4 @@
-"""StatsdMetrics and calls: what is told, and what is wrong with a call that isn't one."""
+"""Metrics and calls: the StatsD lines, and the errors for invalid calls."""
 
 from __future__ import annotations
 
@@ -10,30 +10,30 @@
 from flintlatch.ops.figures import ClientOutcome, Gauges, StatsdMetrics, outcome_of_status
 
 
-def read(lines: str) -> dict[str, tuple[int, str]]:
-    """As a reader of StatsD does."""
-    found = {}
+def parse_statsd(lines: str) -> dict[str, tuple[int, str]]:
+    """Parses StatsD lines to value and kind by name."""
+    metrics_by_name = {}
     for line in lines.splitlines():
         name, _, rest = line.rpartition(":")
         value, kind = rest.split("|")
-        found[name] = (int(value), kind)
-    return found
+        metrics_by_name[name] = (int(value), kind)
+    return metrics_by_name
 
 
 @given(st.lists(st.tuples(st.integers(0, 2), st.sampled_from(ClientOutcome)), max_size=200))
-def test_every_end_counts_once_for_its_class_and_none_is_missing(
-    ends: list[tuple[int, ClientOutcome]],
+def test_every_outcome_is_counted_once_for_its_class_and_none_is_missing(
+    outcomes: list[tuple[int, ClientOutcome]],
 ) -> None:
     names = ["plan-purchase", "card-answer", "look.up"]
-    figures = StatsdMetrics(names)
-    for cls, end in ends:
-        figures.count(cls, end)
-    figures.upstream_requests = 7
-    told = read(figures.lines(Gauges(3, 12, 2)))
-    for place, name in enumerate(names):
-        for end in ClientOutcome:
-            assert told.pop(f"proxy.{end.value}.{name}") == (ends.count((place, end)), "c")
-    assert told == {
+    metrics = StatsdMetrics(names)
+    for cls, outcome in outcomes:
+        metrics.count(cls, outcome)
+    metrics.upstream_requests = 7
+    parsed = parse_statsd(metrics.lines(Gauges(3, 12, 2)))
+    for index, name in enumerate(names):
+        for outcome in ClientOutcome:
+            assert parsed.pop(f"proxy.{outcome.value}.{name}") == (outcomes.count((index, outcome)), "c")
+    assert parsed == {
         "proxy.upstream_requests": (7, "c"),
         "proxy.pending": (3, "g"),
         "proxy.members": (12, "g"),
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize(
-    ("status", "end"),
+    ("status", "outcome"),
     [
         (200, ClientOutcome.COMPLETED),
         (429, ClientOutcome.REJECTED),
@@ -51,12 +51,12 @@
         (504, ClientOutcome.FAILED),
     ],
 )
-def test_an_answer_means_to_its_client_what_the_protocol_says(status: int, end: ClientOutcome) -> None:
-    assert outcome_of_status(status) is end
+def test_each_status_has_the_outcome_of_the_protocol(status: int, outcome: ClientOutcome) -> None:
+    assert outcome_of_status(status) is outcome
 
 
 @pytest.mark.parametrize("call", Call)
-def test_each_call_is_known_by_its_path_and_method_alone(call: Call) -> None:
+def test_each_call_is_identified_by_its_path_and_method(call: Call) -> None:
     path = call.value.encode()
     assert read_call(METHOD_OF_CALL[call], path) is call
     assert read_call(METHOD_OF_CALL[call], path + b"?x=1") is call
--- a/tests/test_bench.py
+++ b/tests/test_bench.py
@@ -1,4 +1,4 @@
-"""A short run of each measurement and of the demo: they must not rot between long ones."""
+"""A short run of each benchmark and of the demo, so that they keep working between long runs."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize("name", RUNS)
-def test_it_holds_its_promises(name: str) -> None:
+def test_a_short_run_meets_its_limits(name: str) -> None:
     command = [sys.executable, *RUNS[name]]
     done = subprocess.run(command, capture_output=True, text=True, timeout=100, check=False)
     assert done.returncode == 0, done.stdout + done.stderr
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""The watch on the list, against a registry that the test plays."""
+"""Polling the list service, against a service that the test scripts."""
 
 from __future__ import annotations
 
@@ -14,12 +14,14 @@
 from flintlatch.net import discovery as discovery_module
 from flintlatch.net.discovery import Discovery, Listing
 from flintlatch.settings import Wire
-from tests.loopback import Call, Peer, listing, proxy, run, target
+from tests.loopback import ReceivedRequest, ScriptedServer, listing, proxy, run, target
 
 ADDRESS = "127.0.0.9:80"
 
 
-class Heard:
+class RecordedDiscovery:
+    """A Discovery whose lists and failures are recorded."""
+
     def __init__(self, address: str) -> None:
         wire = Wire({}, {}, {"a": 0}, {"m": 0}, 1000.0, 1000.0)
         self.lists: asyncio.Queue[Listing] = asyncio.Queue()
@@ -28,44 +30,44 @@
 
 
 @asynccontextmanager
-async def watching() -> AsyncIterator[tuple[Heard, Peer]]:
-    peer = await Peer().open()
-    heard = Heard(peer.address)
-    heard.discovery.watch()
+async def polled_service() -> AsyncIterator[tuple[RecordedDiscovery, ScriptedServer]]:
+    service = await ScriptedServer().open()
+    recorded = RecordedDiscovery(service.address)
+    recorded.discovery.watch()
     try:
-        yield heard, peer
+        yield recorded, service
     finally:
-        heard.discovery.close()
-        peer.close()
+        recorded.discovery.close()
+        service.close()
 
 
-def reply(call: Call, what: Any) -> None:
-    call.reply(json.dumps(what).encode())
+def reply(received: ReceivedRequest, body: Any) -> None:
+    received.reply(json.dumps(body).encode())
 
 
-def test_watches_follow_back_to_back_on_one_connection() -> None:
+def test_polls_follow_each_other_on_one_connection() -> None:
     async def test() -> None:
-        async with watching() as (heard, peer):
-            first = await peer.calls.get()
+        async with polled_service() as (recorded, service):
+            first = await service.requests.get()
             assert first.line == "GET /registry/instances?since=41&timeout_ms=1 HTTP/1.1"
-            reply(first, listing(41, whole=False))
-            assert (await heard.lists.get()).targets == ()
-            second = await peer.calls.get()
+            reply(first, listing(41, snapshot=False))
+            assert (await recorded.lists.get()).targets == ()
+            second = await service.requests.get()
             assert second.line == "GET /registry/instances?since=41&timeout_ms=1500 HTTP/1.1"
-            heard.discovery.watch()  # one watch is on: no second one
-            reply(second, listing(43, target("s", ADDRESS, "leaving", 7), whole=False))
-            news = await heard.lists.get()
-            assert (news.revision, news.is_snapshot) == (43, False)
-            (info,) = (t.info for t in news.targets)
+            recorded.discovery.watch()  # no effect while a poll is running
+            reply(second, listing(43, target("s", ADDRESS, "leaving", 7), snapshot=False))
+            update = await recorded.lists.get()
+            assert (update.revision, update.is_snapshot) == (43, False)
+            (info,) = (t.info for t in update.targets)
             assert (info.server, info.state, info.started, info.cell) == ("s", ServerState.DRAINING, 7.0, 1)
-            third = await peer.calls.get()
+            third = await service.requests.get()
             assert third.line.startswith("GET /registry/instances?since=43&")
-            assert third.connection == 1 and heard.failures.empty()
+            assert third.connection == 1 and recorded.failures.empty()
 
     run(test())
 
 
-BAD = [
+INVALID_LISTS = [
     b"{",
     b"[]",
     b"{}",
@@ -78,191 +80,201 @@
 ]
 
 
-@pytest.mark.parametrize("body", BAD)
-def test_a_list_that_cannot_be_read_is_a_failed_call(body: bytes) -> None:
+@pytest.mark.parametrize("body", INVALID_LISTS)
+def test_an_invalid_list_is_a_failed_poll(body: bytes) -> None:
     async def test() -> None:
-        async with watching() as (heard, peer):
-            (await peer.calls.get()).reply(body)
-            await heard.failures.get()
-            assert heard.lists.empty()
-            heard.discovery.watch()  # when the module says so, from the version held
-            call = await peer.calls.get()
-            assert call.line.startswith("GET /registry/instances?since=41&")
-            reply(call, listing(44))
-            assert (await heard.lists.get()).revision == 44
+        async with polled_service() as (recorded, service):
+            (await service.requests.get()).reply(body)
+            await recorded.failures.get()
+            assert recorded.lists.empty()
+            recorded.discovery.watch()  # on the decision module's request, from the revision held
+            received = await service.requests.get()
+            assert received.line.startswith("GET /registry/instances?since=41&")
+            reply(received, listing(44))
+            assert (await recorded.lists.get()).revision == 44
 
     run(test())
 
 
 @pytest.mark.parametrize("how", ["503", "reset", "refused", "silent"])
-def test_each_failed_call_is_told_once(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_each_failed_poll_is_reported_once(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
     if how == "silent":
         monkeypatch.setattr(discovery_module, "FIRST_RESPONSE_GRACE_MS", 50)
 
     async def test() -> None:
         if how == "refused":
-            peer = await Peer().open()
-            peer.close()
-            await peer.server.wait_closed()
-            heard = Heard(peer.address)
-            heard.discovery.watch()
-            await heard.failures.get()
+            service = await ScriptedServer().open()
+            service.close()
+            await service.server.wait_closed()
+            recorded = RecordedDiscovery(service.address)
+            recorded.discovery.watch()
+            await recorded.failures.get()
             return
-        async with watching() as (heard, peer):
-            call = await peer.calls.get()
+        async with polled_service() as (recorded, service):
+            received = await service.requests.get()
             if how == "503":
-                call.reply(status=503)
+                received.reply(status=503)
             elif how == "reset":
-                call.writer.close()
-            await heard.failures.get()
-            await call.closed.wait()
-            assert heard.failures.empty() and heard.lists.empty()
+                received.writer.close()
+            await recorded.failures.get()
+            await received.closed.wait()
+            assert recorded.failures.empty() and recorded.lists.empty()
 
     run(test())
 
 
-HEAD = b"HTTP/1.1 200 X\r\ncontent-length: 5000\r\n\r\n"
+RESPONSE_HEAD = b"HTTP/1.1 200 X\r\ncontent-length: 5000\r\n\r\n"
 
 
 @pytest.mark.parametrize(
-    "begun",
-    [b"HT", b"HTTP/1.1 200 X\r\ncontent-le", HEAD, HEAD + b'{"rev":42,"all":false,"tar', None],
+    "sent",
+    [
+        b"HT",
+        b"HTTP/1.1 200 X\r\ncontent-le",
+        RESPONSE_HEAD,
+        RESPONSE_HEAD + b'{"rev":42,"all":false,"tar',
+        None,
+    ],
     ids=["line", "head", "body", "list", "trickle"],
 )
 @pytest.mark.parametrize("first", [True, False])
-def test_a_watch_that_falls_silent_anywhere_ends_in_its_time_and_is_opened_anew(
-    begun: bytes | None, first: bool, monkeypatch: pytest.MonkeyPatch
+def test_a_silent_poll_times_out_and_is_repeated_on_a_new_connection(
+    sent: bytes | None, first: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """One limit holds for the whole call: bytes now and then win it nothing."""
+    """One timeout applies to the whole request: single bytes do not extend it."""
     monkeypatch.setattr(discovery_module, "FIRST_RESPONSE_GRACE_MS", 100 if first else 20_000)
     monkeypatch.setattr(discovery_module, "LONG_POLL_MS", 50)
     monkeypatch.setattr(discovery_module, "RESPONSE_GRACE_MS", 50)
 
     async def test() -> None:
-        async with watching() as (heard, peer):
-            call = await peer.calls.get()
+        async with polled_service() as (recorded, service):
+            received = await service.requests.get()
             if not first:
-                reply(call, listing(41, whole=False))
-                await heard.lists.get()
-                call = await peer.calls.get()
-            if begun is not None:
-                call.writer.write(begun)
+                reply(received, listing(41, snapshot=False))
+                await recorded.lists.get()
+                received = await service.requests.get()
+            if sent is not None:
+                received.writer.write(sent)
             else:
-                call.writer.write(HEAD)
-                while heard.failures.empty():
-                    call.writer.write(b" ")
+                received.writer.write(RESPONSE_HEAD)
+                while recorded.failures.empty():
+                    received.writer.write(b" ")
                     await asyncio.sleep(0.005)
-            assert "TimeoutError" in await heard.failures.get()
-            await call.closed.wait()
-            heard.discovery.watch()
-            again = await peer.calls.get()
-            assert again.connection == call.connection + 1
+            assert "TimeoutError" in await recorded.failures.get()
+            await received.closed.wait()
+            recorded.discovery.watch()
+            again = await service.requests.get()
+            assert again.connection == received.connection + 1
             assert "since=41&timeout_ms=1 " in again.line
-            reply(again, listing(43, whole=False))
-            assert (await heard.lists.get()).revision == 43
+            reply(again, listing(43, snapshot=False))
+            assert (await recorded.lists.get()).revision == 43
 
     run(test())
 
 
 @pytest.mark.parametrize("chunked", [False, True])
-def test_a_list_over_the_bound_is_a_failed_call_that_names_the_bound(chunked: bool) -> None:
-    """It was "connection broken", which sends its reader to the network."""
+def test_a_list_over_the_size_limit_is_a_failed_poll_that_names_the_limit(chunked: bool) -> None:
+    """Guards against the message "connection broken", which suggests a network fault."""
 
     async def test() -> None:
-        async with watching() as (heard, peer):
-            call = await peer.calls.get()
+        async with polled_service() as (recorded, service):
+            received = await service.requests.get()
             size = discovery_module.MAX_LIST + 1
             if chunked:
                 head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n" % size
-                call.writer.write(head + b" " * size)
+                received.writer.write(head + b" " * size)
             else:
-                call.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size)
-            told = await heard.failures.get()
-            assert f"{size} bytes" in told or f"over {size - 1} bytes" in told
-            assert f"{size - 1} at most" in told and told.startswith("Malformed")
+                received.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size)
+            failure = await recorded.failures.get()
+            assert f"{size} bytes" in failure or f"over {size - 1} bytes" in failure
+            assert f"{size - 1} at most" in failure and failure.startswith("Malformed")
 
     run(test())
 
 
-def test_a_watch_that_meets_a_bug_is_a_failed_call() -> None:
+def test_an_exception_while_a_list_is_applied_is_a_failed_poll() -> None:
     async def test() -> None:
-        async with watching() as (heard, peer):
-            heard.discovery.on_list = lambda _: None if 1 / 0 else None
-            reply(await peer.calls.get(), listing(42))
-            assert "ZeroDivisionError" in await heard.failures.get()
-            assert heard.discovery.revision == 41  # that news is asked for again
+        async with polled_service() as (recorded, service):
+            recorded.discovery.on_list = lambda _: None if 1 / 0 else None
+            reply(await service.requests.get(), listing(42))
+            assert "ZeroDivisionError" in await recorded.failures.get()
+            assert recorded.discovery.revision == 41  # the same update is requested again
 
     run(test())
 
 
-def test_the_proxy_keeps_its_list_through_bad_news_and_replaces_it_by_a_whole_one() -> None:
+def test_the_list_survives_an_invalid_update_and_is_replaced_by_a_snapshot() -> None:
     async def test() -> None:
         async with proxy(backends=2) as p:
-            bad = await p.registry.calls.get()
+            bad = await p.registry.requests.get()
             bad.reply(b'{"rev":2,"all":true,"targets":[{"uid":5}]}')
             client = await p.client()
             assert (await client.ask("/health/ready", "GET")).status == 200
             assert set(p.engine.backends.backends) == {"s0", "s1"}
-            good = await p.registry.calls.get()
+            good = await p.registry.requests.get()
             reply(good, listing(3, target("s1", p.backends[1].address)))
-            await p.registry.calls.get()  # the next watch: the news is in
+            await p.registry.requests.get()  # the next poll: the update has been applied
             assert set(p.engine.backends.backends) == {"s1"}
             for number in range(5):
                 client.send(x_call_id=f"c{number}")
-                (await p.backends[1].calls.get()).reply()
+                (await p.backends[1].requests.get()).reply()
                 assert (await client.reply()).status == 200
 
     run(test())
 
 
-@pytest.mark.parametrize("whole", [True, False])
-def test_a_version_that_goes_back_is_no_news_until_it_is_the_whole_list_asked_for(whole: bool) -> None:
+@pytest.mark.parametrize("snapshot", [True, False])
+def test_an_older_revision_is_accepted_only_as_the_snapshot_requested_next(snapshot: bool) -> None:
     async def test() -> None:
-        async with watching() as (heard, peer):
-            reply(await peer.calls.get(), listing(7, target("old", ADDRESS), whole=whole))
-            assert "version 7 after 41" in await heard.failures.get()
-            assert heard.lists.empty()
-            heard.discovery.watch()
-            call = await peer.calls.get()
-            assert call.line.startswith("GET /registry/instances HTTP")  # a service that has begun anew
-            reply(call, listing(7, target("s", ADDRESS)))
-            assert (await heard.lists.get()).revision == 7
+        async with polled_service() as (recorded, service):
+            reply(await service.requests.get(), listing(7, target("old", ADDRESS), snapshot=snapshot))
+            assert "version 7 after 41" in await recorded.failures.get()
+            assert recorded.lists.empty()
+            recorded.discovery.watch()
+            received = await service.requests.get()
+            # A restarted service numbers its revisions anew.
+            assert received.line.startswith("GET /registry/instances HTTP")
+            reply(received, listing(7, target("s", ADDRESS)))
+            assert (await recorded.lists.get()).revision == 7
 
     run(test())
 
 
-def test_a_whole_list_without_a_server_leaves_the_one_held_and_is_said_once(
+def test_an_empty_snapshot_is_rejected_and_logged_once(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     async def test() -> None:
         async with proxy(backends=2) as p:
             for _ in range(3):
-                reply(await p.registry.calls.get(), listing(9))
-            reply(await p.registry.calls.get(), listing(9, target("s1", p.backends[1].address)))
+                reply(await p.registry.requests.get(), listing(9))
+            reply(await p.registry.requests.get(), listing(9, target("s1", p.backends[1].address)))
             assert set(p.engine.backends.backends) == {"s0", "s1"}
-            await p.registry.calls.get()  # the next watch: the news is in
+            await p.registry.requests.get()  # the next poll: the update has been applied
             assert set(p.engine.backends.backends) == {"s1"}
 
     run(test())
-    assert capsys.readouterr().err.count("the one held is not") == 1
+    assert capsys.readouterr().err.count("the snapshot has no server") == 1
 
 
-def test_a_first_call_waits_as_long_as_a_busy_service_lets_it(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Of 40 proxies that hung up after 1.5 s of a queue of 2 s, 23 had no list for a whole day."""
-    limits: list[float] = []
+def test_the_first_poll_waits_longer_than_the_queue_of_a_busy_service(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Of 40 proxies that disconnected after 1.5 s from a service with a queue of 2 s, 23 had no list for a
+    day."""
+    timeouts: list[float] = []
     timeout = asyncio.timeout
 
-    def noted(seconds: float) -> asyncio.Timeout:
-        limits.append(seconds)
+    def recorded_timeout(seconds: float) -> asyncio.Timeout:
+        timeouts.append(seconds)
         return timeout(seconds)
 
     async def test() -> None:
-        async with watching() as (heard, peer):
-            monkeypatch.setattr("flintlatch.net.discovery.asyncio.timeout", noted)
-            reply(await peer.calls.get(), listing(42, whole=False))
-            await heard.lists.get()
-            await peer.calls.get()
-            assert limits[0] > 2.0 + 0.15  # the queue's 2 s and the way
-            assert limits[1] <= 2.5  # a watch that stays silent is noticed in time for another call
+        async with polled_service() as (recorded, service):
+            monkeypatch.setattr("flintlatch.net.discovery.asyncio.timeout", recorded_timeout)
+            reply(await service.requests.get(), listing(42, snapshot=False))
+            await recorded.lists.get()
+            await service.requests.get()
+            assert timeouts[0] > 2.0 + 0.15  # the queue's 2 s and the transfer
+            assert timeouts[1] <= 2.5  # a silent poll is detected in time for another one
 
     run(test())
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -1,4 +1,4 @@
-"""The engine with a module that the test scripts: steps, final answers, and a module that breaks."""
+"""The engine with a scripted decision module: steps, final responses, and a module that fails."""
 
 from __future__ import annotations
 
@@ -35,42 +35,46 @@
 Step = Callable[[list[Any]], list[Action]]
 
 
-class Script:
-    """Stands in for the module: keeps each batch and answers by `act`."""
+class ScriptedModule:
+    """Replaces the decision module: records each batch of events and returns the actions of `respond`."""
 
-    act: Step
+    respond: Step
     batches: list[list[Any]]
-    lives: int
+    instances: int
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        Script.lives += 1
+        ScriptedModule.instances += 1
 
     def step(self, now: float, events: list[Any]) -> list[Action]:
-        Script.batches.append(events)
-        return Script.act(events)
+        ScriptedModule.batches.append(events)
+        return ScriptedModule.respond(events)
 
 
 @pytest.fixture
-def script(monkeypatch: pytest.MonkeyPatch) -> type[Script]:
-    Script.act, Script.batches, Script.lives = staticmethod(lambda events: []), [], 0
-    monkeypatch.setattr(engine_module, "Balancer", Script)
-    return Script
+def script(monkeypatch: pytest.MonkeyPatch) -> type[ScriptedModule]:
+    ScriptedModule.respond, ScriptedModule.batches, ScriptedModule.instances = (
+        staticmethod(lambda events: []),
+        [],
+        0,
+    )
+    monkeypatch.setattr(engine_module, "Balancer", ScriptedModule)
+    return ScriptedModule
 
 
-def each(kind: type[Any], act: Callable[[Any], list[Action]]) -> Step:
-    return staticmethod(lambda events: [a for e in events if isinstance(e, kind) for a in act(e)])
+def on_each(kind: type[Any], actions_for: Callable[[Any], list[Action]]) -> Step:
+    return staticmethod(lambda events: [a for e in events if isinstance(e, kind) for a in actions_for(e)])
 
 
-def events(kind: type[Any]) -> list[Any]:
-    return [e for batch in Script.batches for e in batch if isinstance(e, kind)]
+def recorded_events(kind: type[Any]) -> list[Any]:
+    return [e for batch in ScriptedModule.batches for e in batch if isinstance(e, kind)]
 
 
-async def until(true: Callable[[], object]) -> None:
-    while not true():
+async def until(condition: Callable[[], object]) -> None:
+    while not condition():
         await asyncio.sleep(0.001)
 
 
-def test_the_saved_list_comes_first(script: type[Script]) -> None:
+def test_the_saved_list_is_the_first_event(script: type[ScriptedModule]) -> None:
     async def test() -> None:
         async with proxy(backends=2):
             await until(lambda: script.batches)
@@ -80,34 +84,35 @@
     run(test())
 
 
-def test_what_a_client_asks_reaches_the_module(script: type[Script]) -> None:
-    script.act = each(Arrival, lambda e: [Fail(e.request)])
+def test_a_request_reaches_the_module_with_its_headers(script: type[ScriptedModule]) -> None:
+    script.respond = on_each(Arrival, lambda e: [Fail(e.request)])
 
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
             await client.ask("/purchase/x", idempotency_key="k", x_route_hash="7f3a9c21e0b4d655", x_again="1")
-            (arrival,) = events(Arrival)
+            (arrival,) = recorded_events(Arrival)
             assert (arrival.request, arrival.cls, arrival.key) == ("c1", 0, 0x7F3A9C21E0B4D655)
             assert arrival.repeat
 
     run(test())
 
 
-def test_a_client_waits_no_longer_than_its_class_allows(script: type[Script]) -> None:
-    # The module takes the longest wait of a class for that of a first try: one client must not stretch it.
-    script.act = each(Arrival, lambda e: [Fail(e.request)])
+def test_the_budget_of_a_client_is_capped_by_its_class(script: type[ScriptedModule]) -> None:
+    # The decision module takes the largest budget seen in a class for that of a first attempt, so one client
+    # must not raise it.
+    script.respond = on_each(Arrival, lambda e: [Fail(e.request)])
 
     async def test() -> None:
         async with proxy() as p:
             await (await p.client()).ask(x_budget_ms="999999999")
-            assert events(Arrival)[0].give_up <= now_ms() + 30000
+            assert recorded_events(Arrival)[0].give_up <= now_ms() + 30000
 
     run(test())
 
 
-def test_refusals_and_failures_go_out_at_once(script: type[Script]) -> None:
-    script.act = each(
+def test_refusals_and_failures_are_sent_at_once(script: type[ScriptedModule]) -> None:
+    script.respond = on_each(
         Arrival,
         lambda e: [Fail(e.request)] if e.request == "f" else [Refuse(e.request, 250.0 * (e.request == "r"))],
     )
@@ -120,27 +125,27 @@
             plain = await client.ask(x_call_id="p")
             assert plain.status == 503 and "retry-after" not in plain.headers
             assert (await client.ask(x_call_id="f")).status == 504
-            assert p.backends[0].connections == 0 and not events(ClientGone)
+            assert p.backends[0].connections == 0 and not recorded_events(ClientGone)
 
     run(test())
 
 
-def test_a_request_that_the_module_forgets_is_answered_by_its_deadline(script: type[Script]) -> None:
+def test_a_request_without_an_action_is_answered_at_its_deadline(script: type[ScriptedModule]) -> None:
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
             assert (await client.ask(x_budget_ms="30")).status == 504
-            await until(lambda: events(ClientGone))
+            await until(lambda: recorded_events(ClientGone))
 
     run(test())
 
 
-def test_events_of_one_turn_go_to_one_step_and_lists_go_first(script: type[Script]) -> None:
+def test_events_of_one_loop_turn_go_to_one_step_and_lists_are_first(script: type[ScriptedModule]) -> None:
     async def test() -> None:
         async with proxy() as p:
             await until(lambda: script.batches)
             script.batches.clear()
-            p.engine.client_gone("nobody")  # no longer pending: no event
+            p.engine.client_gone("nobody")  # not a pending request: no event
             p.engine._on_timer(7, p.engine.module_generation)
             p.engine.on_list_failure("test")
             p.engine._on_timer(8, p.engine.module_generation)
@@ -150,124 +155,129 @@
     run(test())
 
 
-def test_events_raised_by_actions_come_in_a_later_step(script: type[Script]) -> None:
-    script.act = each(Arrival, lambda e: [Send(e.request, "unknown", 1000.0), Log("after")])
+def test_events_caused_by_actions_go_to_a_later_step(script: type[ScriptedModule]) -> None:
+    script.respond = on_each(Arrival, lambda e: [Send(e.request, "unknown", 1000.0), Log("after")])
 
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
             client.send()
-            await until(lambda: events(Outcome))
+            await until(lambda: recorded_events(Outcome))
             assert not any(
                 isinstance(e, Outcome) for b in script.batches for e in b if Arrival in map(type, b)
             )
-            assert events(Outcome)[0][:3] == ("c1", 0, Result.CONNECT_FAILED)
+            assert recorded_events(Outcome)[0][:3] == ("c1", 0, Result.CONNECT_FAILED)
 
     run(test())
 
 
-def test_an_attempt_after_the_end_is_not_sent_and_gets_its_outcome(script: type[Script]) -> None:
-    script.act = each(Arrival, lambda e: [Fail(e.request), Send(e.request, "s0", 1000.0)])
+def test_an_attempt_after_the_final_response_is_not_sent_and_gets_an_outcome(
+    script: type[ScriptedModule],
+) -> None:
+    script.respond = on_each(Arrival, lambda e: [Fail(e.request), Send(e.request, "s0", 1000.0)])
 
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
             assert (await client.ask()).status == 504
-            await until(lambda: events(Outcome))
-            assert [(e.result, e.finished) for e in events(Outcome)] == [(Result.NOT_SENT, True)]
+            await until(lambda: recorded_events(Outcome))
+            assert [(e.result, e.finished) for e in recorded_events(Outcome)] == [(Result.NOT_SENT, True)]
             assert p.backends[0].connections == 0
             await until(lambda: not p.engine.requests)
 
     run(test())
 
 
-def test_a_client_that_leaves_as_its_request_is_sent_again_gets_nothing_sent(script: type[Script]) -> None:
-    # The module hears of the outcome and of the client's leaving in one step, and has sent again between.
-    def act(batch: list[Any]) -> list[Action]:
+def test_a_retry_is_not_sent_if_its_client_leaves_at_the_same_time(script: type[ScriptedModule]) -> None:
+    # One step reports both the outcome and that the client left, and the module has started a retry in
+    # between.
+    def respond(batch: list[Any]) -> list[Action]:
         actions: list[Action] = [Send(e.request, "s0", 9000.0) for e in batch if isinstance(e, Arrival)]
         for event in batch:
             if isinstance(event, Outcome) and event.attempt == 0:
                 actions += [Send(event.request, "s0", 9000.0), Cancel(event.request, 1)]
         return actions
 
-    script.act = staticmethod(act)
+    script.respond = staticmethod(respond)
 
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
             client.send()
-            await p.backends[0].calls.get()
+            await p.backends[0].requests.get()
             pending = p.engine.requests["c1"]
             pending.attempts[0].end(Result.FULL)
             p.engine.client_gone("c1")
-            await until(lambda: len(events(Outcome)) == 2)
-            assert [(e.attempt, e.result) for e in events(Outcome)] == [
+            await until(lambda: len(recorded_events(Outcome)) == 2)
+            assert [(e.attempt, e.result) for e in recorded_events(Outcome)] == [
                 (0, Result.FULL),
                 (1, Result.NOT_SENT),
             ]
-            assert p.backends[0].calls.empty()
+            assert p.backends[0].requests.empty()
             await until(lambda: not p.engine.requests)
 
     run(test())
 
 
-def test_timers_watches_and_probes_are_carried_out(script: type[Script]) -> None:
-    script.act = each(
+def test_timers_polls_and_probes_are_executed(script: type[ScriptedModule]) -> None:
+    script.respond = on_each(
         ServerList, lambda e: [SetTimer(1.0, 42), Probe("s0"), Watch()] * (e.kind is ListKind.SAVED)
     )
 
     async def test() -> None:
         async with proxy() as p:
-            probe = await p.backends[0].calls.get()
+            probe = await p.backends[0].requests.get()
             assert probe.line == "GET /stats HTTP/1.1" and "x-call-id" not in probe.headers
             probe.reply()
-            watch = await p.registry.calls.get()
+            watch = await p.registry.requests.get()
             assert watch.line.startswith("GET /registry/instances?since=1&")
-            await until(lambda: events(TimerFired) and events(ProbeResult))
-            assert events(TimerFired) == [TimerFired(42)]
-            assert events(ProbeResult)[0][:2] == ("s0", Result.OK)
+            await until(lambda: recorded_events(TimerFired) and recorded_events(ProbeResult))
+            assert recorded_events(TimerFired) == [TimerFired(42)]
+            assert recorded_events(ProbeResult)[0][:2] == ("s0", Result.OK)
 
     run(test())
 
 
-def test_a_broken_module_is_shown_and_fails_its_requests_once(
-    script: type[Script], capsys: pytest.CaptureFixture[str]
+def test_a_failed_module_is_logged_and_fails_its_requests_once(
+    script: type[ScriptedModule], capsys: pytest.CaptureFixture[str]
 ) -> None:
-    def act(batch: list[Any]) -> list[Action]:
+    def respond(batch: list[Any]) -> list[Action]:
         arrivals = [e.request for e in batch if isinstance(e, Arrival)]
         if "break" in arrivals:
             raise ZeroDivisionError("in the module")
         return [Send(request, "s0", 9000.0) for request in arrivals]
 
-    script.act = staticmethod(act)
+    script.respond = staticmethod(respond)
 
     async def test() -> None:
         async with proxy() as p:
             first, second = await p.client(), await p.client()
             first.send(x_call_id="held")
-            call = await p.backends[0].calls.get()
+            received = await p.backends[0].requests.get()
             assert (await second.ask(x_call_id="break")).status == 500
             assert (await first.reply()).status == 500
-            await call.closed.wait()
-            first.send(x_call_id="later")  # a new module serves on, with the list as it stands
-            (await p.backends[0].calls.get()).reply()
+            await received.closed.wait()
+            first.send(x_call_id="later")  # a new module continues with the present list
+            (await p.backends[0].requests.get()).reply()
             assert (await first.reply()).status == 200
-            assert [e.kind for e in events(ServerList)] == [ListKind.SAVED, ListKind.SAVED]
-            assert script.lives == 2
+            assert [e.kind for e in recorded_events(ServerList)] == [ListKind.SAVED, ListKind.SAVED]
+            assert script.instances == 2
 
     run(test())
-    shown = capsys.readouterr().err
-    assert shown.count("the decision module failed and is replaced") == 1 and "in the module" in shown
+    stderr = capsys.readouterr().err
+    assert stderr.count("the decision module failed and is replaced") == 1 and "in the module" in stderr
 
 
-def test_a_request_sent_ahead_of_a_break_is_served_by_the_new_module(script: type[Script]) -> None:
-    def act(batch: list[Any]) -> list[Action]:
+def test_a_request_pipelined_before_a_module_failure_is_served_by_the_new_module(
+    script: type[ScriptedModule],
+) -> None:
+    def respond(batch: list[Any]) -> list[Action]:
         arrivals = [e.request for e in batch if isinstance(e, Arrival)]
         if "break" in arrivals:
             raise ZeroDivisionError("in the module")
         return [Send(request, "s0", 9000.0) for request in arrivals]
 
-    script.act = staticmethod(act)
+    script.respond = staticmethod(respond)
 
     async def test() -> None:
         async with proxy() as p:
@@ -275,16 +285,16 @@
             client.send(x_call_id="break")
             client.send(x_call_id="next")
             assert (await client.reply()).status == 500
-            (await p.backends[0].calls.get()).reply()
+            (await p.backends[0].requests.get()).reply()
             assert (await client.reply()).status == 200
 
     run(test())
 
 
-def test_one_action_that_cannot_be_carried_out_leaves_the_others(
-    script: type[Script], monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+def test_an_action_that_raises_does_not_stop_the_others(
+    script: type[ScriptedModule], monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    script.act = each(Arrival, lambda e: [Probe("s0"), Fail(e.request)])
+    script.respond = on_each(Arrival, lambda e: [Probe("s0"), Fail(e.request)])
 
     async def test() -> None:
         async with proxy() as p:
@@ -295,7 +305,7 @@
     assert "was not carried out" in capsys.readouterr().err
 
 
-def test_a_flood_of_log_lines_is_cut_and_told(capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_flood_of_log_lines_is_limited_and_counted(capsys: pytest.CaptureFixture[str]) -> None:
     log = engine_module.Logger()
     for number in range(1000):
         log(f"line {number}")
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -1,4 +1,4 @@
-"""The clients' side: what is taken, what is turned away, and that each request is answered once."""
+"""Client connections: which requests are accepted or rejected, and that each one is answered once."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 from tests.loopback import Client, proxy, run
 
 
-def test_a_request_goes_on_unchanged_and_the_answer_comes_back() -> None:
+def test_a_request_is_forwarded_unchanged_and_its_response_returned() -> None:
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
             client.send("/purchase/7?x=1", body=b"\x00body", idempotency_key="k1", x_other="no",
                         x_caller="acme", connection="x-hop", x_hop="dropped")  # fmt: skip
-            call = await p.backends[0].calls.get()
-            assert call.line == "POST /purchase/7?x=1 HTTP/1.1"
-            assert call.body == b"\x00body"
-            assert (call.headers["x-call-id"], call.headers["idempotency-key"]) == ("c1", "k1")
-            assert 0 < int(call.headers["x-budget-ms"]) <= 20000
-            assert call.headers["x-caller"] == "acme"
-            # What a backend has no use for can only make it turn the request away.
-            assert "x-other" not in call.headers and "x-hop" not in call.headers
-            call.reply(b"\x01answer", headers={"content-type": "app/x", "x-load-report": "?"})
+            received = await p.backends[0].requests.get()
+            assert received.line == "POST /purchase/7?x=1 HTTP/1.1"
+            assert received.body == b"\x00body"
+            assert (received.headers["x-call-id"], received.headers["idempotency-key"]) == ("c1", "k1")
+            assert 0 < int(received.headers["x-budget-ms"]) <= 20000
+            assert received.headers["x-caller"] == "acme"
+            # Headers that a backend does not use could only make it reject the request.
+            assert "x-other" not in received.headers and "x-hop" not in received.headers
+            received.reply(b"\x01answer", headers={"content-type": "app/x", "x-load-report": "?"})
             reply = await client.reply()
             assert (reply.status, reply.body, reply.headers["content-type"]) == (200, b"\x01answer", "app/x")
             assert "x-load-report" not in reply.headers
@@ -39,9 +39,9 @@
         async with proxy() as p:
             client = await p.client()
             client.send("/lookup", "GET")
-            call = await p.backends[0].calls.get()
-            assert (call.line, call.body) == ("GET /lookup HTTP/1.1", b"")
-            call.reply()
+            received = await p.backends[0].requests.get()
+            assert (received.line, received.body) == ("GET /lookup HTTP/1.1", b"")
+            received.reply()
             assert (await client.reply()).status == 200
 
     run(test())
@@ -71,7 +71,7 @@
         (400, "/answer", "POST", {"X-Budget-Ms": "7"}),
     ],
 )  # fmt: skip
-def test_bad_requests_are_answered_and_the_connection_stays_sane(
+def test_invalid_requests_are_answered_and_the_connection_stays_usable(
     status: int, path: str, method: str, headers: dict[str, str | None]
 ) -> None:
     async def test() -> None:
@@ -89,7 +89,7 @@
     [
         (400, b"nonsense\r\n\r\n"),
         (400, b"POST /answer HTTP/1.1\r\nhost: a\r\ncontent-length: 1\r\ntransfer-encoding: chunked\r\n\r\n"),
-        # Both lengths: another server could see another request in the body.
+        # Two lengths: another server could see another request in the body.
         (400, b"POST /answer HTTP/1.1\r\nhost: a\r\ntransfer-encoding: chunked\r\ncontent-length: 1\r\n\r\n"),
         (400, b"POST /answer HTTP/1.1\r\nhost: a\r\nTRANSFER-ENCODING:\t Chunked \r\n"
               b"Content-Length:1\r\n\r\n"),
@@ -98,11 +98,11 @@
         (400, b"POST /answer HTTP/1.1\r\nhost: a\r\ncontent-length: 1\r\ncontent-length: 1\r\n\r\nx"),
         (400, b"POST /answer HTTP/1.1\r\nhost: a\r\ntransfer-encoding: gzip, chunked\r\n\r\n"),
         (400, b"POST /answer HTTP/1.1\r\nhost: a\r\ncontent-length: -1\r\n\r\n"),
-        # Bytes after the head are counted too, whatever they are.
+        # Trailers and chunk extensions count towards the size limit.
         (413, b"POST /answer HTTP/1.1\r\nhost: a\r\ntransfer-encoding: chunked\r\n\r\n0\r\n"
               + b"x-trailer: y\r\n" * 40000),
         (413, b"POST /answer HTTP/1.1\r\nhost: a\r\ntransfer-encoding: chunked\r\n\r\n1;" + b"e" * 400000),
-        # A length that is too small: what follows at once shows that it does not tell the end.
+        # A Content-Length that is too small: the bytes that follow show that it is wrong.
         (400, b"POST /answer HTTP/1.1\r\nhost: a\r\nx-call-id: c\r\nx-budget-ms: 20000\r\n"
               b"content-length: 2\r\n\r\nbody"),
         (400, b"GET /lookup HTTP/1.1\r\nhost: a\r\nx-long: " + b"y" * 20000 + b"\r\n\r\n"),
@@ -111,7 +111,7 @@
         (413, b"POST /answer HTTP/1.1\r\nhost: a\r\ncontent-length: 99999999999\r\n\r\n"),
     ],
 )  # fmt: skip
-def test_what_cannot_be_read_is_answered_and_the_connection_ends(status: int, sent: bytes) -> None:
+def test_malformed_requests_are_answered_and_the_connection_closed(status: int, sent: bytes) -> None:
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
@@ -125,7 +125,7 @@
     run(test())
 
 
-def test_a_body_of_64_kib_in_chunks_is_taken() -> None:
+def test_a_chunked_body_of_64_kib_is_accepted() -> None:
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
@@ -133,53 +133,53 @@
                 b"POST /answer HTTP/1.1\r\nhost: a\r\nx-call-id: c\r\nx-budget-ms: 20000\r\n"
                 b"transfer-encoding: chunked\r\n\r\n10000\r\n" + b"z" * 65536 + b"\r\n0\r\n\r\n"
             )
-            call = await p.backends[0].calls.get()
-            assert call.body == b"z" * 65536 and "transfer-encoding" not in call.headers
-            call.reply(b"r" * 65536)
+            received = await p.backends[0].requests.get()
+            assert received.body == b"z" * 65536 and "transfer-encoding" not in received.headers
+            received.reply(b"r" * 65536)
             assert (await client.reply()).body == b"r" * 65536
 
     run(test())
 
 
-def test_an_id_that_is_open_is_not_taken_again() -> None:
+def test_the_id_of_an_open_request_is_rejected() -> None:
     async def test() -> None:
         async with proxy() as p:
             first, second = await p.client(), await p.client()
             first.send()
-            call = await p.backends[0].calls.get()
+            received = await p.backends[0].requests.get()
             assert (await second.ask()).status == 400
-            call.reply(b"first")
+            received.reply(b"first")
             assert (await first.reply()).body == b"first"
 
     run(test())
 
 
-def test_requests_sent_ahead_on_one_connection_are_answered_in_order() -> None:
+def test_pipelined_requests_are_answered_in_order() -> None:
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
             for number in range(20):
                 client.send(x_call_id=f"c{number}")
             for number in range(20):
-                call = await p.backends[0].calls.get()
-                assert call.headers["x-call-id"] == f"c{number}"
-                call.reply(b"%d" % number)
+                received = await p.backends[0].requests.get()
+                assert received.headers["x-call-id"] == f"c{number}"
+                received.reply(b"%d" % number)
                 assert (await client.reply()).body == b"%d" % number
 
     run(test())
 
 
-def test_what_was_sent_ahead_is_answered_before_a_stop_closes_the_connection() -> None:
+def test_pipelined_requests_are_answered_before_a_stop_closes_the_connection() -> None:
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
             client.send(x_call_id="c0")
             client.send(x_call_id="c1")
-            call = await p.backends[0].calls.get()
+            received = await p.backends[0].requests.get()
             p.frontend.disable_keep_alive()
-            call.reply(b"0")
+            received.reply(b"0")
             assert (await client.reply()).body == b"0"
-            (await p.backends[0].calls.get()).reply(b"1")
+            (await p.backends[0].requests.get()).reply(b"1")
             reply = await client.reply()
             assert (reply.body, reply.headers["connection"]) == (b"1", "close")
             assert await client.ended()
@@ -187,68 +187,68 @@
     run(test())
 
 
-def test_the_budget_of_a_request_sent_ahead_runs_while_it_waits() -> None:
+def test_the_budget_of_a_pipelined_request_runs_while_it_waits() -> None:
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
             client.send(x_call_id="c0")
             client.send(x_call_id="c1", x_budget_ms="200")
-            call = await p.backends[0].calls.get()
-            await asyncio.sleep(0.25)  # longer than the second may wait, however long it takes
-            call.reply()
+            received = await p.backends[0].requests.get()
+            await asyncio.sleep(0.25)  # longer than the budget of the second request
+            received.reply()
             assert (await client.reply()).status == 200
             assert (await client.reply()).status == 504
-            assert p.backends[0].calls.empty()
+            assert p.backends[0].requests.empty()
 
     run(test())
 
 
-def test_a_client_that_leaves_frees_its_backend() -> None:
+def test_a_leaving_client_frees_its_backend() -> None:
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
             client.send()
-            call = await p.backends[0].calls.get()
+            received = await p.backends[0].requests.get()
             client.close()
-            await call.closed.wait()
-            while p.engine.requests:  # a turn of the loop or two, within the limit on the test
+            await received.closed.wait()
+            while p.engine.requests:  # takes one or two loop turns
                 await asyncio.sleep(0)
 
     run(test())
 
 
-def test_half_an_answer_never_goes_out() -> None:
+def test_a_truncated_response_is_not_forwarded() -> None:
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
             client.send()
-            call = await p.backends[0].calls.get()
-            call.writer.write(b"HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\nhalf of it")
-            call.writer.close()
+            received = await p.backends[0].requests.get()
+            received.writer.write(b"HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\nhalf of it")
+            received.writer.close()
             reply = await client.reply()
             assert (reply.status, reply.body) == (504, b"")
 
     run(test())
 
 
-def test_an_answer_that_says_it_is_longer_than_any_is_not_passed_on() -> None:
+def test_a_response_with_a_too_large_content_length_is_not_forwarded() -> None:
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
             client.send()
-            call = await p.backends[0].calls.get()
-            call.writer.write(b"HTTP/1.1 200 OK\r\ncontent-length: 3000000000\r\n\r\n" + b"x" * 70_000)
+            received = await p.backends[0].requests.get()
+            received.writer.write(b"HTTP/1.1 200 OK\r\ncontent-length: 3000000000\r\n\r\n" + b"x" * 70_000)
             assert (await client.reply()).status == 504
 
     run(test())
 
 
-def test_a_client_gets_its_answer_while_it_still_sends_what_nobody_reads(
+def test_a_client_gets_its_response_while_it_still_sends_a_rejected_body(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(frontend_module, "LINGER_TIMEOUT_S", 30.0)
 
-    def ask(address: str) -> bytes:
+    def send_large_body(address: str) -> bytes:
         host, port = address.split(":")
         with socket.create_connection((host, int(port))) as sock:
             sock.sendall(b"POST /answer HTTP/1.1\r\nhost: a\r\ncontent-length: 60000000\r\n\r\n")
@@ -257,57 +257,57 @@
 
     async def test() -> None:
         async with proxy() as p:
-            assert (await asyncio.to_thread(ask, p.frontend.address)).startswith(b"HTTP/1.1 413 ")
+            assert (await asyncio.to_thread(send_large_body, p.frontend.address)).startswith(b"HTTP/1.1 413 ")
 
     run(test())
 
 
-def test_at_the_cap_the_connection_idle_for_longest_makes_room() -> None:
+def test_at_the_limit_the_longest_idle_connection_is_evicted() -> None:
     async def test() -> None:
         async with proxy() as p:
             p.frontend.max_connections = 2
             busy, idle = await p.client(), await p.client()
             busy.send()
-            call = await p.backends[0].calls.get()
+            received = await p.backends[0].requests.get()
             assert (await idle.ask("/health/ready", "GET")).status == 200
             third = await p.client()
             assert (await third.ask("/health/ready", "GET")).status == 200
             assert await idle.ended()
-            call.reply()
+            received.reply()
             assert (await busy.reply()).status == 200
 
     run(test())
 
 
-def test_at_the_cap_with_all_busy_the_next_client_waits_its_turn() -> None:
+def test_at_the_limit_with_all_clients_busy_the_next_one_waits() -> None:
     async def test() -> None:
         async with proxy() as p:
             p.frontend.max_connections = 1
             busy = await p.client()
             busy.send()
-            call = await p.backends[0].calls.get()
-            waiting = await p.client()
-            waiting.send("/health/ready", "GET")
+            received = await p.backends[0].requests.get()
+            queued = await p.client()
+            queued.send("/health/ready", "GET")
             while p.frontend.accepting:
                 await asyncio.sleep(0.001)
-            call.reply()
+            received.reply()
             assert (await busy.reply()).status == 200
-            assert (await waiting.reply()).status == 200
+            assert (await queued.reply()).status == 200
 
     run(test())
 
 
-def test_a_request_that_never_comes_in_whole_loses_its_connection(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Also one of which a byte comes now and then, and one that comes on a connection kept from before.
+def test_an_incomplete_request_is_closed_at_its_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
+    # Covers a silent client, an incomplete head, and an incomplete body on a kept connection.
     monkeypatch.setattr(frontend_module, "REQUEST_READ_TIMEOUT_S", 0.02)
 
     async def test() -> None:
         async with proxy() as p:
-            silent, half, kept = await p.client(), await p.client(), await p.client()
-            half.writer.write(b"POST /answer HTTP/1.1\r\nhost")
+            silent, incomplete, kept = await p.client(), await p.client(), await p.client()
+            incomplete.writer.write(b"POST /answer HTTP/1.1\r\nhost")
             assert (await kept.ask("/health/ready", "GET")).status == 200
             kept.writer.write(b"POST /answer HTTP/1.1\r\nhost: a\r\ncontent-length: 10\r\n\r\nhalf")
-            for client in (half, kept):
+            for client in (incomplete, kept):
                 reply = await client.reply()
                 assert (reply.status, reply.headers["connection"]) == (408, "close")
                 assert await client.ended()
@@ -317,7 +317,7 @@
     run(test())
 
 
-def test_bytes_now_and_then_win_no_more_time() -> None:
+def test_single_bytes_do_not_extend_the_read_timeout() -> None:
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
@@ -332,7 +332,7 @@
     run(test())
 
 
-def test_at_the_cap_a_silent_connection_goes_before_one_that_was_used(
+def test_at_the_limit_a_silent_connection_is_evicted_before_a_used_one(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(frontend_module, "EVICTION_GRACE_MS", 0.0)
@@ -352,7 +352,7 @@
     run(test())
 
 
-def test_idle_connections_do_not_pile_up_to_the_cap(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_idle_connections_are_closed_before_the_limit_is_reached(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(frontend_module, "CROWDED_IDLE_TIMEOUT_S", 0.02)
 
     async def test() -> None:
@@ -366,21 +366,22 @@
     run(test())
 
 
-def test_an_id_of_late_is_not_taken_again() -> None:
-    # Ids don't return: one that does is another client's, and would be served twice.
+def test_the_id_of_a_recent_request_is_rejected() -> None:
+    # Request ids are unique: a repeated id belongs to another client, and the request would be executed
+    # twice.
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
             client.send()
-            (await p.backends[0].calls.get()).reply()
+            (await p.backends[0].requests.get()).reply()
             assert (await client.reply()).status == 200
             assert (await client.ask()).status == 400
-            assert p.backends[0].calls.empty()
+            assert p.backends[0].requests.empty()
 
     run(test())
 
 
-def test_ids_are_remembered_for_a_while_and_no_longer(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_recent_ids_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(engine_module, "MAX_RECENT_IDS", 3)
 
     async def test() -> None:
@@ -388,14 +389,14 @@
             client = await p.client()
             for number in range(9):
                 client.send(x_call_id=f"c{number}")
-                (await p.backends[0].calls.get()).reply()
+                (await p.backends[0].requests.get()).reply()
                 assert (await client.reply()).status == 200
             assert len(p.engine.recent_ids) == 3
 
     run(test())
 
 
-def test_a_connection_that_only_errs_is_closed_and_hundreds_sent_at_once_are_not_read() -> None:
+def test_a_connection_with_only_invalid_requests_is_closed_before_all_are_parsed() -> None:
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
@@ -408,7 +409,7 @@
     run(test())
 
 
-def test_a_trailer_is_no_header() -> None:
+def test_a_trailer_is_not_taken_for_a_header() -> None:
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
@@ -416,16 +417,16 @@
                 b"POST /answer HTTP/1.1\r\nhost: a\r\nx-call-id: c\r\nx-budget-ms: 20000\r\n"
                 b"transfer-encoding: chunked\r\n\r\n0\r\nx-call-id: other\r\nx-again: 1\r\n\r\n"
             )
-            call = await p.backends[0].calls.get()
-            assert call.headers["x-call-id"] == "c" and "x-again" not in call.headers
-            call.reply()
+            received = await p.backends[0].requests.get()
+            assert received.headers["x-call-id"] == "c" and "x-again" not in received.headers
+            received.reply()
             assert (await client.reply()).status == 200
 
     run(test())
 
 
-def test_what_is_sent_after_the_last_answer_is_read_up_to_a_bound(monkeypatch: pytest.MonkeyPatch) -> None:
-    # 60 MB sent at full speed must not cost the time of the other clients.
+def test_bytes_after_the_last_response_are_read_up_to_a_limit(monkeypatch: pytest.MonkeyPatch) -> None:
+    # Guards against 60 MB sent at full speed that delay the other clients.
     monkeypatch.setattr(frontend_module, "LINGER_TIMEOUT_S", 1000.0)
     monkeypatch.setattr(frontend_module, "MAX_LINGER_BYTES", 100_000)
 
@@ -441,35 +442,36 @@
     run(test())
 
 
-def test_stopping_serves_what_comes_and_closes_between_requests() -> None:
+def test_a_stop_serves_new_requests_and_closes_between_requests() -> None:
     async def test() -> None:
         async with proxy() as p:
             busy, idle = await p.client(), await p.client()
             busy.send()
             assert (await idle.ask("/health/ready", "GET")).status == 200
-            call = await p.backends[0].calls.get()
+            received = await p.backends[0].requests.get()
             p.frontend.disable_keep_alive()
             late = await Client.open(p.frontend.address)
             reply = await late.ask("/health/ready", "GET")
             assert (reply.status, reply.headers["connection"]) == (503, "close")
             late.close()
-            ended = asyncio.create_task(p.frontend.finish(30.0))
+            finished = asyncio.create_task(p.frontend.finish(30.0))
             assert await idle.ended()
-            assert not ended.done()
-            call.reply(b"last")
+            assert not finished.done()
+            received.reply(b"last")
             reply = await busy.reply()
             assert (reply.status, reply.body, reply.headers["connection"]) == (200, b"last", "close")
             assert await busy.ended()
             busy.close()
-            await ended
+            await finished
             with pytest.raises(ConnectionRefusedError):
                 await p.client()
 
     run(test())
 
 
-def test_a_stop_waits_for_what_came_after_a_moment_with_nobody_connected() -> None:
-    """While it still accepts, its only client leaves and another one comes: that one's request is taken."""
+def test_a_stop_waits_for_a_request_after_a_moment_without_clients() -> None:
+    """While the proxy still accepts, its only client leaves and another one connects: that one is still
+    served."""
 
     async def test() -> None:
         async with proxy() as p:
@@ -481,31 +483,31 @@
                 await asyncio.sleep(0.001)
             late = await Client.open(p.frontend.address)
             late.send()
-            call = await p.backends[0].calls.get()
-            ended = asyncio.create_task(p.frontend.finish(30.0))
+            received = await p.backends[0].requests.get()
+            finished = asyncio.create_task(p.frontend.finish(30.0))
             await asyncio.sleep(0)
             await asyncio.sleep(0)
-            assert not ended.done()
-            call.reply(b"last")
+            assert not finished.done()
+            received.reply(b"last")
             reply = await late.reply()
             assert (reply.status, reply.body) == (200, b"last")
             late.close()
-            await ended
+            await finished
 
     run(test())
 
 
-def test_a_stop_serves_what_waits_in_the_queue_of_connections() -> None:
+def test_a_stop_serves_connections_in_the_kernel_queue() -> None:
     async def test() -> None:
         async with proxy() as p:
             p.frontend.disable_keep_alive()
-            p.frontend._pause_accepting()  # busy elsewhere
+            p.frontend._pause_accepting()  # as if the process were busy
             late = await Client.open(p.frontend.address)
             late.send()
-            ended = asyncio.create_task(p.frontend.finish(30.0))
-            (await p.backends[0].calls.get()).reply(b"last")
+            finished = asyncio.create_task(p.frontend.finish(30.0))
+            (await p.backends[0].requests.get()).reply(b"last")
             assert (await late.reply()).body == b"last"
             late.close()
-            await ended
+            await finished
 
     run(test())
--- a/tests/test_instants.py
+++ b/tests/test_instants.py
@@ -1,4 +1,5 @@
-"""Two events of one turn: an answer and its deadline, a list and a client's end, a move and a watch."""
+"""Two events in one loop turn: a response and its deadline, a list and a leaving client, a change of the list
+service and a poll."""
 
 from __future__ import annotations
 
@@ -7,107 +8,106 @@
 
 import pytest
 
-from flintlatch.net.discovery import ListConnection
-from flintlatch.net.discovery import read_listing
+from flintlatch.net.discovery import ListConnection, read_listing
 from flintlatch.net.http1 import Response, peer_closed
 from flintlatch.platform.node import PlatformConnection
-from tests.loopback import Peer, listing, proxy, run, target
-from tests.test_closing import raw, served
-from tests.test_discovery import Heard
-from tests.test_leaving import head, settled, until
+from tests.loopback import ScriptedServer, listing, proxy, run, target
+from tests.test_closing import accepted_client, raw_connection
+from tests.test_discovery import RecordedDiscovery
+from tests.test_leaving import request_head, until, until_settled
 
 
 @pytest.mark.parametrize("deadline_first", [True, False])
 @pytest.mark.parametrize("status", [200, 500, 503])
-def test_an_answer_in_the_instant_of_its_deadline_is_one_answer(
+def test_a_response_in_the_turn_of_its_deadline_is_answered_once(
     status: int, deadline_first: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The next request on the same connection gets its own answer, never the one that came too late."""
-    took = PlatformConnection.on_response
+    """The next request on the same connection gets its own response, never the one that arrived too late."""
+    original = PlatformConnection.on_response
 
     async def test() -> None:
         async with proxy() as p:
 
-            def crossed(connection: PlatformConnection, response: Response) -> None:
+            def patched(connection: PlatformConnection, response: Response) -> None:
                 (pending,) = p.engine.requests.values()
                 if not deadline_first:
-                    took(connection, response)
+                    original(connection, response)
                 p.engine._on_deadline(pending)
                 if deadline_first:
-                    took(connection, response)
+                    original(connection, response)
 
             client = await p.client()
             client.send("/answer", x_call_id="one")
-            call = await p.backends[0].calls.get()
-            monkeypatch.setattr(PlatformConnection, "on_response", crossed)
+            received = await p.backends[0].requests.get()
+            monkeypatch.setattr(PlatformConnection, "on_response", patched)
             headers = {"x-rejected": "1"} if status == 503 else {}
-            call.reply(b"first", status, headers)
+            received.reply(b"first", status, headers)
             first = await client.reply()
-            good = status == 200 and not deadline_first
-            assert (first.status, first.body) == ((200, b"first") if good else (504, b""))
-            await settled(p)
-            monkeypatch.setattr(PlatformConnection, "on_response", took)
+            in_time = status == 200 and not deadline_first
+            assert (first.status, first.body) == ((200, b"first") if in_time else (504, b""))
+            await until_settled(p)
+            monkeypatch.setattr(PlatformConnection, "on_response", original)
             client.send("/answer", x_call_id="two")
-            call = await p.backends[0].calls.get()
-            assert call.headers["x-call-id"] == "two"  # nothing of the first was sent again
-            call.reply(b"second")
+            received = await p.backends[0].requests.get()
+            assert received.headers["x-call-id"] == "two"  # nothing of the first was sent again
+            received.reply(b"second")
             assert (await client.reply()).body == b"second"
 
     run(test())
 
 
-@pytest.mark.parametrize("half", [True, False])
-def test_a_queued_request_whose_client_left_as_its_server_came_goes_nowhere(half: bool) -> None:
+@pytest.mark.parametrize("half_close", [True, False])
+def test_a_queued_request_whose_client_left_as_its_server_was_listed_is_not_sent(half_close: bool) -> None:
     async def test() -> None:
-        backend = await Peer().open()
+        backend = await ScriptedServer().open()
         async with proxy(backends=0) as p:
-            with raw(p) as sock:
-                client = await served(p)
-                sock.sendall(head("queued"))
+            with raw_connection(p) as sock:
+                client = await accepted_client(p)
+                sock.sendall(request_head("queued"))
                 await until(lambda: p.engine.balancer.requests)
-                if half:
+                if half_close:
                     sock.shutdown(1)
                 else:
                     sock.close()
-                assert peer_closed(client.transport)  # and unread: the loop has had no turn since
+                assert peer_closed(client.transport)  # and unread, because the loop has not run since
                 raw_list = listing(2, target("s", backend.address))
                 p.engine.on_list(read_listing(raw_list, p.engine.discovery.wire))  # type: ignore[union-attr]
-                await settled(p)
-                assert backend.calls.empty()
+                await until_settled(p)
+                assert backend.requests.empty()
         backend.close()
 
     run(test())
 
 
-def test_a_watch_answered_in_the_turn_of_a_move_brings_nothing_of_the_old_service(
+def test_a_poll_answered_in_the_turn_of_an_address_change_is_ignored(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    took = ListConnection.on_response
+    original = ListConnection.on_response
 
     async def test() -> None:
-        old, new = await Peer().open(), await Peer().open()
-        heard = Heard(old.address)
-
-        def crossed(call: ListConnection, response: Response) -> None:
-            took(call, response)
-            monkeypatch.setattr(ListConnection, "on_response", took)
-            assert heard.discovery.change_address(new.address)
-            heard.discovery.watch()
-
-        heard.discovery.watch()
-        watch = await old.calls.get()
-        monkeypatch.setattr(ListConnection, "on_response", crossed)
-        watch.reply(json.dumps(listing(99, target("old", "127.0.0.9:80"))).encode())
-        call = await new.calls.get()
-        assert call.line == "GET /registry/instances HTTP/1.1"
-        await watch.closed.wait()
-        call.reply(json.dumps(listing(3, target("new", "127.0.0.9:81"))).encode())
-        news = await heard.lists.get()
-        assert [t.uid for t in news.targets] == ["new"]
-        assert "?since=3&" in (await new.calls.get()).line
+        old, new = await ScriptedServer().open(), await ScriptedServer().open()
+        recorded = RecordedDiscovery(old.address)
+
+        def patched(connection: ListConnection, response: Response) -> None:
+            original(connection, response)
+            monkeypatch.setattr(ListConnection, "on_response", original)
+            assert recorded.discovery.change_address(new.address)
+            recorded.discovery.watch()
+
+        recorded.discovery.watch()
+        poll = await old.requests.get()
+        monkeypatch.setattr(ListConnection, "on_response", patched)
+        poll.reply(json.dumps(listing(99, target("old", "127.0.0.9:80"))).encode())
+        received = await new.requests.get()
+        assert received.line == "GET /registry/instances HTTP/1.1"
+        await poll.closed.wait()
+        received.reply(json.dumps(listing(3, target("new", "127.0.0.9:81"))).encode())
+        update = await recorded.lists.get()
+        assert [t.uid for t in update.targets] == ["new"]
+        assert "?since=3&" in (await new.requests.get()).line
         await asyncio.sleep(0)
-        assert heard.lists.empty() and heard.failures.empty()
-        heard.discovery.close()
+        assert recorded.lists.empty() and recorded.failures.empty()
+        recorded.discovery.close()
         old.close()
         new.close()
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""What the platform's proxy must not feel: it imports what it always did, and nothing of the fleet."""
+"""The platform's proxy imports only the listed modules, and none of the fleet."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 import sys
 from pathlib import Path
 
-from tests.loopback import Peer, configuration, run, target
-from tests.test_program import write
+from tests.loopback import ScriptedServer, configuration, run, target
+from tests.test_program import write_config
 
-OURS = {
+PROJECT_MODULES = {
     "flintlatch",
     "flintlatch.api",
     "flintlatch.choice",
@@ -45,24 +45,24 @@
     "flintlatch.platform.limits",
     "flintlatch.platform.node",
 }
-OTHERS = {"httptools", "orjson", "uvloop"}
-HEAVY = {"argparse", "tomllib", "multiprocessing", "sqlite3", "http.client"}  # of the standard library
+ALLOWED_PACKAGES = {"httptools", "orjson", "uvloop"}
+FORBIDDEN_STDLIB = {"argparse", "tomllib", "multiprocessing", "sqlite3", "http.client"}  # expensive to import
 
 
-def installed(name: str) -> bool:
-    """Whether a top-level module came from a package that pip installed."""
+def is_installed_package(name: str) -> bool:
+    """Whether a top-level module belongs to a package that pip installed."""
     if name in sys.stdlib_module_names or name == "sitecustomize" or name.startswith("_"):
         return False
     spec = importlib.util.find_spec(name)
     return spec is not None and "site-packages" in (spec.origin or "")
 
 
-def test_it_imports_the_listed_modules_and_no_other(tmp_path: Path) -> None:
+def test_the_proxy_imports_the_listed_modules_and_no_other(tmp_path: Path) -> None:
     names: set[str] = set()
 
     async def test() -> None:
-        backend = await Peer().open()
-        env = write(tmp_path, configuration("127.0.0.1:1", target("s", backend.address)))
+        backend = await ScriptedServer().open()
+        env = write_config(tmp_path, configuration("127.0.0.1:1", target("s", backend.address)))
         program = await asyncio.create_subprocess_exec(
             sys.executable, "-X", "importtime", "-m", "flintlatch", env=env, stderr=asyncio.subprocess.PIPE
         )
@@ -70,7 +70,7 @@
         line = ""
         while "listens on" not in line:
             line = (await program.stderr.readline()).decode()
-            assert line, "it ended before it listened"
+            assert line, "the program ended before it listened"
             if found := re.fullmatch(r"import time:.*\| +(\S+)\n", line):
                 names.add(found[1])
         program.terminate()
@@ -78,7 +78,7 @@
         backend.close()
 
     run(test())
-    assert {name for name in names if name.partition(".")[0] == "flintlatch"} == OURS
-    tops = {name.partition(".")[0] for name in names} - {"flintlatch"}
-    assert {name for name in tops if installed(name)} <= OTHERS
-    assert not names & HEAVY
+    assert {name for name in names if name.partition(".")[0] == "flintlatch"} == PROJECT_MODULES
+    top_level = {name.partition(".")[0] for name in names} - {"flintlatch"}
+    assert {name for name in top_level if is_installed_package(name)} <= ALLOWED_PACKAGES
+    assert not names & FORBIDDEN_STDLIB
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The program as the platform starts it: configuration, signals, exit codes."""
+"""The program as the platform starts it: configuration, signals and exit codes."""
 
 from __future__ import annotations
 
@@ -15,66 +15,78 @@
 
 import pytest
 
-from tests.loopback import LIMIT_S, Client, Peer, configuration, listing, run, target
+from tests.loopback import TEST_TIMEOUT_S, Client, ScriptedServer, configuration, listing, run, target
 
-GOOD = configuration("127.0.0.1:1")
+VALID_CONFIG = configuration("127.0.0.1:1")
 COMMAND = [sys.executable, "-m", "flintlatch"]
 
 
-def write(folder: Path, config: Any) -> dict[str, str]:
+def write_config(folder: Path, config: Any) -> dict[str, str]:
     path = folder / "config.json"
     path.write_text(config if isinstance(config, str) else json.dumps(config))
     return {k: v for k, v in os.environ.items() if not k.startswith("LB_")} | {"LB_CONFIG": str(path)}
 
 
 def without(name: str) -> dict[str, Any]:
-    return {k: v for k, v in GOOD.items() if k != name}
+    return {k: v for k, v in VALID_CONFIG.items() if k != name}
 
 
 @pytest.mark.parametrize(
-    ("config", "words"),
+    ("config", "expected"),
     [
         ("{", "not JSON"),
         ("[]", "configuration"),
         (without("settings"), "settings"),
         (without("seed"), "seed"),
         (without("known"), "known"),
-        (GOOD | {"seed": "xyz"}, "base 16"),
-        (GOOD | {"listen": "here"}, "here"),
-        (GOOD | {"listen": "203.0.113.1:1"}, "assign"),
-        (GOOD | {"known": {"rev": 1, "all": True, "targets": [{}]}}, "uid"),
-        (GOOD | {"settings": {"Lanes": []}}, "class"),
-        (GOOD | {"settings": {}}, "Lanes"),
-        (GOOD | {"settings": GOOD["settings"] | {"TickMs": 0}}, "tick_ms"),
-        (GOOD | {"settings": GOOD["settings"] | {"Limits": {"ConnIdleMs": -1}}}, "conn_idle_ms"),
+        (VALID_CONFIG | {"seed": "xyz"}, "base 16"),
+        (VALID_CONFIG | {"listen": "here"}, "here"),
+        (VALID_CONFIG | {"listen": "203.0.113.1:1"}, "assign"),
+        (VALID_CONFIG | {"known": {"rev": 1, "all": True, "targets": [{}]}}, "uid"),
+        (VALID_CONFIG | {"settings": {"Lanes": []}}, "class"),
+        (VALID_CONFIG | {"settings": {}}, "Lanes"),
+        (VALID_CONFIG | {"settings": VALID_CONFIG["settings"] | {"TickMs": 0}}, "tick_ms"),
+        (
+            VALID_CONFIG | {"settings": VALID_CONFIG["settings"] | {"Limits": {"ConnIdleMs": -1}}},
+            "conn_idle_ms",
+        ),
     ],
 )
-def test_a_bad_configuration_ends_it_with_one_plain_line(tmp_path: Path, config: Any, words: str) -> None:
+def test_an_invalid_configuration_ends_the_program_with_one_line(
+    tmp_path: Path, config: Any, expected: str
+) -> None:
     done = subprocess.run(
-        COMMAND, env=write(tmp_path, config), capture_output=True, text=True, timeout=LIMIT_S, check=False
+        COMMAND,
+        env=write_config(tmp_path, config),
+        capture_output=True,
+        text=True,
+        timeout=TEST_TIMEOUT_S,
+        check=False,
     )
     assert done.returncode == 2
     assert done.stderr.count("\n") == 1 and "Traceback" not in done.stderr
-    assert words in done.stderr
+    assert expected in done.stderr
 
 
-def test_without_a_configuration_it_says_so() -> None:
+def test_a_missing_configuration_is_reported() -> None:
     env = {k: v for k, v in os.environ.items() if not k.startswith("LB_")}
-    done = subprocess.run(COMMAND, env=env, capture_output=True, text=True, timeout=LIMIT_S, check=False)
+    done = subprocess.run(
+        COMMAND, env=env, capture_output=True, text=True, timeout=TEST_TIMEOUT_S, check=False
+    )
     assert (done.returncode, done.stderr) == (2, "flintlatch: LB_CONFIG is not set\n")
 
 
-def test_more_clients_than_descriptors_are_served_in_turn(tmp_path: Path) -> None:
-    def few_descriptors() -> None:
+def test_more_clients_than_descriptors_are_served_one_after_another(tmp_path: Path) -> None:
+    def limit_descriptors() -> None:
         resource.setrlimit(resource.RLIMIT_NOFILE, (64, 64))
 
     async def test() -> None:
-        backend = await Peer().open()
+        backend = await ScriptedServer().open()
         program = await asyncio.create_subprocess_exec(
             *COMMAND,
-            env=write(tmp_path, configuration("127.0.0.1:1", target("s", backend.address))),
+            env=write_config(tmp_path, configuration("127.0.0.1:1", target("s", backend.address))),
             stderr=asyncio.subprocess.PIPE,
-            preexec_fn=few_descriptors,
+            preexec_fn=limit_descriptors,
         )
         assert program.stderr is not None
         address = (await program.stderr.readline()).decode().split()[-1]
@@ -82,27 +94,27 @@
         for _ in range(200):
             clients.append(await Client.open(address))
             assert (await clients[-1].ask("/health/ready", "GET")).status == 200
-        together = await asyncio.gather(*(Client.open(address) for _ in range(60)))
-        for client in together:
+        concurrent = await asyncio.gather(*(Client.open(address) for _ in range(60)))
+        for client in concurrent:
             client.send("/health/ready", "GET")
-        statuses = [(await client.reply()).status for client in together]
+        statuses = [(await client.reply()).status for client in concurrent]
         assert statuses == [200] * 60
         program.send_signal(signal.SIGTERM)
         assert "Too many open files" not in (await program.stderr.read()).decode()
         assert await program.wait() == 0
-        for client in clients + together:
+        for client in clients + concurrent:
             client.close()
         backend.close()
 
     run(test())
 
 
-def test_sigterm_ends_it_cleanly_after_what_was_taken_is_answered(tmp_path: Path) -> None:
+def test_sigterm_ends_the_program_after_open_requests_are_answered(tmp_path: Path) -> None:
     async def test() -> None:
-        backend = await Peer().open()
+        backend = await ScriptedServer().open()
         config = configuration("127.0.0.1:1", target("s", backend.address))
         program = await asyncio.create_subprocess_exec(
-            *COMMAND, env=write(tmp_path, config), stderr=asyncio.subprocess.PIPE
+            *COMMAND, env=write_config(tmp_path, config), stderr=asyncio.subprocess.PIPE
         )
         assert program.stderr is not None
         line = (await program.stderr.readline()).decode()
@@ -110,14 +122,14 @@
         address = line.split()[-1]
         client = await Client.open(address)
         client.send()
-        call = await backend.calls.get()
+        received = await backend.requests.get()
         program.send_signal(signal.SIGTERM)
         while "stopping" not in (await program.stderr.readline()).decode():
             pass
-        late = await Client.open(address)  # connections still come for a moment, and are served
+        late = await Client.open(address)  # connections are still accepted and served for a while
         ready = await late.ask("/health/ready", "GET")
         assert (ready.status, ready.headers["connection"]) == (503, "close")
-        call.reply(b"taken before")
+        received.reply(b"taken before")
         reply = await client.reply()
         assert (reply.status, reply.body) == (200, b"taken before")
         client.close()
@@ -130,49 +142,50 @@
     run(test())
 
 
-def test_idle_clients_on_all_descriptors_do_not_keep_it_from_the_list(tmp_path: Path) -> None:
-    """Discovery refuses calls meanwhile; once it is back it is heard, and a request goes where it says."""
+def test_idle_clients_on_all_descriptors_do_not_block_discovery(tmp_path: Path) -> None:
+    """The list service refuses connections at first. Once it is back, its list is applied, and a request is
+    sent to the server on it."""
 
-    def few_descriptors() -> None:
+    def limit_descriptors() -> None:
         resource.setrlimit(resource.RLIMIT_NOFILE, (64, 64))
 
     async def test() -> None:
-        down = socket.socket()
-        down.bind(("127.0.0.1", 0))  # taken, and nobody listens
-        old, new = [await Peer().open() for _ in range(2)]
-        service = "{}:{}".format(*down.getsockname())
+        reserved = socket.socket()
+        reserved.bind(("127.0.0.1", 0))  # the port is reserved, but not listening
+        old, new = [await ScriptedServer().open() for _ in range(2)]
+        service = "{}:{}".format(*reserved.getsockname())
         program = await asyncio.create_subprocess_exec(
             *COMMAND,
-            env=write(tmp_path, configuration(service, target("s", old.address))),
+            env=write_config(tmp_path, configuration(service, target("s", old.address))),
             stderr=asyncio.subprocess.PIPE,
-            preexec_fn=few_descriptors,
+            preexec_fn=limit_descriptors,
         )
         assert program.stderr is not None
         address = (await program.stderr.readline()).decode().split()[-1]
-        idle = [await Client.open(address) for _ in range(100)]  # more than there are places
+        idle = [await Client.open(address) for _ in range(100)]  # more than the connection limit
         while "refused" not in (await program.stderr.readline()).decode():
             pass
-        registry = Peer()
-        registry.server = await asyncio.start_server(registry._serve, sock=down)
-        call = await registry.calls.get()
-        call.reply(json.dumps(listing(7, target("t", new.address))).encode())
-        assert "?since=7&" in (await registry.calls.get()).line
+        registry = ScriptedServer()
+        registry.server = await asyncio.start_server(registry._serve, sock=reserved)
+        received = await registry.requests.get()
+        received.reply(json.dumps(listing(7, target("t", new.address))).encode())
+        assert "?since=7&" in (await registry.requests.get()).line
         client = await Client.open(address)
         client.send()
-        (await new.calls.get()).reply(b"by the new one")
+        (await new.requests.get()).reply(b"by the new one")
         assert (await client.reply()).body == b"by the new one"
         program.send_signal(signal.SIGTERM)
         assert "Too many open files" not in (await program.stderr.read()).decode()
         assert await program.wait() == 0
-        for one in [client, *idle]:
-            one.close()
-        for peer in (old, new, registry):
-            peer.close()
+        for connection in [client, *idle]:
+            connection.close()
+        for server in (old, new, registry):
+            server.close()
 
     run(test())
 
 
-HUP_BEHIND_THE_READING = """
+PROGRAM_WITH_SIGHUP_DURING_START = """
 import os, signal, sys
 from flintlatch import __main__ as program
 
@@ -194,28 +207,28 @@
 """
 
 
-def test_a_sighup_behind_the_reading_of_the_file_at_the_start_is_obeyed(tmp_path: Path) -> None:
+def test_a_sighup_right_after_the_first_read_of_the_file_is_handled(tmp_path: Path) -> None:
     async def test() -> None:
-        first, second, backend = [await Peer().open() for _ in range(3)]
-        known = target("s", backend.address)
-        env = write(tmp_path, configuration(second.address, known))
+        first, second, backend = [await ScriptedServer().open() for _ in range(3)]
+        listed = target("s", backend.address)
+        env = write_config(tmp_path, configuration(second.address, listed))
         os.replace(env["LB_CONFIG"], env["LB_CONFIG"] + ".next")
-        write(tmp_path, configuration(first.address, known))
+        write_config(tmp_path, configuration(first.address, listed))
         program = await asyncio.create_subprocess_exec(
-            sys.executable, "-c", HUP_BEHIND_THE_READING, env=env, stderr=asyncio.subprocess.PIPE
+            sys.executable, "-c", PROGRAM_WITH_SIGHUP_DURING_START, env=env, stderr=asyncio.subprocess.PIPE
         )
         assert program.stderr is not None
-        assert (await second.calls.get()).line == "GET /registry/instances HTTP/1.1"
+        assert (await second.requests.get()).line == "GET /registry/instances HTTP/1.1"
         program.send_signal(signal.SIGTERM)
         assert "bug" not in (await program.stderr.read()).decode()
         assert await program.wait() == 0
-        for peer in (first, second, backend):
-            peer.close()
+        for server in (first, second, backend):
+            server.close()
 
     run(test())
 
 
-SIGNALS_AT_THE_END = """
+PROGRAM_WITH_SIGNALS_AT_THE_END = """
 import os, signal, sys, uvloop
 from flintlatch import __main__ as program
 
@@ -231,12 +244,12 @@
 """
 
 
-def test_signals_behind_the_end_of_the_loop_do_not_change_how_it_ends(tmp_path: Path) -> None:
+def test_signals_after_the_end_of_the_loop_do_not_change_the_exit_code(tmp_path: Path) -> None:
     async def test() -> None:
-        backend = await Peer().open()
-        env = write(tmp_path, configuration("127.0.0.1:1", target("s", backend.address)))
+        backend = await ScriptedServer().open()
+        env = write_config(tmp_path, configuration("127.0.0.1:1", target("s", backend.address)))
         program = await asyncio.create_subprocess_exec(
-            sys.executable, "-c", SIGNALS_AT_THE_END, env=env, stderr=asyncio.subprocess.PIPE
+            sys.executable, "-c", PROGRAM_WITH_SIGNALS_AT_THE_END, env=env, stderr=asyncio.subprocess.PIPE
         )
         assert program.stderr is not None
         await program.stderr.readline()
@@ -249,34 +262,34 @@
     run(test())
 
 
-def test_sighup_asks_the_service_that_the_new_file_names(tmp_path: Path) -> None:
-    # Guards against SIGHUP ending the program, against an old version in the call to a service that counts
-    # its own, and against a first call that fails and is tried again only after the usual wait.
+def test_sighup_polls_the_list_service_in_the_new_file(tmp_path: Path) -> None:
+    # Guards against a SIGHUP that ends the program, against a poll with the revision of another service, and
+    # against a first poll that fails and is repeated only after the usual delay.
     async def test() -> None:
-        first, second, old, new = [await Peer().open() for _ in range(4)]
-        known = target("s", old.address)
-        env = write(tmp_path, configuration(first.address, known)) | {"LB_DISCOVERY": first.address}
+        first, second, old, new = [await ScriptedServer().open() for _ in range(4)]
+        listed = target("s", old.address)
+        env = write_config(tmp_path, configuration(first.address, listed)) | {"LB_DISCOVERY": first.address}
         program = await asyncio.create_subprocess_exec(*COMMAND, env=env, stderr=asyncio.subprocess.PIPE)
         assert program.stderr is not None
         address = (await program.stderr.readline()).decode().split()[-1]
-        watch = await first.calls.get()
-        assert "?since=1&" in watch.line
-        write(tmp_path, configuration(second.address, known))
+        poll = await first.requests.get()
+        assert "?since=1&" in poll.line
+        write_config(tmp_path, configuration(second.address, listed))
         program.send_signal(signal.SIGHUP)
-        call = await second.calls.get()
-        assert call.line == "GET /registry/instances HTTP/1.1"
-        await watch.closed.wait()
-        program.send_signal(signal.SIGHUP)  # the same once more: the call goes on
-        call.reply(status=503)
-        call = await second.calls.get()
-        assert call.line == "GET /registry/instances HTTP/1.1"
-        call.reply(json.dumps(listing(7, target("t", new.address))).encode())
-        assert "?since=7&" in (await second.calls.get()).line
+        received = await second.requests.get()
+        assert received.line == "GET /registry/instances HTTP/1.1"
+        await poll.closed.wait()
+        program.send_signal(signal.SIGHUP)  # the same address again: the poll continues
+        received.reply(status=503)
+        received = await second.requests.get()
+        assert received.line == "GET /registry/instances HTTP/1.1"
+        received.reply(json.dumps(listing(7, target("t", new.address))).encode())
+        assert "?since=7&" in (await second.requests.get()).line
         client = await Client.open(address)
         client.send()
-        (await new.calls.get()).reply(b"by the new one")
+        (await new.requests.get()).reply(b"by the new one")
         assert (await client.reply()).body == b"by the new one"
-        write(tmp_path, "{")
+        write_config(tmp_path, "{")
         program.send_signal(signal.SIGHUP)
         while "reload: " not in (line := (await program.stderr.readline()).decode()):
             assert "going on" not in line and "bug" not in line
@@ -284,13 +297,13 @@
         program.send_signal(signal.SIGTERM)
         while "stopping" not in (await program.stderr.readline()).decode():
             pass
-        write(tmp_path, configuration(first.address, known))
+        write_config(tmp_path, configuration(first.address, listed))
         program.send_signal(signal.SIGHUP)
-        assert (await first.calls.get()).line == "GET /registry/instances HTTP/1.1"
+        assert (await first.requests.get()).line == "GET /registry/instances HTTP/1.1"
         client.close()
         assert "bug" not in (await program.stderr.read()).decode()
         assert await program.wait() == 0
-        for peer in (first, second, old, new):
-            peer.close()
+        for server in (first, second, old, new):
+            server.close()
 
     run(test())
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The example in the README runs as printed."""
+"""The example in the README runs and prints the given output."""
 
 import re
 from pathlib import Path
@@ -6,7 +6,7 @@
 import pytest
 
 
-def test_example(capsys: pytest.CaptureFixture[str]) -> None:
+def test_readme_example_prints_its_output(capsys: pytest.CaptureFixture[str]) -> None:
     text = (Path(__file__).parent.parent / "README.md").read_text()
     (code,) = re.findall(r"```python\n(.*?)```", text, re.DOTALL)
     exec(compile(code, "README.md", "exec"), {})
