--- a/flintlatch/net/relay.py
+++ b/flintlatch/net/relay.py
@@ -90,7 +90,7 @@
         connection to a node, which is also a `NodeSide`."""
         super().__init__(settings, wire, seed, max_connections)
         self.backends.connection_factory = make
-        self.budget = Budget(body_bytes)
+        self.body_memory = Budget(body_bytes)
         self.terms = terms
         self.exchanges: dict[str, Exchange] = {}
         self.reserved_bytes: dict[str, int] = {}
@@ -109,7 +109,7 @@
             raise KeyError(request_id)
         # The maximum is reserved at once, so that no slow request runs out of memory half-way.
         memory_bytes = self.max_memory_bytes(exchange, uploading)
-        if not self.budget.reserve(memory_bytes):
+        if not self.body_memory.reserve(memory_bytes):
             return False
         self.exchanges[request_id], self.reserved_bytes[request_id] = exchange, memory_bytes
         return True
@@ -316,7 +316,7 @@
     def _remove_exchange(self, request_id: str, pending: PendingRequest | None = None) -> None:
         exchange = self.exchanges.pop(request_id, None)
         if exchange is not None:
-            self.budget.release(self.reserved_bytes.pop(request_id))
+            self.body_memory.release(self.reserved_bytes.pop(request_id))
             if self.exchange_observer is not None:
                 self.exchange_observer(exchange, pending.attempts if pending is not None else [])
 
