--- a/flintlatch/http/front.py
+++ b/flintlatch/http/front.py
@@ -15,7 +15,7 @@
 from flintlatch.http.sockets import HIGH_BYTES, READ_BYTES, bound_buffers, write_body
 from flintlatch.net.clock import now_ms
 from flintlatch.net.engine import Answer
-from flintlatch.net.frontend import PHRASES, READY_PATH, Client, Frontend
+from flintlatch.net.frontend import READY_PATH, REASON_PHRASES, Client, Frontend
 from flintlatch.net.relay import Refusal, RelayEngine
 
 if TYPE_CHECKING:
@@ -296,7 +296,7 @@
         if self.transport.is_closing():
             return
         keep = self.keep_alive = self.keep_alive and not self.frontend.keep_alive_disabled
-        phrase = PHRASES.get(answer.status, b"")
+        phrase = REASON_PHRASES.get(answer.status, b"")
         head = b"HTTP/1.1 %d %b\r\n%bContent-Length: %d\r\n%b\r\n" % (
             answer.status,
             phrase,
--- a/flintlatch/net/frontend.py
+++ b/flintlatch/net/frontend.py
@@ -44,7 +44,7 @@
 MAX_UNREAD_RESPONSE_BYTES = 2 * MAX_BODY  # that a client may leave unread before its connection is aborted
 READY_PATH = b"/health/ready"
 
-PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}
+REASON_PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}
 
 
 def open_listener(address: str, shared: bool = False) -> socket.socket:
@@ -286,7 +286,7 @@
             b"HTTP/1.1 %d %b\r\n%bcontent-length: %d\r\n%b\r\n%b"
             % (
                 answer.status,
-                PHRASES[answer.status],
+                REASON_PHRASES[answer.status],
                 answer.headers,
                 len(answer.body),
                 b"" if keep else b"connection: close\r\n",
--- a/flintlatch/ops/admin.py
+++ b/flintlatch/ops/admin.py
@@ -9,7 +9,7 @@
 
 import httptools
 
-from flintlatch.net.frontend import PHRASES, open_listener
+from flintlatch.net.frontend import REASON_PHRASES, open_listener
 from flintlatch.ops.calls import Call, CallError, read_call
 
 MAX_CONNECTIONS = 12  # at once; from the descriptors reserved for the process itself
@@ -76,7 +76,8 @@
         self.parser = None
         body = text.encode()
         head = (
-            f"HTTP/1.1 {status} {PHRASES[status].decode()}\r\ncontent-type: text/plain; charset=utf-8\r\n"
+            f"HTTP/1.1 {status} {REASON_PHRASES[status].decode()}\r\n"
+            f"content-type: text/plain; charset=utf-8\r\n"
             f"cache-control: no-store\r\ncontent-length: {len(body)}\r\nconnection: close\r\n\r\n"
         )
         if self.transport.is_closing():
--- a/flintlatch/platform/front.py
+++ b/flintlatch/platform/front.py
@@ -10,7 +10,7 @@
 from flintlatch.exchange import Ask, Exchange, Fields, Own, Piece, Response, TooLong
 from flintlatch.net.clock import now_ms
 from flintlatch.net.engine import Answer
-from flintlatch.net.frontend import PHRASES, READY_PATH, Client, Frontend
+from flintlatch.net.frontend import READY_PATH, REASON_PHRASES, Client, Frontend
 from flintlatch.net.http1 import MAX_BODY, MAX_HEAD
 from flintlatch.net.request import Message, Reader, RequestError, check_framing
 from flintlatch.platform.engine import ForwardedRequest, PlatformEngine
@@ -224,7 +224,7 @@
         )
         fields = b"".join(b"%b: %b\r\n" % pair for pair in head.fields)
         connection = b"" if self._update_keep_alive() else b"connection: close\r\n"
-        status_line = b"HTTP/1.1 %d %b\r\n" % (head.status, PHRASES[head.status])
+        status_line = b"HTTP/1.1 %d %b\r\n" % (head.status, REASON_PHRASES[head.status])
         self.transport.write(b"".join((status_line, fields, framing, b"\r\n", connection, b"\r\n")))
 
     def _update_keep_alive(self) -> bool:
