--- a/flintlatch/net/frontend.py
+++ b/flintlatch/net/frontend.py
@@ -350,7 +350,7 @@
         self.on_connection_count: Callable[[int], None] | None = None
         self.should_pause_accepting: Callable[[], bool] | None = None
         self.accept_pause_s, self.accept_pause_over = 0.0, False
-        self.sweeper: asyncio.TimerHandle | None = None
+        self.sweep_timer: asyncio.TimerHandle | None = None
 
     def make_client(self) -> Client:
         return Client(self)
@@ -485,7 +485,7 @@
 
     def _sweep(self) -> None:
         """Enforces all timeouts, so that clients that send nothing can't hold connections forever."""
-        self.sweeper = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
+        self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         for client in self._overdue(self.reading_clients, REQUEST_READ_TIMEOUT_S):
             client.on_read_timeout()
         for client in self._overdue(self.lingering_clients, LINGER_TIMEOUT_S):
@@ -571,5 +571,5 @@
                 # Requests on these connections are answered before the process ends.
                 self.engine.fail_all()
                 await asyncio.sleep(FINAL_FLUSH_S)
-        if self.sweeper is not None:
-            self.sweeper.cancel()
+        if self.sweep_timer is not None:
+            self.sweep_timer.cancel()
--- a/flintlatch/net/relay.py
+++ b/flintlatch/net/relay.py
@@ -57,9 +57,8 @@
     ) -> None:
         super().__init__(uid, b"", b"", limit_ms, done, within_ms)
         self.exchange = exchange
-        self.request_sent_ms = (
-            self.start_ms if exchange.upload.complete else 0.0
-        )  # time at which its node had all of it; 0: not yet
+        # Time at which its node had the whole request; 0: not yet.
+        self.request_sent_ms = self.start_ms if exchange.upload.complete else 0.0
         self.stream_started: StreamStarted | None = None  # set when its response begins
         self.node: NodeSide | None = None  # the connection that carries it, or did
 
@@ -84,19 +83,19 @@
         max_connections: int,
         body_bytes: int,
         terms: tuple[Terms, ...],
-        make: Callable[[Backends, Backend], Connection],
+        connection_factory: Callable[[Backends, Backend], Connection],
     ) -> None:
-        """`body_bytes`: memory for the bodies of all requests together. `terms`: by class. `make`: makes a
-        connection to a node, which is also a `NodeSide`."""
+        """`body_bytes`: memory for the bodies of all requests together. `terms`: by class.
+        `connection_factory`: makes a connection to a node, which is also a `NodeSide`."""
         super().__init__(settings, wire, seed, max_connections)
-        self.backends.connection_factory = make
+        self.backends.connection_factory = connection_factory
         self.body_memory = Budget(body_bytes)
         self.terms = terms
         self.exchanges: dict[str, Exchange] = {}
         self.reserved_bytes: dict[str, int] = {}
         self.exchange_observer: Callable[[Exchange, list[Attempt]], None] | None = None
         self.refusal_observer: Callable[[Refusal], None] | None = None
-        self.ticker = self.loop.call_later(STALL_CHECK_INTERVAL_S, self._tick)
+        self.stall_timer = self.loop.call_later(STALL_CHECK_INTERVAL_S, self._tick)
 
     # Called by a front end
 
@@ -226,6 +225,7 @@
             pending.timer = self.loop.call_later(budget_ms / 1000, self._on_deadline, pending)
 
     def _on_deadline(self, pending: PendingRequest) -> None:
+        """Answers 503 with Retry-After if no attempt can have been executed, and 504 otherwise."""
         if pending.completed:
             return
         never_ran = all(attempt.result in NEVER_RAN for attempt in pending.attempts)
@@ -235,7 +235,7 @@
         )
 
     def _tick(self) -> None:
-        self.ticker = self.loop.call_later(STALL_CHECK_INTERVAL_S, self._tick)
+        self.stall_timer = self.loop.call_later(STALL_CHECK_INTERVAL_S, self._tick)
         now_s = now_ms() / 1000
         for exchange in list(self.exchanges.values()):
             stall = exchange.tick(now_s)
@@ -308,7 +308,7 @@
         exchange = self.exchanges.get(request_id)
         if (
             pending.completed
-            and all(a.ended for a in pending.attempts)
+            and all(attempt.ended for attempt in pending.attempts)
             and (exchange is None or exchange.over)
         ):
             self._remove_exchange(request_id, pending)
@@ -328,7 +328,7 @@
                 self._remove_exchange(request_id)
 
     def close(self) -> None:
-        self.ticker.cancel()
+        self.stall_timer.cancel()
         super().close()
 
 
