--- a/flintlatch/ops/figures.py
+++ b/flintlatch/ops/figures.py
@@ -44,7 +44,7 @@
         """`classes`: the class names, in the order of the settings."""
         self.classes = tuple(classes)
         self.counts_by_outcome = {outcome: [0] * len(self.classes) for outcome in ClientOutcome}
-        self.upstream_requests = 0  # attempts written whole to servers
+        self.upstream_requests = 0  # attempts completely written to servers
 
     def count(self, cls: int, outcome: ClientOutcome) -> None:
         """Counts the final response of a request of this class."""
