--- a/flintlatch/http/node.py
+++ b/flintlatch/http/node.py
@@ -203,8 +203,8 @@
     def connection_lost(self, exc: Exception | None) -> None:
         self.pool.connections.discard(self)
         self.reusable = False
-        if self in self.backend.idle:
-            self.backend.idle.remove(self)
+        if self in self.backend.idle_connections:
+            self.backend.idle_connections.remove(self)
         if self.attempt is None:
             return
         if exc is None and self.body is not None and self.body.framing.kind is Kind.UNTIL_CLOSE:
--- a/flintlatch/net/backends.py
+++ b/flintlatch/net/backends.py
@@ -84,7 +84,7 @@
     def __init__(self, target: Target) -> None:
         self.target, self.generation = target, 0
         self.last_response_ms = 0.0  # time of its last response
-        self.idle: list[Connection] = []  # most recently used last
+        self.idle_connections: list[Connection] = []  # most recently used last
         self.connecting: set[Connection] = set()
 
     def active(self) -> bool:
@@ -95,9 +95,9 @@
         self.close_idle()
 
     def close_idle(self) -> None:
-        for connection in self.idle:
+        for connection in self.idle_connections:
             connection.close()
-        self.idle.clear()
+        self.idle_connections.clear()
 
 
 class Connection(Http1Connection):
@@ -165,8 +165,8 @@
         self.pool.on_written()
 
     def on_broken(self) -> None:
-        if self in self.backend.idle:
-            self.backend.idle.remove(self)
+        if self in self.backend.idle_connections:
+            self.backend.idle_connections.remove(self)
         if self.attempt is not None:
             self.attempt.end(Result.CONNECT_FAILED if self.never_ran() else Result.RESET)
 
@@ -253,10 +253,10 @@
         """Takes the most recently used connection that has been idle for REUSE_DELAY_MS and has no unread
         bytes."""
         latest_idle_since = now_ms() - REUSE_DELAY_MS
-        for index in range(len(backend.idle) - 1, -1, -1):
-            connection = backend.idle[index]
+        for index in range(len(backend.idle_connections) - 1, -1, -1):
+            connection = backend.idle_connections[index]
             if connection.idle_since <= latest_idle_since:
-                del backend.idle[index]
+                del backend.idle_connections[index]
                 assert connection.transport is not None
                 if not connection.transport.is_closing() and not has_unread_data(connection.transport):
                     return connection
@@ -326,7 +326,7 @@
             connection.close()
             return
         connection.idle_since = now_ms()
-        backend.idle.append(connection)
+        backend.idle_connections.append(connection)
 
     def _make_room(self) -> bool:
         """Closes the longest idle connection if the cap is reached. False if the cap is reached and none is
@@ -334,13 +334,13 @@
         if len(self.connections) < self.max_connections:
             return True
         oldest = min(
-            (backend.idle[0] for backend in self.backends.values() if backend.idle),
+            (backend.idle_connections[0] for backend in self.backends.values() if backend.idle_connections),
             key=lambda connection: connection.idle_since,
             default=None,
         )
         if oldest is None:
             return False
-        oldest.backend.idle.remove(oldest)
+        oldest.backend.idle_connections.remove(oldest)
         self.connections.discard(oldest)
         oldest.close()
         return True
@@ -349,8 +349,8 @@
         self.sweep_timer = self.loop.call_later(self.idle_ms / 1000 / SWEEPS_PER_IDLE_TIMEOUT, self._sweep)
         oldest_kept = now_ms() - self.idle_ms
         for backend in self.backends.values():
-            while backend.idle and backend.idle[0].idle_since < oldest_kept:
-                backend.idle.pop(0).close()
+            while backend.idle_connections and backend.idle_connections[0].idle_since < oldest_kept:
+                backend.idle_connections.pop(0).close()
 
     def close(self) -> None:
         self.sweep_timer.cancel()
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -164,7 +164,7 @@
             answer = b"HTTP/1.1 503 X\r\nx-rejected: 1\r\ncontent-length: 0\r\n\r\n"
             await asyncio.get_running_loop().sock_sendall(accepted, answer)
             assert await attempts.result() is Result.FULL
-            assert not attempts.pool.backends["s"].idle
+            assert not attempts.pool.backends["s"].idle_connections
 
     run(test())
 
@@ -244,7 +244,7 @@
     async def test() -> None:
         async with pool_with_server() as (attempts, server):
             await attempts.serve_one(server)
-            (kept,) = attempts.pool.backends["s"].idle
+            (kept,) = attempts.pool.backends["s"].idle_connections
             assert kept.transport is not None
             kept.transport.pause_reading()
             server.writers[0].write(more)
@@ -260,7 +260,7 @@
     async def test() -> None:
         async with pool_with_server() as (attempts, server):
             await attempts.serve_one(server)
-            (kept,) = attempts.pool.backends["s"].idle
+            (kept,) = attempts.pool.backends["s"].idle_connections
             assert kept.transport is not None
             kept.transport.pause_reading()
             server.writers[0].close()
@@ -279,7 +279,7 @@
             received.reply()
             await attempts.result()
             # As if it had become idle just now, however slow the machine is.
-            attempts.pool.backends["s"].idle[0].idle_since = now_ms() + 1000
+            attempts.pool.backends["s"].idle_connections[0].idle_since = now_ms() + 1000
             assert await attempts.serve_one(server) == 2
 
     run(test())
@@ -298,7 +298,7 @@
             attempts.start(timeout_ms=50.0)
             await server.requests.get()
             assert await attempts.result() is Result.TIMEOUT
-            assert not attempts.pool.backends["s"].idle
+            assert not attempts.pool.backends["s"].idle_connections
             assert await attempts.serve_one(server) == 3
 
     run(test())
@@ -369,7 +369,7 @@
             received.reply()
             assert await attempts.result() is Result.OK
             await received.closed.wait()
-            assert not attempts.pool.backends["s"].idle
+            assert not attempts.pool.backends["s"].idle_connections
 
     run(test())
 
@@ -496,7 +496,7 @@
             busy = await other.requests.get()
             attempts.start("t")
             second = await other.requests.get()
-            assert not attempts.pool.backends["s"].idle
+            assert not attempts.pool.backends["s"].idle_connections
             attempts.start("s")
             assert await attempts.result() is Result.NO_ROOM  # no connection is idle now
             for received in (busy, second):
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -57,7 +57,7 @@
     client.send("/lookup", "GET", x_call_id="before")
     (await p.backends[0].requests.get()).reply()
     assert (await client.reply()).status == 200
-    await until(lambda: any(backend.idle for backend in p.engine.backends.backends.values()))
+    await until(lambda: any(backend.idle_connections for backend in p.engine.backends.backends.values()))
 
 
 @pytest.fixture(autouse=True)
