--- a/flintlatch/http/node.py
+++ b/flintlatch/http/node.py
@@ -78,7 +78,7 @@
         self.interim, self.begun_ms = 0, now_ms()
         self.sent_all, self.wrote, self.awaiting_response, self.held = False, True, True, False
         exchange.attach(self.begun_ms / 1000, self)
-        budget = max(1, int(attempt.deadline - self.begun_ms))
+        budget = max(1, int(attempt.deadline_ms - self.begun_ms))
         head = request_head(exchange.request, exchange.ask.id)
         self.transport.write(b"%bx-budget-ms: %d\r\n\r\n" % (head, budget))
         self.more()
--- a/flintlatch/net/backends.py
+++ b/flintlatch/net/backends.py
@@ -51,7 +51,7 @@
     ) -> None:
         self.uid, self.head, self.body, self.done = uid, head, body, done
         self.start_ms = now_ms()
-        self.deadline = self.start_ms + limit_ms
+        self.deadline_ms = self.start_ms + limit_ms
         # Servers deduplicate a repeated request only for a limited time: it must not be written later than
         # this.
         self.write_by_ms = self.start_ms + within_ms
@@ -133,7 +133,7 @@
 
     def send_attempt(self, attempt: Attempt) -> None:
         self.attempt, attempt.connection = attempt, self
-        budget = max(1, int(attempt.deadline - now_ms()))
+        budget = max(1, int(attempt.deadline_ms - now_ms()))
         self.send_request(b"%bx-budget-ms: %d\r\n\r\n%b" % (attempt.head, budget, attempt.body))
 
     def close(self) -> None:
@@ -233,7 +233,7 @@
             return
         if not attempt.still_wanted():
             return
-        seconds = max(attempt.deadline - now_ms(), 0.0) / 1000
+        seconds = max(attempt.deadline_ms - now_ms(), 0.0) / 1000
         attempt.timer = self.loop.call_later(seconds, self._on_timeout, attempt)
         reused = self._reuse_idle(backend)
         if reused is not None:
@@ -294,7 +294,7 @@
         if attempt.ended or attempt.timer is None or attempt.timer.cancelled():
             return
         attempt.timer.cancel()
-        attempt.deadline = now_ms() + timeout_ms
+        attempt.deadline_ms = now_ms() + timeout_ms
         attempt.timer = self.loop.call_later(max(timeout_ms, 0.0) / 1000, self._on_timeout, attempt)
 
     def _on_timeout(self, attempt: Attempt) -> None:
