--- a/flintlatch/net/backends.py
+++ b/flintlatch/net/backends.py
@@ -45,16 +45,16 @@
         uid: str,
         head: bytes,
         body: bytes,
-        limit_ms: float,
+        timeout_ms: float,
         done: Callable[[Attempt, Result, Response | None], None],
-        within_ms: float = inf,
+        write_within_ms: float = inf,
     ) -> None:
         self.uid, self.head, self.body, self.done = uid, head, body, done
         self.start_ms = now_ms()
-        self.deadline_ms = self.start_ms + limit_ms
+        self.deadline_ms = self.start_ms + timeout_ms
         # Servers deduplicate a repeated request only for a limited time: it must not be written later than
         # this.
-        self.write_by_ms = self.start_ms + within_ms
+        self.write_by_ms = self.start_ms + write_within_ms
         self.connection: Connection | None = None
         self.timer: asyncio.TimerHandle | None = None
         self.ended = False
@@ -108,7 +108,7 @@
         self.pool, self.backend, self.generation = pool, backend, backend.generation
         self.attempt: Attempt | None = None
         self.connect_task: asyncio.Task[None] | None = None
-        self.idle_since = 0.0
+        self.idle_since_ms = 0.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
@@ -185,13 +185,18 @@
         self, connect_timeout_ms: float, conn_idle_ms: float, max_connections: int, source_host: str = ""
     ) -> None:
         self.local_address = (source_host, 0) if source_host else None  # source address of the connections
-        self.connect_timeout_s, self.idle_ms = connect_timeout_ms / 1000, conn_idle_ms * IDLE_TIMEOUT_FRACTION
+        self.connect_timeout_s, self.idle_timeout_ms = (
+            connect_timeout_ms / 1000,
+            conn_idle_ms * IDLE_TIMEOUT_FRACTION,
+        )
         self.max_connections = max_connections  # including those that are being opened
         self.on_written: Callable[[], None] = lambda: None  # called for each completely written attempt
         self.connections: set[Connection] = set()
         self.backends: dict[str, Backend] = {}
         self.loop = asyncio.get_running_loop()
-        self.sweep_timer = self.loop.call_later(self.idle_ms / 1000 / SWEEPS_PER_IDLE_TIMEOUT, self._sweep)
+        self.sweep_timer = self.loop.call_later(
+            self.idle_timeout_ms / 1000 / SWEEPS_PER_IDLE_TIMEOUT, self._sweep
+        )
 
     def update(self, targets: tuple[Target, ...], is_snapshot: bool) -> None:
         if is_snapshot:
@@ -252,10 +257,10 @@
     def _reuse_idle(backend: Backend) -> Connection | None:
         """Takes the most recently used connection that has been idle for REUSE_DELAY_MS and has no unread
         bytes."""
-        latest_idle_since = now_ms() - REUSE_DELAY_MS
+        latest_idle_since_ms = now_ms() - REUSE_DELAY_MS
         for index in range(len(backend.idle_connections) - 1, -1, -1):
             connection = backend.idle_connections[index]
-            if connection.idle_since <= latest_idle_since:
+            if connection.idle_since_ms <= latest_idle_since_ms:
                 del backend.idle_connections[index]
                 assert connection.transport is not None
                 if not connection.transport.is_closing() and not has_unread_data(connection.transport):
@@ -325,7 +330,7 @@
         if not connection.reusable or connection.generation != backend.generation or not backend.active():
             connection.close()
             return
-        connection.idle_since = now_ms()
+        connection.idle_since_ms = now_ms()
         backend.idle_connections.append(connection)
 
     def _make_room(self) -> bool:
@@ -335,7 +340,7 @@
             return True
         oldest = min(
             (backend.idle_connections[0] for backend in self.backends.values() if backend.idle_connections),
-            key=lambda connection: connection.idle_since,
+            key=lambda connection: connection.idle_since_ms,
             default=None,
         )
         if oldest is None:
@@ -346,10 +351,12 @@
         return True
 
     def _sweep(self) -> None:
-        self.sweep_timer = self.loop.call_later(self.idle_ms / 1000 / SWEEPS_PER_IDLE_TIMEOUT, self._sweep)
-        oldest_kept = now_ms() - self.idle_ms
+        self.sweep_timer = self.loop.call_later(
+            self.idle_timeout_ms / 1000 / SWEEPS_PER_IDLE_TIMEOUT, self._sweep
+        )
+        oldest_kept = now_ms() - self.idle_timeout_ms
         for backend in self.backends.values():
-            while backend.idle_connections and backend.idle_connections[0].idle_since < oldest_kept:
+            while backend.idle_connections and backend.idle_connections[0].idle_since_ms < oldest_kept:
                 backend.idle_connections.pop(0).close()
 
     def close(self) -> None:
--- a/flintlatch/net/engine.py
+++ b/flintlatch/net/engine.py
@@ -209,9 +209,11 @@
         pending = self.requests[accepted.id] = PendingRequest(accepted)
         pending.timer = self.loop.call_later(max(budget, 0.0) / 1000, self._on_deadline, pending)
         key, repeat = accepted.key, accepted.repeat
-        until = now_ms() + budget
-        more = (accepted.budget_after_upload_ms, accepted.uploading, accepted.memory_bytes)
-        self._post_event(Arrival(accepted.id, accepted.cls, accepted.tenant, key, until, repeat, *more))
+        deadline = now_ms() + budget
+        upload_fields = (accepted.budget_after_upload_ms, accepted.uploading, accepted.memory_bytes)
+        self._post_event(
+            Arrival(accepted.id, accepted.cls, accepted.tenant, key, deadline, repeat, *upload_fields)
+        )
         return True
 
     def _expire_recent_ids(self) -> None:
--- a/flintlatch/net/frontend.py
+++ b/flintlatch/net/frontend.py
@@ -84,7 +84,7 @@
         self._reset()
 
     def _reset(self) -> None:
-        self._target, self._body, self._size = b"", bytearray(), 0
+        self._target, self._body, self._message_bytes = b"", bytearray(), 0
         self._headers: Headers = []
         self._head_done = False
 
@@ -167,7 +167,7 @@
 
     def _parse(self, chunk: bytes) -> None:
         assert self.parser is not None
-        self._size += len(chunk)
+        self._message_bytes += len(chunk)
         before = len(self.queue)
         try:
             self.parser.feed_data(chunk)
@@ -177,9 +177,9 @@
             if len(self.queue) > before and isinstance(self.queue[-1], Message):
                 self.queue.pop()
             self._reject(400)
-        if not self._head_done and self._size > MAX_HEAD:
+        if not self._head_done and self._message_bytes > MAX_HEAD:
             self._reject(400)
-        elif self._size > MAX_MESSAGE_BYTES:
+        elif self._message_bytes > MAX_MESSAGE_BYTES:
             self._reject(413)
 
     def _reject(self, status: int) -> None:
@@ -342,7 +342,7 @@
         self.drained_by_operator = False  # an operator has started a drain
         self.keep_alive_disabled_ms = 0.0
         self.address_still_served = False  # stopping, and another process serves the same address
-        self.empty = asyncio.Event()
+        self.all_closed = asyncio.Event()
         self.listeners: list[socket.socket] = []
         self.address = ""  # of the first listening socket
         # Set where other processes accept from the same sockets. The first is called with each new
@@ -481,7 +481,7 @@
             self.on_connection_count(self.connection_count)
         self._resume_accepting()
         if self.stopping and not self.connection_count:
-            self.empty.set()
+            self.all_closed.set()
 
     def _sweep(self) -> None:
         """Enforces all timeouts, so that clients that send nothing can't hold connections forever."""
@@ -562,10 +562,10 @@
             client.close_when_idle()
         if self.connection_count:
             # The event may have been set while no connection was open after the start of the stop.
-            self.empty.clear()
+            self.all_closed.clear()
             try:
                 async with asyncio.timeout(within_s):
-                    await self.empty.wait()
+                    await self.all_closed.wait()
             except TimeoutError:
                 log(f"stop: {self.connection_count} client connections were still open")
                 # Requests on these connections are answered before the process ends.
--- a/flintlatch/net/http1.py
+++ b/flintlatch/net/http1.py
@@ -92,7 +92,7 @@
         self._parser = httptools.HttpResponseParser(self)
         self._headers: Headers = []
         self._body = bytearray()
-        self._size, self._interim_count = 0, 0
+        self._message_bytes, self._interim_count = 0, 0
         self._head_done, self._malformed, self._complete, self._keep_alive = False, False, False, False
         self.awaiting_response, self.write_incomplete = True, False
         self.transport.write(request)
@@ -125,7 +125,7 @@
             # Unsolicited bytes must never be taken as the response to the next request.
             self._break()
             return
-        self._size += len(data)
+        self._message_bytes += len(data)
         assert self._parser is not None
         try:
             self._parser.feed_data(data)
@@ -134,7 +134,9 @@
             self._malformed = not self._complete
         if self._complete:
             self._finish()
-        elif self._malformed or self._size > (self.max_message_bytes if self._head_done else MAX_HEAD):
+        elif self._malformed or self._message_bytes > (
+            self.max_message_bytes if self._head_done else MAX_HEAD
+        ):
             self._break()
 
     def _finish(self) -> None:
@@ -197,7 +199,7 @@
         if self._complete or self._malformed:
             return
         if self._status < 200:  # interim; the final response follows
-            self._headers, self._head_done, self._size = [], False, 0
+            self._headers, self._head_done, self._message_bytes = [], False, 0
             return
         assert self._parser is not None
         self._complete, self._keep_alive = True, self._parser.should_keep_alive()
--- a/flintlatch/net/relay.py
+++ b/flintlatch/net/relay.py
@@ -51,11 +51,11 @@
         self,
         uid: str,
         exchange: Exchange,
-        limit_ms: float,
+        timeout_ms: float,
         done: Callable[[Attempt, Result, WholeResponse | None], None],
-        within_ms: float = inf,
+        write_within_ms: float = inf,
     ) -> None:
-        super().__init__(uid, b"", b"", limit_ms, done, within_ms)
+        super().__init__(uid, b"", b"", timeout_ms, done, write_within_ms)
         self.exchange = exchange
         # Time at which its node had the whole request; 0: not yet.
         self.request_sent_ms = self.start_ms if exchange.upload.complete else 0.0
--- a/flintlatch/platform/front.py
+++ b/flintlatch/platform/front.py
@@ -88,7 +88,7 @@
 
     def _parse(self, chunk: bytes) -> None:
         if self.incoming is not None and self.incoming.exchange is not None:
-            self._size = 0  # the limits for the body and its pace apply instead
+            self._message_bytes = 0  # the limits for the body and its pace apply instead
         super()._parse(chunk)
         self._start_upload()
         if self.exchange is not None:
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -279,7 +279,7 @@
             received.reply()
             await attempts.result()
             # As if it had become idle just now, however slow the machine is.
-            attempts.pool.backends["s"].idle_connections[0].idle_since = now_ms() + 1000
+            attempts.pool.backends["s"].idle_connections[0].idle_since_ms = now_ms() + 1000
             assert await attempts.serve_one(server) == 2
 
     run(test())
