--- a/flintlatch/fleet/nodes.py
+++ b/flintlatch/fleet/nodes.py
@@ -10,20 +10,20 @@
 from flintlatch.config import Config
 from flintlatch.fleet.members import Members
 from flintlatch.net.clock import now_ms
-from flintlatch.net.discovery import STATES, Listing, Target
+from flintlatch.net.discovery import SERVER_STATES, Listing, Target
 from flintlatch.net.http1 import split_address
 
 if TYPE_CHECKING:
     from flintlatch.fleet.delivered import Supply
 
-STATE_NAMES = {state: name for name, state in STATES.items()}
+STATE_NAMES = {state: name for name, state in SERVER_STATES.items()}
 
 
 def described(listing: Listing) -> dict[str, Any]:
     """A list in the registry's own form, with numbers for zones and kinds, as `read_listing` takes it."""
     return {
-        "rev": listing.rev,
-        "all": listing.whole,
+        "rev": listing.revision,
+        "all": listing.is_snapshot,
         "targets": [
             {
                 "uid": target.uid,
@@ -81,16 +81,16 @@
         return Listing(self.rev, True, tuple(self.targets.values()))
 
     def _take(self, news: Listing) -> None:
-        if news.whole:
+        if news.is_snapshot:
             self.targets = {}
         for target in news.targets:
             if target.info.state is ServerState.GONE:
                 self.targets.pop(target.uid, None)
             else:
                 self.targets[target.uid] = target
-        self.rev, self.taken_ms = news.rev, now_ms()
+        self.rev, self.taken_ms = news.revision, now_ms()
         if self.come.is_set():
-            if news.whole or news.targets:
+            if news.is_snapshot or news.targets:
                 self.on_news(self, news)
         else:
             self.come.set()
--- a/flintlatch/fleet/observe.py
+++ b/flintlatch/fleet/observe.py
@@ -11,7 +11,7 @@
 from flintlatch.metrics import Counts
 from flintlatch.net.backends import Attempt
 from flintlatch.net.clock import now_ms
-from flintlatch.net.engine import Engine, Held
+from flintlatch.net.engine import Engine, PendingRequest
 from flintlatch.net.relay import Refusal, RelayEngine
 
 
@@ -31,7 +31,7 @@
             engine.exchange_observer = self.on_exchange
             engine.refusal_observer = self.on_refusal
         else:
-            engine.observer = self.on_held
+            engine.request_observer = self.on_held
 
     def on_exchange(self, exchange: Exchange, attempts: list[Attempt]) -> None:
         ask, began = exchange.ask, exchange.began_s
@@ -65,14 +65,14 @@
             Record(at, "", "", "", method, path, refusal.status, refusal.reason, 0.0, 0.0, None, 0, 0, ())
         )
 
-    def on_held(self, held: Held) -> None:
+    def on_held(self, held: PendingRequest) -> None:
         """The platform's protocol: requests and answers are whole, and short."""
-        taken = held.taken
+        taken = held.request
         method, target, *_ = *taken.head.split(b" ", 2), b""
-        total = held.over_ms - held.came_ms
+        total = held.completed_ms - held.arrived_ms
         self.put(
             Record(
-                held.came_ms,
+                held.arrived_ms,
                 taken.id,
                 self.classes[taken.cls],
                 self._tenant(taken.tenant),
@@ -84,8 +84,8 @@
                 total if held.status else None,
                 0.0,
                 len(taken.body),
-                held.sent_bytes,
-                attempts_of(held.attempts, held.came_ms),
+                held.response_body_bytes,
+                attempts_of(held.attempts, held.arrived_ms),
             )
         )
 
@@ -106,8 +106,8 @@
         AttemptRecord(
             attempt.uid,
             attempt.result.value if attempt.result is not None else "",
-            attempt.started - came_ms,
-            attempt.ended_ms - attempt.started,
+            attempt.start_ms - came_ms,
+            attempt.ended_ms - attempt.start_ms,
             attempt.result not in NEVER_RAN,
         )
         for attempt in attempts
--- a/flintlatch/fleet/supervisor.py
+++ b/flintlatch/fleet/supervisor.py
@@ -293,8 +293,8 @@
 
     def _inherit(self) -> None:
         """Take the listening sockets that a dead supervisor's workers hold, with all that waits there."""
-        for path in handover.find(self.config.control_path):
-            socks = handover.take(path)
+        for path in handover.find_offers(self.config.control_path):
+            socks = handover.receive_listeners(path)
             if not socks:
                 continue
             self.orphans.append(path)
@@ -304,7 +304,7 @@
     def _tell_orphans(self) -> None:
         orphans, self.orphans = self.orphans, []
         for path in orphans:
-            self.loop.run_in_executor(None, handover.tell_serving, path)
+            self.loop.run_in_executor(None, handover.notify_serving, path)
 
     def _alive(self) -> None:
         self.notifier.alive()
--- a/flintlatch/fleet/worker.py
+++ b/flintlatch/fleet/worker.py
@@ -24,11 +24,11 @@
 from flintlatch.fleet.channel import Channel, Message, open_channel
 from flintlatch.fleet.spread import REST_S, Spread
 from flintlatch.handover import Offer
-from flintlatch.net.backends import share_out
+from flintlatch.net.backends import split_descriptors
 from flintlatch.net.clock import now_ms
 from flintlatch.net.discovery import read_listing
 from flintlatch.net.engine import Engine, log
-from flintlatch.net.frontend import ACCEPT_SHARED, Frontend
+from flintlatch.net.frontend import ACCEPTS_PER_TURN_SHARED, Frontend
 from flintlatch.net.request import Reader
 from flintlatch.settings import Malformed
 
@@ -135,7 +135,7 @@
         _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
         sockets = limits.sockets if hard == resource.RLIM_INFINITY else min(limits.sockets, hard)
         resource.setrlimit(resource.RLIMIT_NOFILE, (sockets, hard))
-        to_backends, to_clients = share_out(sockets)
+        to_backends, to_clients = split_descriptors(sockets)
         if self.config.fleet.log_format == "json":
             from flintlatch.fleet.log import make  # only where it is wanted
 
@@ -147,11 +147,11 @@
             from flintlatch.http.build import build  # only where it is wanted
 
             self.engine, self.frontend = build(
-                self.config, self.config.http, number, seed, to_backends, to_clients, ACCEPT_SHARED
+                self.config, self.config.http, number, seed, to_backends, to_clients, ACCEPTS_PER_TURN_SHARED
             )
         else:
             self.engine = Engine(settings, wire, seed, to_backends)
-            self.frontend = Frontend(self.engine, Reader(settings, wire), to_clients, ACCEPT_SHARED)
+            self.frontend = Frontend(self.engine, Reader(settings, wire), to_clients, ACCEPTS_PER_TURN_SHARED)
         if self.config.access_log is not None or self.config.fleet.metrics:
             from flintlatch.fleet.observe import Observer  # only where it is wanted
 
@@ -165,15 +165,18 @@
             self.heard = Heard(number, place, self.config.parts_alone(), clock, log)
             for word in message.get("words", ()):
                 self.heard.on_word(word)
-            self.engine.agreed = self.heard.due
+            self.engine.agreed_events = self.heard.due
             if self.config.shared:
                 self.say_limits()
             if self.config.verdicts is not None:
                 self.say_seen()
         if message.get("spread") is not None and self.config.fleet.instances > 1:
             self.spread = Spread(message["spread"], int(message["worker"]))
-            self.frontend.tell_held, self.frontend.should_rest = self.spread.tell, self.spread.should_rest
-            self.frontend.rest_s = REST_S
+            self.frontend.on_connection_count, self.frontend.should_pause_accepting = (
+                self.spread.tell,
+                self.spread.should_rest,
+            )
+            self.frontend.accept_pause_s = REST_S
         self.take_list(message["list"])
         self.beat(self.config.start.watchdog_s / BEATS)
 
@@ -210,7 +213,7 @@
         if self.spread is not None:
             self.spread.leave()
         # Who asks on a connection of before hears of the address, not of this process.
-        frontend.stop_keeping(served_on=not last)
+        frontend.disable_keep_alive(address_still_served=not last)
         if not last:
             frontend.stop_accepting()
         idle = self.loop.create_task(asyncio.sleep(self.config.drain.idle_s))
@@ -219,7 +222,7 @@
         # `finish` looks at both.
         await self._unless_over(self.loop.create_task(frontend.finish(self.config.drain.limit_s)))
         if self.limit.is_set():
-            engine.give_up_all()
+            engine.fail_all()
             await asyncio.sleep(LAST_WORDS_S / 2)
         engine.close()
         self.ended.set()
@@ -246,9 +249,9 @@
             {
                 "kind": "beat",
                 "in_flight": engine.open_requests(),
-                "clients": frontend.held,
+                "clients": frontend.connection_count,
                 "rss_mb": round(resident_mb(), 1),
-                "rev": engine.list_rev,
+                "rev": engine.list_revision,
                 "nodes": len(engine.backends.backends),
                 "access_log": self._access_log(),
                 "proxies": self.heard.used.proxies if self.heard is not None else None,
--- a/flintlatch/http/front.py
+++ b/flintlatch/http/front.py
@@ -15,7 +15,7 @@
 from flintlatch.http.sockets import HIGH_BYTES, READ_BYTES, bound_buffers, write_body
 from flintlatch.net.clock import now_ms
 from flintlatch.net.engine import Answer
-from flintlatch.net.frontend import PHRASES, READY_PATH, Client, Frontend
+from flintlatch.net.frontend import READY_PATH, REASON_PHRASES, Client, Frontend
 from flintlatch.net.relay import Refusal, RelayEngine
 
 if TYPE_CHECKING:
@@ -51,7 +51,7 @@
         self.closing = True
         self.buffer.clear()
         exchange, self.exchange = self.exchange, None
-        self.frontend.lost(self)
+        self.frontend.on_client_lost(self)
         if exchange is not None:
             exchange.client_left(now_ms() / 1000)
 
@@ -64,7 +64,7 @@
         whole = self.body is not None and self.body.done
         if self.closing or self.exchange is None or not whole:
             return False
-        self.half_closed, self.keep = True, False
+        self.half_closed, self.keep_alive = True, False
         return True
 
     def pause_writing(self) -> None:
@@ -114,14 +114,18 @@
         exchange = self.exchange
         if exchange is None:
             self._read(True)
-            self.begun = bool(self.buffer)
-            places = self.frontend.waiting if self.begun or not self.served else self.frontend.idle
-            self.frontend.put(self, places)
+            self.request_started = bool(self.buffer)
+            places = (
+                self.frontend.reading_clients
+                if self.request_started or not self.response_sent
+                else self.frontend.idle_clients
+            )
+            self.frontend.move_client(self, places)
         else:
             # That a client leaves is seen by reading alone: so on to a bound, while its answer is due.
             most = AHEAD_BYTES if self.body is None or self.body.done else 0
             self._read(len(self.buffer) <= most and (most > 0 or exchange.room > 0))
-            self.frontend.put(self, None)
+            self.frontend.move_client(self, None)
 
     more = read_on  # there is room again for the upload
 
@@ -177,7 +181,7 @@
         self.asked = (b"", b"")
         head = read_request_head(raw, limits)
         self.asked = (head.method, head.target)
-        self.keep, self.minor = head.keep, head.minor
+        self.keep_alive, self.minor = head.keep, head.minor
         if head.target.partition(b"?")[0] == READY_PATH and head.method in (b"GET", b"HEAD"):
             self.write(Answer(200 if self.frontend.ready() else 503))
             return not self.closing
@@ -211,19 +215,19 @@
         else:
             self._step()  # most short bodies come with their head
             if exchange.phase is Phase.GATHERING:
-                front.engine.gather(exchange)
+                front.engine.start_gather_timer(exchange)
 
     def _refuse(self, error: Malformed) -> None:
         """What follows can't be told apart, or is not wanted: answer, and close."""
-        self.keep = False
+        self.keep_alive = False
         if self.exchange is not None:
             self.exchange.client_faulty(now_ms() / 1000, error.status)
         else:
-            self.front.engine.refused(Refusal(error.status, error.reason, *self.asked))
+            self.front.engine.report_refusal(Refusal(error.status, error.reason, *self.asked))
             self.own(Own(error.status, 1000.0 if error.status == 503 else 0.0))
 
-    def late(self) -> None:
-        if self.begun:
+    def on_read_timeout(self) -> None:
+        if self.request_started:
             self._refuse(Malformed(408, "a head that does not come"))
         else:
             self.transport.close()
@@ -239,7 +243,8 @@
         exchange = self.exchange
         assert exchange is not None
         if not exchange.upload.complete:
-            self.keep = False  # what follows of the upload is dropped, and can't be told from a next request
+            # what follows of the upload is dropped, and can't be told from a next request
+            self.keep_alive = False
         lines = to_client(head.fields, self.minor, self.front.origin.via)
         if not head.bodyless:
             if head.length is not None:
@@ -248,9 +253,9 @@
                 self.chunked = True
                 lines.append((b"Transfer-Encoding", b"chunked"))
             else:
-                self.keep = False
-        self.keep = self.keep and not self.front.parting
-        if not self.keep:
+                self.keep_alive = False
+        self.keep_alive = self.keep_alive and not self.front.keep_alive_disabled
+        if not self.keep_alive:
             lines.append((b"Connection", b"close"))
         elif self.minor == 0:
             lines.append((b"Connection", b"keep-alive"))
@@ -268,7 +273,7 @@
     def own(self, answer: Own) -> None:
         exchange = self.exchange
         if exchange is not None and not exchange.upload.complete:
-            self.keep = False
+            self.keep_alive = False
         wait = b""
         if answer.status == 503 and answer.retry_after_ms > 0:
             # Whole seconds, RFC 9110 section 10.2.3; earlier than it was told, nobody should come.
@@ -290,8 +295,8 @@
         """One of the proxy's own."""
         if self.transport.is_closing():
             return
-        keep = self.keep = self.keep and not self.frontend.parting
-        phrase = PHRASES.get(answer.status, b"")
+        keep = self.keep_alive = self.keep_alive and not self.frontend.keep_alive_disabled
+        phrase = REASON_PHRASES.get(answer.status, b"")
         head = b"HTTP/1.1 %d %b\r\n%bContent-Length: %d\r\n%b\r\n" % (
             answer.status,
             phrase,
@@ -300,24 +305,24 @@
             b"" if keep else b"Connection: close\r\n",
         )
         self.transport.write(head + answer.body)
-        self.served = True
+        self.response_sent = True
         if not keep:
-            self.finish()
+            self.close_lingering()
 
     def _answered(self) -> None:
         """Its answer is out whole, or the proxy's own in its place."""
         self.exchange = self.body = None
-        self.served = True
+        self.response_sent = True
         if self.transport.is_closing():
             return
-        if not self.keep:
+        if not self.keep_alive:
             if not self.closing:
-                self.finish()
+                self.close_lingering()
             return
         self.frontend.loop.call_soon(self.read_on)
 
-    def finish(self) -> None:
-        super().finish()
+    def close_lingering(self) -> None:
+        super().close_lingering()
         self.buffer.clear()
         self.reading = True
 
--- a/flintlatch/http/node.py
+++ b/flintlatch/http/node.py
@@ -65,9 +65,9 @@
         self.transport = cast(asyncio.Transport, transport)
         self.transport.set_write_buffer_limits(high=HIGH_BYTES)
         bound_buffers(transport, False)
-        self.came_up()
+        self.on_connected()
 
-    def carry(self, attempt: Attempt) -> None:
+    def send_attempt(self, attempt: Attempt) -> None:
         assert self.transport is not None
         self.attempt, attempt.connection = attempt, self
         relayed = cast(RelayAttempt, attempt)
@@ -76,9 +76,9 @@
         self.head.clear()
         self.response = self.body = None
         self.interim, self.begun_ms = 0, now_ms()
-        self.sent_all, self.wrote, self.waiting, self.held = False, True, True, False
+        self.sent_all, self.wrote, self.awaiting_response, self.held = False, True, True, False
         exchange.attach(self.begun_ms / 1000, self)
-        budget = max(1, int(attempt.deadline - self.begun_ms))
+        budget = max(1, int(attempt.deadline_ms - self.begun_ms))
         head = request_head(exchange.request, exchange.ask.id)
         self.transport.write(b"%bx-budget-ms: %d\r\n\r\n" % (head, budget))
         self.more()
@@ -166,7 +166,7 @@
                 raise Malformed(502, "too many interim answers")
             exchange.interim(response_of(head))
             return
-        self.backend.heard = now_ms()
+        self.backend.last_response_ms = now_ms()
         self.response, self.body = head, Body(head.framing)
         if head.status in (503, 504) and values(head.fields, b"x-rejected") == [b"1"]:
             # Turned away, and never run. Nothing is passed on; a body may follow, so the connection goes.
@@ -178,14 +178,14 @@
         attempt, response, body = self.attempt, self.response, self.body
         assert attempt is not None and response is not None and body is not None
         exchange = cast(RelayAttempt, attempt).exchange
-        self.waiting = False
-        self.usable = (
+        self.awaiting_response = False
+        self.reusable = (
             response.keep and self.sent_all and not surplus and response.framing.kind is not Kind.UNTIL_CLOSE
         )
         exchange.finish(now_ms() / 1000, self, body.trailers)
         self.hold(False)
         self.attempt = None
-        self.pool.put_back(self)
+        self.pool.release_connection(self)
         if response.status >= 500:
             attempt.end(Result.ERROR)
         else:
@@ -202,9 +202,9 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.pool.connections.discard(self)
-        self.usable = False
-        if self in self.backend.idle:
-            self.backend.idle.remove(self)
+        self.reusable = False
+        if self in self.backend.idle_connections:
+            self.backend.idle_connections.remove(self)
         if self.attempt is None:
             return
         if exc is None and self.body is not None and self.body.framing.kind is Kind.UNTIL_CLOSE:
