--- a/bench/scale/peers.py
+++ b/bench/scale/peers.py
@@ -278,7 +278,8 @@
     ):  # fmt: skip
         over(name, unit, [(n, pick(row[key])) for n, row in rows], note)
     note = "resident set of a fresh process, many members, each with its ciphers and all lives known"
-    over("memory_bytes", "bytes", each(memory, RECORDS_SMALL if small else RECORDS), note)
+    records = RECORDS_SMALL if small else RECORDS
+    over("memory_bytes", "bytes", [(n, child(memory, n, seed, records)) for n in sizes], note)
     n, sizes_ = (30, WORDS_SMALL) if small else (100, WORDS)
     news = [(k, spread(k, n, seed)) for k in sizes_]
     for place, name, unit, note in (
