--- a/bench/scale/limits.py
+++ b/bench/scale/limits.py
@@ -23,7 +23,7 @@
 from flintlatch.lab.engine import Engine
 from flintlatch.limits.api import Ask, Limit, Mark, Terms, WhenCut, topics
 from flintlatch.limits.model import holder, write_ask
-from flintlatch.peers import Kind, Message, Opened, Record, Rules, State, Topic, Word
+from flintlatch.peers import Entry, Kind, Message, Opened, Record, Rules, State, Topic
 from flintlatch.peers.member import ROOM, Envelope
 from flintlatch.peers.wire import pack, unpack
 
@@ -86,10 +86,10 @@
     return members, others
 
 
-def arrive(members: Hollow, sender: Record, number: int, words: list[Word]) -> int:
+def arrive(members: Hollow, sender: Record, number: int, words: list[Entry]) -> int:
     """Entries come to f0 in as many datagrams as they need. Returns the last one's number."""
     while words:
-        room, some = ROOM, list[Word]()
+        room, some = ROOM, list[Entry]()
         while words and words[-1].cost() <= room:
             some.append(words.pop())
             room -= some[-1].cost()
@@ -125,13 +125,13 @@
     def start(self) -> None:
         self.members.engine.after(SAY_S, self.start)
         self.epoch += 1
-        words, me = list[Word](), self.record
+        words, me = list[Entry](), self.record
         for name, row in self.lessor.rows.items():
             out = row.keeper.split.outs.get(holder(me.name, me.life))
             given = out.given[-1] if out is not None and out.given else None
             mark, used = (given.mark, given.amount) if given is not None else (Mark(0, 0), 0.0)
             ask = Ask(self.share, "f0", "f0" if given else "", mark, used, PER_S, me.life)
-            words.append(Word("ask", me.name, name, self.epoch, write_ask(ask), TERM_S))
+            words.append(Entry("ask", me.name, name, self.epoch, write_ask(ask), TERM_S))
         self.number = arrive(self.members, me, self.number, words)
 
 
--- a/bench/scale/verdicts.py
+++ b/bench/scale/verdicts.py
@@ -15,7 +15,7 @@
 from bench.scale.limits import LONG, Station, alone, arrive, virtual
 from bench.scale.peers import Got, Hollow, Meter, child
 from flintlatch.fleet.judging import RENEW, Judging
-from flintlatch.peers import Record, Topic, Word
+from flintlatch.peers import Entry, Record, Topic
 from flintlatch.verdicts.api import SEEN, Rules
 
 ROWS, ROWS_SMALL = (10, 50, 200, 1000, 2000), (10, 50)
@@ -41,7 +41,7 @@
         self.members.engine.after(SAY_S, self.start)
         self.epoch += 1
         name, life = self.record.name, RULES.life_s
-        words = [Word("seen", name, server, self.epoch, b"3", life) for server in self.servers]
+        words = [Entry("seen", name, server, self.epoch, b"3", life) for server in self.servers]
         self.number = arrive(self.members, self.record, self.number, words)
 
 
--- a/flintlatch/fleet/agreed.py
+++ b/flintlatch/fleet/agreed.py
@@ -14,7 +14,7 @@
 from flintlatch.fleet.judging import Judging
 from flintlatch.fleet.limiting import Limiting
 from flintlatch.limits.api import topics
-from flintlatch.peers import Census, Merge, Place, Rules, Sight, State, Topic, View, Word
+from flintlatch.peers import Census, Entry, Merge, Place, Rules, Sight, State, Topic, View
 from flintlatch.peers.clock import clock
 from flintlatch.peers.seal import BadKeys, read_keys
 from flintlatch.peers.shell import NotBound, Options, Shell
@@ -177,7 +177,7 @@
         self.census.see(clock(), Sight(peers.instances(), before, doubted))
         self._say()
 
-    def _on_news(self, words: tuple[Word, ...]) -> None:
+    def _on_news(self, words: tuple[Entry, ...]) -> None:
         if self.limiting is not None:
             self.limiting.on_news()
         if self.judging is not None and any(word.topic == "seen" for word in words):
--- a/flintlatch/lab/members.py
+++ b/flintlatch/lab/members.py
@@ -14,6 +14,7 @@
 from flintlatch.lab.network import Network
 from flintlatch.peers import (
     Changed,
+    Entry,
     Leave,
     Member,
     News,
@@ -27,7 +28,6 @@
     Tick,
     Topic,
     Whole,
-    Word,
 )
 from flintlatch.peers.member import Action, Event
 from flintlatch.peers.wire import pack, pack_whole
@@ -58,7 +58,7 @@
         self.names: dict[str, str] = {}  # addresses by name
         self.runs: dict[str, int] = {}  # starts of each address: what an earlier one asked for is void
         self.bytes = 0
-        self.news: Callable[[str, float, tuple[Word, ...]], None] = lambda name, now, words: None
+        self.news: Callable[[str, float, tuple[Entry, ...]], None] = lambda name, now, words: None
         self.changed: Callable[[str, float, Changed], None] = lambda name, now, change: None
 
     def start(self, name: str, seeds: tuple[str, ...] = (), address: str = "", zone: str = "") -> Peers:
--- a/flintlatch/peers/member.py
+++ b/flintlatch/peers/member.py
@@ -27,7 +27,7 @@
 )
 from flintlatch.peers.guard import Guard, Trust
 from flintlatch.peers.model import Chance, Kind, Message, Record, Rules, State
-from flintlatch.peers.words import Carrier, Topic, Word
+from flintlatch.peers.words import Carrier, Entry, Topic
 
 ROOM = 1100  # bytes of records and words: 1,400 less the seal (37) and the envelope's own (at most 250)
 FLUSH_S = 0.2  # s at least between two pushes of news
@@ -48,7 +48,7 @@
     clock: float  # its sender's, s
     digest: int  # of the view that its sender holds, 0 if it has joined nobody yet
     message: Message
-    words: tuple[Word, ...] = ()
+    words: tuple[Entry, ...] = ()
 
 
 class Whole(NamedTuple):
@@ -63,7 +63,7 @@
     digest: int
     mark: int  # of all that its sender holds of those who count; 0 before anybody was met
     records: tuple[Record, ...] = ()
-    words: tuple[Word, ...] = ()
+    words: tuple[Entry, ...] = ()
 
 
 class Opened(NamedTuple):
@@ -82,7 +82,7 @@
 class News(NamedTuple):
     """Words that were not known before, for whoever reads their topics."""
 
-    words: tuple[Word, ...]
+    words: tuple[Entry, ...]
 
 
 Event = Tick | Opened | Leave | Altered
@@ -177,7 +177,7 @@
             took = now - asked[1]
             contact.rtt += (took - contact.rtt) * (RTT_PART if contact.rtt else 1.0)
 
-    def _hear(self, now: float, sent: float, words: Iterable[Word]) -> list[Action]:
+    def _hear(self, now: float, sent: float, words: Iterable[Entry]) -> list[Action]:
         if not self.peers.joined:
             return []
         news = self.carrier.hear(now, sent, words)
--- a/flintlatch/peers/shell.py
+++ b/flintlatch/peers/shell.py
@@ -27,7 +27,7 @@
     unpack,
     unpack_whole,
 )
-from flintlatch.peers.words import Topic, Word
+from flintlatch.peers.words import Entry, Topic
 
 DATAGRAM_MOST = 1400  # bytes: under every usual link's, so that none is cut into fragments
 A_TICK = 1000  # datagrams opened between two ticks: 10,000 a second, some tenths of a core
@@ -110,7 +110,7 @@
         options: Options,
         topics: Iterable[Topic],
         on_view: Callable[[View], None],
-        on_news: Callable[[tuple[Word, ...]], None],
+        on_news: Callable[[tuple[Entry, ...]], None],
         on_told: Callable[[str], None],
     ) -> None:
         self.options, self.topics = options, tuple(topics)
--- a/flintlatch/peers/wire.py
+++ b/flintlatch/peers/wire.py
@@ -10,7 +10,7 @@
 
 from flintlatch.peers.member import Envelope, Whole
 from flintlatch.peers.model import Kind, Message, Record, State
-from flintlatch.peers.words import Word
+from flintlatch.peers.words import Entry
 
 KINDS = {int(kind): kind for kind in Kind}
 STATES = {int(state): state for state in State}
@@ -70,13 +70,13 @@
 _wholes = msgspec.msgpack.Decoder(_Whole)
 
 
-def _packed_words(words: tuple[Word, ...]) -> list[_Word]:
+def _packed_words(words: tuple[Entry, ...]) -> list[_Word]:
     # Rounded down: a word must not gain on its way.
     return [_Word(w.topic, w.origin, w.subject, w.epoch, w.value, int(w.left_s * 1000)) for w in words]
 
 
-def _words(rows: list[_Word]) -> tuple[Word, ...]:
-    return tuple(Word(w.topic, w.origin, w.subject, w.epoch, w.value, w.left_ms / 1000) for w in rows)
+def _words(rows: list[_Word]) -> tuple[Entry, ...]:
+    return tuple(Entry(w.topic, w.origin, w.subject, w.epoch, w.value, w.left_ms / 1000) for w in rows)
 
 
 def _packed_records(records: tuple[Record, ...]) -> list[_Record]:
--- a/flintlatch/peers/words.py
+++ b/flintlatch/peers/words.py
@@ -63,7 +63,7 @@
 OTHER_S, OTHER_EACH, OTHER_MOST = 60.0, 4, 256
 
 
-class Word(NamedTuple):
+class Entry(NamedTuple):
     """As it travels. `left_s` is what was left of it when the datagram was sent, by the sender's clock."""
 
     topic: str
@@ -89,7 +89,7 @@
 
 @dataclass(slots=True)
 class Held:
-    word: Word
+    word: Entry
     ends: float
     sent: int = 0
     queued: bool = False
@@ -169,7 +169,7 @@
         held = self.held.get(self._key(rules.merge, topic, self.me, subject))
         epoch = 1 + max(held.word.epoch if held is not None else 0, same.epoch if same is not None else 0)
         self.mine[topic, subject] = Mine(topic, subject, value, life_s, now, epoch, renew)
-        self._put(now, Word(topic, self.me, subject, epoch, value, life_s), now + life_s)
+        self._put(now, Entry(topic, self.me, subject, epoch, value, life_s), now + life_s)
 
     def unsay(self, now: float, topic: str, subject: str) -> None:
         """Take it back: an empty value outlasts the word that it ends."""
@@ -204,7 +204,7 @@
                 if now >= held.ends + self._life(key[0]):
                     self._drop(key)
 
-    def hear(self, now: float, sent: float, words: Iterable[Word]) -> list[Word]:
+    def hear(self, now: float, sent: float, words: Iterable[Entry]) -> list[Entry]:
         """`sent`: a moment of our clock no later than their sending. Returns what is news."""
         news = []
         for word in words:
@@ -234,10 +234,10 @@
             news.append(word)
         return news
 
-    def fill(self, now: float, room: int) -> list[Word]:
+    def fill(self, now: float, room: int) -> list[Entry]:
         """Words for a datagram with `room` bytes left, each counted as passed on once."""
         most = self.retransmit * ceil(tenfolds(self.members))
-        words: list[Word] = []
+        words: list[Entry] = []
         put: set[Key] = set()
         idle = 0
         while self.turn and idle < len(self.turn) and room > HEAD:
@@ -287,7 +287,7 @@
             for lane in self.lanes.values()
         )
 
-    def whole(self, now: float, most: int | None = None) -> list[Word]:
+    def whole(self, now: float, most: int | None = None) -> list[Entry]:
         """All that holds, for a member that may have missed it; or so many of it, others each time."""
         there = [held for held in self.held.values() if held.ends > now]
         if most is not None and len(there) > most:
@@ -303,13 +303,13 @@
         return topic, origin if merge is Merge.EACH else "", subject
 
     @staticmethod
-    def _order(word: Word) -> tuple[int, str, bytes]:
+    def _order(word: Entry) -> tuple[int, str, bytes]:
         return word.epoch, word.origin, word.value
 
     def _life(self, topic: str) -> float:
         return self.topics[topic].life_s if topic in self.topics else OTHER_S
 
-    def _fault(self, word: Word) -> str:
+    def _fault(self, word: Entry) -> str:
         if not (1 <= len(word.topic) <= TOPIC_MOST and 1 <= len(word.origin) <= NAME_MOST):
             return "topic or origin"
         if len(word.subject) > SUBJECT_MOST or len(word.value) > VALUE_MOST:
@@ -320,7 +320,7 @@
             return "a life that its topic does not allow"  # also one that is no number
         return ""
 
-    def _hear_own(self, now: float, word: Word) -> None:
+    def _hear_own(self, now: float, word: Entry) -> None:
         """What we said before a restart outlives us: it is outdone, or it would stand until its end."""
         rules = self.topics.get(word.topic)
         if rules is None:
@@ -334,7 +334,7 @@
             mine.epoch = word.epoch
             self.say(now, mine.topic, mine.subject, mine.value, mine.life_s, mine.renew)
 
-    def _room(self, now: float, word: Word, rules: Topic | None) -> bool:
+    def _room(self, now: float, word: Entry, rules: Topic | None) -> bool:
         each, most = (rules.each, rules.most) if rules else (OTHER_EACH, OTHER_MOST)
         if self.number.get((word.topic, word.origin), 0) >= each:
             return False
@@ -350,7 +350,7 @@
             self._drop(ended)
         return ended is not None
 
-    def _put(self, now: float, word: Word, ends: float) -> None:
+    def _put(self, now: float, word: Entry, ends: float) -> None:
         rules = self.topics.get(word.topic)
         key = self._key(rules.merge if rules else Merge.EACH, word.topic, word.origin, word.subject)
         before = self.held.get(key)
@@ -366,7 +366,7 @@
             self.turn.append(word.topic)
         lane.keys.appendleft(key)
 
-    def _count(self, word: Word, by: int) -> None:
+    def _count(self, word: Entry, by: int) -> None:
         who = word.topic, word.origin
         count = self.number.get(who, 0) + by
         if count:
--- a/tests/peers/test_guard.py
+++ b/tests/peers/test_guard.py
@@ -14,7 +14,7 @@
 from flintlatch.peers.guard import ASKED_MOST, LIVES_MOST, WINDOW, Guard, Trust
 from flintlatch.peers.seal import BadKeys, Foreign, Seal, StreamSeal, read_keys
 from flintlatch.peers.wire import Unreadable, pack, pack_whole, unpack, unpack_whole
-from flintlatch.peers.words import DRIFT, Word
+from flintlatch.peers.words import DRIFT, Entry
 
 ONE, OTHER = bytes(range(32)), bytes(32)
 
@@ -76,7 +76,7 @@
     core = member()
     liar = Record("x", "x:1", 5, State.DEAD, 9)
     said = Envelope(
-        "s", "s:1", 7, 1, 3.0, 0, Message(Kind.PING, 8, "me", (liar,)), (Word("t", "s", "", 1, b"v", 9.0),)
+        "s", "s:1", 7, 1, 3.0, 0, Message(Kind.PING, 8, "me", (liar,)), (Entry("t", "s", "", 1, b"v", 9.0),)
     )
     posts = [a for a in core.step(1.0, Opened(said)) if isinstance(a, Post)]
     assert [p.envelope.message.kind for p in posts] == [Kind.ACK, Kind.PING]
@@ -153,7 +153,7 @@
 @given(st.lists(records, max_size=4), st.binary(max_size=80))
 @settings(max_examples=150, deadline=None)
 def test_what_is_packed_comes_back_and_noise_is_only_unreadable(gossip: list[Record], noise: bytes) -> None:
-    word = Word("t", "o", "s", 3, b"v", 1.5)
+    word = Entry("t", "o", "s", 3, b"v", 1.5)
     sent = Envelope("a", "a:1", 3, 4, 5.5, 6, Message(Kind.ACK, 7, "b", tuple(gossip)), (word,))
     data = pack(sent)
     assert unpack(data, 3, 4) == sent
--- a/tests/peers/test_words.py
+++ b/tests/peers/test_words.py
@@ -10,7 +10,7 @@
 
 from flintlatch.lab.members import Members
 from flintlatch.lab.network import Link
-from flintlatch.peers import Carrier, Merge, Topic, Word
+from flintlatch.peers import Carrier, Entry, Merge, Topic
 from flintlatch.peers.words import DRIFT, HEAD, OTHER_MOST, OTHER_S, SHRINK
 
 LOAD = Topic("load", Merge.EACH, 5.0, each=4, most=64)
@@ -22,8 +22,8 @@
     return Carrier(me, topics or (LOAD, PLAN), 4)
 
 
-def word(origin: str = "x", epoch: int = 1, value: bytes = b"v", left_s: float = 5.0, **more: str) -> Word:
-    return Word(more.get("topic", "load"), origin, more.get("subject", "s"), epoch, value, left_s)
+def word(origin: str = "x", epoch: int = 1, value: bytes = b"v", left_s: float = 5.0, **more: str) -> Entry:
+    return Entry(more.get("topic", "load"), origin, more.get("subject", "s"), epoch, value, left_s)
 
 
 def test_an_end_is_counted_from_the_sending_and_not_from_the_coming() -> None:
@@ -99,7 +99,7 @@
         word(topic="no", left_s=OTHER_S + 1),
     ],
 )
-def test_a_word_that_nobody_can_have_meant_is_refused(bad: Word) -> None:
+def test_a_word_that_nobody_can_have_meant_is_refused(bad: Entry) -> None:
     core = carrier()
     assert not core.hear(0.0, 0.0, [bad]) and core.counts.refused == 1 and not core.held
 
