--- a/bench/peers.py
+++ b/bench/peers.py
@@ -30,7 +30,7 @@
 from flintlatch.fleet.control import Taken, ask
 from flintlatch.lab.members import Members
 from flintlatch.lab.network import Link
-from flintlatch.peers import Carrier, Merge, Rules, Topic
+from flintlatch.peers import EntryStore, Merge, Rules, Topic
 from flintlatch.peers.clock import clock
 from flintlatch.standin.fleets import Fleets, fleets
 from flintlatch.standin.links import draw, written
@@ -98,9 +98,9 @@
                 age = began - self.done.get(key, began)
                 self.seen += 1
                 self.ways.setdefault((key, name), began - at)
-                self.loose = max(self.loose, (began - at) / Carrier.stale_s(for_s))
-                if age / Carrier.stale_s(for_s) > self.worst:
-                    self.worst = age / Carrier.stale_s(for_s)
+                self.loose = max(self.loose, (began - at) / EntryStore.stale_s(for_s))
+                if age / EntryStore.stale_s(for_s) > self.worst:
+                    self.worst = age / EntryStore.stale_s(for_s)
                     self.worst_line = (
                         f"{name} believed a note of {note['by']} {age:.3f} s after, for {for_s} s"
                     )
--- a/flintlatch/fleet/agreed.py
+++ b/flintlatch/fleet/agreed.py
@@ -18,7 +18,7 @@
 from flintlatch.peers.clock import clock
 from flintlatch.peers.seal import BadKeys, read_keys
 from flintlatch.peers.shell import NotBound, Options, Shell
-from flintlatch.peers.words import SUBJECT_MOST, VALUE_MOST, Carrier
+from flintlatch.peers.words import SUBJECT_MOST, VALUE_MOST, EntryStore
 from flintlatch.verdicts.api import SEEN
 
 OPEN_AGAIN_S = 0.5  # until an address that a predecessor may still hold is tried again
@@ -223,7 +223,7 @@
             self.shell.say(NOTES.name, subject, text.encode(), for_s, renew=False)
         except ValueError as error:
             return {"ok": False, "reason": str(error)}
-        return {"ok": True, "until_at_most_s": round(Carrier.stale_s(for_s), 3)}
+        return {"ok": True, "until_at_most_s": round(EntryStore.stale_s(for_s), 3)}
 
     def notes(self) -> list[dict[str, Any]]:
         if self.shell is None:
@@ -290,7 +290,7 @@
                 "found_dead_s": round(peers.detection_s(alive), 1),
                 "number_falls_s": round(Census.late_s(peers.detection_s(alive), self.table.hold_s), 1),
                 "instances_alone_s": self.table.word_s,
-                "words": {t.name: round(Carrier.stale_s(t.life_s), 1) for t in shell.topics},
+                "words": {t.name: round(EntryStore.stale_s(t.life_s), 1) for t in shell.topics},
             },
             "counts": self.counts(),
         }
--- a/flintlatch/fleet/judging.py
+++ b/flintlatch/fleet/judging.py
@@ -10,7 +10,7 @@
 from flintlatch.fleet.channel import Message
 from flintlatch.peers.clock import clock
 from flintlatch.peers.shell import Shell
-from flintlatch.peers.words import Carrier
+from flintlatch.peers.words import EntryStore
 from flintlatch.verdicts.api import Judgement, Rules, judge
 
 RENEW = 4  # times in a life that voices and words to the instances are said anew
@@ -143,5 +143,5 @@
             "servers": rows,
             "ill": sorted(self.found.ill),
             "many": self.found.many,
-            "alone_within_s": round(2 * Carrier.stale_s(self.rules.life_s), 2),
+            "alone_within_s": round(2 * EntryStore.stale_s(self.rules.life_s), 2),
         }
--- a/flintlatch/peers/__init__.py
+++ b/flintlatch/peers/__init__.py
@@ -23,7 +23,7 @@
 )
 from flintlatch.peers.member import Envelope, Member, News, Opened, Post, Whole
 from flintlatch.peers.model import Kind, Malformed, Message, Record, Rules, State, View, check
-from flintlatch.peers.words import Carrier, Entry, Merge, Said, Topic
+from flintlatch.peers.words import Entry, EntryStore, Merge, Said, Topic
 
 __all__ = [
     "Action",
--- a/flintlatch/peers/member.py
+++ b/flintlatch/peers/member.py
@@ -27,7 +27,7 @@
 )
 from flintlatch.peers.guard import Guard, Trust
 from flintlatch.peers.model import Chance, Kind, Message, Record, Rules, State
-from flintlatch.peers.words import Carrier, Entry, Topic
+from flintlatch.peers.words import Entry, EntryStore, Topic
 
 ROOM = 1100  # bytes of records and words: 1,400 less the seal (37) and the envelope's own (at most 250)
 FLUSH_S = 0.2  # s at least between two pushes of news
@@ -105,7 +105,7 @@
     ) -> None:
         self.rules, self.rng = rules, rng
         self.peers = Peers(me, seeds, rules, rng, now)
-        self.carrier = Carrier(me.name, topics, rules.retransmit)
+        self.carrier = EntryStore(me.name, topics, rules.retransmit)
         self.guard = Guard()
         self.number = 0
         self.flushed = now
--- a/flintlatch/peers/words.py
+++ b/flintlatch/peers/words.py
@@ -126,7 +126,7 @@
     deficit: float = 0.0
 
 
-class Carrier:
+class EntryStore:
     def __init__(self, me: str, topics: Iterable[Topic], retransmit: int) -> None:
         self.me, self.retransmit = me, retransmit
         self.topics = {topic.name: topic for topic in topics}
--- a/tests/capacity/test_agreed.py
+++ b/tests/capacity/test_agreed.py
@@ -11,7 +11,7 @@
 from bench.scale import limits, peers, verdicts
 from bench.scale.data import Series
 from flintlatch.fleet import limiting
-from flintlatch.peers import Carrier
+from flintlatch.peers import EntryStore
 
 OF_PEERS = {
     "rest_bytes_per_s",
@@ -127,7 +127,7 @@
 
 @pytest.mark.parametrize(("rows", "voices"), [(3, 2), (12, 2), (12, 8)])
 def test_a_fold_reads_each_report_once(monkeypatch: pytest.MonkeyPatch, rows: int, voices: int) -> None:
-    reports = counted(monkeypatch, Carrier, "read", len)
+    reports = counted(monkeypatch, EntryStore, "read", len)
     got = verdicts.fold(rows, 8, voices, 100, 1, False)
     assert got["out"] == rows
     assert max(reports) == rows * voices and min(reports) >= 0
--- a/tests/peers/test_words.py
+++ b/tests/peers/test_words.py
@@ -10,7 +10,7 @@
 
 from flintlatch.lab.members import Members
 from flintlatch.lab.network import Link
-from flintlatch.peers import Carrier, Entry, Merge, Topic
+from flintlatch.peers import Entry, EntryStore, Merge, Topic
 from flintlatch.peers.words import DRIFT, HEAD, OTHER_MOST, OTHER_S, SHRINK
 
 LOAD = Topic("load", Merge.EACH, 5.0, each=4, most=64)
@@ -18,8 +18,8 @@
 SPAN = 60.0  # s that random schedules last
 
 
-def carrier(me: str = "me", *topics: Topic) -> Carrier:
-    return Carrier(me, topics or (LOAD, PLAN), 4)
+def carrier(me: str = "me", *topics: Topic) -> EntryStore:
+    return EntryStore(me, topics or (LOAD, PLAN), 4)
 
 
 def word(origin: str = "x", epoch: int = 1, value: bytes = b"v", left_s: float = 5.0, **more: str) -> Entry:
@@ -178,7 +178,7 @@
                 continue
             for (origin, _), value in members.read(name, "load").items():
                 age = now - said[origin, value]
-                assert age <= Carrier.stale_s(LOAD.life_s), (name, origin, value, age)
+                assert age <= EntryStore.stale_s(LOAD.life_s), (name, origin, value, age)
 
     meant: dict[str, bytes] = {}
     for what, one, other, seconds in [*plan, ("heal", 0, 1, 8.0)]:
