--- a/bench/scale/limits.py
+++ b/bench/scale/limits.py
@@ -58,7 +58,7 @@
         self.members, self.name, self.member = members, name, members.member(name)
 
     def say(self, topic: str, subject: str, value: bytes, life_s: float = 0.0, renew: bool = True) -> None:
-        self.member.carrier.say(self.members.engine.now, topic, subject, value, life_s, renew)
+        self.member.entry_store.say(self.members.engine.now, topic, subject, value, life_s, renew)
 
     def push(self, name: str) -> None:
         self.members.push(self.name, name)
--- a/bench/scale/peers.py
+++ b/bench/scale/peers.py
@@ -186,7 +186,9 @@
         if not gone and members.agreed(names):
             gone = took
         for subject, missing in list(waits.items()):
-            missing -= {n for n in missing if ("word", subject, subject) in members.member(n).carrier.held}
+            missing -= {
+                n for n in missing if ("word", subject, subject) in members.member(n).entry_store.held
+            }
             if not missing:
                 del waits[subject]
                 known.append(took)
@@ -245,7 +247,7 @@
         members.run(members.tick_s)
         if members.engine.now - at > LONGEST_S:
             raise AssertionError(f"{len(missing)} of {n} lack some of {k} after {LONGEST_S} s")
-        missing -= {name for name in missing if len(members.member(name).carrier.held) >= k}
+        missing -= {name for name in missing if len(members.member(name).entry_store.held) >= k}
     took, sent = members.engine.now - at, members.bytes - before
     return took, (sent - rest * took) / n / k, sent / n / took
 
--- a/flintlatch/fleet/agreed.py
+++ b/flintlatch/fleet/agreed.py
@@ -236,7 +236,7 @@
                 "text": said.value.decode("utf-8", "replace"),
                 "left_s": round(said.ends - now, 3),
             }
-            for said in self.shell.member.carrier.read(now, NOTES.name)
+            for said in self.shell.member.entry_store.read(now, NOTES.name)
         ]
 
     def report(self) -> Message:
@@ -306,7 +306,7 @@
         if self.shell is None:
             return {}
         shell, member = self.shell, self.shell.member
-        of_peers, of_words = member.peers.counts, member.carrier.counts
+        of_peers, of_words = member.peers.counts, member.entry_store.counts
         return {
             "datagrams_in": shell.counts.received,
             "datagrams_out": shell.counts.sent,
--- a/flintlatch/fleet/judging.py
+++ b/flintlatch/fleet/judging.py
@@ -68,7 +68,7 @@
         self._speak(now, shell, servers)
         voices: dict[str, dict[str, int]] = {}
         good: dict[str, set[str]] = {}
-        for said in shell.member.carrier.read(now, "seen"):
+        for said in shell.member.entry_store.read(now, "seen"):
             if said.subject not in servers or not said.value.isdigit():
                 continue
             if said.value == GOOD:
@@ -123,7 +123,7 @@
         shell, now = self.shell(), clock()
         voices: dict[str, list[str]] = {}
         if shell is not None:
-            for said in shell.member.carrier.read(now, "seen"):
+            for said in shell.member.entry_store.read(now, "seen"):
                 if said.value != GOOD:
                     voices.setdefault(said.subject, []).append(said.origin)
         rows = []
--- a/flintlatch/fleet/limiting.py
+++ b/flintlatch/fleet/limiting.py
@@ -178,7 +178,7 @@
 
     def _seat(self, now: float, shell: Shell, seat: Seat) -> bool:
         votes: dict[str, tuple[Vote, float]] = {}
-        for said in shell.member.carrier.read(now, "vote"):
+        for said in shell.member.entry_store.read(now, "vote"):
             try:
                 vote = read_vote(said.value)
             except Malformed:
@@ -192,7 +192,7 @@
             shell.say("vote", "seat", write_vote(vote_now), self.terms.term_s, renew=False)
             self.voted, self.vote_at = vote_now, now + self.terms.term_s / RENEW
             # Our own counts from its saying, as everybody's: the carrier holds it.
-            own = shell.member.carrier.read(now, "vote")
+            own = shell.member.entry_store.read(now, "vote")
             votes |= {s.origin: (vote_now, s.ends) for s in own if s.origin == shell.member.me.name}
         elif vote_now is None:
             self.voted = None
@@ -207,7 +207,7 @@
     def _hold(self, now: float, shell: Shell, row: Row, told: set[str]) -> None:
         limit, holder, me = row.limit, row.holder, shell.member.me
         mine = f"{holder_of(me.name, me.life)} {limit.name}"
-        for said in shell.member.carrier.read(now, "grant", mine):
+        for said in shell.member.entry_store.read(now, "grant", mine):
             try:
                 holder.hear(now, said.origin, read_grant(said.value), said.ends)
             except Malformed:
@@ -243,7 +243,7 @@
         """By rendezvous over those that are there, for the open ones; the strict ones' is whoever has the
         seat."""
         if limit.when_cut is WhenCut.STRICT:
-            votes = [read_vote(s.value).keeper for s in shell.member.carrier.read(clock(), "vote")]
+            votes = [read_vote(s.value).keeper for s in shell.member.entry_store.read(clock(), "vote")]
             return max(set(votes), key=lambda name: (votes.count(name), name), default="")
         there = [record.name for record in shell.member.peers.alive()]
         return max(there, key=lambda name: (crc32(f"{limit.name} {name}".encode()), name))
@@ -252,7 +252,7 @@
         limit, me, seat = row.limit, shell.member.me, self.seat
         assert seat is not None
         asks: dict[str, tuple[str, Ask]] = {}
-        for said in shell.member.carrier.read(now, "ask", limit.name):
+        for said in shell.member.entry_store.read(now, "ask", limit.name):
             try:
                 ask = read_ask(said.value)
             except Malformed:
--- a/flintlatch/lab/members.py
+++ b/flintlatch/lab/members.py
@@ -95,12 +95,12 @@
 
     def say(self, name: str, topic: str, subject: str, value: bytes, life_s: float = 0.0) -> None:
         address = self.names[name]
-        self.members[address].carrier.say(self.now(address), topic, subject, value, life_s)
+        self.members[address].entry_store.say(self.now(address), topic, subject, value, life_s)
 
     def read(self, name: str, topic: str) -> dict[tuple[str, str], bytes]:
         """What it believes at this moment: values by (member, subject)."""
         address = self.names[name]
-        found = self.members[address].carrier.read(self.now(address), topic)
+        found = self.members[address].entry_store.read(self.now(address), topic)
         return {(said.origin, said.subject): said.value for said in found}
 
     def kill(self, name: str) -> None:
--- a/flintlatch/peers/member.py
+++ b/flintlatch/peers/member.py
@@ -105,7 +105,7 @@
     ) -> None:
         self.rules, self.rng = rules, rng
         self.peers = Peers(me, seeds, rules, rng, now)
-        self.carrier = EntryStore(me.name, topics, rules.retransmit)
+        self.entry_store = EntryStore(me.name, topics, rules.retransmit)
         self.guard = Guard()
         self.number = 0
         self.flushed = now
@@ -124,7 +124,7 @@
             return self._opened(now, event.envelope)
         actions = self._carry(now, self.peers.step(now, event))
         if isinstance(event, Tick) and not self.peers.left:
-            self.carrier.tick(now, self.peers.count())
+            self.entry_store.tick(now, self.peers.count())
             actions += self._flush(now)
         return actions
 
@@ -180,11 +180,11 @@
     def _hear(self, now: float, sent: float, words: Iterable[Entry]) -> list[Action]:
         if not self.peers.joined:
             return []
-        news = self.carrier.hear(now, sent, words)
+        news = self.entry_store.hear(now, sent, words)
         return [News(tuple(news))] if news else []
 
     def _flush(self, now: float) -> list[Action]:
-        if now < self.flushed + FLUSH_S or not self.carrier.fresh():
+        if now < self.flushed + FLUSH_S or not self.entry_store.fresh():
             return []
         self.flushed = now
         others = [r for r in self.peers.alive() if r.name != self.me.name and r.state is State.ALIVE]
@@ -224,7 +224,7 @@
                     self.asked_of.popitem(last=False)
         self.number += 1
         room = ROOM - sum(record.cost() for record in message.gossip)
-        words = tuple(self.carrier.fill(now, room)) if self.peers.joined else ()
+        words = tuple(self.entry_store.fill(now, room)) if self.peers.joined else ()
         me = self.me
         return Post(
             address, Envelope(me.name, me.address, me.life, self.number, now, self.digest(), message, words)
@@ -240,7 +240,7 @@
             return Whole(*head)
         # By name: a persistent map has no order, and the same seed must play the same everywhere.
         records = tuple(sorted(self.peers.view.values())) if not mine or mark != mine else ()
-        return Whole(*head, records, tuple(self.carrier.whole(now, None if not mark else WORDS_MOST)))
+        return Whole(*head, records, tuple(self.entry_store.whole(now, None if not mark else WORDS_MOST)))
 
     def on_offer(self, now: float, whole: Whole) -> Whole:
         return self.offer(now, True, whole.mark)
--- a/flintlatch/peers/shell.py
+++ b/flintlatch/peers/shell.py
@@ -174,10 +174,10 @@
     # Words
 
     def say(self, topic: str, subject: str, value: bytes, life_s: float = 0.0, renew: bool = True) -> None:
-        self.member.carrier.say(clock(), topic, subject, value, life_s, renew)
+        self.member.entry_store.say(clock(), topic, subject, value, life_s, renew)
 
     def unsay(self, topic: str, subject: str) -> None:
-        self.member.carrier.unsay(clock(), topic, subject)
+        self.member.entry_store.unsay(clock(), topic, subject)
 
     def push(self, name: str) -> None:
         self._carry_out(self.member.push(clock(), name))
--- a/tests/peers/test_words.py
+++ b/tests/peers/test_words.py
@@ -18,7 +18,7 @@
 SPAN = 60.0  # s that random schedules last
 
 
-def carrier(me: str = "me", *topics: Topic) -> EntryStore:
+def entry_store(me: str = "me", *topics: Topic) -> EntryStore:
     return EntryStore(me, topics or (LOAD, PLAN), 4)
 
 
@@ -189,7 +189,7 @@
             said[name, meant[name]] = members.engine.now
             members.say(name, "load", "s", meant[name])
         elif what == "unsay":
-            members.member(name).carrier.unsay(members.now(address), "load", "s")
+            members.member(name).entry_store.unsay(members.now(address), "load", "s")
             meant.pop(name, None)
         elif what in ("cut", "one way") and one != other:
             members.network.cut([address], [members.names[names[other]]], both=what == "cut")
@@ -212,7 +212,7 @@
         for _ in range(max(1, int(seconds / 0.25))):
             members.run(0.25)
             for name in names:  # one who runs and still says it stands to it
-                mine = members.member(name).carrier.mine.get(("load", "s"))
+                mine = members.member(name).entry_store.mine.get(("load", "s"))
                 if mine is not None and members.names[name] not in members.network.paused:
                     said[name, mine.value] = members.engine.now
             audit()
