--- a/bench/scale/peers.py
+++ b/bench/scale/peers.py
@@ -18,7 +18,7 @@
 
 from bench.scale.data import Series, load
 from flintlatch.lab.members import Members
-from flintlatch.peers import Member, Merge, Post, Record, Rules, State, Topic
+from flintlatch.peers import Member, Merge, Record, Rules, SendDatagram, State, Topic
 from flintlatch.peers.member import Action, Envelope, Whole
 from flintlatch.peers.seal import Seal
 from flintlatch.peers.wire import pack, unpack
@@ -82,7 +82,7 @@
         super()._carry_out(address, actions)
         self.sent_by[address] = self.sent_by.get(address, 0) + self.bytes - before
         if len(self.kept) < self.keeps:
-            self.kept += [action.envelope for action in actions if isinstance(action, Post)]
+            self.kept += [action.envelope for action in actions if isinstance(action, SendDatagram)]
 
     def push(self, name: str, target: str) -> None:
         """As the shell's: what is new goes to one member at once."""
--- a/flintlatch/lab/members.py
+++ b/flintlatch/lab/members.py
@@ -20,9 +20,9 @@
     News,
     Opened,
     Peers,
-    Post,
     Record,
     Rules,
+    SendDatagram,
     State,
     Sync,
     Tick,
@@ -127,7 +127,7 @@
     def _carry_out(self, address: str, actions: list[Action]) -> None:
         name = self.members[address].me.name
         for action in actions:
-            if isinstance(action, Post):
+            if isinstance(action, SendDatagram):
                 self.bytes += HEAD_BYTES + len(pack(action.envelope))
                 self.network.send(address, action.address, action.envelope)
             elif isinstance(action, Sync):
--- a/flintlatch/peers/member.py
+++ b/flintlatch/peers/member.py
@@ -72,7 +72,7 @@
     envelope: Envelope
 
 
-class Post(NamedTuple):
+class SendDatagram(NamedTuple):
     """Send one."""
 
     address: str
@@ -86,7 +86,7 @@
 
 
 Event = Tick | Opened | Leave | Altered
-Action = Post | Sync | Changed | Told | News
+Action = SendDatagram | Sync | Changed | Told | News
 
 
 @dataclass(slots=True)
@@ -215,7 +215,7 @@
         for name in [name for name in self.contacts if name not in change.view]:
             del self.contacts[name]
 
-    def _post(self, now: float, address: str, message: Message) -> Post:
+    def _post(self, now: float, address: str, message: Message) -> SendDatagram:
         if message.kind in (Kind.PING, Kind.PING_REQ):
             self.guard.ask(message.number, now)
             if message.kind is Kind.PING:
@@ -226,7 +226,7 @@
         room = ROOM - sum(record.cost() for record in message.gossip)
         words = tuple(self.entry_store.fill(now, room)) if self.peers.joined else ()
         me = self.me
-        return Post(
+        return SendDatagram(
             address, Envelope(me.name, me.address, me.life, self.number, now, self.digest(), message, words)
         )
 
--- a/flintlatch/peers/shell.py
+++ b/flintlatch/peers/shell.py
@@ -17,7 +17,7 @@
 
 from flintlatch.peers.clock import clock
 from flintlatch.peers.core import Altered, Changed, Leave, Sync, Tick, Told
-from flintlatch.peers.member import Action, Event, Member, News, Opened, Post
+from flintlatch.peers.member import Action, Event, Member, News, Opened, SendDatagram
 from flintlatch.peers.model import Record, Rules, State, View
 from flintlatch.peers.seal import HELLO, NONCE_BYTES, VERSION, Foreign, Seal, StreamSeal
 from flintlatch.peers.wire import (
@@ -189,7 +189,7 @@
 
     def _carry_out(self, actions: list[Action]) -> None:
         for action in actions:
-            if isinstance(action, Post):
+            if isinstance(action, SendDatagram):
                 self._post(action)
             elif isinstance(action, Sync):
                 self._task(self._sync(action.address))
@@ -244,7 +244,7 @@
             self.told_foreign = True
             self.on_told(f"peers: {what} is not sealed by a key of ours; told once, then counted")
 
-    def _post(self, action: Post) -> None:
+    def _post(self, action: SendDatagram) -> None:
         envelope = action.envelope
         data = self.seal.close(envelope.number, pack(envelope))
         if self.transport is None or self.transport.is_closing() or len(data) > DATAGRAM_MOST:
--- a/tests/peers/test_guard.py
+++ b/tests/peers/test_guard.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from flintlatch.lab.members import Members
-from flintlatch.peers import Envelope, Kind, Member, Message, Opened, Post, Record, Rules, State, Tick
+from flintlatch.peers import Envelope, Kind, Member, Message, Opened, Record, Rules, SendDatagram, State, Tick
 from flintlatch.peers.guard import ASKED_MOST, LIVES_MOST, WINDOW, Guard, Trust
 from flintlatch.peers.seal import BadKeys, Foreign, Seal, StreamSeal, read_keys
 from flintlatch.peers.wire import Unreadable, pack, pack_whole, unpack, unpack_whole
@@ -78,7 +78,7 @@
     said = Envelope(
         "s", "s:1", 7, 1, 3.0, 0, Message(Kind.PING, 8, "me", (liar,)), (Entry("t", "s", "", 1, b"v", 9.0),)
     )
-    posts = [a for a in core.step(1.0, Opened(said)) if isinstance(a, Post)]
+    posts = [a for a in core.step(1.0, Opened(said)) if isinstance(a, SendDatagram)]
     assert [p.envelope.message.kind for p in posts] == [Kind.ACK, Kind.PING]
     assert "x" not in core.peers.view and not core.entry_store.held
     again = core.step(1.1, Opened(said._replace(number=2)))
@@ -188,6 +188,6 @@
         len(pack(a.envelope)) + 37
         for t in range(300)
         for a in core.step(t / 10, Tick())
-        if isinstance(a, Post)
+        if isinstance(a, SendDatagram)
     ]
     assert sizes and max(sizes) <= 1400
