--- a/bench/scale/limits.py
+++ b/bench/scale/limits.py
@@ -23,7 +23,7 @@
 from flintlatch.lab.engine import Engine
 from flintlatch.limits.api import Ask, Limit, Mark, Terms, WhenCut, topics
 from flintlatch.limits.model import holder, write_ask
-from flintlatch.peers import Entry, Kind, Message, Opened, Record, Rules, State, Topic
+from flintlatch.peers import DatagramReceived, Entry, Kind, Message, Record, Rules, State, Topic
 from flintlatch.peers.member import ROOM, Envelope
 from flintlatch.peers.wire import pack, unpack
 
@@ -96,7 +96,7 @@
         number += 1
         now, news = members.engine.now, Message(Kind.NEWS, 0, "f0")
         one = Envelope(sender.name, sender.address, sender.life, number, now, 1, news, tuple(some))
-        members.step(members.names["f0"], Opened(unpack(pack(one), sender.life, number)))
+        members.step(members.names["f0"], DatagramReceived(unpack(pack(one), sender.life, number)))
     return number
 
 
--- a/flintlatch/lab/members.py
+++ b/flintlatch/lab/members.py
@@ -14,11 +14,11 @@
 from flintlatch.lab.network import Network
 from flintlatch.peers import (
     Changed,
+    DatagramReceived,
     Entry,
     Leave,
     Member,
     News,
-    Opened,
     Peers,
     Record,
     Rules,
@@ -161,7 +161,7 @@
 
     def _deliver(self, source: str, target: str, what: Any) -> None:
         if target in self.members:
-            self.step(target, Opened(what))
+            self.step(target, DatagramReceived(what))
 
     def _sync(self, source: str, target: str) -> None:
         """Over TCP: both ways or not at all, and a place that is cut off is not connected to."""
--- a/flintlatch/peers/member.py
+++ b/flintlatch/peers/member.py
@@ -66,7 +66,7 @@
     words: tuple[Entry, ...] = ()
 
 
-class Opened(NamedTuple):
+class DatagramReceived(NamedTuple):
     """A datagram has come."""
 
     envelope: Envelope
@@ -85,7 +85,7 @@
     words: tuple[Entry, ...]
 
 
-Event = Tick | Opened | Leave | Altered
+Event = Tick | DatagramReceived | Leave | Altered
 Action = SendDatagram | Sync | Changed | Told | News
 
 
@@ -120,7 +120,7 @@
     # Events
 
     def step(self, now: float, event: Event) -> list[Action]:
-        if isinstance(event, Opened):
+        if isinstance(event, DatagramReceived):
             return self._opened(now, event.envelope)
         actions = self._carry(now, self.peers.step(now, event))
         if isinstance(event, Tick) and not self.peers.left:
--- a/flintlatch/peers/shell.py
+++ b/flintlatch/peers/shell.py
@@ -17,7 +17,7 @@
 
 from flintlatch.peers.clock import clock
 from flintlatch.peers.core import Altered, Changed, Leave, Sync, Tick, Told
-from flintlatch.peers.member import Action, Event, Member, News, Opened, SendDatagram
+from flintlatch.peers.member import Action, DatagramReceived, Event, Member, News, SendDatagram
 from flintlatch.peers.model import Record, Rules, State, View
 from flintlatch.peers.seal import HELLO, NONCE_BYTES, VERSION, Foreign, Seal, StreamSeal
 from flintlatch.peers.wire import (
@@ -236,7 +236,7 @@
         except Unreadable:
             self.counts.unreadable += 1
             return
-        self.step(Opened(envelope))
+        self.step(DatagramReceived(envelope))
 
     def _foreign(self, what: str) -> None:
         self.counts.foreign += 1
--- a/tests/peers/test_guard.py
+++ b/tests/peers/test_guard.py
@@ -10,7 +10,18 @@
 from hypothesis import strategies as st
 
 from flintlatch.lab.members import Members
-from flintlatch.peers import Envelope, Kind, Member, Message, Opened, Record, Rules, SendDatagram, State, Tick
+from flintlatch.peers import (
+    DatagramReceived,
+    Envelope,
+    Kind,
+    Member,
+    Message,
+    Record,
+    Rules,
+    SendDatagram,
+    State,
+    Tick,
+)
 from flintlatch.peers.guard import ASKED_MOST, LIVES_MOST, WINDOW, Guard, Trust
 from flintlatch.peers.seal import BadKeys, Foreign, Seal, StreamSeal, read_keys
 from flintlatch.peers.wire import Unreadable, pack, pack_whole, unpack, unpack_whole
@@ -78,13 +89,13 @@
     said = Envelope(
         "s", "s:1", 7, 1, 3.0, 0, Message(Kind.PING, 8, "me", (liar,)), (Entry("t", "s", "", 1, b"v", 9.0),)
     )
-    posts = [a for a in core.step(1.0, Opened(said)) if isinstance(a, SendDatagram)]
+    posts = [a for a in core.step(1.0, DatagramReceived(said)) if isinstance(a, SendDatagram)]
     assert [p.envelope.message.kind for p in posts] == [Kind.ACK, Kind.PING]
     assert "x" not in core.peers.view and not core.entry_store.held
-    again = core.step(1.1, Opened(said._replace(number=2)))
+    again = core.step(1.1, DatagramReceived(said._replace(number=2)))
     assert len(again) == 1  # asked back once a second at most
     for n in range(5000):
-        core.step(1.2, Opened(said._replace(number=n, address=f"s:{n}", life=n)))
+        core.step(1.2, DatagramReceived(said._replace(number=n, address=f"s:{n}", life=n)))
     assert len(core.strangers) <= 256 and not core.contacts
 
 
