--- a/flintlatch/lab/members.py
+++ b/flintlatch/lab/members.py
@@ -15,10 +15,10 @@
 from flintlatch.peers import (
     Changed,
     DatagramReceived,
+    EntriesReceived,
     Entry,
     Leave,
     Member,
-    News,
     Peers,
     Record,
     Rules,
@@ -134,7 +134,7 @@
                 self._sync(address, action.address)
             elif isinstance(action, Changed):
                 self.changed(name, self.engine.now, action)
-            elif isinstance(action, News):
+            elif isinstance(action, EntriesReceived):
                 self.news(name, self.engine.now, action.words)
 
     def agreed(self, names: list[str]) -> bool:
--- a/flintlatch/peers/__init__.py
+++ b/flintlatch/peers/__init__.py
@@ -21,7 +21,7 @@
     Tick,
     Told,
 )
-from flintlatch.peers.member import DatagramReceived, Envelope, Member, News, SendDatagram, Whole
+from flintlatch.peers.member import DatagramReceived, EntriesReceived, Envelope, Member, SendDatagram, Whole
 from flintlatch.peers.model import Kind, Malformed, Message, Record, Rules, State, View, check
 from flintlatch.peers.words import Entry, EntryStore, Merge, Said, Topic
 
--- a/flintlatch/peers/member.py
+++ b/flintlatch/peers/member.py
@@ -79,14 +79,14 @@
     envelope: Envelope
 
 
-class News(NamedTuple):
+class EntriesReceived(NamedTuple):
     """Words that were not known before, for whoever reads their topics."""
 
     words: tuple[Entry, ...]
 
 
 Event = Tick | DatagramReceived | Leave | Altered
-Action = SendDatagram | Sync | Changed | Told | News
+Action = SendDatagram | Sync | Changed | Told | EntriesReceived
 
 
 @dataclass(slots=True)
@@ -181,7 +181,7 @@
         if not self.peers.joined:
             return []
         news = self.entry_store.hear(now, sent, words)
-        return [News(tuple(news))] if news else []
+        return [EntriesReceived(tuple(news))] if news else []
 
     def _flush(self, now: float) -> list[Action]:
         if now < self.flushed + FLUSH_S or not self.entry_store.fresh():
--- a/flintlatch/peers/shell.py
+++ b/flintlatch/peers/shell.py
@@ -17,7 +17,7 @@
 
 from flintlatch.peers.clock import clock
 from flintlatch.peers.core import Altered, Changed, Leave, Sync, Tick, Told
-from flintlatch.peers.member import Action, DatagramReceived, Event, Member, News, SendDatagram
+from flintlatch.peers.member import Action, DatagramReceived, EntriesReceived, Event, Member, SendDatagram
 from flintlatch.peers.model import Record, Rules, State, View
 from flintlatch.peers.seal import HELLO, NONCE_BYTES, VERSION, Foreign, Seal, StreamSeal
 from flintlatch.peers.wire import (
@@ -195,7 +195,7 @@
                 self._task(self._sync(action.address))
             elif isinstance(action, Changed):
                 self.on_view(action.view)
-            elif isinstance(action, News):
+            elif isinstance(action, EntriesReceived):
                 self.on_news(action.words)
             elif isinstance(action, Told):
                 self.on_told(action.text)
