--- a/bench/scale/limits.py
+++ b/bench/scale/limits.py
@@ -94,7 +94,7 @@
             some.append(words.pop())
             room -= some[-1].cost()
         number += 1
-        now, news = members.engine.now, Message(Kind.NEWS, 0, "f0")
+        now, news = members.engine.now, Message(Kind.GOSSIP, 0, "f0")
         one = Envelope(sender.name, sender.address, sender.life, number, now, 1, news, tuple(some))
         members.step(members.names["f0"], DatagramReceived(unpack(pack(one), sender.life, number)))
     return number
--- a/flintlatch/peers/core.py
+++ b/flintlatch/peers/core.py
@@ -374,7 +374,7 @@
                 within = now + 0.8 * (self.rules.period_s - self.rules.ack_s)
                 self.relayed[self.number] = Relayed(address, message.number, message.target, within)
                 self.send(target.address, Kind.PING, self.number, message.target)
-        elif message.kind is Kind.NEWS:
+        elif message.kind is Kind.GOSSIP:
             return
         elif relayed := self.relayed.get(message.number):
             if message.kind is Kind.ACK and message.target == relayed.target:
--- a/flintlatch/peers/member.py
+++ b/flintlatch/peers/member.py
@@ -152,7 +152,7 @@
             # That it leaves it says once, and a life that has left stays so: a replay of that is no lie.
             left = tuple(r for r in message.gossip if r == known._replace(state=State.LEFT))
             if left:
-                last = Message(Kind.NEWS, 0, "", left)
+                last = Message(Kind.GOSSIP, 0, "", left)
                 return self._carry(now, self.peers.step(now, Received(address, last)))
         if message.kind is Kind.PING and message.target == self.me.name and not self.peers.left:
             actions.append(self._post(now, address, Message(Kind.ACK, message.number, message.target)))
@@ -189,7 +189,7 @@
         self.flushed = now
         others = [r for r in self.peers.alive() if r.name != self.me.name and r.state is State.ALIVE]
         return [
-            self._post(now, record.address, Message(Kind.NEWS, 0, record.name))
+            self._post(now, record.address, Message(Kind.GOSSIP, 0, record.name))
             for record in self.peers.some(others, FANOUT)
         ]
 
@@ -198,7 +198,7 @@
         record = self.peers.view.get(name)
         if record is None or record.state is not State.ALIVE or self.peers.left:
             return []
-        return [self._post(now, record.address, Message(Kind.NEWS, 0, name))]
+        return [self._post(now, record.address, Message(Kind.GOSSIP, 0, name))]
 
     def _carry(self, now: float, actions: list[Send | Sync | Changed | Told]) -> list[Action]:
         made: list[Action] = []
--- a/flintlatch/peers/model.py
+++ b/flintlatch/peers/model.py
@@ -90,7 +90,7 @@
     ACK = 1
     PING_REQ = 2  # probe `target` for me
     NACK = 3  # I have asked, and it has not answered me either
-    NEWS = 4  # nothing but words that are new: no answer is due
+    GOSSIP = 4  # nothing but words that are new: no answer is due
 
 
 class Message(NamedTuple):
--- a/flintlatch/peers/wire.py
+++ b/flintlatch/peers/wire.py
@@ -125,7 +125,7 @@
         row = _envelopes.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise Unreadable(str(error)) from None
-    message = Message(KINDS.get(row.kind, Kind.NEWS), row.number, row.target, _records(row.gossip))
+    message = Message(KINDS.get(row.kind, Kind.GOSSIP), row.number, row.target, _records(row.gossip))
     return Envelope(row.sender, row.address, life, number, row.clock, row.digest, message, _words(row.words))
 
 
--- a/tests/peers/test_guard.py
+++ b/tests/peers/test_guard.py
@@ -182,7 +182,7 @@
     record = ["n", "n:1", 0, 0, 1, 2, "z", "r", "", "newer"]
     row[4], row[7] = 99, [record, [*record[:3], 17, *record[4:]]]
     read = unpack(msgspec.msgpack.encode([*row, {"newer": 1}]), 3, 4)
-    assert read.message.kind is Kind.NEWS
+    assert read.message.kind is Kind.GOSSIP
     assert [(r.name, r.instances) for r in read.message.gossip] == [("n", 2)]
     whole = msgspec.msgpack.decode(pack_whole(member().offer(1.0)))
     assert unpack_whole(msgspec.msgpack.encode([*whole, 5])).sender == "me"
