--- a/bench/scale/peers.py
+++ b/bench/scale/peers.py
@@ -19,7 +19,7 @@
 from bench.scale.data import Series, load
 from flintlatch.lab.members import Members
 from flintlatch.peers import Member, Merge, Record, Rules, SendDatagram, State, Topic
-from flintlatch.peers.member import Action, Envelope, Whole
+from flintlatch.peers.member import Action, Envelope, SyncMessage
 from flintlatch.peers.seal import Seal
 from flintlatch.peers.wire import pack, unpack
 
@@ -211,7 +211,7 @@
         for record in records[1:]:
             head = (record.name, record.address, record.life, 1, START_S, 1, 1)
             told = tuple(records) if record is records[1] else ()
-            member.on_last(START_S, Whole(*head, told), START_S - 1.0)
+            member.on_last(START_S, SyncMessage(*head, told), START_S - 1.0)
             member.guard.lives[record.life].once(1000)  # a window in use
             theirs = Seal((KEY,), record.life)
             seal.open(theirs.close(1, b""))
--- a/flintlatch/lab/members.py
+++ b/flintlatch/lab/members.py
@@ -25,9 +25,9 @@
     SendDatagram,
     State,
     Sync,
+    SyncMessage,
     Tick,
     Topic,
-    Whole,
 )
 from flintlatch.peers.member import Action, Event
 from flintlatch.peers.wire import pack, pack_whole
@@ -183,14 +183,14 @@
                 self.bytes += len(pack_whole(reply))
                 self.engine.after(TRIP_S, lambda: answer(reply, replied))
 
-        def answer(reply: Whole, replied: float) -> None:
+        def answer(reply: SyncMessage, replied: float) -> None:
             if alive():
                 mine, actions = asker.on_reply(self.now(source), reply, at)
                 self.bytes += len(pack_whole(mine))
                 self._carry_out(source, actions)
                 self.engine.after(TRIP_S, lambda: last(mine, replied))
 
-        def last(mine: Whole, replied: float) -> None:
+        def last(mine: SyncMessage, replied: float) -> None:
             if alive():
                 self._carry_out(target, asked.on_last(self.now(target), mine, replied))
 
--- a/flintlatch/peers/__init__.py
+++ b/flintlatch/peers/__init__.py
@@ -21,7 +21,14 @@
     Tick,
     Told,
 )
-from flintlatch.peers.member import DatagramReceived, EntriesReceived, Envelope, Member, SendDatagram, Whole
+from flintlatch.peers.member import (
+    DatagramReceived,
+    EntriesReceived,
+    Envelope,
+    Member,
+    SendDatagram,
+    SyncMessage,
+)
 from flintlatch.peers.model import Kind, Malformed, Message, Record, Rules, State, View, check
 from flintlatch.peers.words import Entry, EntryStore, Merge, Said, Topic
 
--- a/flintlatch/peers/member.py
+++ b/flintlatch/peers/member.py
@@ -51,7 +51,7 @@
     words: tuple[Entry, ...] = ()
 
 
-class Whole(NamedTuple):
+class SyncMessage(NamedTuple):
     """A side of an exchange of whole views. The asker first sends one with nothing in it but its head; what
     it has to tell follows in the third message, when it is known to live now and what the other holds."""
 
@@ -232,28 +232,30 @@
 
     # Whole views, over a stream: the asker's head, the answer, and what the asker has to tell
 
-    def offer(self, now: float, told: bool = False, mark: int = 0) -> Whole:
+    def offer(self, now: float, told: bool = False, mark: int = 0) -> SyncMessage:
         """Our side: the head, and if `told` what the other, which holds `mark`, may lack."""
         me, mine = self.me, self.peers.mark() if self.peers.joined else 0
         head = (me.name, me.address, me.life, self.number, now, self.digest(), mine)
         if not told:
-            return Whole(*head)
+            return SyncMessage(*head)
         # By name: a persistent map has no order, and the same seed must play the same everywhere.
         records = tuple(sorted(self.peers.view.values())) if not mine or mark != mine else ()
-        return Whole(*head, records, tuple(self.entry_store.whole(now, None if not mark else WORDS_MOST)))
+        return SyncMessage(
+            *head, records, tuple(self.entry_store.whole(now, None if not mark else WORDS_MOST))
+        )
 
-    def on_offer(self, now: float, whole: Whole) -> Whole:
+    def on_offer(self, now: float, whole: SyncMessage) -> SyncMessage:
         return self.offer(now, True, whole.mark)
 
-    def on_reply(self, now: float, whole: Whole, asked: float) -> tuple[Whole, list[Action]]:
+    def on_reply(self, now: float, whole: SyncMessage, asked: float) -> tuple[SyncMessage, list[Action]]:
         """Their side, to what we sent at `asked`; ours for them, as it was before that was heard."""
         return self.offer(now, True, whole.mark), self._synced(now, whole, asked)
 
-    def on_last(self, now: float, whole: Whole, asked: float) -> list[Action]:
+    def on_last(self, now: float, whole: SyncMessage, asked: float) -> list[Action]:
         """The asker's side, sent after our answer of `asked`."""
         return self._synced(now, whole, asked)
 
-    def _synced(self, now: float, whole: Whole, asked: float) -> list[Action]:
+    def _synced(self, now: float, whole: SyncMessage, asked: float) -> list[Action]:
         if self.peers.left:
             return []
         self.guard.met(whole.life, whole.number, whole.clock, asked)
--- a/flintlatch/peers/wire.py
+++ b/flintlatch/peers/wire.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from flintlatch.peers.member import Envelope, Whole
+from flintlatch.peers.member import Envelope, SyncMessage
 from flintlatch.peers.model import Kind, Message, Record, State
 from flintlatch.peers.words import Entry
 
@@ -129,15 +129,15 @@
     return Envelope(row.sender, row.address, life, number, row.clock, row.digest, message, _words(row.words))
 
 
-def pack_whole(whole: Whole) -> bytes:
+def pack_whole(whole: SyncMessage) -> bytes:
     return _encoder.encode(_Whole(*whole[:7], _packed_records(whole.records), _packed_words(whole.words)))
 
 
-def unpack_whole(data: bytes) -> Whole:
+def unpack_whole(data: bytes) -> SyncMessage:
     """Raises Unreadable."""
     try:
         row = _wholes.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise Unreadable(str(error)) from None
     head = (row.sender, row.address, row.life, row.number, row.clock, row.digest, row.mark)
-    return Whole(*head, _records(row.records), _words(row.words))
+    return SyncMessage(*head, _records(row.records), _words(row.words))
