--- a/flintlatch/lab/members.py
+++ b/flintlatch/lab/members.py
@@ -30,7 +30,7 @@
     Topic,
 )
 from flintlatch.peers.member import Action, Event
-from flintlatch.peers.wire import pack, pack_whole
+from flintlatch.peers.wire import pack, pack_sync
 
 TICK_S = 0.1
 HEAD_BYTES, STREAM_BYTES = 37 + 28, 400  # seal, UDP and IP of a datagram; handshakes and seals of a stream
@@ -169,7 +169,7 @@
         if asker is None or asked is None or not self._connected(source, target):
             return
         offered, at = asker.offer(self.now(source)), self.now(source)
-        self.bytes += STREAM_BYTES + len(pack_whole(offered))
+        self.bytes += STREAM_BYTES + len(pack_sync(offered))
 
         def alive() -> bool:
             """Both still run, as the same processes, and reach each other."""
@@ -180,13 +180,13 @@
             if alive():
                 replied = self.now(target)
                 reply = asked.on_offer(replied, offered)
-                self.bytes += len(pack_whole(reply))
+                self.bytes += len(pack_sync(reply))
                 self.engine.after(TRIP_S, lambda: answer(reply, replied))
 
         def answer(reply: SyncMessage, replied: float) -> None:
             if alive():
                 mine, actions = asker.on_reply(self.now(source), reply, at)
-                self.bytes += len(pack_whole(mine))
+                self.bytes += len(pack_sync(mine))
                 self._carry_out(source, actions)
                 self.engine.after(TRIP_S, lambda: last(mine, replied))
 
--- a/flintlatch/peers/shell.py
+++ b/flintlatch/peers/shell.py
@@ -23,7 +23,7 @@
 from flintlatch.peers.wire import (
     Unreadable,
     pack,
-    pack_whole,
+    pack_sync,
     unpack,
     unpack_whole,
 )
@@ -271,12 +271,12 @@
                 writer.write(HELLO.pack(VERSION, name, nonce))
                 seal = StreamSeal(self.seal.keys[name], nonce, await reader.readexactly(NONCE_BYTES), True)
                 asked = clock()
-                self._frame(writer, seal, pack_whole(self.member.offer(asked)))
+                self._frame(writer, seal, pack_sync(self.member.offer(asked)))
                 whole = unpack_whole(await self._read(reader, seal))
                 if clock() - asked > STREAM_S:
                     raise TimeoutError
                 mine, actions = self.member.on_reply(clock(), whole, asked)
-                self._frame(writer, seal, pack_whole(mine))
+                self._frame(writer, seal, pack_sync(mine))
                 await writer.drain()
                 self.counts.streams += 1
                 self._carry_out(actions)
@@ -307,7 +307,7 @@
                 seal = StreamSeal(key, theirs, nonce, False)
                 whole = unpack_whole(await self._read(reader, seal))
                 asked = clock()
-                self._frame(writer, seal, pack_whole(self.member.on_offer(asked, whole)))
+                self._frame(writer, seal, pack_sync(self.member.on_offer(asked, whole)))
                 await writer.drain()
                 last = unpack_whole(await self._read(reader, seal))
                 if clock() - began > STREAM_S:
--- a/flintlatch/peers/wire.py
+++ b/flintlatch/peers/wire.py
@@ -129,7 +129,7 @@
     return Envelope(row.sender, row.address, life, number, row.clock, row.digest, message, _words(row.words))
 
 
-def pack_whole(whole: SyncMessage) -> bytes:
+def pack_sync(whole: SyncMessage) -> bytes:
     return _encoder.encode(_Whole(*whole[:7], _packed_records(whole.records), _packed_words(whole.words)))
 
 
--- a/tests/peers/test_guard.py
+++ b/tests/peers/test_guard.py
@@ -24,7 +24,7 @@
 )
 from flintlatch.peers.guard import ASKED_MOST, LIVES_MOST, WINDOW, Guard, Trust
 from flintlatch.peers.seal import BadKeys, Foreign, Seal, StreamSeal, read_keys
-from flintlatch.peers.wire import Unreadable, pack, pack_whole, unpack, unpack_whole
+from flintlatch.peers.wire import Unreadable, pack, pack_sync, unpack, unpack_whole
 from flintlatch.peers.words import DRIFT, Entry
 
 ONE, OTHER = bytes(range(32)), bytes(32)
@@ -184,7 +184,7 @@
     read = unpack(msgspec.msgpack.encode([*row, {"newer": 1}]), 3, 4)
     assert read.message.kind is Kind.GOSSIP
     assert [(r.name, r.instances) for r in read.message.gossip] == [("n", 2)]
-    whole = msgspec.msgpack.decode(pack_whole(member().offer(1.0)))
+    whole = msgspec.msgpack.decode(pack_sync(member().offer(1.0)))
     assert unpack_whole(msgspec.msgpack.encode([*whole, 5])).sender == "me"
 
 
