--- a/flintlatch/peers/shell.py
+++ b/flintlatch/peers/shell.py
@@ -25,7 +25,7 @@
     pack,
     pack_sync,
     unpack,
-    unpack_whole,
+    unpack_sync,
 )
 from flintlatch.peers.words import Entry, Topic
 
@@ -272,7 +272,7 @@
                 seal = StreamSeal(self.seal.keys[name], nonce, await reader.readexactly(NONCE_BYTES), True)
                 asked = clock()
                 self._frame(writer, seal, pack_sync(self.member.offer(asked)))
-                whole = unpack_whole(await self._read(reader, seal))
+                whole = unpack_sync(await self._read(reader, seal))
                 if clock() - asked > STREAM_S:
                     raise TimeoutError
                 mine, actions = self.member.on_reply(clock(), whole, asked)
@@ -305,11 +305,11 @@
                 nonce = os.urandom(NONCE_BYTES)
                 writer.write(nonce)
                 seal = StreamSeal(key, theirs, nonce, False)
-                whole = unpack_whole(await self._read(reader, seal))
+                whole = unpack_sync(await self._read(reader, seal))
                 asked = clock()
                 self._frame(writer, seal, pack_sync(self.member.on_offer(asked, whole)))
                 await writer.drain()
-                last = unpack_whole(await self._read(reader, seal))
+                last = unpack_sync(await self._read(reader, seal))
                 if clock() - began > STREAM_S:
                     raise TimeoutError
                 self._carry_out(self.member.on_last(clock(), last, asked))
--- a/flintlatch/peers/wire.py
+++ b/flintlatch/peers/wire.py
@@ -133,7 +133,7 @@
     return _encoder.encode(_Whole(*whole[:7], _packed_records(whole.records), _packed_words(whole.words)))
 
 
-def unpack_whole(data: bytes) -> SyncMessage:
+def unpack_sync(data: bytes) -> SyncMessage:
     """Raises Unreadable."""
     try:
         row = _wholes.decode(data)
--- a/tests/peers/test_guard.py
+++ b/tests/peers/test_guard.py
@@ -24,7 +24,7 @@
 )
 from flintlatch.peers.guard import ASKED_MOST, LIVES_MOST, WINDOW, Guard, Trust
 from flintlatch.peers.seal import BadKeys, Foreign, Seal, StreamSeal, read_keys
-from flintlatch.peers.wire import Unreadable, pack, pack_sync, unpack, unpack_whole
+from flintlatch.peers.wire import Unreadable, pack, pack_sync, unpack, unpack_sync
 from flintlatch.peers.words import DRIFT, Entry
 
 ONE, OTHER = bytes(range(32)), bytes(32)
@@ -170,7 +170,7 @@
     assert unpack(data, 3, 4) == sent
     assert len(data) <= 200 + sum(r.cost() for r in gossip) + word.cost()
     for broken in (noise, data[: len(noise)], noise + data):
-        for read in (lambda b: unpack(b, 1, 1), unpack_whole):
+        for read in (lambda b: unpack(b, 1, 1), unpack_sync):
             with suppress(Unreadable):
                 read(broken)
 
@@ -185,7 +185,7 @@
     assert read.message.kind is Kind.GOSSIP
     assert [(r.name, r.instances) for r in read.message.gossip] == [("n", 2)]
     whole = msgspec.msgpack.decode(pack_sync(member().offer(1.0)))
-    assert unpack_whole(msgspec.msgpack.encode([*whole, 5])).sender == "me"
+    assert unpack_sync(msgspec.msgpack.encode([*whole, 5])).sender == "me"
 
 
 def test_no_datagram_is_longer_than_a_link_s_whatever_it_has_to_tell() -> None:
