--- a/flintlatch/fleet/agreed.py
+++ b/flintlatch/fleet/agreed.py
@@ -14,7 +14,7 @@
 from flintlatch.fleet.judging import Judging
 from flintlatch.fleet.limiting import Limiting
 from flintlatch.limits.api import topics
-from flintlatch.peers import Census, Entry, Merge, Place, Rules, Sight, State, Topic, View
+from flintlatch.peers import Census, CensusView, Entry, Merge, Place, Rules, State, Topic, View
 from flintlatch.peers.clock import clock
 from flintlatch.peers.seal import BadKeys, read_keys
 from flintlatch.peers.shell import NotBound, Options, Shell
@@ -174,7 +174,7 @@
         there = peers.alive()
         before = sum(record.instances for record in there if record.name < peers.me.name)
         doubted = not peers.joined or any(record.state is State.SUSPECT for record in there)
-        self.census.see(clock(), Sight(peers.instances(), before, doubted))
+        self.census.see(clock(), CensusView(peers.instances(), before, doubted))
         self._say()
 
     def _on_news(self, words: tuple[Entry, ...]) -> None:
--- a/flintlatch/peers/census.py
+++ b/flintlatch/peers/census.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sight:
+class CensusView:
     """What the view says at a moment."""
 
     instances: int  # of all members that count, ours included
@@ -38,9 +38,9 @@
         self.doubt_until = now + hold_s
         self.at = now
         self.sights: deque[tuple[float, int]] = deque()  # (when, number), falling: a maximum over hold_s
-        self.sight = Sight(own, 0, True)
+        self.sight = CensusView(own, 0, True)
 
-    def see(self, now: float, sight: Sight) -> None:
+    def see(self, now: float, sight: CensusView) -> None:
         self.read(now)
         if sight.doubted or sight.instances < self.sight.instances:
             self.doubt_until = now + self.hold_s
