--- a/flintlatch/fleet/agreed.py
+++ b/flintlatch/fleet/agreed.py
@@ -14,7 +14,7 @@
 from flintlatch.fleet.judging import Judging
 from flintlatch.fleet.limiting import Limiting
 from flintlatch.limits.api import topics
-from flintlatch.peers import Census, CensusView, Entry, Merge, Place, Rules, State, Topic, View
+from flintlatch.peers import Census, CensusView, Entry, FleetPosition, Merge, Rules, State, Topic, View
 from flintlatch.peers.clock import clock
 from flintlatch.peers.seal import BadKeys, read_keys
 from flintlatch.peers.shell import NotBound, Options, Shell
@@ -42,7 +42,7 @@
         self.config, self.table, self.tell, self.log = config, table, tell, log
         self.loop = asyncio.get_running_loop()
         self.census = Census(config.fleet.instances, config.fleet.proxies, table.hold_s, clock())
-        self.place: Place | None = None
+        self.place: FleetPosition | None = None
         self.shell: Shell | None = None
         self.complaint = ""
         self.timer: asyncio.TimerHandle | None = None
--- a/flintlatch/peers/__init__.py
+++ b/flintlatch/peers/__init__.py
@@ -6,7 +6,7 @@
 bounds.
 """
 
-from flintlatch.peers.census import Census, CensusView, Place
+from flintlatch.peers.census import Census, CensusView, FleetPosition
 from flintlatch.peers.core import (
     Action,
     Altered,
--- a/flintlatch/peers/census.py
+++ b/flintlatch/peers/census.py
@@ -15,7 +15,7 @@
 FALL = 0.1  # of the number, each second, once nothing is in doubt: no step that all take together
 
 
-class Place(NamedTuple):
+class FleetPosition(NamedTuple):
     proxies: int  # instances of all fleets that are believed in
     first: int  # number of this fleet's first among them
 
@@ -50,7 +50,7 @@
         self.sights.append((now, sight.instances))
         self.level = max(self.level, float(sight.instances))
 
-    def read(self, now: float) -> Place:
+    def read(self, now: float) -> FleetPosition:
         while len(self.sights) > 1 and self.sights[1][0] <= now - self.hold_s:
             self.sights.popleft()
         target = max([self.sight.instances, self.own, *(n for _, n in self.sights)])
@@ -59,7 +59,7 @@
             self.level = max(float(target), self.level * (1 - FALL) ** calm)
         self.at = now
         proxies = max(round(self.level), target)
-        return Place(proxies, min(self.sight.before, proxies - self.own))
+        return FleetPosition(proxies, min(self.sight.before, proxies - self.own))
 
     @staticmethod
     def late_s(detection_s: float, hold_s: float) -> float:
--- a/tests/peers/test_census.py
+++ b/tests/peers/test_census.py
@@ -5,17 +5,17 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from flintlatch.peers import Census, CensusView, Place
+from flintlatch.peers import Census, CensusView, FleetPosition
 from flintlatch.peers.census import FALL
 
 
 def test_a_fresh_start_believes_the_configuration_until_it_has_met_others_for_a_while() -> None:
     census = Census(2, 20, 30.0, 0.0)
-    assert census.read(1.0) == Place(20, 0)
+    assert census.read(1.0) == FleetPosition(20, 0)
     census.see(2.0, CensusView(8, 4, False))
-    assert census.read(30.0) == Place(20, 4)
+    assert census.read(30.0) == FleetPosition(20, 4)
     assert 8 < census.read(33.0).proxies < 20
-    assert census.read(90.0) == Place(8, 4)
+    assert census.read(90.0) == FleetPosition(8, 4)
 
 
 def test_it_rises_at_once_and_falls_late_and_without_a_step() -> None:
