--- a/flintlatch/delivery/node.py
+++ b/flintlatch/delivery/node.py
@@ -6,7 +6,7 @@
 
 from flintlatch.delivery import relay, subscriber
 from flintlatch.delivery.model import RELAY_RULES, Place, Role, Rules
-from flintlatch.peers.model import Chance
+from flintlatch.peers.model import RandomSource
 
 
 class Above(NamedTuple):
@@ -37,7 +37,7 @@
         me: Place,
         origins: tuple[Place, ...],
         rules: Rules,
-        rng: Chance,
+        rng: RandomSource,
         now: float,
         upward: Rules = RELAY_RULES,
     ) -> None:
--- a/flintlatch/delivery/subscriber.py
+++ b/flintlatch/delivery/subscriber.py
@@ -41,7 +41,7 @@
 )
 from flintlatch.delivery.staging import Staging, Torn
 from flintlatch.delivery.store import Store
-from flintlatch.peers.model import Chance
+from flintlatch.peers.model import RandomSource
 
 REFUSALS_MOST = 3  # batches of one relay that are refused on end, before it is left for another
 TRIES_AT_ONCE = 3  # relays tried one behind the other; then there are pauses
@@ -158,7 +158,7 @@
         role: Role,
         relays: Iterable[Place],
         rules: Rules,
-        rng: Chance,
+        rng: RandomSource,
         now: float,
         everything: bool = False,
     ) -> None:
--- a/flintlatch/peers/core.py
+++ b/flintlatch/peers/core.py
@@ -18,10 +18,10 @@
 from rpds import HashTrieMap
 
 from flintlatch.peers.model import (
-    Chance,
     Kind,
     Malformed,
     Message,
+    RandomSource,
     Record,
     Rules,
     State,
@@ -138,7 +138,7 @@
 
 
 class Peers:
-    def __init__(self, me: Record, seeds: Iterable[str], rules: Rules, rng: Chance, now: float) -> None:
+    def __init__(self, me: Record, seeds: Iterable[str], rules: Rules, rng: RandomSource, now: float) -> None:
         check(me)
         self.me, self.rules, self.rng = me, rules, rng
         self.seeds = tuple(seed for seed in seeds if seed != me.address)
--- a/flintlatch/peers/member.py
+++ b/flintlatch/peers/member.py
@@ -26,7 +26,7 @@
     Told,
 )
 from flintlatch.peers.guard import Guard, Trust
-from flintlatch.peers.model import Chance, Kind, Message, Record, Rules, State
+from flintlatch.peers.model import Kind, Message, RandomSource, Record, Rules, State
 from flintlatch.peers.words import Entry, EntryStore, Topic
 
 ROOM = 1100  # bytes of records and words: 1,400 less the seal (37) and the envelope's own (at most 250)
@@ -101,7 +101,13 @@
 
 class Member:
     def __init__(
-        self, me: Record, seeds: Iterable[str], rules: Rules, topics: Iterable[Topic], rng: Chance, now: float
+        self,
+        me: Record,
+        seeds: Iterable[str],
+        rules: Rules,
+        topics: Iterable[Topic],
+        rng: RandomSource,
+        now: float,
     ) -> None:
         self.rules, self.rng = rules, rng
         self.peers = Peers(me, seeds, rules, rng, now)
--- a/flintlatch/peers/model.py
+++ b/flintlatch/peers/model.py
@@ -19,7 +19,7 @@
 INSTANCES_MOST = 10_000  # of one fleet
 
 
-class Chance(Protocol):
+class RandomSource(Protocol):
     """What a core needs of `random.Random`: it is given one, seeded or not."""
 
     def random(self) -> float: ...
