--- a/flintlatch/delivery/stream.py
+++ b/flintlatch/delivery/stream.py
@@ -16,7 +16,7 @@
 
 from flintlatch.delivery.model import Message
 from flintlatch.delivery.wire import FRAME_MOST, Unreadable, encode
-from flintlatch.peers.seal import HELLO, NONCE_BYTES, VERSION, Foreign, StreamSeal, named
+from flintlatch.peers.seal import HELLO, NONCE_BYTES, VERSION, AuthenticationFailed, StreamSeal, named
 
 LENGTH = struct.Struct(">I")
 HIGH_WATER = 64 * 1024  # bytes unsent with which a socket is paused, as one window is
@@ -84,7 +84,7 @@
         self.buffer += data
         try:
             self._take()
-        except Foreign:
+        except AuthenticationFailed:
             self.counts.foreign += 1
             self._lose(FOREIGN)
         except Unreadable as error:
@@ -126,7 +126,7 @@
             version, name, theirs = HELLO.unpack(theirs)
             key = next((key for key in self.keys if named(key) == name), None)
             if version != VERSION or key is None:
-                raise Foreign("another version or key")
+                raise AuthenticationFailed("another version or key")
             self._write(self.nonce)
             self.seal = StreamSeal(key, theirs, self.nonce, False)
         self.on_open()
--- a/flintlatch/peers/seal.py
+++ b/flintlatch/peers/seal.py
@@ -30,7 +30,7 @@
 KEY = re.compile(r"[0-9a-fA-F]{64}")
 
 
-class Foreign(Exception):
+class AuthenticationFailed(Exception):
     """Not sealed by a key of ours, or changed on its way."""
 
 
@@ -79,17 +79,17 @@
     def open(self, data: bytes) -> tuple[int, int, bytes]:
         """Life, number, what was sealed. Raises Foreign."""
         if len(data) < HEAD.size + 16:
-            raise Foreign("too short")
+            raise AuthenticationFailed("too short")
         head = data[: HEAD.size]
         version, name, life, number = HEAD.unpack(head)
         key = self.keys.get(name)
         if version != VERSION or key is None:
-            raise Foreign("another version or key")
+            raise AuthenticationFailed("another version or key")
         cipher = self.theirs.get((name, life)) or derive(key, life.to_bytes(8, "big"), b"datagram")
         try:
             plain = cipher.decrypt(number.to_bytes(12, "big"), data[HEAD.size :], head)
         except InvalidTag:
-            raise Foreign("changed on its way, or forged") from None
+            raise AuthenticationFailed("changed on its way, or forged") from None
         self.theirs[name, life] = cipher
         if len(self.theirs) > CIPHERS_KEPT:
             self.theirs.popitem(last=False)
@@ -114,4 +114,4 @@
         try:
             return self.theirs.decrypt(self.got.to_bytes(12, "big"), data, None)
         except InvalidTag:
-            raise Foreign("changed on its way, or forged") from None
+            raise AuthenticationFailed("changed on its way, or forged") from None
--- a/flintlatch/peers/shell.py
+++ b/flintlatch/peers/shell.py
@@ -19,7 +19,7 @@
 from flintlatch.peers.core import Altered, Changed, Leave, Sync, Tick, Told
 from flintlatch.peers.member import Action, DatagramReceived, EntriesReceived, Event, Member, SendDatagram
 from flintlatch.peers.model import Record, Rules, State, View
-from flintlatch.peers.seal import HELLO, NONCE_BYTES, VERSION, Foreign, Seal, StreamSeal
+from flintlatch.peers.seal import HELLO, NONCE_BYTES, VERSION, AuthenticationFailed, Seal, StreamSeal
 from flintlatch.peers.wire import (
     Unreadable,
     pack,
@@ -230,7 +230,7 @@
                 raise Unreadable("longer than any of ours")
             life, number, plain = self.seal.open(data)
             envelope = unpack(plain, life, number)
-        except Foreign:
+        except AuthenticationFailed:
             self._foreign(f"a datagram from {addr[0]}")
             return
         except Unreadable:
@@ -280,7 +280,14 @@
                 await writer.drain()
                 self.counts.streams += 1
                 self._carry_out(actions)
-        except (OSError, ValueError, KeyError, asyncio.IncompleteReadError, Foreign, Unreadable) as error:
+        except (
+            OSError,
+            ValueError,
+            KeyError,
+            asyncio.IncompleteReadError,
+            AuthenticationFailed,
+            Unreadable,
+        ) as error:
             self._stream_failed(error, f"the answer of {address}")
         finally:
             self.streams_out -= 1
@@ -301,7 +308,7 @@
                 version, name, theirs = HELLO.unpack(await reader.readexactly(HELLO.size))
                 key = self.seal.keys.get(name)
                 if version != VERSION or key is None:
-                    raise Foreign("another version or key")
+                    raise AuthenticationFailed("another version or key")
                 nonce = os.urandom(NONCE_BYTES)
                 writer.write(nonce)
                 seal = StreamSeal(key, theirs, nonce, False)
@@ -313,7 +320,7 @@
                 if clock() - began > STREAM_S:
                     raise TimeoutError
                 self._carry_out(self.member.on_last(clock(), last, asked))
-        except (OSError, asyncio.IncompleteReadError, Foreign, Unreadable) as error:
+        except (OSError, asyncio.IncompleteReadError, AuthenticationFailed, Unreadable) as error:
             self._stream_failed(error, "a stream")
         except asyncio.CancelledError:
             pass
@@ -324,7 +331,7 @@
 
     def _stream_failed(self, error: Exception, what: str) -> None:
         self.counts.failed_streams += 1
-        if isinstance(error, Foreign):
+        if isinstance(error, AuthenticationFailed):
             self._foreign(what)
         elif isinstance(error, Unreadable):
             self.counts.unreadable += 1
--- a/tests/peers/test_guard.py
+++ b/tests/peers/test_guard.py
@@ -23,7 +23,7 @@
     Tick,
 )
 from flintlatch.peers.guard import ASKED_MOST, LIVES_MOST, WINDOW, Guard, Trust
-from flintlatch.peers.seal import BadKeys, Foreign, Seal, StreamSeal, read_keys
+from flintlatch.peers.seal import AuthenticationFailed, BadKeys, Seal, StreamSeal, read_keys
 from flintlatch.peers.wire import Unreadable, pack, pack_sync, unpack, unpack_sync
 from flintlatch.peers.words import DRIFT, Entry
 
@@ -116,12 +116,12 @@
     data = mine.close(9, b"plain")
     assert theirs.open(data) == (3, 9, b"plain")
     for place in range(len(data)):
-        with pytest.raises(Foreign):
+        with pytest.raises(AuthenticationFailed):
             theirs.open(data[:place] + bytes([data[place] ^ 1]) + data[place + 1 :])
     for wrong in (data[:20], b"", data + b"x"):
-        with pytest.raises(Foreign):
+        with pytest.raises(AuthenticationFailed):
             theirs.open(wrong)
-    with pytest.raises(Foreign):
+    with pytest.raises(AuthenticationFailed):
         stranger.open(data)
 
 
@@ -130,10 +130,10 @@
     first, second = asks.close(b"1"), asks.close(b"2")
     assert asked.open(first) == b"1" and asked.open(second) == b"2"
     for wrong in (first, asked.close(b"3")):
-        with pytest.raises(Foreign):
+        with pytest.raises(AuthenticationFailed):
             asked.open(wrong)
     other = StreamSeal(ONE, b"a" * 16, b"c" * 16, False)
-    with pytest.raises(Foreign):
+    with pytest.raises(AuthenticationFailed):
         other.open(first)  # a replay in another stream
 
 
