--- a/flintlatch/config/delivery.py
+++ b/flintlatch/config/delivery.py
@@ -27,7 +27,7 @@
 )
 from flintlatch.delivery.model import RELAY_RULES, Place, Rules
 from flintlatch.delivery.wire import FRAME_MOST
-from flintlatch.peers.seal import BadKeys, read_keys
+from flintlatch.peers.seal import InvalidKeyFile, read_keys
 
 KEY_MOST = 65_536  # bytes of a key file
 
@@ -112,7 +112,7 @@
         reader.problem("key_file", f"{path}: {error.strerror}", "a file that can be read")
     except UnicodeDecodeError:
         reader.problem("key_file", f"{path}: no text", "64 hexadecimal digits a line")
-    except BadKeys as error:
+    except InvalidKeyFile as error:
         reader.problem("key_file", "a file without keys", str(error))
     return ()
 
--- a/flintlatch/fleet/agreed.py
+++ b/flintlatch/fleet/agreed.py
@@ -16,7 +16,7 @@
 from flintlatch.limits.api import topics
 from flintlatch.peers import Census, CensusView, Entry, FleetPosition, Merge, Rules, State, Topic, View
 from flintlatch.peers.clock import clock
-from flintlatch.peers.seal import BadKeys, read_keys
+from flintlatch.peers.seal import InvalidKeyFile, read_keys
 from flintlatch.peers.shell import NotBound, Options, Shell
 from flintlatch.peers.words import SUBJECT_MOST, VALUE_MOST, EntryStore
 from flintlatch.verdicts.api import SEEN
@@ -80,7 +80,7 @@
             try:
                 shell = Shell(self._options(), self.topics(), self._on_view, self._on_news, self._on_told)
                 await shell.open()
-            except (NotBound, BadKeys, OSError) as error:
+            except (NotBound, InvalidKeyFile, OSError) as error:
                 self._complain(str(error))
                 await asyncio.sleep(OPEN_AGAIN_S)
                 continue
@@ -141,7 +141,7 @@
         if self.shell is not None:
             try:
                 self.shell.change_keys(self._keys())
-            except (BadKeys, OSError) as error:
+            except (InvalidKeyFile, OSError) as error:
                 self.log("error", f"peers: {error}; going on with the keys of before")
             self.shell.alter(config.fleet.instances)
 
--- a/flintlatch/fleet/delivered.py
+++ b/flintlatch/fleet/delivered.py
@@ -19,7 +19,7 @@
 from flintlatch.membership.delivered import Delivered
 from flintlatch.net.clock import now_ms
 from flintlatch.peers.clock import clock
-from flintlatch.peers.seal import BadKeys, read_keys
+from flintlatch.peers.seal import InvalidKeyFile, read_keys
 
 
 class Feed:
@@ -175,7 +175,7 @@
         try:
             with open(path, encoding="ascii", errors="replace") as file:
                 keys = read_keys(file.read(65536), path)
-        except (BadKeys, OSError) as error:
+        except (InvalidKeyFile, OSError) as error:
             if not self.feeds:
                 self.log("error", f"delivery: {error}; nothing is followed until a reload")
                 return Followed(self, None, service, on_event, str(error))
--- a/flintlatch/peers/seal.py
+++ b/flintlatch/peers/seal.py
@@ -34,7 +34,7 @@
     """Not sealed by a key of ours, or changed on its way."""
 
 
-class BadKeys(ValueError):
+class InvalidKeyFile(ValueError):
     """A key file that can't be used: where, what was expected. Never what was found: it may be a key."""
 
 
@@ -46,10 +46,12 @@
         if not line or line.startswith("#"):
             continue
         if not KEY.fullmatch(line):
-            raise BadKeys(f"{path}: line {place}: expected 64 hexadecimal digits")
+            raise InvalidKeyFile(f"{path}: line {place}: expected 64 hexadecimal digits")
         keys.append(bytes.fromhex(line))
     if not 1 <= len(keys) <= MOST_KEYS:
-        raise BadKeys(f"{path}: {len(keys)} keys, expected 1, or {MOST_KEYS} while one replaces the other")
+        raise InvalidKeyFile(
+            f"{path}: {len(keys)} keys, expected 1, or {MOST_KEYS} while one replaces the other"
+        )
     return tuple(keys)
 
 
--- a/tests/peers/test_guard.py
+++ b/tests/peers/test_guard.py
@@ -23,7 +23,7 @@
     Tick,
 )
 from flintlatch.peers.guard import ASKED_MOST, LIVES_MOST, WINDOW, Guard, Trust
-from flintlatch.peers.seal import AuthenticationFailed, BadKeys, Seal, StreamSeal, read_keys
+from flintlatch.peers.seal import AuthenticationFailed, InvalidKeyFile, Seal, StreamSeal, read_keys
 from flintlatch.peers.wire import Unreadable, pack, pack_sync, unpack, unpack_sync
 from flintlatch.peers.words import DRIFT, Entry
 
@@ -142,7 +142,7 @@
     [("", "0 keys"), ("ab", "line 1"), ("#\n" + "zz" * 32, "line 2"), ("\n".join([ONE.hex()] * 3), "3 keys")],
 )
 def test_a_key_file_that_is_none_is_refused_without_showing_it(text: str, words: str) -> None:
-    with pytest.raises(BadKeys, match=words) as caught:
+    with pytest.raises(InvalidKeyFile, match=words) as caught:
         read_keys(text, "f")
     assert "zz" not in str(caught.value)
 
