--- a/flintlatch/delivery/run.py
+++ b/flintlatch/delivery/run.py
@@ -19,7 +19,7 @@
 from flintlatch.delivery.source import LOOK_S, Source
 from flintlatch.delivery.subscriber import Changed
 from flintlatch.peers.clock import clock
-from flintlatch.peers.shell import NotBound
+from flintlatch.peers.shell import BindError
 
 PULSE_S = 1.0  # between two lines on how things stand
 ONCE_S = 10.0  # that `--once` waits for all of it: a few relays that are dead, and the transfer
@@ -52,7 +52,7 @@
 async def _opened(server: Server, tell: Callable[[str], None]) -> bool:
     try:
         await server.open()
-    except NotBound as error:
+    except BindError as error:
         tell(str(error))
         return False
     asyncio.get_running_loop().add_signal_handler(signal.SIGUSR1, lambda: tell(server.status()))
--- a/flintlatch/fleet/agreed.py
+++ b/flintlatch/fleet/agreed.py
@@ -17,7 +17,7 @@
 from flintlatch.peers import Census, CensusView, Entry, FleetPosition, Merge, Rules, State, Topic, View
 from flintlatch.peers.clock import clock
 from flintlatch.peers.seal import InvalidKeyFile, read_keys
-from flintlatch.peers.shell import NotBound, Options, Shell
+from flintlatch.peers.shell import BindError, Options, Shell
 from flintlatch.peers.words import SUBJECT_MOST, VALUE_MOST, EntryStore
 from flintlatch.verdicts.api import SEEN
 
@@ -80,7 +80,7 @@
             try:
                 shell = Shell(self._options(), self.topics(), self._on_view, self._on_news, self._on_told)
                 await shell.open()
-            except (NotBound, InvalidKeyFile, OSError) as error:
+            except (BindError, InvalidKeyFile, OSError) as error:
                 self._complain(str(error))
                 await asyncio.sleep(OPEN_AGAIN_S)
                 continue
--- a/flintlatch/peers/shell.py
+++ b/flintlatch/peers/shell.py
@@ -39,7 +39,7 @@
 LENGTH = struct.Struct(">I")
 
 
-class NotBound(Exception):
+class BindError(Exception):
     """The address can't be had; the text says why."""
 
 
@@ -99,7 +99,7 @@
             error = caught
             stream.close()
             datagram.close()
-    raise NotBound(f"peers {address}: {error.strerror if error else ''}")
+    raise BindError(f"peers {address}: {error.strerror if error else ''}")
 
 
 class Shell(asyncio.DatagramProtocol):
--- a/tests/delivery/test_shell.py
+++ b/tests/delivery/test_shell.py
@@ -15,7 +15,7 @@
 from flintlatch.delivery.shell import Server, Turns
 from flintlatch.delivery.wire import FRAME_MOST
 from flintlatch.peers.clock import clock
-from flintlatch.peers.shell import NotBound
+from flintlatch.peers.shell import BindError
 from tests.delivery.loopback import KEYS, LIMIT_S, RULES, fabric, run, until
 
 
@@ -156,7 +156,7 @@
     async def test() -> None:
         async with fabric() as made:
             origin = await made.serve("origin")
-            with pytest.raises(NotBound, match="in use"):
+            with pytest.raises(BindError, match="in use"):
                 await Server(Place("x"), origin.address, RULES, KEYS, made.told.append).open()
 
     run(test())
