--- a/flintlatch/delivery/stream.py
+++ b/flintlatch/delivery/stream.py
@@ -16,7 +16,7 @@
 
 from flintlatch.delivery.model import Message
 from flintlatch.delivery.wire import FRAME_MOST, Unreadable, encode
-from flintlatch.peers.seal import HELLO, NONCE_BYTES, VERSION, AuthenticationFailed, StreamSeal, named
+from flintlatch.peers.seal import HELLO, NONCE_BYTES, VERSION, AuthenticationFailed, StreamSeal, key_id
 
 LENGTH = struct.Struct(">I")
 HIGH_WATER = 64 * 1024  # bytes unsent with which a socket is paused, as one window is
@@ -70,7 +70,7 @@
         if sock is not None:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         if self.asks:
-            self._write(HELLO.pack(VERSION, named(self.keys[0]), self.nonce))
+            self._write(HELLO.pack(VERSION, key_id(self.keys[0]), self.nonce))
 
     def _write(self, data: bytes) -> None:
         assert self.transport is not None
@@ -124,7 +124,7 @@
             self.seal = StreamSeal(self.keys[0], self.nonce, theirs, True)
         else:
             version, name, theirs = HELLO.unpack(theirs)
-            key = next((key for key in self.keys if named(key) == name), None)
+            key = next((key for key in self.keys if key_id(key) == name), None)
             if version != VERSION or key is None:
                 raise AuthenticationFailed("another version or key")
             self._write(self.nonce)
--- a/flintlatch/peers/seal.py
+++ b/flintlatch/peers/seal.py
@@ -55,7 +55,7 @@
     return tuple(keys)
 
 
-def named(key: bytes) -> bytes:
+def key_id(key: bytes) -> bytes:
     return sha256(b"flintlatch key" + key).digest()[:4]
 
 
@@ -69,8 +69,8 @@
         self.change(keys)
 
     def change(self, keys: tuple[bytes, ...]) -> None:
-        self.keys = {named(key): key for key in keys}
-        self.first = named(keys[0])
+        self.keys = {key_id(key): key for key in keys}
+        self.first = key_id(keys[0])
         self.mine = derive(keys[0], self.life.to_bytes(8, "big"), b"datagram")
         self.theirs: OrderedDict[tuple[bytes, int], ChaCha20Poly1305] = OrderedDict()
 
--- a/tests/delivery/loopback.py
+++ b/tests/delivery/loopback.py
@@ -22,7 +22,7 @@
 from flintlatch.delivery.stream import LENGTH
 from flintlatch.delivery.subscriber import Changed
 from flintlatch.delivery.wire import encode, from_relay
-from flintlatch.peers.seal import HELLO, NONCE_BYTES, VERSION, StreamSeal, named
+from flintlatch.peers.seal import HELLO, NONCE_BYTES, VERSION, StreamSeal, key_id
 from flintlatch.peers.shell import split
 
 KEYS = (bytes(range(32)),)
@@ -125,7 +125,7 @@
         sock = socket.create_connection(split(address))
         raw = cls(*await asyncio.open_connection(sock=sock))
         nonce = os.urandom(NONCE_BYTES)
-        raw.writer.write(HELLO.pack(VERSION, named(KEYS[0]), nonce))
+        raw.writer.write(HELLO.pack(VERSION, key_id(KEYS[0]), nonce))
         raw.seal = StreamSeal(KEYS[0], nonce, await raw.reader.readexactly(NONCE_BYTES), True)
         return raw
 
