--- a/flintlatch/delivery/shell_above.py
+++ b/flintlatch/delivery/shell_above.py
@@ -8,7 +8,7 @@
 from flintlatch.delivery import subscriber
 from flintlatch.delivery.stream import Counts, Stream
 from flintlatch.delivery.wire import from_relay
-from flintlatch.peers.shell import split
+from flintlatch.peers.shell import split_address
 
 
 class Above:
@@ -47,7 +47,7 @@
         stream.on_frame = lambda plain: self._frame(number, plain)
         local = (self.local_host, 0) if self.local_host else None
         try:
-            host, port = split(address)
+            host, port = split_address(address)
             await asyncio.get_running_loop().create_connection(lambda: stream, host, port, local_addr=local)
         except (OSError, ValueError):
             self._lost(number, "")
--- a/flintlatch/delivery/shell_below.py
+++ b/flintlatch/delivery/shell_below.py
@@ -13,7 +13,7 @@
 from flintlatch.delivery import relay
 from flintlatch.delivery.stream import Counts, Stream
 from flintlatch.delivery.wire import from_subscriber
-from flintlatch.peers.shell import BindError, joined, split
+from flintlatch.peers.shell import BindError, joined, split_address
 
 HALF_OPEN_S = 2.0  # until the first frame: twice the time in which a subscriber gives a relay up
 HALF_OPEN_MOST = 256  # at once: half of all that a relay serves, come anew; the oldest makes room
@@ -34,7 +34,7 @@
 
     async def open(self) -> None:
         """Raises NotBound."""
-        host, port = split(self.bind)
+        host, port = split_address(self.bind)
         loop = asyncio.get_running_loop()
         sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET)
         try:
--- a/flintlatch/peers/shell.py
+++ b/flintlatch/peers/shell.py
@@ -71,7 +71,7 @@
     failed_streams: int = 0
 
 
-def split(address: str) -> tuple[str, int]:
+def split_address(address: str) -> tuple[str, int]:
     host, _, port = address.rpartition(":")
     return host.strip("[]"), int(port)
 
@@ -82,7 +82,7 @@
 
 def pair(address: str) -> tuple[socket.socket, socket.socket]:
     """A UDP and a listening TCP socket at one address. Raises NotBound."""
-    host, port = split(address)
+    host, port = split_address(address)
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     error: OSError | None = None
     for _ in range(1 if port else BIND_TRIES):
@@ -250,7 +250,7 @@
         if self.transport is None or self.transport.is_closing() or len(data) > DATAGRAM_MOST:
             return
         try:
-            self.transport.sendto(data, split(action.address))
+            self.transport.sendto(data, split_address(action.address))
         except (OSError, ValueError):
             return  # an address that can't be sent to is a member that does not answer
         self.counts.sent += 1
@@ -265,7 +265,7 @@
         writer: asyncio.StreamWriter | None = None
         try:
             async with asyncio.timeout(STREAM_S):
-                host, port = split(address)
+                host, port = split_address(address)
                 reader, writer = await asyncio.open_connection(host, port, local_addr=(self.host, 0))
                 nonce, name = os.urandom(NONCE_BYTES), self.seal.first
                 writer.write(HELLO.pack(VERSION, name, nonce))
--- a/flintlatch/standin/links.py
+++ b/flintlatch/standin/links.py
@@ -18,7 +18,7 @@
 from typing import Any, cast
 
 from flintlatch.lab.network import Link
-from flintlatch.peers.shell import pair, split
+from flintlatch.peers.shell import pair, split_address
 
 RESEND_S = 0.2  # that a lost part of a stream comes later, as the kernel's least time to send again
 HELD_BYTES = 256 * 1024  # that a way holds back before its sender is not read any more: a socket's buffer
@@ -162,7 +162,7 @@
     def _deliver(self, data: bytes) -> None:
         if self.transport is not None and not self.transport.is_closing():
             self.links.passed += 1
-            self.transport.sendto(data, split(self.target))
+            self.transport.sendto(data, split_address(self.target))
 
 
 class _Way(asyncio.Protocol):
@@ -193,7 +193,7 @@
         self.relay.loop.create_task(self._connect(self.other))
 
     async def _connect(self, other: _Way) -> None:
-        host, port = split(self.relay.target or "127.0.0.1:1")
+        host, port = split_address(self.relay.target or "127.0.0.1:1")
         try:
             await self.relay.loop.create_connection(lambda: other, host, port)
         except OSError:
--- a/tests/delivery/loopback.py
+++ b/tests/delivery/loopback.py
@@ -23,7 +23,7 @@
 from flintlatch.delivery.subscriber import Changed
 from flintlatch.delivery.wire import encode, from_relay
 from flintlatch.peers.seal import HELLO, NONCE_BYTES, VERSION, StreamSeal, key_id
-from flintlatch.peers.shell import split
+from flintlatch.peers.shell import split_address
 
 KEYS = (bytes(range(32)),)
 OTHER = (bytes(32),)
@@ -122,7 +122,7 @@
 
     @classmethod
     async def open(cls, address: str) -> Raw:
-        sock = socket.create_connection(split(address))
+        sock = socket.create_connection(split_address(address))
         raw = cls(*await asyncio.open_connection(sock=sock))
         nonce = os.urandom(NONCE_BYTES)
         raw.writer.write(HELLO.pack(VERSION, key_id(KEYS[0]), nonce))
--- a/tests/delivery/test_strangers.py
+++ b/tests/delivery/test_strangers.py
@@ -22,7 +22,7 @@
 from flintlatch.delivery.shell import Server
 from flintlatch.delivery.stream import FOREIGN, LENGTH, UNREADABLE
 from flintlatch.delivery.wire import FRAME_MOST, encode
-from flintlatch.peers.shell import split
+from flintlatch.peers.shell import split_address
 from tests.delivery.loopback import HELLO_AS_PROXY, KEYS, LIMIT_S, OTHER, RULES, Raw, fabric, run, until
 
 
@@ -99,7 +99,7 @@
             below = made.servers[0].below
             silent, most = [], 0
             for _ in range(40):
-                silent.append(await asyncio.open_connection(*split(origin.address)))
+                silent.append(await asyncio.open_connection(*split_address(origin.address)))
                 most = max(most, len(below.half_open))
             await until(lambda: below.counts.half_open >= 32, "no more than eight")
             assert most == 8
