--- a/flintlatch/delivery/shell_below.py
+++ b/flintlatch/delivery/shell_below.py
@@ -13,7 +13,7 @@
 from flintlatch.delivery import relay
 from flintlatch.delivery.stream import Counts, Stream
 from flintlatch.delivery.wire import from_subscriber
-from flintlatch.peers.shell import BindError, joined, split_address
+from flintlatch.peers.shell import BindError, join_address, split_address
 
 HALF_OPEN_S = 2.0  # until the first frame: twice the time in which a subscriber gives a relay up
 HALF_OPEN_MOST = 256  # at once: half of all that a relay serves, come anew; the oldest makes room
@@ -45,7 +45,7 @@
         except OSError as error:
             sock.close()
             raise BindError(f"delivery {self.bind}: {error.strerror or error}") from None
-        self.address = joined(*sock.getsockname()[:2])
+        self.address = join_address(*sock.getsockname()[:2])
 
     def close(self) -> None:
         self.closed = True
--- a/flintlatch/peers/shell.py
+++ b/flintlatch/peers/shell.py
@@ -76,7 +76,7 @@
     return host.strip("[]"), int(port)
 
 
-def joined(host: str, port: int) -> str:
+def join_address(host: str, port: int) -> str:
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
 
 
@@ -134,7 +134,7 @@
         options = self.options
         datagram, stream = pair(options.bind)
         self.host, self.port = datagram.getsockname()[:2]
-        self.address = options.advertise or joined(self.host, self.port)
+        self.address = options.advertise or join_address(self.host, self.port)
         life = int.from_bytes(os.urandom(6), "big") or 1
         me = Record(
             options.name, self.address, 0, State.ALIVE, life, options.instances, options.zone, options.region
