--- a/flintlatch/peers/shell.py
+++ b/flintlatch/peers/shell.py
@@ -80,7 +80,7 @@
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
 
 
-def pair(address: str) -> tuple[socket.socket, socket.socket]:
+def bind_pair(address: str) -> tuple[socket.socket, socket.socket]:
     """A UDP and a listening TCP socket at one address. Raises NotBound."""
     host, port = split_address(address)
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
@@ -132,7 +132,7 @@
     async def open(self) -> None:
         """Raises NotBound."""
         options = self.options
-        datagram, stream = pair(options.bind)
+        datagram, stream = bind_pair(options.bind)
         self.host, self.port = datagram.getsockname()[:2]
         self.address = options.advertise or join_address(self.host, self.port)
         life = int.from_bytes(os.urandom(6), "big") or 1
--- a/flintlatch/standin/links.py
+++ b/flintlatch/standin/links.py
@@ -18,7 +18,7 @@
 from typing import Any, cast
 
 from flintlatch.lab.network import Link
-from flintlatch.peers.shell import pair, split_address
+from flintlatch.peers.shell import bind_pair, split_address
 
 RESEND_S = 0.2  # that a lost part of a stream comes later, as the kernel's least time to send again
 HELD_BYTES = 256 * 1024  # that a way holds back before its sender is not read any more: a socket's buffer
@@ -123,7 +123,7 @@
         self.loop = asyncio.get_running_loop()
 
     async def open(self, datagrams: bool) -> None:
-        datagram, stream = pair("127.0.0.1:0")
+        datagram, stream = bind_pair("127.0.0.1:0")
         self.address = "{}:{}".format(*stream.getsockname()[:2])
         if datagrams:
             await self.loop.create_datagram_endpoint(lambda: self, sock=datagram)
