--- a/flintlatch/fleet/agreed.py
+++ b/flintlatch/fleet/agreed.py
@@ -18,7 +18,7 @@
 from flintlatch.peers.clock import clock
 from flintlatch.peers.seal import InvalidKeyFile, read_keys
 from flintlatch.peers.shell import BindError, Options, Shell
-from flintlatch.peers.words import MAX_SUBJECT_CHARS, VALUE_MOST, EntryStore
+from flintlatch.peers.words import MAX_SUBJECT_CHARS, MAX_VALUE_BYTES, EntryStore
 from flintlatch.verdicts.api import SEEN
 
 OPEN_AGAIN_S = 0.5  # until an address that a predecessor may still hold is tried again
@@ -215,8 +215,8 @@
     def note(self, subject: str, text: str, for_s: float) -> Message:
         if self.shell is None:
             return {"ok": False, "reason": self.complaint or "not a member yet"}
-        if not 1 <= len(text.encode()) <= VALUE_MOST or not 1 <= len(subject) <= MAX_SUBJECT_CHARS:
-            return {"ok": False, "reason": f"expected a text of 1 to {VALUE_MOST} bytes"}
+        if not 1 <= len(text.encode()) <= MAX_VALUE_BYTES or not 1 <= len(subject) <= MAX_SUBJECT_CHARS:
+            return {"ok": False, "reason": f"expected a text of 1 to {MAX_VALUE_BYTES} bytes"}
         if not NOTE_LEAST_S <= for_s <= NOTES.life_s:
             return {"ok": False, "reason": f"expected {NOTE_LEAST_S:g} to {NOTES.life_s:g} s"}
         try:
--- a/flintlatch/peers/words.py
+++ b/flintlatch/peers/words.py
@@ -28,7 +28,7 @@
 SHRINK = (1 - DRIFT) / (1 + DRIFT)  # of what is left, at each hop
 RENEW = 3  # times in its life that a word still held is said anew: two may be lost
 EPOCH_MOST = 2**53  # a word at or beyond it is none: its sayer could not outdo it
-TOPIC_MOST, MAX_SUBJECT_CHARS, VALUE_MOST = 16, 96, 512  # characters, characters, bytes
+TOPIC_MOST, MAX_SUBJECT_CHARS, MAX_VALUE_BYTES = 16, 96, 512  # characters, characters, bytes
 HEAD = 24  # bytes of a word as packed, beside its texts and its value, at the most
 QUANTUM = 256  # bytes that a topic's turn adds to what it may put into a datagram
 
@@ -161,7 +161,7 @@
         life_s = life_s or rules.life_s
         if not 0 < life_s <= rules.life_s:
             raise ValueError(f"{topic}: a life of {life_s} s, expected above 0 and at most {rules.life_s:g}")
-        if len(subject) > MAX_SUBJECT_CHARS or len(value) > VALUE_MOST:
+        if len(subject) > MAX_SUBJECT_CHARS or len(value) > MAX_VALUE_BYTES:
             raise ValueError(f"{topic}: subject or value too long ({len(subject)}, {len(value)} bytes)")
         same = self.mine.get((topic, subject))
         if same is None and sum(key[0] == topic for key in self.mine) >= rules.each:
@@ -312,7 +312,7 @@
     def _fault(self, word: Entry) -> str:
         if not (1 <= len(word.topic) <= TOPIC_MOST and 1 <= len(word.origin) <= NAME_MOST):
             return "topic or origin"
-        if len(word.subject) > MAX_SUBJECT_CHARS or len(word.value) > VALUE_MOST:
+        if len(word.subject) > MAX_SUBJECT_CHARS or len(word.value) > MAX_VALUE_BYTES:
             return "too long"
         if not 0 < word.epoch < EPOCH_MOST:
             return "epoch"
