--- a/flintlatch/limits/model.py
+++ b/flintlatch/limits/model.py
@@ -15,21 +15,21 @@
 
 from flintlatch.limits.rows import MOST_HOLDERS, MOST_LIMITS, Limit, Terms, WhenCut
 from flintlatch.peers import Merge, Topic
-from flintlatch.peers.words import DRIFT
+from flintlatch.peers.words import MAX_CLOCK_DRIFT
 
 GRANTS_MOST = MOST_LIMITS * MOST_HOLDERS  # words of one keeper
 
 
 def over_s(terms: Terms) -> float:
     """When nobody believes a word of a term any more, counted on any clock since it was said."""
-    return terms.term_s * (1 + DRIFT) / (1 - DRIFT) + 0.01 * terms.term_s
+    return terms.term_s * (1 + MAX_CLOCK_DRIFT) / (1 - MAX_CLOCK_DRIFT) + 0.01 * terms.term_s
 
 
 def most(limit: Limit, terms: Terms, window_s: float, instances: int, cut: bool = True) -> float:
     """The stated bound: requests taken by all fleets in any window. A rate's clock may be fast by DRIFT; each
     instance may hold one whole request beyond its part of the burst."""
     factor = terms.cut_factor if cut and limit.when_cut is WhenCut.OPEN else 1.0
-    return factor * (limit.per_s * window_s * (1 + DRIFT) + limit.burst) + instances
+    return factor * (limit.per_s * window_s * (1 + MAX_CLOCK_DRIFT) + limit.burst) + instances
 
 
 def topics(term_s: float) -> tuple[Topic, Topic, Topic]:
--- a/flintlatch/peers/words.py
+++ b/flintlatch/peers/words.py
@@ -24,8 +24,10 @@
 
 from flintlatch.peers.model import NAME_MOST, tenfolds
 
-DRIFT = 0.01  # by which a clock's rate may be off: a hundred times what a quartz is, ten what NTP slews
-SHRINK = (1 - DRIFT) / (1 + DRIFT)  # of what is left, at each hop
+MAX_CLOCK_DRIFT = (
+    0.01  # by which a clock's rate may be off: a hundred times what a quartz is, ten what NTP slews
+)
+SHRINK = (1 - MAX_CLOCK_DRIFT) / (1 + MAX_CLOCK_DRIFT)  # of what is left, at each hop
 RENEW = 3  # times in its life that a word still held is said anew: two may be lost
 EPOCH_MOST = 2**53  # a word at or beyond it is none: its sayer could not outdo it
 TOPIC_MOST, MAX_SUBJECT_CHARS, MAX_VALUE_BYTES = 16, 96, 512  # characters, characters, bytes
@@ -148,7 +150,7 @@
         """The stated bound: nobody reads a word later than this after it was said, in true time, while every
         clock's rate is within DRIFT. The sayer's own clock may be slow by DRIFT; each hop takes off more than
         its two clocks can add."""
-        return life_s / (1 - DRIFT)
+        return life_s / (1 - MAX_CLOCK_DRIFT)
 
     # Subsystems
 
--- a/tests/fleet/test_peers.py
+++ b/tests/fleet/test_peers.py
@@ -16,7 +16,7 @@
 
 from flintlatch.lab.network import Link
 from flintlatch.peers.clock import clock
-from flintlatch.peers.words import DRIFT
+from flintlatch.peers.words import MAX_CLOCK_DRIFT
 from flintlatch.standin.fleets import QUICK, Fleets, fleets
 from flintlatch.standin.links import draw, read, written
 from flintlatch.standin.process import alive
@@ -150,7 +150,9 @@
                 await say(made, "f0", f"note {turn}", 1.0)
                 last = clock()
                 await asyncio.sleep(0.2)
-            while clock() < last + 1.0 / (1 - DRIFT):  # the stated bound, by the machine's own clock
+            while clock() < last + 1.0 / (
+                1 - MAX_CLOCK_DRIFT
+            ):  # the stated bound, by the machine's own clock
                 await asyncio.sleep(0.02)
             made.wake("f1")
             seen: set[str] = set()
--- a/tests/peers/test_guard.py
+++ b/tests/peers/test_guard.py
@@ -25,7 +25,7 @@
 from flintlatch.peers.guard import ASKED_MOST, LIVES_MOST, WINDOW, Guard, Trust
 from flintlatch.peers.seal import AuthenticationFailed, InvalidKeyFile, Seal, StreamSeal, read_keys
 from flintlatch.peers.wire import Unreadable, pack, pack_sync, unpack, unpack_sync
-from flintlatch.peers.words import DRIFT, Entry
+from flintlatch.peers.words import MAX_CLOCK_DRIFT, Entry
 
 ONE, OTHER = bytes(range(32)), bytes(32)
 
@@ -58,7 +58,7 @@
 def test_a_sending_is_never_held_to_be_later_than_it_was(seed: int, steps: list[tuple[float, float]]) -> None:
     """Two clocks at rates of their own; some datagrams answer us, all take any time on their way."""
     rng, guard, true = Random(seed), Guard(), 100.0
-    ours, theirs = (1 + rng.uniform(-DRIFT, DRIFT) for _ in range(2))
+    ours, theirs = (1 + rng.uniform(-MAX_CLOCK_DRIFT, MAX_CLOCK_DRIFT) for _ in range(2))
     for number, (wait, way) in enumerate(steps, 1):
         asked = true
         guard.ask(number, ours * asked)
--- a/tests/peers/test_words.py
+++ b/tests/peers/test_words.py
@@ -11,7 +11,7 @@
 from flintlatch.lab.members import Members
 from flintlatch.lab.network import Link
 from flintlatch.peers import Entry, EntryStore, Merge, Topic
-from flintlatch.peers.words import DRIFT, HEAD, OTHER_MOST, OTHER_S, SHRINK
+from flintlatch.peers.words import HEAD, MAX_CLOCK_DRIFT, OTHER_MOST, OTHER_S, SHRINK
 
 LOAD = Topic("load", Merge.EACH, 5.0, each=4, most=64)
 PLAN = Topic("plan", Merge.LAST, 5.0, most=8)
@@ -165,7 +165,7 @@
     plan: list[tuple[str, int, int, float]], seed: int
 ) -> None:
     """An auditor with the true time: what any member reads was said no longer ago than the stated bound."""
-    members = Members(seed, topics=(LOAD,), drift=DRIFT)
+    members = Members(seed, topics=(LOAD,), drift=MAX_CLOCK_DRIFT)
     names = members.fleet(4)
     members.run(3.0)
     said: dict[tuple[str, bytes], float] = {}  # the last moment at which its sayer stood to it
