--- a/bench/scale/limits.py
+++ b/bench/scale/limits.py
@@ -24,7 +24,7 @@
 from flintlatch.limits.api import Ask, Limit, Mark, Terms, WhenCut, topics
 from flintlatch.limits.model import holder, write_ask
 from flintlatch.peers import DatagramReceived, Entry, Kind, Message, Record, Rules, State, Topic
-from flintlatch.peers.member import ROOM, Envelope
+from flintlatch.peers.member import PAYLOAD_BYTES, Envelope
 from flintlatch.peers.wire import pack, unpack
 
 ROWS, ROWS_SMALL = (1, 10, 64, 256), (1, 10)
@@ -89,7 +89,7 @@
 def arrive(members: Hollow, sender: Record, number: int, words: list[Entry]) -> int:
     """Entries come to f0 in as many datagrams as they need. Returns the last one's number."""
     while words:
-        room, some = ROOM, list[Entry]()
+        room, some = PAYLOAD_BYTES, list[Entry]()
         while words and words[-1].cost() <= room:
             some.append(words.pop())
             room -= some[-1].cost()
--- a/flintlatch/peers/member.py
+++ b/flintlatch/peers/member.py
@@ -29,7 +29,9 @@
 from flintlatch.peers.model import Kind, Message, RandomSource, Record, Rules, State
 from flintlatch.peers.words import Entry, EntryStore, Topic
 
-ROOM = 1100  # bytes of records and words: 1,400 less the seal (37) and the envelope's own (at most 250)
+PAYLOAD_BYTES = (
+    1100  # bytes of records and words: 1,400 less the seal (37) and the envelope's own (at most 250)
+)
 FLUSH_S = 0.2  # s at least between two pushes of news
 FANOUT = 3  # members that one push goes to
 STRANGERS_MOST = 256  # addresses asked back at the same time ...
@@ -229,7 +231,7 @@
                 while len(self.asked_of) > STRANGERS_MOST:
                     self.asked_of.popitem(last=False)
         self.number += 1
-        room = ROOM - sum(record.cost() for record in message.gossip)
+        room = PAYLOAD_BYTES - sum(record.cost() for record in message.gossip)
         words = tuple(self.entry_store.fill(now, room)) if self.peers.joined else ()
         me = self.me
         return SendDatagram(
