--- a/bench/peers.py
+++ b/bench/peers.py
@@ -39,7 +39,7 @@
 SAY_S, READ_S = 0.4, 0.05  # between two notes of one fleet, two readings of one
 AGREE_S = 60.0
 TICKS = os.sysconf("SC_CLK_TCK")
-WORD = Topic("word", Merge.EACH, 10.0)
+WORD = Topic("word", Merge.PER_MEMBER, 10.0)
 
 
 def quantile(values: list[float], part: float) -> float:
--- a/flintlatch/peers/words.py
+++ b/flintlatch/peers/words.py
@@ -38,7 +38,7 @@
 class Merge(Enum):
     """Which of two words on one subject stands."""
 
-    EACH = "each"  # one from each member, the later by its epoch
+    PER_MEMBER = "each"  # one from each member, the later by its epoch
     LAST = "last"  # one for all members, the highest (epoch, member)
 
 
@@ -222,7 +222,7 @@
                 self._hear_own(now, word)
                 continue
             rules = self.topics.get(word.topic)
-            key = self._key(rules.merge if rules else Merge.EACH, word.topic, word.origin, word.subject)
+            key = self._key(rules.merge if rules else Merge.PER_MEMBER, word.topic, word.origin, word.subject)
             held = self.held.get(key)
             if held is not None and self._order(word) <= self._order(held.word):
                 if word[:5] == held.word[:5]:
@@ -302,7 +302,7 @@
 
     @staticmethod
     def _key(merge: Merge, topic: str, origin: str, subject: str) -> Key:
-        return topic, origin if merge is Merge.EACH else "", subject
+        return topic, origin if merge is Merge.PER_MEMBER else "", subject
 
     @staticmethod
     def _order(word: Entry) -> tuple[int, str, bytes]:
@@ -354,7 +354,7 @@
 
     def _put(self, now: float, word: Entry, ends: float) -> None:
         rules = self.topics.get(word.topic)
-        key = self._key(rules.merge if rules else Merge.EACH, word.topic, word.origin, word.subject)
+        key = self._key(rules.merge if rules else Merge.PER_MEMBER, word.topic, word.origin, word.subject)
         before = self.held.get(key)
         if before is not None:
             self._count(before.word, -1)
