--- a/bench/scale/limits.py
+++ b/bench/scale/limits.py
@@ -90,9 +90,9 @@
     """Entries come to f0 in as many datagrams as they need. Returns the last one's number."""
     while words:
         room, some = PAYLOAD_BYTES, list[Entry]()
-        while words and words[-1].cost() <= room:
+        while words and words[-1].encoded_bytes() <= room:
             some.append(words.pop())
-            room -= some[-1].cost()
+            room -= some[-1].encoded_bytes()
         number += 1
         now, news = members.engine.now, Message(Kind.GOSSIP, 0, "f0")
         one = Envelope(sender.name, sender.address, sender.life, number, now, 1, news, tuple(some))
--- a/flintlatch/peers/core.py
+++ b/flintlatch/peers/core.py
@@ -464,9 +464,9 @@
         most = self.rules.retransmit * ceil(tenfolds(len(self.view)))
         told = self.view.get(target)
         words = [told] if told is not None and told.state is State.SUSPECT else []
-        room = self.rules.gossip_bytes - sum(record.cost() for record in words)
+        room = self.rules.gossip_bytes - sum(record.encoded_bytes() for record in words)
         for queued in nsmallest(self.rules.gossip_most, self.queue.values(), key=lambda q: q.sent):
-            cost = queued.record.cost()
+            cost = queued.record.encoded_bytes()
             if len(words) >= self.rules.gossip_most or cost > room:
                 break
             if queued.record not in words:
--- a/flintlatch/peers/member.py
+++ b/flintlatch/peers/member.py
@@ -231,7 +231,7 @@
                 while len(self.asked_of) > STRANGERS_MOST:
                     self.asked_of.popitem(last=False)
         self.number += 1
-        room = PAYLOAD_BYTES - sum(record.cost() for record in message.gossip)
+        room = PAYLOAD_BYTES - sum(record.encoded_bytes() for record in message.gossip)
         words = tuple(self.entry_store.fill(now, room)) if self.peers.joined else ()
         me = self.me
         return SendDatagram(
--- a/flintlatch/peers/model.py
+++ b/flintlatch/peers/model.py
@@ -57,7 +57,7 @@
             return True
         return (self.incarnation, self.state, self.life) > (other.incarnation, other.state, other.life)
 
-    def cost(self) -> int:
+    def encoded_bytes(self) -> int:
         """Bytes that it takes in a datagram, at the most."""
         texts = (self.name, self.address, self.zone, self.region, self.accuser)
         return 32 + sum(len(text.encode()) + 2 for text in texts)
--- a/flintlatch/peers/words.py
+++ b/flintlatch/peers/words.py
@@ -75,7 +75,7 @@
     value: bytes
     left_s: float
 
-    def cost(self) -> int:
+    def encoded_bytes(self) -> int:
         return HEAD + len(self.topic) + len(self.origin) + len(self.subject.encode()) + len(self.value)
 
 
@@ -257,7 +257,7 @@
                     if held is not None:
                         held.queued = False
                     continue
-                cost = held.word.cost()
+                cost = held.word.encoded_bytes()
                 if cost > lane.deficit or cost > room:
                     break
                 key = lane.keys.popleft()
@@ -276,7 +276,7 @@
                 self.turn.rotate(-1)
                 # What the datagram had no room for is not saved up, but for one long word.
                 head = self.held.get(lane.keys[0])
-                lane.deficit = min(lane.deficit, float(head.word.cost() if head is not None else 0))
+                lane.deficit = min(lane.deficit, float(head.word.encoded_bytes() if head is not None else 0))
             else:
                 self.turn.popleft()
                 lane.deficit = 0.0
--- a/tests/peers/test_guard.py
+++ b/tests/peers/test_guard.py
@@ -168,7 +168,7 @@
     sent = Envelope("a", "a:1", 3, 4, 5.5, 6, Message(Kind.ACK, 7, "b", tuple(gossip)), (word,))
     data = pack(sent)
     assert unpack(data, 3, 4) == sent
-    assert len(data) <= 200 + sum(r.cost() for r in gossip) + word.cost()
+    assert len(data) <= 200 + sum(r.encoded_bytes() for r in gossip) + word.encoded_bytes()
     for broken in (noise, data[: len(noise)], noise + data):
         for read in (lambda b: unpack(b, 1, 1), unpack_sync):
             with suppress(Unreadable):
--- a/tests/peers/test_words.py
+++ b/tests/peers/test_words.py
@@ -130,7 +130,7 @@
     core.hear(0.0, 0.0, [word("liar", subject=f"s{n}", value=b"x" * 60, topic="flood") for n in range(2000)])
     core.hear(0.0, 0.0, [word("x")])
     filled = core.fill(0.1, 600)
-    assert "load" in {w.topic for w in filled} and sum(w.cost() for w in filled) <= 600
+    assert "load" in {w.topic for w in filled} and sum(w.encoded_bytes() for w in filled) <= 600
     for n in range(200):  # each new word of the small one is in the next datagram
         core.hear(1.0 + n, 1.0 + n, [word("x", 2 + n)])
         assert 2 + n in {w.epoch for w in core.fill(1.0 + n, 600) if w.topic == "load"}
