--- a/flintlatch/fleet/agreed.py
+++ b/flintlatch/fleet/agreed.py
@@ -185,7 +185,7 @@
         for word in words:
             if word.topic == NOTES.name and word.value:
                 text = word.value.decode("utf-8", "replace")
-                self.log("info", f"note of {word.origin}, for {word.left_s:.0f} s: {text}")
+                self.log("info", f"note of {word.origin}, for {word.remaining_s:.0f} s: {text}")
 
     def _on_told(self, text: str) -> None:
         self.log("warning", text)
--- a/flintlatch/peers/wire.py
+++ b/flintlatch/peers/wire.py
@@ -72,7 +72,7 @@
 
 def _packed_words(words: tuple[Entry, ...]) -> list[_Word]:
     # Rounded down: a word must not gain on its way.
-    return [_Word(w.topic, w.origin, w.subject, w.epoch, w.value, int(w.left_s * 1000)) for w in words]
+    return [_Word(w.topic, w.origin, w.subject, w.epoch, w.value, int(w.remaining_s * 1000)) for w in words]
 
 
 def _words(rows: list[_Word]) -> tuple[Entry, ...]:
--- a/flintlatch/peers/words.py
+++ b/flintlatch/peers/words.py
@@ -73,7 +73,7 @@
     subject: str
     epoch: int
     value: bytes
-    left_s: float
+    remaining_s: float
 
     def encoded_bytes(self) -> int:
         return HEAD + len(self.topic) + len(self.origin) + len(self.subject.encode()) + len(self.value)
@@ -214,7 +214,7 @@
             if fault:
                 self.counts.refused += 1
                 continue
-            ends = min(sent, now) + word.left_s * SHRINK
+            ends = min(sent, now) + word.remaining_s * SHRINK
             if ends <= now:
                 self.counts.late += 1
                 continue
@@ -262,7 +262,7 @@
                     break
                 key = lane.keys.popleft()
                 put.add(key)
-                words.append(held.word._replace(left_s=held.ends - now))
+                words.append(held.word._replace(remaining_s=held.ends - now))
                 lane.deficit, room = lane.deficit - cost, room - cost
                 held.sent += 1
                 if held.sent < most:
@@ -296,7 +296,7 @@
             self.shown %= len(there)
             there = (there[self.shown :] + there[: self.shown])[:most]
             self.shown += most
-        return [held.word._replace(left_s=held.ends - now) for held in there]
+        return [held.word._replace(remaining_s=held.ends - now) for held in there]
 
     # One word
 
@@ -318,7 +318,7 @@
             return "too long"
         if not 0 < word.epoch < EPOCH_MOST:
             return "epoch"
-        if not 0 < word.left_s <= self._life(word.topic):
+        if not 0 < word.remaining_s <= self._life(word.topic):
             return "a life that its topic does not allow"  # also one that is no number
         return ""
 
@@ -331,7 +331,7 @@
         held = self.held.get(self._key(rules.merge, word.topic, self.me, word.subject))
         if mine is None:
             if held is None and word.value and self._room(now, word, rules):
-                self._put(now, word._replace(epoch=word.epoch + 1, value=b""), now + word.left_s)
+                self._put(now, word._replace(epoch=word.epoch + 1, value=b""), now + word.remaining_s)
         elif (word.epoch, word.value) > (mine.epoch, mine.value):
             mine.epoch = word.epoch
             self.say(now, mine.topic, mine.subject, mine.value, mine.life_s, mine.renew)
