--- a/bench/peers.py
+++ b/bench/peers.py
@@ -98,9 +98,9 @@
                 age = began - self.done.get(key, began)
                 self.seen += 1
                 self.ways.setdefault((key, name), began - at)
-                self.loose = max(self.loose, (began - at) / EntryStore.stale_s(for_s))
-                if age / EntryStore.stale_s(for_s) > self.worst:
-                    self.worst = age / EntryStore.stale_s(for_s)
+                self.loose = max(self.loose, (began - at) / EntryStore.staleness_bound_s(for_s))
+                if age / EntryStore.staleness_bound_s(for_s) > self.worst:
+                    self.worst = age / EntryStore.staleness_bound_s(for_s)
                     self.worst_line = (
                         f"{name} believed a note of {note['by']} {age:.3f} s after, for {for_s} s"
                     )
--- a/flintlatch/fleet/agreed.py
+++ b/flintlatch/fleet/agreed.py
@@ -223,7 +223,7 @@
             self.shell.say(NOTES.name, subject, text.encode(), for_s, renew=False)
         except ValueError as error:
             return {"ok": False, "reason": str(error)}
-        return {"ok": True, "until_at_most_s": round(EntryStore.stale_s(for_s), 3)}
+        return {"ok": True, "until_at_most_s": round(EntryStore.staleness_bound_s(for_s), 3)}
 
     def notes(self) -> list[dict[str, Any]]:
         if self.shell is None:
@@ -290,7 +290,7 @@
                 "found_dead_s": round(peers.detection_s(alive), 1),
                 "number_falls_s": round(Census.late_s(peers.detection_s(alive), self.table.hold_s), 1),
                 "instances_alone_s": self.table.word_s,
-                "words": {t.name: round(EntryStore.stale_s(t.life_s), 1) for t in shell.topics},
+                "words": {t.name: round(EntryStore.staleness_bound_s(t.life_s), 1) for t in shell.topics},
             },
             "counts": self.counts(),
         }
--- a/flintlatch/fleet/judging.py
+++ b/flintlatch/fleet/judging.py
@@ -143,5 +143,5 @@
             "servers": rows,
             "ill": sorted(self.found.ill),
             "many": self.found.many,
-            "alone_within_s": round(2 * EntryStore.stale_s(self.rules.life_s), 2),
+            "alone_within_s": round(2 * EntryStore.staleness_bound_s(self.rules.life_s), 2),
         }
--- a/flintlatch/peers/words.py
+++ b/flintlatch/peers/words.py
@@ -146,7 +146,7 @@
     # What the program prints
 
     @staticmethod
-    def stale_s(life_s: float) -> float:
+    def staleness_bound_s(life_s: float) -> float:
         """The stated bound: nobody reads a word later than this after it was said, in true time, while every
         clock's rate is within DRIFT. The sayer's own clock may be slow by DRIFT; each hop takes off more than
         its two clocks can add."""
