--- a/flintlatch/fleet/agreed.py
+++ b/flintlatch/fleet/agreed.py
@@ -234,7 +234,7 @@
                 "by": said.origin,
                 "subject": said.subject,
                 "text": said.value.decode("utf-8", "replace"),
-                "left_s": round(said.ends - now, 3),
+                "left_s": round(said.expires_at - now, 3),
             }
             for said in self.shell.member.entry_store.read(now, NOTES.name)
         ]
--- a/flintlatch/fleet/limiting.py
+++ b/flintlatch/fleet/limiting.py
@@ -183,7 +183,7 @@
                 vote = read_vote(said.value)
             except Malformed:
                 continue
-            votes[said.origin] = vote, said.ends
+            votes[said.origin] = vote, said.expires_at
             seat.hear(vote)
         vote_now = (
             seat.vote(now, self._there(shell)) if now >= self.vote_at or self.voted is None else self.voted
@@ -193,7 +193,7 @@
             self.voted, self.vote_at = vote_now, now + self.terms.term_s / RENEW
             # Our own counts from its saying, as everybody's: the carrier holds it.
             own = shell.member.entry_store.read(now, "vote")
-            votes |= {s.origin: (vote_now, s.ends) for s in own if s.origin == shell.member.me.name}
+            votes |= {s.origin: (vote_now, s.expires_at) for s in own if s.origin == shell.member.me.name}
         elif vote_now is None:
             self.voted = None
         before = seat.kept_since
@@ -209,7 +209,7 @@
         mine = f"{holder_of(me.name, me.life)} {limit.name}"
         for said in shell.member.entry_store.read(now, "grant", mine):
             try:
-                holder.hear(now, said.origin, read_grant(said.value), said.ends)
+                holder.hear(now, said.origin, read_grant(said.value), said.expires_at)
             except Malformed:
                 continue
         needs = {
--- a/flintlatch/peers/words.py
+++ b/flintlatch/peers/words.py
@@ -86,13 +86,13 @@
     subject: str
     epoch: int
     value: bytes
-    ends: float  # on this member's clock
+    expires_at: float  # on this member's clock
 
 
 @dataclass(slots=True)
 class Held:
     word: Entry
-    ends: float
+    expires_at: float
     sent: int = 0
     queued: bool = False
 
@@ -182,9 +182,9 @@
     def read(self, now: float, topic: str, subject: str | None = None) -> list[Said]:
         """All that holds at this moment, by (subject, member)."""
         found = [
-            Said(held.word.origin, held.word.subject, held.word.epoch, held.word.value, held.ends)
+            Said(held.word.origin, held.word.subject, held.word.epoch, held.word.value, held.expires_at)
             for held in self.by_topic.get(topic, {}).values()
-            if held.ends > now and held.word.value and (subject is None or held.word.subject == subject)
+            if held.expires_at > now and held.word.value and (subject is None or held.word.subject == subject)
         ]
         return sorted(found, key=lambda said: (said.subject, said.origin))
 
@@ -203,7 +203,7 @@
         if now >= self.looked + 1.0:
             self.looked = now
             for key, held in list(self.held.items()):
-                if now >= held.ends + self._life(key[0]):
+                if now >= held.expires_at + self._life(key[0]):
                     self._drop(key)
 
     def hear(self, now: float, sent: float, words: Iterable[Entry]) -> list[Entry]:
@@ -214,8 +214,8 @@
             if fault:
                 self.counts.refused += 1
                 continue
-            ends = min(sent, now) + word.remaining_s * SHRINK
-            if ends <= now:
+            expires_at = min(sent, now) + word.remaining_s * SHRINK
+            if expires_at <= now:
                 self.counts.late += 1
                 continue
             if word.origin == self.me:
@@ -226,12 +226,14 @@
             held = self.held.get(key)
             if held is not None and self._order(word) <= self._order(held.word):
                 if word[:5] == held.word[:5]:
-                    held.ends = max(held.ends, ends)  # of two bounds from below the better one
+                    held.expires_at = max(
+                        held.expires_at, expires_at
+                    )  # of two bounds from below the better one
                 continue
             if held is None and not self._room(now, word, rules):
                 self.counts.refused += 1
                 continue
-            self._put(now, word, ends)
+            self._put(now, word, expires_at)
             self.counts.taken += 1
             news.append(word)
         return news
@@ -252,7 +254,7 @@
                 if lane.keys[0] in put:
                     break
                 held = self.held.get(lane.keys[0])
-                if held is None or held.ends <= now or not held.queued:
+                if held is None or held.expires_at <= now or not held.queued:
                     lane.keys.popleft()
                     if held is not None:
                         held.queued = False
@@ -262,7 +264,7 @@
                     break
                 key = lane.keys.popleft()
                 put.add(key)
-                words.append(held.word._replace(remaining_s=held.ends - now))
+                words.append(held.word._replace(remaining_s=held.expires_at - now))
                 lane.deficit, room = lane.deficit - cost, room - cost
                 held.sent += 1
                 if held.sent < most:
@@ -291,12 +293,12 @@
 
     def whole(self, now: float, most: int | None = None) -> list[Entry]:
         """All that holds, for a member that may have missed it; or so many of it, others each time."""
-        there = [held for held in self.held.values() if held.ends > now]
+        there = [held for held in self.held.values() if held.expires_at > now]
         if most is not None and len(there) > most:
             self.shown %= len(there)
             there = (there[self.shown :] + there[: self.shown])[:most]
             self.shown += most
-        return [held.word._replace(remaining_s=held.ends - now) for held in there]
+        return [held.word._replace(remaining_s=held.expires_at - now) for held in there]
 
     # One word
 
@@ -347,12 +349,12 @@
                 return False
         if len(there) < most:
             return True
-        ended = next((key for key, held in there.items() if held.ends <= now), None)
+        ended = next((key for key, held in there.items() if held.expires_at <= now), None)
         if ended is not None:
             self._drop(ended)
         return ended is not None
 
-    def _put(self, now: float, word: Entry, ends: float) -> None:
+    def _put(self, now: float, word: Entry, expires_at: float) -> None:
         rules = self.topics.get(word.topic)
         key = self._key(rules.merge if rules else Merge.PER_MEMBER, word.topic, word.origin, word.subject)
         before = self.held.get(key)
@@ -361,7 +363,7 @@
         lane = self.lanes.setdefault(word.topic, Lane())
         if before is not None and before.queued:
             lane.keys.remove(key)
-        held = Held(word, ends, queued=True)
+        held = Held(word, expires_at, queued=True)
         self.held[key] = self.by_topic.setdefault(word.topic, {})[key] = held
         self._count(word, 1)
         if not lane.keys and word.topic not in self.turn:
