--- a/bench/scale/limits.py
+++ b/bench/scale/limits.py
@@ -57,8 +57,10 @@
     def __init__(self, members: Hollow, name: str) -> None:
         self.members, self.name, self.member = members, name, members.member(name)
 
-    def say(self, topic: str, subject: str, value: bytes, life_s: float = 0.0, renew: bool = True) -> None:
-        self.member.entry_store.say(self.members.engine.now, topic, subject, value, life_s, renew)
+    def publish(
+        self, topic: str, subject: str, value: bytes, life_s: float = 0.0, renew: bool = True
+    ) -> None:
+        self.member.entry_store.publish(self.members.engine.now, topic, subject, value, life_s, renew)
 
     def push(self, name: str) -> None:
         self.members.push(self.name, name)
--- a/flintlatch/fleet/agreed.py
+++ b/flintlatch/fleet/agreed.py
@@ -220,7 +220,7 @@
         if not NOTE_LEAST_S <= for_s <= NOTES.life_s:
             return {"ok": False, "reason": f"expected {NOTE_LEAST_S:g} to {NOTES.life_s:g} s"}
         try:
-            self.shell.say(NOTES.name, subject, text.encode(), for_s, renew=False)
+            self.shell.publish(NOTES.name, subject, text.encode(), for_s, renew=False)
         except ValueError as error:
             return {"ok": False, "reason": str(error)}
         return {"ok": True, "until_at_most_s": round(EntryStore.staleness_bound_s(for_s), 3)}
--- a/flintlatch/fleet/judging.py
+++ b/flintlatch/fleet/judging.py
@@ -101,7 +101,7 @@
             if wanted == what and now < again:
                 continue
             with suppress(ValueError):  # more than one fleet may speak of
-                shell.say("seen", server, wanted, self.rules.life_s, renew=False)
+                shell.publish("seen", server, wanted, self.rules.life_s, renew=False)
                 self.said[server] = wanted, now + self.rules.life_s / RENEW
 
     def _report(self, before: Judgement, me: str) -> None:
--- a/flintlatch/fleet/limiting.py
+++ b/flintlatch/fleet/limiting.py
@@ -189,7 +189,7 @@
             seat.vote(now, self._there(shell)) if now >= self.vote_at or self.voted is None else self.voted
         )
         if vote_now is not None and (vote_now != self.voted or now >= self.vote_at):
-            shell.say("vote", "seat", write_vote(vote_now), self.terms.term_s, renew=False)
+            shell.publish("vote", "seat", write_vote(vote_now), self.terms.term_s, renew=False)
             self.voted, self.vote_at = vote_now, now + self.terms.term_s / RENEW
             # Our own counts from its saying, as everybody's: the carrier holds it.
             own = shell.member.entry_store.read(now, "vote")
@@ -229,7 +229,7 @@
             row.part_at = now + self.terms.term_s / RENEW
         ask = holder.ask(now, self._keeper_of(shell, limit))._replace(life=me.life)
         if now >= row.ask_at or row.asked is None or moved(row.asked, ask, limit):
-            shell.say("ask", limit.name, write_ask(ask), self.terms.term_s, renew=False)
+            shell.publish("ask", limit.name, write_ask(ask), self.terms.term_s, renew=False)
             row.asked, row.ask_at = ask, now + self.terms.term_s / RENEW
             if ask.keeper and ask.keeper != me.name:
                 told.add(ask.keeper)
@@ -289,7 +289,7 @@
         due = now >= row.deal_at
         heard = {name: ask for name, (_, ask) in mine.items()}
         for name, grant in row.keeper.step(now, me.name, number, settled, capacity, heard, due).items():
-            shell.say("grant", f"{name} {limit.name}", write_grant(grant), self.terms.term_s, renew=False)
+            shell.publish("grant", f"{name} {limit.name}", write_grant(grant), self.terms.term_s, renew=False)
             if mine[name][0] != me.name:
                 told.add(mine[name][0])
             else:
--- a/flintlatch/lab/members.py
+++ b/flintlatch/lab/members.py
@@ -95,7 +95,7 @@
 
     def say(self, name: str, topic: str, subject: str, value: bytes, life_s: float = 0.0) -> None:
         address = self.names[name]
-        self.members[address].entry_store.say(self.now(address), topic, subject, value, life_s)
+        self.members[address].entry_store.publish(self.now(address), topic, subject, value, life_s)
 
     def read(self, name: str, topic: str) -> dict[tuple[str, str], bytes]:
         """What it believes at this moment: values by (member, subject)."""
--- a/flintlatch/peers/shell.py
+++ b/flintlatch/peers/shell.py
@@ -173,8 +173,10 @@
 
     # Words
 
-    def say(self, topic: str, subject: str, value: bytes, life_s: float = 0.0, renew: bool = True) -> None:
-        self.member.entry_store.say(clock(), topic, subject, value, life_s, renew)
+    def publish(
+        self, topic: str, subject: str, value: bytes, life_s: float = 0.0, renew: bool = True
+    ) -> None:
+        self.member.entry_store.publish(clock(), topic, subject, value, life_s, renew)
 
     def unsay(self, topic: str, subject: str) -> None:
         self.member.entry_store.unsay(clock(), topic, subject)
--- a/flintlatch/peers/words.py
+++ b/flintlatch/peers/words.py
@@ -154,7 +154,7 @@
 
     # Subsystems
 
-    def say(
+    def publish(
         self, now: float, topic: str, subject: str, value: bytes, life_s: float = 0.0, renew: bool = True
     ) -> None:
         """Say it from now on. With `renew` it is said anew in time until `unsay`; without, it ends by itself.
@@ -176,7 +176,7 @@
     def unsay(self, now: float, topic: str, subject: str) -> None:
         """Take it back: an empty value outlasts the word that it ends."""
         if (mine := self.mine.get((topic, subject))) is not None:
-            self.say(now, topic, subject, b"", mine.life_s, renew=False)
+            self.publish(now, topic, subject, b"", mine.life_s, renew=False)
             del self.mine[topic, subject]
 
     def read(self, now: float, topic: str, subject: str | None = None) -> list[Said]:
@@ -199,7 +199,7 @@
                 # says.
                 del self.mine[mine.topic, mine.subject]
             elif mine.renew and now >= mine.said + mine.life_s / RENEW:
-                self.say(now, mine.topic, mine.subject, mine.value, mine.life_s)
+                self.publish(now, mine.topic, mine.subject, mine.value, mine.life_s)
         if now >= self.looked + 1.0:
             self.looked = now
             for key, held in list(self.held.items()):
@@ -336,7 +336,7 @@
                 self._put(now, word._replace(epoch=word.epoch + 1, value=b""), now + word.remaining_s)
         elif (word.epoch, word.value) > (mine.epoch, mine.value):
             mine.epoch = word.epoch
-            self.say(now, mine.topic, mine.subject, mine.value, mine.life_s, mine.renew)
+            self.publish(now, mine.topic, mine.subject, mine.value, mine.life_s, mine.renew)
 
     def _room(self, now: float, word: Entry, rules: Topic | None) -> bool:
         each, most = (rules.each, rules.most) if rules else (OTHER_EACH, OTHER_MOST)
--- a/tests/peers/test_words.py
+++ b/tests/peers/test_words.py
@@ -50,7 +50,7 @@
 
 def test_what_is_taken_back_stays_so_with_those_who_hear_the_older_word_again() -> None:
     mine, theirs = carrier("a"), carrier("b")
-    mine.say(0.0, "load", "s", b"1")
+    mine.publish(0.0, "load", "s", b"1")
     old = mine.whole(0.0)
     theirs.hear(0.0, 0.0, old)
     mine.unsay(1.0, "load", "s")
@@ -61,7 +61,7 @@
 
 def test_one_who_was_away_for_longer_than_its_word_holds_does_not_say_it_anew() -> None:
     core = carrier()
-    core.say(0.0, "load", "s", b"1")
+    core.publish(0.0, "load", "s", b"1")
     core.tick(2.0, 2)
     assert core.held["load", "me", "s"].word.epoch == 2  # renewed
     core.tick(9.0, 2)
@@ -72,7 +72,7 @@
     others = carrier("b")
     others.hear(0.0, 0.0, [word("me", 500, b"of before")])
     anew = carrier("me")
-    anew.say(1.0, "load", "s", b"now")
+    anew.publish(1.0, "load", "s", b"now")
     assert not others.hear(1.0, 1.0, anew.whole(1.0))  # it counts from one again
     anew.hear(1.1, 1.1, others.whole(1.1))
     assert others.hear(1.2, 1.2, anew.whole(1.2))
