--- a/flintlatch/peers/shell.py
+++ b/flintlatch/peers/shell.py
@@ -178,8 +178,8 @@
     ) -> None:
         self.member.entry_store.publish(clock(), topic, subject, value, life_s, renew)
 
-    def unsay(self, topic: str, subject: str) -> None:
-        self.member.entry_store.unsay(clock(), topic, subject)
+    def withdraw(self, topic: str, subject: str) -> None:
+        self.member.entry_store.withdraw(clock(), topic, subject)
 
     def push(self, name: str) -> None:
         self._carry_out(self.member.push(clock(), name))
--- a/flintlatch/peers/words.py
+++ b/flintlatch/peers/words.py
@@ -173,7 +173,7 @@
         self.mine[topic, subject] = Mine(topic, subject, value, life_s, now, epoch, renew)
         self._put(now, Entry(topic, self.me, subject, epoch, value, life_s), now + life_s)
 
-    def unsay(self, now: float, topic: str, subject: str) -> None:
+    def withdraw(self, now: float, topic: str, subject: str) -> None:
         """Take it back: an empty value outlasts the word that it ends."""
         if (mine := self.mine.get((topic, subject))) is not None:
             self.publish(now, topic, subject, b"", mine.life_s, renew=False)
--- a/tests/peers/test_words.py
+++ b/tests/peers/test_words.py
@@ -53,7 +53,7 @@
     mine.publish(0.0, "load", "s", b"1")
     old = mine.whole(0.0)
     theirs.hear(0.0, 0.0, old)
-    mine.unsay(1.0, "load", "s")
+    mine.withdraw(1.0, "load", "s")
     theirs.hear(1.0, 1.0, mine.whole(1.0))
     theirs.hear(1.1, 1.0, old)
     assert not theirs.read(1.2, "load") and not mine.read(1.2, "load")
@@ -189,7 +189,7 @@
             said[name, meant[name]] = members.engine.now
             members.say(name, "load", "s", meant[name])
         elif what == "unsay":
-            members.member(name).entry_store.unsay(members.now(address), "load", "s")
+            members.member(name).entry_store.withdraw(members.now(address), "load", "s")
             meant.pop(name, None)
         elif what in ("cut", "one way") and one != other:
             members.network.cut([address], [members.names[names[other]]], both=what == "cut")
