--- a/bench/scale/peers.py
+++ b/bench/scale/peers.py
@@ -187,7 +187,7 @@
             gone = took
         for subject, missing in list(waits.items()):
             missing -= {
-                n for n in missing if ("word", subject, subject) in members.member(n).entry_store.held
+                n for n in missing if ("word", subject, subject) in members.member(n).entry_store.entries
             }
             if not missing:
                 del waits[subject]
@@ -247,7 +247,7 @@
         members.run(members.tick_s)
         if members.engine.now - at > LONGEST_S:
             raise AssertionError(f"{len(missing)} of {n} lack some of {k} after {LONGEST_S} s")
-        missing -= {name for name in missing if len(members.member(name).entry_store.held) >= k}
+        missing -= {name for name in missing if len(members.member(name).entry_store.entries) >= k}
     took, sent = members.engine.now - at, members.bytes - before
     return took, (sent - rest * took) / n / k, sent / n / took
 
--- a/flintlatch/peers/words.py
+++ b/flintlatch/peers/words.py
@@ -132,7 +132,7 @@
     def __init__(self, me: str, topics: Iterable[Topic], retransmit: int) -> None:
         self.me, self.retransmit = me, retransmit
         self.topics = {topic.name: topic for topic in topics}
-        self.held: dict[Key, Held] = {}
+        self.entries: dict[Key, Held] = {}
         self.by_topic: dict[str, dict[Key, Held]] = {}
         self.number: dict[tuple[str, str], int] = {}  # words held, by topic and member
         self.mine: dict[tuple[str, str], Mine] = {}
@@ -168,7 +168,7 @@
         same = self.mine.get((topic, subject))
         if same is None and sum(key[0] == topic for key in self.mine) >= rules.each:
             raise ValueError(f"{topic}: more than {rules.each} subjects of one member")
-        held = self.held.get(self._key(rules.merge, topic, self.me, subject))
+        held = self.entries.get(self._key(rules.merge, topic, self.me, subject))
         epoch = 1 + max(held.word.epoch if held is not None else 0, same.epoch if same is not None else 0)
         self.mine[topic, subject] = Mine(topic, subject, value, life_s, now, epoch, renew)
         self._put(now, Entry(topic, self.me, subject, epoch, value, life_s), now + life_s)
@@ -202,7 +202,7 @@
                 self.publish(now, mine.topic, mine.subject, mine.value, mine.life_s)
         if now >= self.looked + 1.0:
             self.looked = now
-            for key, held in list(self.held.items()):
+            for key, held in list(self.entries.items()):
                 if now >= held.expires_at + self._life(key[0]):
                     self._drop(key)
 
@@ -223,7 +223,7 @@
                 continue
             rules = self.topics.get(word.topic)
             key = self._key(rules.merge if rules else Merge.PER_MEMBER, word.topic, word.origin, word.subject)
-            held = self.held.get(key)
+            held = self.entries.get(key)
             if held is not None and self._order(word) <= self._order(held.word):
                 if word[:5] == held.word[:5]:
                     held.expires_at = max(
@@ -253,7 +253,7 @@
             for _ in range(len(lane.keys)):
                 if lane.keys[0] in put:
                     break
-                held = self.held.get(lane.keys[0])
+                held = self.entries.get(lane.keys[0])
                 if held is None or held.expires_at <= now or not held.queued:
                     lane.keys.popleft()
                     if held is not None:
@@ -277,7 +277,7 @@
             if lane.keys:
                 self.turn.rotate(-1)
                 # What the datagram had no room for is not saved up, but for one long word.
-                head = self.held.get(lane.keys[0])
+                head = self.entries.get(lane.keys[0])
                 lane.deficit = min(lane.deficit, float(head.word.encoded_bytes() if head is not None else 0))
             else:
                 self.turn.popleft()
@@ -287,13 +287,16 @@
     def fresh(self) -> bool:
         """Whether some word waits that has not been passed on at all."""
         return any(
-            lane.keys and (held := self.held.get(lane.keys[0])) is not None and held.queued and not held.sent
+            lane.keys
+            and (held := self.entries.get(lane.keys[0])) is not None
+            and held.queued
+            and not held.sent
             for lane in self.lanes.values()
         )
 
     def whole(self, now: float, most: int | None = None) -> list[Entry]:
         """All that holds, for a member that may have missed it; or so many of it, others each time."""
-        there = [held for held in self.held.values() if held.expires_at > now]
+        there = [held for held in self.entries.values() if held.expires_at > now]
         if most is not None and len(there) > most:
             self.shown %= len(there)
             there = (there[self.shown :] + there[: self.shown])[:most]
@@ -330,7 +333,7 @@
         if rules is None:
             return
         mine = self.mine.get((word.topic, word.subject))
-        held = self.held.get(self._key(rules.merge, word.topic, self.me, word.subject))
+        held = self.entries.get(self._key(rules.merge, word.topic, self.me, word.subject))
         if mine is None:
             if held is None and word.value and self._room(now, word, rules):
                 self._put(now, word._replace(epoch=word.epoch + 1, value=b""), now + word.remaining_s)
@@ -357,14 +360,14 @@
     def _put(self, now: float, word: Entry, expires_at: float) -> None:
         rules = self.topics.get(word.topic)
         key = self._key(rules.merge if rules else Merge.PER_MEMBER, word.topic, word.origin, word.subject)
-        before = self.held.get(key)
+        before = self.entries.get(key)
         if before is not None:
             self._count(before.word, -1)
         lane = self.lanes.setdefault(word.topic, Lane())
         if before is not None and before.queued:
             lane.keys.remove(key)
         held = Held(word, expires_at, queued=True)
-        self.held[key] = self.by_topic.setdefault(word.topic, {})[key] = held
+        self.entries[key] = self.by_topic.setdefault(word.topic, {})[key] = held
         self._count(word, 1)
         if not lane.keys and word.topic not in self.turn:
             self.turn.append(word.topic)
@@ -379,7 +382,7 @@
             self.number.pop(who, None)
 
     def _drop(self, key: Key) -> None:
-        held = self.held.pop(key)
+        held = self.entries.pop(key)
         there = self.by_topic[key[0]]
         del there[key]
         if not there:
--- a/tests/peers/test_guard.py
+++ b/tests/peers/test_guard.py
@@ -91,7 +91,7 @@
     )
     posts = [a for a in core.step(1.0, DatagramReceived(said)) if isinstance(a, SendDatagram)]
     assert [p.envelope.message.kind for p in posts] == [Kind.ACK, Kind.PING]
-    assert "x" not in core.peers.view and not core.entry_store.held
+    assert "x" not in core.peers.view and not core.entry_store.entries
     again = core.step(1.1, DatagramReceived(said._replace(number=2)))
     assert len(again) == 1  # asked back once a second at most
     for n in range(5000):
--- a/tests/peers/test_words.py
+++ b/tests/peers/test_words.py
@@ -37,7 +37,7 @@
 def test_a_word_read_past_its_end_is_none_though_no_timer_ran() -> None:
     core = carrier()
     core.hear(0.0, 0.0, [word(left_s=1.0)])
-    assert core.read(0.9, "load") and not core.read(1.0, "load") and core.held
+    assert core.read(0.9, "load") and not core.read(1.0, "load") and core.entries
 
 
 def test_an_older_word_that_ends_later_does_not_come_back() -> None:
@@ -63,7 +63,7 @@
     core = carrier()
     core.publish(0.0, "load", "s", b"1")
     core.tick(2.0, 2)
-    assert core.held["load", "me", "s"].word.epoch == 2  # renewed
+    assert core.entries["load", "me", "s"].word.epoch == 2  # renewed
     core.tick(9.0, 2)
     assert not core.mine and not core.read(9.0, "load")
 
@@ -101,21 +101,21 @@
 )
 def test_a_word_that_nobody_can_have_meant_is_refused(bad: Entry) -> None:
     core = carrier()
-    assert not core.hear(0.0, 0.0, [bad]) and core.counts.refused == 1 and not core.held
+    assert not core.hear(0.0, 0.0, [bad]) and core.counts.refused == 1 and not core.entries
 
 
 def test_one_member_fills_no_topic_and_all_together_no_memory() -> None:
     core = carrier()
     core.hear(0.0, 0.0, [word("liar", subject=f"s{n}") for n in range(1000)])
-    assert len(core.held) == LOAD.each
+    assert len(core.entries) == LOAD.each
     core.hear(0.0, 0.0, [word(f"m{n}") for n in range(1000)])
-    assert len(core.held) == LOAD.most
+    assert len(core.entries) == LOAD.most
     unknown = [word(f"m{n}", topic=f"t{n % 600}") for n in range(5000)]
     core.hear(0.0, 0.0, unknown)
     assert len([name for name in core.by_topic if name not in core.topics]) <= OTHER_MOST
     core.tick(100.0, 2)
     core.tick(200.0, 2)
-    assert not core.held and not core.number and not any(lane.keys for lane in core.lanes.values())
+    assert not core.entries and not core.number and not any(lane.keys for lane in core.lanes.values())
 
 
 def test_a_topic_that_is_not_known_here_is_passed_on() -> None:
