--- a/flintlatch/peers/words.py
+++ b/flintlatch/peers/words.py
@@ -135,7 +135,7 @@
         self.entries: dict[Key, Held] = {}
         self.by_topic: dict[str, dict[Key, Held]] = {}
         self.number: dict[tuple[str, str], int] = {}  # words held, by topic and member
-        self.mine: dict[tuple[str, str], Mine] = {}
+        self.published: dict[tuple[str, str], Mine] = {}
         self.lanes: dict[str, Lane] = {}
         self.turn: deque[str] = deque()
         self.looked = 0.0
@@ -165,19 +165,19 @@
             raise ValueError(f"{topic}: a life of {life_s} s, expected above 0 and at most {rules.life_s:g}")
         if len(subject) > MAX_SUBJECT_CHARS or len(value) > MAX_VALUE_BYTES:
             raise ValueError(f"{topic}: subject or value too long ({len(subject)}, {len(value)} bytes)")
-        same = self.mine.get((topic, subject))
-        if same is None and sum(key[0] == topic for key in self.mine) >= rules.each:
+        same = self.published.get((topic, subject))
+        if same is None and sum(key[0] == topic for key in self.published) >= rules.each:
             raise ValueError(f"{topic}: more than {rules.each} subjects of one member")
         held = self.entries.get(self._key(rules.merge, topic, self.me, subject))
         epoch = 1 + max(held.word.epoch if held is not None else 0, same.epoch if same is not None else 0)
-        self.mine[topic, subject] = Mine(topic, subject, value, life_s, now, epoch, renew)
+        self.published[topic, subject] = Mine(topic, subject, value, life_s, now, epoch, renew)
         self._put(now, Entry(topic, self.me, subject, epoch, value, life_s), now + life_s)
 
     def withdraw(self, now: float, topic: str, subject: str) -> None:
         """Take it back: an empty value outlasts the word that it ends."""
-        if (mine := self.mine.get((topic, subject))) is not None:
+        if (mine := self.published.get((topic, subject))) is not None:
             self.publish(now, topic, subject, b"", mine.life_s, renew=False)
-            del self.mine[topic, subject]
+            del self.published[topic, subject]
 
     def read(self, now: float, topic: str, subject: str | None = None) -> list[Said]:
         """All that holds at this moment, by (subject, member)."""
@@ -193,11 +193,11 @@
     def tick(self, now: float, members: int) -> None:
         """Say anew what is still meant, and forget what nothing can bring back."""
         self.members = members
-        for mine in list(self.mine.values()):
+        for mine in list(self.published.values()):
             if now >= mine.said + mine.life_s:
                 # Away for longer than it holds (or never renewed): whether it is still so, its subsystem
                 # says.
-                del self.mine[mine.topic, mine.subject]
+                del self.published[mine.topic, mine.subject]
             elif mine.renew and now >= mine.said + mine.life_s / RENEW:
                 self.publish(now, mine.topic, mine.subject, mine.value, mine.life_s)
         if now >= self.looked + 1.0:
@@ -332,7 +332,7 @@
         rules = self.topics.get(word.topic)
         if rules is None:
             return
-        mine = self.mine.get((word.topic, word.subject))
+        mine = self.published.get((word.topic, word.subject))
         held = self.entries.get(self._key(rules.merge, word.topic, self.me, word.subject))
         if mine is None:
             if held is None and word.value and self._room(now, word, rules):
--- a/tests/peers/test_words.py
+++ b/tests/peers/test_words.py
@@ -65,7 +65,7 @@
     core.tick(2.0, 2)
     assert core.entries["load", "me", "s"].word.epoch == 2  # renewed
     core.tick(9.0, 2)
-    assert not core.mine and not core.read(9.0, "load")
+    assert not core.published and not core.read(9.0, "load")
 
 
 def test_a_restarted_one_outdoes_what_it_said_before() -> None:
@@ -212,7 +212,7 @@
         for _ in range(max(1, int(seconds / 0.25))):
             members.run(0.25)
             for name in names:  # one who runs and still says it stands to it
-                mine = members.member(name).entry_store.mine.get(("load", "s"))
+                mine = members.member(name).entry_store.published.get(("load", "s"))
                 if mine is not None and members.names[name] not in members.network.paused:
                     said[name, mine.value] = members.engine.now
             audit()
