--- a/flintlatch/delivery/stream.py
+++ b/flintlatch/delivery/stream.py
@@ -93,7 +93,7 @@
             self._lose(UNREADABLE)
 
     def _take(self) -> None:
-        """Raises Foreign, Unreadable."""
+        """Raises AuthenticationFailed, Unreadable."""
         if self.seal is None and not self._greeted():
             return
         assert self.seal is not None
@@ -114,7 +114,7 @@
         del buffer[:at]
 
     def _greeted(self) -> bool:
-        """Whether both numbers are here. Raises Foreign."""
+        """Whether both numbers are here. Raises AuthenticationFailed."""
         size = NONCE_BYTES if self.asks else HELLO.size
         if len(self.buffer) < size:
             return False
--- a/flintlatch/peers/seal.py
+++ b/flintlatch/peers/seal.py
@@ -79,7 +79,7 @@
         return head + self.mine.encrypt(number.to_bytes(12, "big"), plain, head)
 
     def open(self, data: bytes) -> tuple[int, int, bytes]:
-        """Life, number, what was sealed. Raises Foreign."""
+        """Life, number, what was sealed. Raises AuthenticationFailed."""
         if len(data) < HEAD.size + 16:
             raise AuthenticationFailed("too short")
         head = data[: HEAD.size]
@@ -111,7 +111,7 @@
         return self.mine.encrypt(self.sent.to_bytes(12, "big"), plain, None)
 
     def open(self, data: bytes) -> bytes:
-        """Raises Foreign."""
+        """Raises AuthenticationFailed."""
         self.got += 1
         try:
             return self.theirs.decrypt(self.got.to_bytes(12, "big"), data, None)
