--- a/flintlatch/delivery/shell.py
+++ b/flintlatch/delivery/shell.py
@@ -163,7 +163,7 @@
         return self.below.address
 
     async def open(self) -> None:
-        """Raises NotBound."""
+        """Raises BindError."""
         await self.below.open()
         self.ticking.start()
 
--- a/flintlatch/delivery/shell_below.py
+++ b/flintlatch/delivery/shell_below.py
@@ -33,7 +33,7 @@
         self.closed = False
 
     async def open(self) -> None:
-        """Raises NotBound."""
+        """Raises BindError."""
         host, port = split_address(self.bind)
         loop = asyncio.get_running_loop()
         sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET)
--- a/flintlatch/peers/shell.py
+++ b/flintlatch/peers/shell.py
@@ -81,7 +81,7 @@
 
 
 def bind_pair(address: str) -> tuple[socket.socket, socket.socket]:
-    """A UDP and a listening TCP socket at one address. Raises NotBound."""
+    """A UDP and a listening TCP socket at one address. Raises BindError."""
     host, port = split_address(address)
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     error: OSError | None = None
@@ -130,7 +130,7 @@
         self.loop = asyncio.get_running_loop()
 
     async def open(self) -> None:
-        """Raises NotBound."""
+        """Raises BindError."""
         options = self.options
         datagram, stream = bind_pair(options.bind)
         self.host, self.port = datagram.getsockname()[:2]
