--- a/flintlatch/fleet/agreed.py
+++ b/flintlatch/fleet/agreed.py
@@ -94,7 +94,7 @@
             self.log("error", f"peers: {text}; serving alone, tried again each {OPEN_AGAIN_S:g} s")
 
     def _keys(self) -> tuple[bytes, ...]:
-        """Raises BadKeys or OSError."""
+        """Raises InvalidKeyFile or OSError."""
         path = beside(self.config.path, self.table.key_file)
         with open(path, encoding="ascii", errors="replace") as file:
             return read_keys(file.read(65536), path)
--- a/flintlatch/peers/seal.py
+++ b/flintlatch/peers/seal.py
@@ -39,7 +39,7 @@
 
 
 def read_keys(text: str, path: str) -> tuple[bytes, ...]:
-    """Raises BadKeys."""
+    """Raises InvalidKeyFile."""
     lines = [line.strip() for line in text.splitlines()]
     keys = []
     for place, line in enumerate(lines, 1):
