--- a/flintlatch/fleet/agreed.py
+++ b/flintlatch/fleet/agreed.py
@@ -23,7 +23,7 @@
 
 OPEN_AGAIN_S = 0.5  # until an address that a predecessor may still hold is tried again
 RENEW = 3  # times in its life that a word to the instances is said anew
-NOTES = Topic("notes", Merge.PER_MEMBER, life_s=3600.0, each=16)  # what people tell all fleets
+NOTES = Topic("notes", Merge.PER_MEMBER, ttl_s=3600.0, each=16)  # what people tell all fleets
 NOTE_LEAST_S = 1.0
 
 
@@ -217,8 +217,8 @@
             return {"ok": False, "reason": self.complaint or "not a member yet"}
         if not 1 <= len(text.encode()) <= MAX_VALUE_BYTES or not 1 <= len(subject) <= MAX_SUBJECT_CHARS:
             return {"ok": False, "reason": f"expected a text of 1 to {MAX_VALUE_BYTES} bytes"}
-        if not NOTE_LEAST_S <= for_s <= NOTES.life_s:
-            return {"ok": False, "reason": f"expected {NOTE_LEAST_S:g} to {NOTES.life_s:g} s"}
+        if not NOTE_LEAST_S <= for_s <= NOTES.ttl_s:
+            return {"ok": False, "reason": f"expected {NOTE_LEAST_S:g} to {NOTES.ttl_s:g} s"}
         try:
             self.shell.publish(NOTES.name, subject, text.encode(), for_s, renew=False)
         except ValueError as error:
@@ -290,7 +290,7 @@
                 "found_dead_s": round(peers.detection_s(alive), 1),
                 "number_falls_s": round(Census.late_s(peers.detection_s(alive), self.table.hold_s), 1),
                 "instances_alone_s": self.table.word_s,
-                "words": {t.name: round(EntryStore.staleness_bound_s(t.life_s), 1) for t in shell.topics},
+                "words": {t.name: round(EntryStore.staleness_bound_s(t.ttl_s), 1) for t in shell.topics},
             },
             "counts": self.counts(),
         }
--- a/flintlatch/peers/shell.py
+++ b/flintlatch/peers/shell.py
@@ -173,10 +173,8 @@
 
     # Words
 
-    def publish(
-        self, topic: str, subject: str, value: bytes, life_s: float = 0.0, renew: bool = True
-    ) -> None:
-        self.member.entry_store.publish(clock(), topic, subject, value, life_s, renew)
+    def publish(self, topic: str, subject: str, value: bytes, ttl_s: float = 0.0, renew: bool = True) -> None:
+        self.member.entry_store.publish(clock(), topic, subject, value, ttl_s, renew)
 
     def withdraw(self, topic: str, subject: str) -> None:
         self.member.entry_store.withdraw(clock(), topic, subject)
--- a/flintlatch/peers/words.py
+++ b/flintlatch/peers/words.py
@@ -44,12 +44,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Topic:
-    """`life_s`: the longest that a word of it may hold. A join of a lattice is a fold over EACH at its
+    """`ttl_s`: the longest that a word of it may hold. A join of a lattice is a fold over EACH at its
     reading."""
 
     name: str
     merge: Merge
-    life_s: float
+    ttl_s: float
     each: int = 8  # subjects of one member that are held
     most: int = 4096  # words held in all
     weight: float = 1.0  # of a datagram's room
@@ -57,8 +57,8 @@
     def __post_init__(self) -> None:
         if not 1 <= len(self.name) <= TOPIC_MOST:
             raise ValueError(f"topic {self.name!r}: expected 1 to {TOPIC_MOST} characters")
-        if not (self.life_s > 0 and self.each >= 1 and self.most >= 1 and self.weight > 0):
-            raise ValueError(f"topic {self.name}: life_s, each, most and weight are expected above 0")
+        if not (self.ttl_s > 0 and self.each >= 1 and self.most >= 1 and self.weight > 0):
+            raise ValueError(f"topic {self.name}: ttl_s, each, most and weight are expected above 0")
 
 
 # What is of no topic known here is passed on within these bounds: a newer version may know it.
@@ -104,7 +104,7 @@
     topic: str
     subject: str
     value: bytes
-    life_s: float
+    ttl_s: float
     said: float
     epoch: int
     renew: bool
@@ -146,23 +146,23 @@
     # What the program prints
 
     @staticmethod
-    def staleness_bound_s(life_s: float) -> float:
+    def staleness_bound_s(ttl_s: float) -> float:
         """The stated bound: nobody reads a word later than this after it was said, in true time, while every
         clock's rate is within DRIFT. The sayer's own clock may be slow by DRIFT; each hop takes off more than
         its two clocks can add."""
-        return life_s / (1 - MAX_CLOCK_DRIFT)
+        return ttl_s / (1 - MAX_CLOCK_DRIFT)
 
     # Subsystems
 
     def publish(
-        self, now: float, topic: str, subject: str, value: bytes, life_s: float = 0.0, renew: bool = True
+        self, now: float, topic: str, subject: str, value: bytes, ttl_s: float = 0.0, renew: bool = True
     ) -> None:
         """Say it from now on. With `renew` it is said anew in time until `unsay`; without, it ends by itself.
         ValueError for what no member would take."""
         rules = self.topics[topic]
-        life_s = life_s or rules.life_s
-        if not 0 < life_s <= rules.life_s:
-            raise ValueError(f"{topic}: a life of {life_s} s, expected above 0 and at most {rules.life_s:g}")
+        ttl_s = ttl_s or rules.ttl_s
+        if not 0 < ttl_s <= rules.ttl_s:
+            raise ValueError(f"{topic}: a life of {ttl_s} s, expected above 0 and at most {rules.ttl_s:g}")
         if len(subject) > MAX_SUBJECT_CHARS or len(value) > MAX_VALUE_BYTES:
             raise ValueError(f"{topic}: subject or value too long ({len(subject)}, {len(value)} bytes)")
         same = self.published.get((topic, subject))
@@ -170,13 +170,13 @@
             raise ValueError(f"{topic}: more than {rules.each} subjects of one member")
         held = self.entries.get(self._key(rules.merge, topic, self.me, subject))
         epoch = 1 + max(held.word.epoch if held is not None else 0, same.epoch if same is not None else 0)
-        self.published[topic, subject] = Mine(topic, subject, value, life_s, now, epoch, renew)
-        self._put(now, Entry(topic, self.me, subject, epoch, value, life_s), now + life_s)
+        self.published[topic, subject] = Mine(topic, subject, value, ttl_s, now, epoch, renew)
+        self._put(now, Entry(topic, self.me, subject, epoch, value, ttl_s), now + ttl_s)
 
     def withdraw(self, now: float, topic: str, subject: str) -> None:
         """Take it back: an empty value outlasts the word that it ends."""
         if (mine := self.published.get((topic, subject))) is not None:
-            self.publish(now, topic, subject, b"", mine.life_s, renew=False)
+            self.publish(now, topic, subject, b"", mine.ttl_s, renew=False)
             del self.published[topic, subject]
 
     def read(self, now: float, topic: str, subject: str | None = None) -> list[Said]:
@@ -194,12 +194,12 @@
         """Say anew what is still meant, and forget what nothing can bring back."""
         self.members = members
         for mine in list(self.published.values()):
-            if now >= mine.said + mine.life_s:
+            if now >= mine.said + mine.ttl_s:
                 # Away for longer than it holds (or never renewed): whether it is still so, its subsystem
                 # says.
                 del self.published[mine.topic, mine.subject]
-            elif mine.renew and now >= mine.said + mine.life_s / RENEW:
-                self.publish(now, mine.topic, mine.subject, mine.value, mine.life_s)
+            elif mine.renew and now >= mine.said + mine.ttl_s / RENEW:
+                self.publish(now, mine.topic, mine.subject, mine.value, mine.ttl_s)
         if now >= self.looked + 1.0:
             self.looked = now
             for key, held in list(self.entries.items()):
@@ -314,7 +314,7 @@
         return word.epoch, word.origin, word.value
 
     def _life(self, topic: str) -> float:
-        return self.topics[topic].life_s if topic in self.topics else OTHER_S
+        return self.topics[topic].ttl_s if topic in self.topics else OTHER_S
 
     def _fault(self, word: Entry) -> str:
         if not (1 <= len(word.topic) <= TOPIC_MOST and 1 <= len(word.origin) <= NAME_MOST):
@@ -339,7 +339,7 @@
                 self._put(now, word._replace(epoch=word.epoch + 1, value=b""), now + word.remaining_s)
         elif (word.epoch, word.value) > (mine.epoch, mine.value):
             mine.epoch = word.epoch
-            self.publish(now, mine.topic, mine.subject, mine.value, mine.life_s, mine.renew)
+            self.publish(now, mine.topic, mine.subject, mine.value, mine.ttl_s, mine.renew)
 
     def _room(self, now: float, word: Entry, rules: Topic | None) -> bool:
         each, most = (rules.each, rules.most) if rules else (OTHER_EACH, OTHER_MOST)
--- a/tests/peers/test_words.py
+++ b/tests/peers/test_words.py
@@ -178,7 +178,7 @@
                 continue
             for (origin, _), value in members.read(name, "load").items():
                 age = now - said[origin, value]
-                assert age <= EntryStore.staleness_bound_s(LOAD.life_s), (name, origin, value, age)
+                assert age <= EntryStore.staleness_bound_s(LOAD.ttl_s), (name, origin, value, age)
 
     meant: dict[str, bytes] = {}
     for what, one, other, seconds in [*plan, ("heal", 0, 1, 8.0)]:
