--- a/bench/scale/limits.py
+++ b/bench/scale/limits.py
@@ -112,8 +112,22 @@
     most = max(rows * (holders + 1), ask.most)
     return (
         vote,
-        Topic("ask", ask.merge, TERM_S, each=max(rows, ask.each), most=most, weight=ask.weight),
-        Topic("grant", grant.merge, TERM_S, each=max(most, grant.each), most=2 * most, weight=grant.weight),
+        Topic(
+            "ask",
+            ask.merge,
+            TERM_S,
+            max_per_member=max(rows, ask.max_per_member),
+            most=most,
+            weight=ask.weight,
+        ),
+        Topic(
+            "grant",
+            grant.merge,
+            TERM_S,
+            max_per_member=max(most, grant.max_per_member),
+            most=2 * most,
+            weight=grant.weight,
+        ),
     )
 
 
--- a/flintlatch/fleet/agreed.py
+++ b/flintlatch/fleet/agreed.py
@@ -23,7 +23,7 @@
 
 OPEN_AGAIN_S = 0.5  # until an address that a predecessor may still hold is tried again
 RENEW = 3  # times in its life that a word to the instances is said anew
-NOTES = Topic("notes", Merge.PER_MEMBER, ttl_s=3600.0, each=16)  # what people tell all fleets
+NOTES = Topic("notes", Merge.PER_MEMBER, ttl_s=3600.0, max_per_member=16)  # what people tell all fleets
 NOTE_LEAST_S = 1.0
 
 
--- a/flintlatch/limits/model.py
+++ b/flintlatch/limits/model.py
@@ -34,9 +34,18 @@
 
 def topics(term_s: float) -> tuple[Topic, Topic, Topic]:
     return (
-        Topic("vote", Merge.PER_MEMBER, term_s, each=1, most=1024),
-        Topic("ask", Merge.PER_MEMBER, term_s, each=MOST_LIMITS, most=MOST_LIMITS * MOST_HOLDERS, weight=2.0),
-        Topic("grant", Merge.PER_MEMBER, term_s, each=GRANTS_MOST, most=4 * GRANTS_MOST, weight=4.0),
+        Topic("vote", Merge.PER_MEMBER, term_s, max_per_member=1, most=1024),
+        Topic(
+            "ask",
+            Merge.PER_MEMBER,
+            term_s,
+            max_per_member=MOST_LIMITS,
+            most=MOST_LIMITS * MOST_HOLDERS,
+            weight=2.0,
+        ),
+        Topic(
+            "grant", Merge.PER_MEMBER, term_s, max_per_member=GRANTS_MOST, most=4 * GRANTS_MOST, weight=4.0
+        ),
     )
 
 
--- a/flintlatch/peers/words.py
+++ b/flintlatch/peers/words.py
@@ -50,14 +50,14 @@
     name: str
     merge: Merge
     ttl_s: float
-    each: int = 8  # subjects of one member that are held
+max_per_member: int = 8  # subjects of one member that are held
     most: int = 4096  # words held in all
     weight: float = 1.0  # of a datagram's room
 
     def __post_init__(self) -> None:
         if not 1 <= len(self.name) <= TOPIC_MOST:
             raise ValueError(f"topic {self.name!r}: expected 1 to {TOPIC_MOST} characters")
-        if not (self.ttl_s > 0 and self.each >= 1 and self.most >= 1 and self.weight > 0):
+        if not (self.ttl_s > 0 and self.max_per_member >= 1 and self.most >= 1 and self.weight > 0):
             raise ValueError(f"topic {self.name}: ttl_s, each, most and weight are expected above 0")
 
 
@@ -166,8 +166,8 @@
         if len(subject) > MAX_SUBJECT_CHARS or len(value) > MAX_VALUE_BYTES:
             raise ValueError(f"{topic}: subject or value too long ({len(subject)}, {len(value)} bytes)")
         same = self.published.get((topic, subject))
-        if same is None and sum(key[0] == topic for key in self.published) >= rules.each:
-            raise ValueError(f"{topic}: more than {rules.each} subjects of one member")
+        if same is None and sum(key[0] == topic for key in self.published) >= rules.max_per_member:
+            raise ValueError(f"{topic}: more than {rules.max_per_member} subjects of one member")
         held = self.entries.get(self._key(rules.merge, topic, self.me, subject))
         epoch = 1 + max(held.word.epoch if held is not None else 0, same.epoch if same is not None else 0)
         self.published[topic, subject] = Mine(topic, subject, value, ttl_s, now, epoch, renew)
@@ -342,7 +342,7 @@
             self.publish(now, mine.topic, mine.subject, mine.value, mine.ttl_s, mine.renew)
 
     def _room(self, now: float, word: Entry, rules: Topic | None) -> bool:
-        each, most = (rules.each, rules.most) if rules else (OTHER_EACH, OTHER_MOST)
+        each, most = (rules.max_per_member, rules.most) if rules else (OTHER_EACH, OTHER_MOST)
         if self.number.get((word.topic, word.origin), 0) >= each:
             return False
         there = self.by_topic.get(word.topic, {})
