--- a/bench/scale/limits.py
+++ b/bench/scale/limits.py
@@ -109,7 +109,7 @@
 def wide(rows: int, holders: int) -> tuple[Topic, ...]:
     """Today's topics, with room for so many."""
     vote, ask, grant = topics(TERM_S)
-    most = max(rows * (holders + 1), ask.most)
+    most = max(rows * (holders + 1), ask.max_entries)
     return (
         vote,
         Topic(
@@ -117,7 +117,7 @@
             ask.merge,
             TERM_S,
             max_per_member=max(rows, ask.max_per_member),
-            most=most,
+            max_entries=most,
             weight=ask.weight,
         ),
         Topic(
@@ -125,7 +125,7 @@
             grant.merge,
             TERM_S,
             max_per_member=max(most, grant.max_per_member),
-            most=2 * most,
+            max_entries=2 * most,
             weight=grant.weight,
         ),
     )
--- a/bench/scale/peers.py
+++ b/bench/scale/peers.py
@@ -119,7 +119,7 @@
 
 
 def word(life_s: float, most: int = 4096) -> Topic:
-    return Topic("word", Merge.PER_MEMBER, life_s, max_per_member=most, most=most)
+    return Topic("word", Merge.PER_MEMBER, life_s, max_per_member=most, max_entries=most)
 
 
 def sealed(kept: list[Envelope]) -> tuple[float, float]:
--- a/bench/scale/verdicts.py
+++ b/bench/scale/verdicts.py
@@ -48,7 +48,9 @@
 def wide(words: int) -> Topic:
     """Today's topic, with room for so many."""
     seen = SEEN(RULES.life_s)
-    return Topic("seen", seen.merge, seen.ttl_s, seen.max_per_member, max(words, seen.most), seen.weight)
+    return Topic(
+        "seen", seen.merge, seen.ttl_s, seen.max_per_member, max(words, seen.max_entries), seen.weight
+    )
 
 
 def judging(members: Hollow, name: str, targets: dict[str, None]) -> Judging:
--- a/flintlatch/limits/model.py
+++ b/flintlatch/limits/model.py
@@ -34,17 +34,22 @@
 
 def topics(term_s: float) -> tuple[Topic, Topic, Topic]:
     return (
-        Topic("vote", Merge.PER_MEMBER, term_s, max_per_member=1, most=1024),
+        Topic("vote", Merge.PER_MEMBER, term_s, max_per_member=1, max_entries=1024),
         Topic(
             "ask",
             Merge.PER_MEMBER,
             term_s,
             max_per_member=MOST_LIMITS,
-            most=MOST_LIMITS * MOST_HOLDERS,
+            max_entries=MOST_LIMITS * MOST_HOLDERS,
             weight=2.0,
         ),
         Topic(
-            "grant", Merge.PER_MEMBER, term_s, max_per_member=GRANTS_MOST, most=4 * GRANTS_MOST, weight=4.0
+            "grant",
+            Merge.PER_MEMBER,
+            term_s,
+            max_per_member=GRANTS_MOST,
+            max_entries=4 * GRANTS_MOST,
+            weight=4.0,
         ),
     )
 
--- a/flintlatch/peers/words.py
+++ b/flintlatch/peers/words.py
@@ -51,13 +51,13 @@
     merge: Merge
     ttl_s: float
 max_per_member: int = 8  # subjects of one member that are held
-    most: int = 4096  # words held in all
+    max_entries: int = 4096  # words held in all
     weight: float = 1.0  # of a datagram's room
 
     def __post_init__(self) -> None:
         if not 1 <= len(self.name) <= TOPIC_MOST:
             raise ValueError(f"topic {self.name!r}: expected 1 to {TOPIC_MOST} characters")
-        if not (self.ttl_s > 0 and self.max_per_member >= 1 and self.most >= 1 and self.weight > 0):
+        if not (self.ttl_s > 0 and self.max_per_member >= 1 and self.max_entries >= 1 and self.weight > 0):
             raise ValueError(f"topic {self.name}: ttl_s, each, most and weight are expected above 0")
 
 
@@ -342,7 +342,7 @@
             self.publish(now, mine.topic, mine.subject, mine.value, mine.ttl_s, mine.renew)
 
     def _room(self, now: float, word: Entry, rules: Topic | None) -> bool:
-        each, most = (rules.max_per_member, rules.most) if rules else (OTHER_EACH, OTHER_MOST)
+        each, most = (rules.max_per_member, rules.max_entries) if rules else (OTHER_EACH, OTHER_MOST)
         if self.number.get((word.topic, word.origin), 0) >= each:
             return False
         there = self.by_topic.get(word.topic, {})
--- a/flintlatch/verdicts/core.py
+++ b/flintlatch/verdicts/core.py
@@ -22,7 +22,7 @@
 def SEEN(life_s: float) -> Topic:  # noqa: N802
     """The topic of voices: subject a server, any value."""
     return Topic(
-        "seen", Merge.PER_MEMBER, life_s, max_per_member=MOST_VOICES, most=32 * MOST_VOICES, weight=2.0
+        "seen", Merge.PER_MEMBER, life_s, max_per_member=MOST_VOICES, max_entries=32 * MOST_VOICES, weight=2.0
     )
 
 
--- a/tests/peers/test_words.py
+++ b/tests/peers/test_words.py
@@ -13,8 +13,8 @@
 from flintlatch.peers import Entry, EntryStore, Merge, Topic
 from flintlatch.peers.words import HEAD, MAX_CLOCK_DRIFT, OTHER_MOST, OTHER_S, SHRINK
 
-LOAD = Topic("load", Merge.PER_MEMBER, 5.0, max_per_member=4, most=64)
-PLAN = Topic("plan", Merge.LAST, 5.0, most=8)
+LOAD = Topic("load", Merge.PER_MEMBER, 5.0, max_per_member=4, max_entries=64)
+PLAN = Topic("plan", Merge.LAST, 5.0, max_entries=8)
 SPAN = 60.0  # s that random schedules last
 
 
@@ -109,7 +109,7 @@
     core.hear(0.0, 0.0, [word("liar", subject=f"s{n}") for n in range(1000)])
     assert len(core.entries) == LOAD.max_per_member
     core.hear(0.0, 0.0, [word(f"m{n}") for n in range(1000)])
-    assert len(core.entries) == LOAD.most
+    assert len(core.entries) == LOAD.max_entries
     unknown = [word(f"m{n}", topic=f"t{n % 600}") for n in range(5000)]
     core.hear(0.0, 0.0, unknown)
     assert len([name for name in core.by_topic if name not in core.topics]) <= OTHER_MOST
@@ -125,7 +125,7 @@
 
 
 def test_a_flood_of_one_topic_does_not_starve_another() -> None:
-    flood = Topic("flood", Merge.PER_MEMBER, 60.0, max_per_member=2000, most=2000)
+    flood = Topic("flood", Merge.PER_MEMBER, 60.0, max_per_member=2000, max_entries=2000)
     core = carrier("me", flood, LOAD)
     core.hear(0.0, 0.0, [word("liar", subject=f"s{n}", value=b"x" * 60, topic="flood") for n in range(2000)])
     core.hear(0.0, 0.0, [word("x")])
