--- a/flintlatch/fleet/agreed.py
+++ b/flintlatch/fleet/agreed.py
@@ -274,7 +274,7 @@
                     "heard_s": round(now - contact.heard, 2) if contact is not None else None,
                     "rtt_ms": round(contact.rtt * 1000, 2) if contact is not None and contact.rtt else None,
                     "agrees": True if me else contact.digest == mine if known and contact else None,
-                    "accusers": sorted(suspicion.accusers) if suspicion is not None else [],
+                    "accusers": sorted(suspicion.reporters) if suspicion is not None else [],
                 }
             )
         alive = len(peers.alive())
--- a/flintlatch/peers/core.py
+++ b/flintlatch/peers/core.py
@@ -96,7 +96,7 @@
 @dataclass(slots=True)
 class Suspicion:
     since: float
-    accusers: set[str]
+    reporters: set[str]
 
 
 @dataclass(slots=True)
@@ -201,11 +201,11 @@
     def instances(self) -> int:
         return sum(record.instances for record in self.there.values())
 
-    def suspicion_s(self, accusers: int) -> float:
+    def suspicion_s(self, reporters: int) -> float:
         """How long a suspect has to refute (Lifeguard, section IV-B)."""
         least = self.rules.suspicion * tenfolds(self.count()) * self.rules.period_s
         most = least * self.rules.suspicion_most
-        part = log(accusers + 1) / log(self.rules.confirmations + 1)
+        part = log(reporters + 1) / log(self.rules.confirmations + 1)
         return max(least, most - (most - least) * part)
 
     def detection_s(self, members: int) -> float:
@@ -266,7 +266,7 @@
         self.end_relayed(now)
         self.end_probe(now)
         for name, suspicion in list(self.suspicions.items()):
-            if now >= suspicion.since + self.suspicion_s(len(suspicion.accusers)):
+            if now >= suspicion.since + self.suspicion_s(len(suspicion.reporters)):
                 self.counts.died += 1
                 self.put(now, self.view[name]._replace(state=State.DEAD, accuser=self.me.name))
         for name, since in list(self.past.items()):
@@ -348,9 +348,9 @@
     def confirm(self, name: str, accuser: str) -> None:
         """One more independent voice is news, and is passed on; a voice counts once."""
         suspicion = self.suspicions[name]
-        if accuser in suspicion.accusers or len(suspicion.accusers) >= self.rules.confirmations:
+        if accuser in suspicion.reporters or len(suspicion.reporters) >= self.rules.confirmations:
             return
-        suspicion.accusers.add(accuser)
+        suspicion.reporters.add(accuser)
         self.queue[name] = Queued(self.view[name]._replace(accuser=accuser))
 
     def end_relayed(self, now: float) -> None:
--- a/tests/peers/explored.py
+++ b/tests/peers/explored.py
@@ -41,7 +41,7 @@
 def clone(core: Peers) -> Peers:
     """What it may change, apart; the rest shared."""
     made = copy(core)
-    made.suspicions = {n: Suspicion(s.since, set(s.accusers)) for n, s in core.suspicions.items()}
+    made.suspicions = {n: Suspicion(s.since, set(s.reporters)) for n, s in core.suspicions.items()}
     made.there, made.names = dict(core.there), list(core.names)
     made.past, made.order, made.silent = dict(core.past), list(core.order), set(core.silent)
     made.queue = {n: Queued(q.record, q.sent) for n, q in core.queue.items()}
@@ -54,7 +54,7 @@
     probe = core.probe
     return (
         tuple(sorted(core.view.values())),
-        tuple(sorted((n, now - s.since, *sorted(s.accusers)) for n, s in core.suspicions.items())),
+        tuple(sorted((n, now - s.since, *sorted(s.reporters)) for n, s in core.suspicions.items())),
         tuple(sorted((q.record, q.sent) for q in core.queue.values())),
         tuple(core.order),
         (probe.target, now - probe.started, probe.asked, probe.acked, probe.nacks) if probe else (),
--- a/tests/peers/test_core.py
+++ b/tests/peers/test_core.py
@@ -130,7 +130,7 @@
     hear(core, 0.0, record("a", 0, State.SUSPECT, accuser="b"))
     for _ in range(5):
         hear(core, 0.0, record("a", 0, State.SUSPECT, accuser="b"))
-    assert len(core.suspicions["a"].accusers) == 1
+    assert len(core.suspicions["a"].reporters) == 1
     hear(core, 0.0, record("a", 0, State.SUSPECT, accuser="c"))
     hear(core, 0.0, record("a", 0, State.SUSPECT, accuser="d"))
     states = []
