--- a/bench/scale/peers.py
+++ b/bench/scale/peers.py
@@ -113,7 +113,7 @@
                 asked = now - self.rng.uniform(0, round_s)
                 member.guard.met(record.life, 0, asked, asked)
         peers.queue = {}
-        peers.joined, peers.sync_every = True, self.rules.sync_s
+        peers.joined, peers.sync_interval_s = True, self.rules.sync_s
         peers.probe_at = now + self.rng.uniform(0, self.rules.period_s)
         peers.sync_at = now + self.rng.uniform(0, self.rules.sync_s)
 
--- a/flintlatch/peers/core.py
+++ b/flintlatch/peers/core.py
@@ -158,7 +158,7 @@
         self.number = int(rng.random() * 2**40)
         self.health = 0  # 0: no doubt of ourselves
         self.probe_at, self.sync_at = now, now
-        self.sync_every = rules.period_s
+        self.sync_interval_s = rules.period_s
         self.stepped = now
         self.joined = not self.seeds  # until a whole view has come, what datagrams tell is not believed
         self.left = False
@@ -229,8 +229,10 @@
             self.hear(now, event.records)
             # Where views differ, the next exchange is soon; where not, later and later.
             news = self.view is not before
-            self.sync_every = self.rules.period_s if news else min(2 * self.sync_every, self.rules.sync_s)
-            self.sync_at = min(self.sync_at, now + self.sync_every)
+            self.sync_interval_s = (
+                self.rules.period_s if news else min(2 * self.sync_interval_s, self.rules.sync_s)
+            )
+            self.sync_at = min(self.sync_at, now + self.sync_interval_s)
         elif isinstance(event, Altered):
             self.raise_own(now, self.me.incarnation + 1, instances=event.instances)
         elif isinstance(event, Leave) and not self.left:
@@ -259,7 +261,7 @@
         self.silent = set()
         self.probe, self.health, self.joined = None, 0, not self.seeds
         self.probe_at = self.sync_at = now
-        self.sync_every = self.rules.period_s
+        self.sync_interval_s = self.rules.period_s
         self.raise_own(now, self.me.incarnation + 1)
 
     def on_time(self, now: float) -> None:
@@ -289,7 +291,7 @@
         choice = away if away and (not alive or self.rng.random() < 1 / 3) else alive
         if choice:
             self.out.append(Sync(self.rng.choice(choice)))
-        every = self.sync_every if self.joined else self.rules.period_s
+        every = self.sync_interval_s if self.joined else self.rules.period_s
         self.sync_at = now + every * self.rng.uniform(0.75, 1.25)
 
     # Probes
