--- a/bench/scale/peers.py
+++ b/bench/scale/peers.py
@@ -114,7 +114,7 @@
                 member.guard.met(record.life, 0, asked, asked)
         peers.queue = {}
         peers.joined, peers.sync_interval_s = True, self.rules.sync_s
-        peers.probe_at = now + self.rng.uniform(0, self.rules.period_s)
+        peers.next_probe_at = now + self.rng.uniform(0, self.rules.period_s)
         peers.sync_at = now + self.rng.uniform(0, self.rules.sync_s)
 
 
--- a/flintlatch/peers/core.py
+++ b/flintlatch/peers/core.py
@@ -157,7 +157,7 @@
         # Of probes; begun where nobody can guess, so that an answer of yesterday answers nothing of today.
         self.number = int(rng.random() * 2**40)
         self.health = 0  # 0: no doubt of ourselves
-        self.probe_at, self.sync_at = now, now
+        self.next_probe_at, self.sync_at = now, now
         self.sync_interval_s = rules.period_s
         self.stepped = now
         self.joined = not self.seeds  # until a whole view has come, what datagrams tell is not believed
@@ -260,7 +260,7 @@
         self.suspicions, self.past, self.queue, self.relayed, self.order = {}, {}, {}, {}, []
         self.silent = set()
         self.probe, self.health, self.joined = None, 0, not self.seeds
-        self.probe_at = self.sync_at = now
+        self.next_probe_at = self.sync_at = now
         self.sync_interval_s = self.rules.period_s
         self.raise_own(now, self.me.incarnation + 1)
 
@@ -277,7 +277,7 @@
                 self.silent.discard(name)
                 self.view = self.view.remove(name)
                 self.queue.pop(name, None)
-        if now >= self.probe_at and self.probe is None:
+        if now >= self.next_probe_at and self.probe is None:
             self.begin_probe(now)
         if now >= self.sync_at:
             self.begin_sync(now)
@@ -298,7 +298,7 @@
 
     def begin_probe(self, now: float) -> None:
         """Round robin in an order drawn anew for each round: bounded, not only likely (SWIM, section 4.3)."""
-        self.probe_at = now + self.rules.period_s * (1 + self.health)
+        self.next_probe_at = now + self.rules.period_s * (1 + self.health)
         while True:
             if not self.order:
                 self.order = [r.name for r in self.alive() if r.name != self.me.name]
--- a/tests/peers/explored.py
+++ b/tests/peers/explored.py
@@ -59,7 +59,7 @@
         tuple(core.order),
         (probe.target, now - probe.started, probe.asked, probe.acked, probe.nacks) if probe else (),
         tuple(sorted((r.target, r.address) for r in core.relayed.values())),
-        round(core.probe_at - now, 3),
+        round(core.next_probe_at - now, 3),
         core.health,
         core.joined,
         core.left,
--- a/tests/peers/test_core.py
+++ b/tests/peers/test_core.py
@@ -122,7 +122,7 @@
     for now in (0.0, 0.31, 1.01):
         core.step(now, Tick())
     assert core.health == 3
-    assert core.probe_at >= 1.0
+    assert core.next_probe_at >= 1.0
 
 
 def test_more_independent_voices_shorten_the_wait_and_one_voice_counts_once() -> None:
