--- a/bench/scale/peers.py
+++ b/bench/scale/peers.py
@@ -115,7 +115,7 @@
         peers.queue = {}
         peers.joined, peers.sync_interval_s = True, self.rules.sync_s
         peers.next_probe_at = now + self.rng.uniform(0, self.rules.period_s)
-        peers.sync_at = now + self.rng.uniform(0, self.rules.sync_s)
+        peers.next_sync_at = now + self.rng.uniform(0, self.rules.sync_s)
 
 
 def word(life_s: float, most: int = 4096) -> Topic:
--- a/flintlatch/peers/core.py
+++ b/flintlatch/peers/core.py
@@ -157,7 +157,7 @@
         # Of probes; begun where nobody can guess, so that an answer of yesterday answers nothing of today.
         self.number = int(rng.random() * 2**40)
         self.health = 0  # 0: no doubt of ourselves
-        self.next_probe_at, self.sync_at = now, now
+        self.next_probe_at, self.next_sync_at = now, now
         self.sync_interval_s = rules.period_s
         self.stepped = now
         self.joined = not self.seeds  # until a whole view has come, what datagrams tell is not believed
@@ -232,7 +232,7 @@
             self.sync_interval_s = (
                 self.rules.period_s if news else min(2 * self.sync_interval_s, self.rules.sync_s)
             )
-            self.sync_at = min(self.sync_at, now + self.sync_interval_s)
+            self.next_sync_at = min(self.next_sync_at, now + self.sync_interval_s)
         elif isinstance(event, Altered):
             self.raise_own(now, self.me.incarnation + 1, instances=event.instances)
         elif isinstance(event, Leave) and not self.left:
@@ -260,7 +260,7 @@
         self.suspicions, self.past, self.queue, self.relayed, self.order = {}, {}, {}, {}, []
         self.silent = set()
         self.probe, self.health, self.joined = None, 0, not self.seeds
-        self.next_probe_at = self.sync_at = now
+        self.next_probe_at = self.next_sync_at = now
         self.sync_interval_s = self.rules.period_s
         self.raise_own(now, self.me.incarnation + 1)
 
@@ -279,7 +279,7 @@
                 self.queue.pop(name, None)
         if now >= self.next_probe_at and self.probe is None:
             self.begin_probe(now)
-        if now >= self.sync_at:
+        if now >= self.next_sync_at:
             self.begin_sync(now)
 
     def begin_sync(self, now: float) -> None:
@@ -292,7 +292,7 @@
         if choice:
             self.out.append(Sync(self.rng.choice(choice)))
         every = self.sync_interval_s if self.joined else self.rules.period_s
-        self.sync_at = now + every * self.rng.uniform(0.75, 1.25)
+        self.next_sync_at = now + every * self.rng.uniform(0.75, 1.25)
 
     # Probes
 
