--- a/bench/scale/peers.py
+++ b/bench/scale/peers.py
@@ -108,7 +108,7 @@
         for record in records:
             if record.name not in peers.view:
                 peers.view = peers.view.insert(record.name, record)
-                peers.tally(record)
+                peers.update_indexes(record)
             if record.life != member.me.life:
                 asked = now - self.rng.uniform(0, round_s)
                 member.guard.met(record.life, 0, asked, asked)
--- a/flintlatch/peers/core.py
+++ b/flintlatch/peers/core.py
@@ -146,7 +146,7 @@
         self.there: dict[str, Record] = {}  # those who count
         self.names: list[str] = []  # of them, in order: the same words must lead to the same acts
         self.digested = self.marked = 0
-        self.tally(me)
+        self.update_indexes(me)
         self.silent: set[str] = set()  # whose last direct probe got no answer in time
         self.suspicions: dict[str, Suspicion] = {}
         self.past: dict[str, float] = {}  # when the dead and those who left were found to be so
@@ -184,7 +184,7 @@
         whole views has nothing to tell. Never 0."""
         return self.marked or 1
 
-    def tally(self, record: Record | None) -> None:
+    def update_indexes(self, record: Record | None) -> None:
         """Keep what is asked for often as the view changes, not by walks over all of it: a word of a thousand
         members must not cost a thousand steps."""
         if record is None or record.state in PAST:
@@ -256,7 +256,7 @@
         self.seeds = (*self.seeds, *(a for a in others[: self.rules.helpers] if a not in self.seeds))
         self.view = HashTrieMap({self.me.name: self.me})
         self.there, self.names, self.digested, self.marked = {}, [], 0, 0
-        self.tally(self.me)
+        self.update_indexes(self.me)
         self.suspicions, self.past, self.queue, self.relayed, self.order = {}, {}, {}, {}, []
         self.silent = set()
         self.probe, self.health, self.joined = None, 0, not self.seeds
@@ -445,9 +445,9 @@
     def put(self, now: float, record: Record) -> None:
         """The one place where the view changes."""
         name = record.name
-        self.tally(self.view.get(name))
+        self.update_indexes(self.view.get(name))
         self.view = self.view.insert(name, record)
-        self.tally(record)
+        self.update_indexes(record)
         self.suspicions.pop(name, None)
         self.past.pop(name, None)
         if record.state is State.SUSPECT:
