--- a/bench/scale/peers.py
+++ b/bench/scale/peers.py
@@ -111,7 +111,7 @@
                 peers.update_indexes(record)
             if record.life != member.me.life:
                 asked = now - self.rng.uniform(0, round_s)
-                member.guard.met(record.life, 0, asked, asked)
+                member.guard.mark_verified(record.life, 0, asked, asked)
         peers.queue = {}
         peers.joined, peers.sync_interval_s = True, self.rules.sync_s
         peers.next_probe_at = now + self.rng.uniform(0, self.rules.period_s)
--- a/flintlatch/peers/guard.py
+++ b/flintlatch/peers/guard.py
@@ -72,7 +72,7 @@
         while len(self.asked) > ASKED_MOST:
             self.asked.popitem(last=False)
 
-    def met(self, life: int, number: int, stamp: float, asked: float) -> None:
+    def mark_verified(self, life: int, number: int, stamp: float, asked: float) -> None:
         """It answered, on a stream of its own, what we asked at `asked`. Numbers go on from `number`."""
         known = self.lives.get(life)
         if known is None:
@@ -94,7 +94,7 @@
             self.replays += 1
             return Trust.REPLAY, 0.0
         if asked is not None:
-            self.met(life, number, stamp, asked)
+            self.mark_verified(life, number, stamp, asked)
         known = self.lives[life]
         return Trust.PROVEN, known.sent(stamp)
 
--- a/flintlatch/peers/member.py
+++ b/flintlatch/peers/member.py
@@ -266,7 +266,7 @@
     def _synced(self, now: float, whole: SyncMessage, asked: float) -> list[Action]:
         if self.peers.left:
             return []
-        self.guard.met(whole.life, whole.number, whole.clock, asked)
+        self.guard.mark_verified(whole.life, whole.number, whole.clock, asked)
         actions = self._carry(now, self.peers.step(now, Synced(whole.records)))
         if whole.sender in self.peers.view and whole.sender != self.me.name:
             contact = self.contacts.setdefault(whole.sender, Contact())
--- a/tests/peers/test_guard.py
+++ b/tests/peers/test_guard.py
@@ -75,7 +75,7 @@
     for number in range(3 * ASKED_MOST):
         guard.ask(number, 0.0)
     for life in range(LIVES_MOST + 100):
-        guard.met(life, 1, 0.0, 0.0)
+        guard.mark_verified(life, 1, 0.0, 0.0)
     assert len(guard.asked) == ASKED_MOST and len(guard.lives) == LIVES_MOST
 
 
