--- a/flintlatch/peers/guard.py
+++ b/flintlatch/peers/guard.py
@@ -61,7 +61,7 @@
 
 class Guard:
     def __init__(self) -> None:
-        self.lives: OrderedDict[int, Life] = OrderedDict()
+        self.senders: OrderedDict[int, Life] = OrderedDict()
         self.asked: OrderedDict[int, float] = (
             OrderedDict()
         )  # numbers of questions: when they were first asked
@@ -74,19 +74,19 @@
 
     def mark_verified(self, life: int, number: int, stamp: float, asked: float) -> None:
         """It answered, on a stream of its own, what we asked at `asked`. Numbers go on from `number`."""
-        known = self.lives.get(life)
+        known = self.senders.get(life)
         if known is None:
-            known = self.lives[life] = Life(number, 1)
-            while len(self.lives) > LIVES_MOST:
-                self.lives.popitem(last=False)
+            known = self.senders[life] = Life(number, 1)
+            while len(self.senders) > LIVES_MOST:
+                self.senders.popitem(last=False)
         known.bind(stamp, asked)
-        self.lives.move_to_end(life)
+        self.senders.move_to_end(life)
 
     def hear(self, life: int, number: int, stamp: float, answer: int | None) -> tuple[Trust, float]:
         """A datagram, and a moment of our clock no later than its sending. `answer`: the number of the
         question that it answers, if it does."""
         asked = self.asked.get(answer) if answer is not None else None
-        known = self.lives.get(life)
+        known = self.senders.get(life)
         if known is None and asked is None:
             self.strangers += 1
             return Trust.UNKNOWN, 0.0
@@ -95,9 +95,9 @@
             return Trust.REPLAY, 0.0
         if asked is not None:
             self.mark_verified(life, number, stamp, asked)
-        known = self.lives[life]
+        known = self.senders[life]
         return Trust.PROVEN, known.sent(stamp)
 
     def forget(self) -> None:
-        self.lives.clear()
+        self.senders.clear()
         self.asked.clear()
--- a/tests/peers/test_guard.py
+++ b/tests/peers/test_guard.py
@@ -76,7 +76,7 @@
         guard.ask(number, 0.0)
     for life in range(LIVES_MOST + 100):
         guard.mark_verified(life, 1, 0.0, 0.0)
-    assert len(guard.asked) == ASKED_MOST and len(guard.lives) == LIVES_MOST
+    assert len(guard.asked) == ASKED_MOST and len(guard.senders) == LIVES_MOST
 
 
 def member(name: str = "me", seeds: tuple[str, ...] = ()) -> Member:
@@ -106,7 +106,7 @@
     members.run(20)
     for name in names:
         one = members.member(name)
-        assert len(one.guard.lives) == 4 and one.guard.replays == 0
+        assert len(one.guard.senders) == 4 and one.guard.replays == 0
         assert all(0.001 < one.contacts[other].rtt < 0.007 for other in names if other != name)
         assert {c.digest for c in one.contacts.values()} == {one.digest()}
 
