--- a/bench/scale/peers.py
+++ b/bench/scale/peers.py
@@ -212,7 +212,7 @@
             head = (record.name, record.address, record.life, 1, START_S, 1, 1)
             told = tuple(records) if record is records[1] else ()
             member.on_last(START_S, SyncMessage(*head, told), START_S - 1.0)
-            member.guard.senders[record.life].once(1000)  # a window in use
+            member.guard.senders[record.life].accept_number(1000)  # a window in use
             theirs = Seal((KEY,), record.life)
             seal.open(theirs.close(1, b""))
         member.peers.queue = {}
--- a/flintlatch/peers/guard.py
+++ b/flintlatch/peers/guard.py
@@ -37,7 +37,7 @@
     theirs: float = 0.0  # a stamp of its clock ...
     ours: float = 0.0  # ... and a moment of ours no later than that
 
-    def once(self, number: int) -> bool:
+    def accept_number(self, number: int) -> bool:
         """Whether this number comes for the first time, and not from too far back."""
         ahead = number - self.highest
         if ahead > 0:
@@ -90,7 +90,7 @@
         if known is None and asked is None:
             self.strangers += 1
             return Trust.UNKNOWN, 0.0
-        if known is not None and not known.once(number):
+        if known is not None and not known.accept_number(number):
             self.replays += 1
             return Trust.REPLAY, 0.0
         if asked is not None:
