--- a/flintlatch/fleet/agreed.py
+++ b/flintlatch/fleet/agreed.py
@@ -318,7 +318,7 @@
             "streams": shell.counts.streams,
             "failed_streams": shell.counts.failed_streams,
             "replays": member.guard.replays,
-            "strangers": member.guard.strangers,
+            "strangers": member.guard.unverified,
             "records_refused": of_peers.refused,
             "refuted": of_peers.refuted,
             "clashes": of_peers.clashes,
--- a/flintlatch/peers/guard.py
+++ b/flintlatch/peers/guard.py
@@ -65,7 +65,7 @@
         self.asked: OrderedDict[int, float] = (
             OrderedDict()
         )  # numbers of questions: when they were first asked
-        self.replays = self.strangers = 0
+        self.replays = self.unverified = 0
 
     def ask(self, number: int, now: float) -> None:
         self.asked.setdefault(number, now)
@@ -88,7 +88,7 @@
         asked = self.asked.get(answer) if answer is not None else None
         known = self.senders.get(life)
         if known is None and asked is None:
-            self.strangers += 1
+            self.unverified += 1
             return Trust.UNKNOWN, 0.0
         if known is not None and not known.accept_number(number):
             self.replays += 1
