--- a/flintlatch/fleet/agreed.py
+++ b/flintlatch/fleet/agreed.py
@@ -271,7 +271,7 @@
                     "zone": record.zone,
                     "region": record.region,
                     "me": me,
-                    "heard_s": round(now - contact.heard, 2) if contact is not None else None,
+                    "heard_s": round(now - contact.received_at, 2) if contact is not None else None,
                     "rtt_ms": round(contact.rtt * 1000, 2) if contact is not None and contact.rtt else None,
                     "agrees": True if me else contact.digest == mine if known and contact else None,
                     "accusers": sorted(suspicion.reporters) if suspicion is not None else [],
--- a/flintlatch/peers/member.py
+++ b/flintlatch/peers/member.py
@@ -95,7 +95,7 @@
 class Contact:
     """What is known of another member beside its record."""
 
-    heard: float = 0.0  # when something of it last came
+    received_at: float = 0.0  # when something of it last came
     digest: int = 0
     rtt: float = 0.0  # smoothed, s; 0: not measured
     clock: float = 0.0
@@ -177,7 +177,7 @@
         if envelope.sender not in self.peers.view:
             return
         contact = self.contacts.setdefault(envelope.sender, Contact())
-        contact.heard = now
+        contact.received_at = now
         if envelope.clock >= contact.clock or not contact.clock:
             contact.digest, contact.clock = envelope.digest, envelope.clock
         asked = self.asked_of.get(answer) if answer is not None else None
@@ -270,7 +270,7 @@
         actions = self._carry(now, self.peers.step(now, Synced(whole.records)))
         if whole.sender in self.peers.view and whole.sender != self.me.name:
             contact = self.contacts.setdefault(whole.sender, Contact())
-            contact.heard, contact.digest, contact.clock = now, whole.digest, whole.clock
+            contact.received_at, contact.digest, contact.clock = now, whole.digest, whole.clock
         return actions + self._hear(now, asked, whole.words)
 
     # What is told
