--- a/flintlatch/fleet/agreed.py
+++ b/flintlatch/fleet/agreed.py
@@ -312,7 +312,7 @@
             "datagrams_out": shell.counts.sent,
             "bytes_in": shell.counts.received_bytes,
             "bytes_out": shell.counts.sent_bytes,
-            "foreign": shell.counts.foreign,
+            "foreign": shell.counts.unauthenticated,
             "unreadable": shell.counts.unreadable,
             "flooded": shell.counts.flooded,
             "streams": shell.counts.streams,
--- a/flintlatch/peers/shell.py
+++ b/flintlatch/peers/shell.py
@@ -64,7 +64,7 @@
     sent: int = 0
     received_bytes: int = 0
     sent_bytes: int = 0
-    foreign: int = 0  # not sealed by a key of ours
+    unauthenticated: int = 0  # not sealed by a key of ours
     unreadable: int = 0
     flooded: int = 0  # dropped unread: more than a tick allows
     streams: int = 0
@@ -239,7 +239,7 @@
         self.step(DatagramReceived(envelope))
 
     def _foreign(self, what: str) -> None:
-        self.counts.foreign += 1
+        self.counts.unauthenticated += 1
         if not self.told_foreign:
             self.told_foreign = True
             self.on_told(f"peers: {what} is not sealed by a key of ours; told once, then counted")
