--- a/flintlatch/fleet/agreed.py
+++ b/flintlatch/fleet/agreed.py
@@ -314,7 +314,7 @@
             "bytes_out": shell.counts.sent_bytes,
             "foreign": shell.counts.unauthenticated,
             "unreadable": shell.counts.unreadable,
-            "flooded": shell.counts.flooded,
+            "flooded": shell.counts.over_budget,
             "streams": shell.counts.streams,
             "failed_streams": shell.counts.failed_streams,
             "replays": member.guard.replays,
--- a/flintlatch/peers/shell.py
+++ b/flintlatch/peers/shell.py
@@ -66,7 +66,7 @@
     sent_bytes: int = 0
     unauthenticated: int = 0  # not sealed by a key of ours
     unreadable: int = 0
-    flooded: int = 0  # dropped unread: more than a tick allows
+    over_budget: int = 0  # dropped unread: more than a tick allows
     streams: int = 0
     failed_streams: int = 0
 
@@ -220,7 +220,7 @@
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
         if self.budget <= 0:
-            self.counts.flooded += 1
+            self.counts.over_budget += 1
             return
         self.budget -= 1
         self.counts.received += 1
