--- a/flintlatch/fleet/agreed.py
+++ b/flintlatch/fleet/agreed.py
@@ -321,7 +321,7 @@
             "strangers": member.guard.unverified,
             "records_refused": of_peers.refused,
             "refuted": of_peers.refuted,
-            "clashes": of_peers.clashes,
+            "clashes": of_peers.name_conflicts,
             "suspected": of_peers.suspected,
             "died": of_peers.died,
             "words_taken": of_words.taken,
--- a/flintlatch/peers/core.py
+++ b/flintlatch/peers/core.py
@@ -126,7 +126,7 @@
 class Counts:
     refused: int = 0  # records that were malformed, beyond the leap, or beyond the bound on names
     refuted: int = 0
-    clashes: int = 0  # words of another process under our name
+    name_conflicts: int = 0  # words of another process under our name
     suspected: int = 0
     died: int = 0
 
@@ -426,7 +426,7 @@
             return
         if record.life != mine.life and record.state is State.ALIVE:
             # Another process under our name, or we ourselves before a restart.
-            self.counts.clashes += 1
+            self.counts.name_conflicts += 1
             if record.address != mine.address and "clash" not in self.told:
                 self.told.add("clash")
                 self.out.append(Told(f"{mine.name} is claimed by {record.address} too"))
--- a/tests/peers/test_core.py
+++ b/tests/peers/test_core.py
@@ -162,7 +162,7 @@
     told = [a for a in hear(core, 0.0, other) if isinstance(a, Told)]
     told += [a for a in hear(core, 0.0, other._replace(incarnation=9)) if isinstance(a, Told)]
     assert len(told) == 1 and "other:1" in told[0].text
-    assert core.view["me"].address == "me:7946" and core.counts.clashes == 2
+    assert core.view["me"].address == "me:7946" and core.counts.name_conflicts == 2
 
 
 def test_liars_are_bounded_and_told_of_once() -> None:
