--- a/flintlatch/fleet/agreed.py
+++ b/flintlatch/fleet/agreed.py
@@ -324,7 +324,7 @@
             "clashes": of_peers.name_conflicts,
             "suspected": of_peers.suspected,
             "died": of_peers.died,
-            "words_taken": of_words.taken,
+            "words_taken": of_words.accepted,
             "words_late": of_words.late,
             "words_refused": of_words.refused,
         }
--- a/flintlatch/peers/words.py
+++ b/flintlatch/peers/words.py
@@ -115,7 +115,7 @@
 
 @dataclass(slots=True)
 class Counts:
-    taken: int = 0
+    accepted: int = 0
     late: int = 0  # words that had ended when they came
     refused: int = 0  # malformed, too long a life, beyond a bound
 
@@ -234,7 +234,7 @@
                 self.counts.refused += 1
                 continue
             self._put(now, word, expires_at)
-            self.counts.taken += 1
+            self.counts.accepted += 1
             news.append(word)
         return news
 
