--- a/flintlatch/fleet/agreed.py
+++ b/flintlatch/fleet/agreed.py
@@ -325,6 +325,6 @@
             "suspected": of_peers.suspected,
             "died": of_peers.died,
             "words_taken": of_words.accepted,
-            "words_late": of_words.late,
+            "words_late": of_words.expired,
             "words_refused": of_words.refused,
         }
--- a/flintlatch/peers/words.py
+++ b/flintlatch/peers/words.py
@@ -116,7 +116,7 @@
 @dataclass(slots=True)
 class Counts:
     accepted: int = 0
-    late: int = 0  # words that had ended when they came
+    expired: int = 0  # words that had ended when they came
     refused: int = 0  # malformed, too long a life, beyond a bound
 
 
@@ -216,7 +216,7 @@
                 continue
             expires_at = min(sent, now) + word.remaining_s * SHRINK
             if expires_at <= now:
-                self.counts.late += 1
+                self.counts.expired += 1
                 continue
             if word.origin == self.me:
                 self._hear_own(now, word)
--- a/tests/peers/test_words.py
+++ b/tests/peers/test_words.py
@@ -31,7 +31,7 @@
     core.hear(103.0, 100.0, [word()])
     end = 100.0 + 5.0 * SHRINK
     assert core.read(end - 0.01, "load") and not core.read(end, "load")
-    assert not core.hear(105.0, 100.0, [word("y")]) and core.counts.late == 1
+    assert not core.hear(105.0, 100.0, [word("y")]) and core.counts.expired == 1
 
 
 def test_a_word_read_past_its_end_is_none_though_no_timer_ran() -> None:
