--- a/flintlatch/fleet/agreed.py
+++ b/flintlatch/fleet/agreed.py
@@ -143,7 +143,7 @@
                 self.shell.change_keys(self._keys())
             except (InvalidKeyFile, OSError) as error:
                 self.log("error", f"peers: {error}; going on with the keys of before")
-            self.shell.alter(config.fleet.instances)
+            self.shell.set_instances(config.fleet.instances)
 
     def close(self) -> None:
         self.ended = True
--- a/flintlatch/peers/shell.py
+++ b/flintlatch/peers/shell.py
@@ -164,7 +164,7 @@
             self.step(Leave())
             self.close()
 
-    def alter(self, instances: int) -> None:
+    def set_instances(self, instances: int) -> None:
         if instances != self.member.me.instances:
             self.step(Altered(instances))
 
