--- a/bench/scale/delivery.py
+++ b/bench/scale/delivery.py
@@ -260,7 +260,7 @@
         for _ in range(5):
             ours, theirs = (StreamSeal(bytes(32), b"a" * 16, b"b" * 16, asks) for asks in (True, False))
             began = process_time()
-            frames = [ours.close(wire.encode(message)) for _ in range(times)]
+            frames = [ours.encrypt(wire.encode(message)) for _ in range(times)]
             between = process_time()
             for frame in frames:
                 wire.from_relay(theirs.open(frame))
--- a/bench/scale/peers.py
+++ b/bench/scale/peers.py
@@ -127,7 +127,7 @@
     seals = {one.life: Seal((KEY,), one.life) for one in kept}
     theirs = Seal((KEY,), 1)
     began = time.process_time()
-    datagrams = [seals[one.life].close(one.number, pack(one)) for one in kept]
+    datagrams = [seals[one.life].encrypt(one.number, pack(one)) for one in kept]
     closed = time.process_time()
     opened = [theirs.open(data) for data in datagrams]  # each life's key is derived once
     derived = time.process_time()
@@ -214,7 +214,7 @@
             member.on_last(START_S, SyncMessage(*head, told), START_S - 1.0)
             member.guard.senders[record.life].accept_number(1000)  # a window in use
             theirs = Seal((KEY,), record.life)
-            seal.open(theirs.close(1, b""))
+            seal.open(theirs.encrypt(1, b""))
         member.peers.queue = {}
         kept.append((member, seal))
 
--- a/flintlatch/delivery/stream.py
+++ b/flintlatch/delivery/stream.py
@@ -141,7 +141,7 @@
             self.counts.unsendable += 1
             self._lose(UNSENDABLE)
             return
-        sealed = self.seal.close(plain)
+        sealed = self.seal.encrypt(plain)
         self.counts.frames_out += 1
         self._write(LENGTH.pack(len(sealed)) + sealed)
         if self.transport.get_write_buffer_size() > UNSENT_MOST:
--- a/flintlatch/peers/seal.py
+++ b/flintlatch/peers/seal.py
@@ -74,7 +74,7 @@
         self.mine = derive(keys[0], self.life.to_bytes(8, "big"), b"datagram")
         self.theirs: OrderedDict[tuple[bytes, int], ChaCha20Poly1305] = OrderedDict()
 
-    def close(self, number: int, plain: bytes) -> bytes:
+    def encrypt(self, number: int, plain: bytes) -> bytes:
         head = HEAD.pack(VERSION, self.first, self.life, number)
         return head + self.mine.encrypt(number.to_bytes(12, "big"), plain, head)
 
@@ -106,7 +106,7 @@
         self.mine, self.theirs = ways if asks else ways[::-1]
         self.sent = self.got = 0
 
-    def close(self, plain: bytes) -> bytes:
+    def encrypt(self, plain: bytes) -> bytes:
         self.sent += 1
         return self.mine.encrypt(self.sent.to_bytes(12, "big"), plain, None)
 
--- a/flintlatch/peers/shell.py
+++ b/flintlatch/peers/shell.py
@@ -246,7 +246,7 @@
 
     def _post(self, action: SendDatagram) -> None:
         envelope = action.envelope
-        data = self.seal.close(envelope.number, pack(envelope))
+        data = self.seal.encrypt(envelope.number, pack(envelope))
         if self.transport is None or self.transport.is_closing() or len(data) > DATAGRAM_MOST:
             return
         try:
@@ -337,7 +337,7 @@
             self.counts.unreadable += 1
 
     def _frame(self, writer: asyncio.StreamWriter, seal: StreamSeal, plain: bytes) -> None:
-        data = seal.close(plain)
+        data = seal.encrypt(plain)
         self.counts.sent_bytes += len(data) + LENGTH.size
         writer.write(LENGTH.pack(len(data)) + data)
 
--- a/tests/delivery/loopback.py
+++ b/tests/delivery/loopback.py
@@ -130,7 +130,7 @@
         return raw
 
     def frame(self, plain: bytes) -> bytes:
-        data = self.seal.close(plain)
+        data = self.seal.encrypt(plain)
         return LENGTH.pack(len(data)) + data
 
     def say(self, *messages: Message) -> None:
--- a/tests/delivery/test_wire.py
+++ b/tests/delivery/test_wire.py
@@ -87,7 +87,7 @@
 
 def frame(plain: bytes) -> bytes:
     """As it stands on a socket."""
-    sealed = StreamSeal(KEY, bytes(16), bytes(16), True).close(plain)
+    sealed = StreamSeal(KEY, bytes(16), bytes(16), True).encrypt(plain)
     return LENGTH.pack(len(sealed)) + sealed
 
 
