--- a/bench/scale/delivery.py
+++ b/bench/scale/delivery.py
@@ -263,7 +263,7 @@
             frames = [ours.encrypt(wire.encode(message)) for _ in range(times)]
             between = process_time()
             for frame in frames:
-                wire.from_relay(theirs.open(frame))
+                wire.from_relay(theirs.decrypt(frame))
             out.append((between - began) / times * 1e6)
             back.append((process_time() - between) / times * 1e6)
         shut.append(min(out))
--- a/bench/scale/peers.py
+++ b/bench/scale/peers.py
@@ -129,10 +129,10 @@
     began = time.process_time()
     datagrams = [seals[one.life].encrypt(one.number, pack(one)) for one in kept]
     closed = time.process_time()
-    opened = [theirs.open(data) for data in datagrams]  # each life's key is derived once
+    opened = [theirs.decrypt(data) for data in datagrams]  # each life's key is derived once
     derived = time.process_time()
     for data in datagrams:
-        theirs.open(data)
+        theirs.decrypt(data)
     for life, number, plain in opened:
         unpack(plain, life, number)
     ended = time.process_time()
@@ -214,7 +214,7 @@
             member.on_last(START_S, SyncMessage(*head, told), START_S - 1.0)
             member.guard.senders[record.life].accept_number(1000)  # a window in use
             theirs = Seal((KEY,), record.life)
-            seal.open(theirs.encrypt(1, b""))
+            seal.decrypt(theirs.encrypt(1, b""))
         member.peers.queue = {}
         kept.append((member, seal))
 
--- a/flintlatch/delivery/stream.py
+++ b/flintlatch/delivery/stream.py
@@ -105,7 +105,7 @@
             end = at + LENGTH.size + length
             if len(buffer) < end:
                 break
-            plain = self.seal.open(bytes(buffer[at + LENGTH.size : end]))
+            plain = self.seal.decrypt(bytes(buffer[at + LENGTH.size : end]))
             at = end
             self.counts.frames_in += 1
             self.on_frame(plain)
--- a/flintlatch/peers/seal.py
+++ b/flintlatch/peers/seal.py
@@ -78,7 +78,7 @@
         head = HEAD.pack(VERSION, self.first, self.life, number)
         return head + self.mine.encrypt(number.to_bytes(12, "big"), plain, head)
 
-    def open(self, data: bytes) -> tuple[int, int, bytes]:
+    def decrypt(self, data: bytes) -> tuple[int, int, bytes]:
         """Life, number, what was sealed. Raises AuthenticationFailed."""
         if len(data) < HEAD.size + 16:
             raise AuthenticationFailed("too short")
@@ -110,7 +110,7 @@
         self.sent += 1
         return self.mine.encrypt(self.sent.to_bytes(12, "big"), plain, None)
 
-    def open(self, data: bytes) -> bytes:
+    def decrypt(self, data: bytes) -> bytes:
         """Raises AuthenticationFailed."""
         self.got += 1
         try:
--- a/flintlatch/peers/shell.py
+++ b/flintlatch/peers/shell.py
@@ -228,7 +228,7 @@
         try:
             if len(data) > DATAGRAM_MOST:
                 raise Unreadable("longer than any of ours")
-            life, number, plain = self.seal.open(data)
+            life, number, plain = self.seal.decrypt(data)
             envelope = unpack(plain, life, number)
         except AuthenticationFailed:
             self._foreign(f"a datagram from {addr[0]}")
@@ -346,4 +346,4 @@
         if length > FRAME_MOST:
             raise Unreadable(f"a frame of {length} bytes")
         self.counts.received_bytes += length + LENGTH.size
-        return seal.open(await reader.readexactly(length))
+        return seal.decrypt(await reader.readexactly(length))
--- a/tests/delivery/loopback.py
+++ b/tests/delivery/loopback.py
@@ -139,7 +139,7 @@
 
     async def hear(self) -> Message:
         (length,) = LENGTH.unpack(await self.reader.readexactly(LENGTH.size))
-        return from_relay(self.seal.open(await self.reader.readexactly(length)))
+        return from_relay(self.seal.decrypt(await self.reader.readexactly(length)))
 
     async def ended(self) -> None:
         """Everything up to the end is read and left."""
--- a/tests/peers/test_guard.py
+++ b/tests/peers/test_guard.py
@@ -114,27 +114,27 @@
 def test_datagrams_are_sealed_whole_and_by_any_of_two_keys() -> None:
     mine, theirs, stranger = Seal((ONE,), 3), Seal((OTHER, ONE), 4), Seal((OTHER,), 5)
     data = mine.encrypt(9, b"plain")
-    assert theirs.open(data) == (3, 9, b"plain")
+    assert theirs.decrypt(data) == (3, 9, b"plain")
     for place in range(len(data)):
         with pytest.raises(AuthenticationFailed):
-            theirs.open(data[:place] + bytes([data[place] ^ 1]) + data[place + 1 :])
+            theirs.decrypt(data[:place] + bytes([data[place] ^ 1]) + data[place + 1 :])
     for wrong in (data[:20], b"", data + b"x"):
         with pytest.raises(AuthenticationFailed):
-            theirs.open(wrong)
+            theirs.decrypt(wrong)
     with pytest.raises(AuthenticationFailed):
-        stranger.open(data)
+        stranger.decrypt(data)
 
 
 def test_frames_of_a_stream_come_once_in_order_and_one_way() -> None:
     asks, asked = StreamSeal(ONE, b"a" * 16, b"b" * 16, True), StreamSeal(ONE, b"a" * 16, b"b" * 16, False)
     first, second = asks.encrypt(b"1"), asks.encrypt(b"2")
-    assert asked.open(first) == b"1" and asked.open(second) == b"2"
+    assert asked.decrypt(first) == b"1" and asked.decrypt(second) == b"2"
     for wrong in (first, asked.encrypt(b"3")):
         with pytest.raises(AuthenticationFailed):
-            asked.open(wrong)
+            asked.decrypt(wrong)
     other = StreamSeal(ONE, b"a" * 16, b"c" * 16, False)
     with pytest.raises(AuthenticationFailed):
-        other.open(first)  # a replay in another stream
+        other.decrypt(first)  # a replay in another stream
 
 
 @pytest.mark.parametrize(
