--- a/flintlatch/peers/census.py
+++ b/flintlatch/peers/census.py
@@ -62,7 +62,7 @@
         return FleetPosition(proxies, min(self.sight.before, proxies - self.own))
 
     @staticmethod
-    def late_s(detection_s: float, hold_s: float) -> float:
+    def overcount_bound_s(detection_s: float, hold_s: float) -> float:
         """The stated bound on how long a number that is too large may stand before it begins to fall: from a
         death until it is found, and then the wait. A number that is too small stands for no longer than a
         member that there is takes to be heard of."""
