--- a/flintlatch/fleet/agreed.py
+++ b/flintlatch/fleet/agreed.py
@@ -174,7 +174,7 @@
         there = peers.alive()
         before = sum(record.instances for record in there if record.name < peers.me.name)
         doubted = not peers.joined or any(record.state is State.SUSPECT for record in there)
-        self.census.see(clock(), CensusView(peers.instances(), before, doubted))
+        self.census.update(clock(), CensusView(peers.instances(), before, doubted))
         self._say()
 
     def _on_news(self, words: tuple[Entry, ...]) -> None:
--- a/flintlatch/peers/census.py
+++ b/flintlatch/peers/census.py
@@ -40,7 +40,7 @@
         self.sights: deque[tuple[float, int]] = deque()  # (when, number), falling: a maximum over hold_s
         self.sight = CensusView(own, 0, True)
 
-    def see(self, now: float, sight: CensusView) -> None:
+    def update(self, now: float, sight: CensusView) -> None:
         self.read(now)
         if sight.doubted or sight.instances < self.sight.instances:
             self.doubt_until = now + self.hold_s
--- a/tests/peers/test_census.py
+++ b/tests/peers/test_census.py
@@ -12,7 +12,7 @@
 def test_a_fresh_start_believes_the_configuration_until_it_has_met_others_for_a_while() -> None:
     census = Census(2, 20, 30.0, 0.0)
     assert census.read(1.0) == FleetPosition(20, 0)
-    census.see(2.0, CensusView(8, 4, False))
+    census.update(2.0, CensusView(8, 4, False))
     assert census.read(30.0) == FleetPosition(20, 4)
     assert 8 < census.read(33.0).proxies < 20
     assert census.read(90.0) == FleetPosition(8, 4)
@@ -20,10 +20,10 @@
 
 def test_it_rises_at_once_and_falls_late_and_without_a_step() -> None:
     census = Census(1, 1, 10.0, 0.0)
-    census.see(0.0, CensusView(4, 0, False))
-    census.see(20.0, CensusView(30, 0, False))
+    census.update(0.0, CensusView(4, 0, False))
+    census.update(20.0, CensusView(30, 0, False))
     assert census.read(20.0).proxies == 30
-    census.see(40.0, CensusView(4, 0, False))
+    census.update(40.0, CensusView(4, 0, False))
     assert census.read(49.9).proxies == 30
     last = 30
     for tenth in range(500, 1200):
@@ -35,11 +35,11 @@
 
 def test_while_anybody_is_under_suspicion_it_does_not_fall() -> None:
     census = Census(1, 1, 5.0, 0.0)
-    census.see(0.0, CensusView(10, 0, False))
+    census.update(0.0, CensusView(10, 0, False))
     for second in range(1, 60):
-        census.see(float(second), CensusView(6, 0, True))
+        census.update(float(second), CensusView(6, 0, True))
         assert census.read(second + 0.5).proxies == 10
-    census.see(60.0, CensusView(6, 0, False))
+    census.update(60.0, CensusView(6, 0, False))
     assert census.read(120.0).proxies == 6
 
 
@@ -55,6 +55,6 @@
     for wait, more, before, doubted in plan:
         seen = own + more
         now += wait
-        census.see(now, CensusView(seen, before, doubted))
+        census.update(now, CensusView(seen, before, doubted))
         place = census.read(now)
         assert place.proxies >= seen and 0 <= place.first <= place.proxies - own
