--- a/flintlatch/peers/census.py
+++ b/flintlatch/peers/census.py
@@ -26,7 +26,7 @@
 
     instances: int  # of all members that count, ours included
     before: int  # of those whose names come before ours
-    doubted: bool  # someone is under suspicion, or nobody has been met yet
+    uncertain: bool  # someone is under suspicion, or nobody has been met yet
 
 
 class Census:
@@ -42,7 +42,7 @@
 
     def update(self, now: float, sight: CensusView) -> None:
         self.read(now)
-        if sight.doubted or sight.instances < self.sight.instances:
+        if sight.uncertain or sight.instances < self.sight.instances:
             self.doubt_until = now + self.hold_s
         self.sight = sight
         while self.sights and self.sights[-1][1] <= sight.instances:
--- a/tests/peers/test_census.py
+++ b/tests/peers/test_census.py
@@ -52,9 +52,9 @@
     plan: list[tuple[float, int, int, bool]], own: int, configured: int
 ) -> None:
     census, now = Census(own, configured, 8.0, 0.0), 0.0
-    for wait, more, before, doubted in plan:
+    for wait, more, before, uncertain in plan:
         seen = own + more
         now += wait
-        census.update(now, CensusView(seen, before, doubted))
+        census.update(now, CensusView(seen, before, uncertain))
         place = census.read(now)
         assert place.proxies >= seen and 0 <= place.first <= place.proxies - own
