--- a/bench/scale/verdicts.py
+++ b/bench/scale/verdicts.py
@@ -16,7 +16,7 @@
 from bench.scale.peers import Got, Hollow, Meter, child
 from flintlatch.fleet.judging import RENEW, Judging
 from flintlatch.peers import Entry, Record, Topic
-from flintlatch.verdicts.api import SEEN, Rules
+from flintlatch.verdicts.api import Rules, observation_topic
 
 ROWS, ROWS_SMALL = (10, 50, 200, 1000, 2000), (10, 50)
 OBSERVERS, OBSERVERS_SMALL = (20, 100, 500, 2200), (10, 20)
@@ -47,7 +47,7 @@
 
 def wide(words: int) -> Topic:
     """Today's topic, with room for so many."""
-    seen = SEEN(RULES.life_s)
+    seen = observation_topic(RULES.life_s)
     return Topic(
         "seen", seen.merge, seen.ttl_s, seen.max_per_member, max(words, seen.max_entries), seen.weight
     )
--- a/flintlatch/fleet/agreed.py
+++ b/flintlatch/fleet/agreed.py
@@ -19,7 +19,7 @@
 from flintlatch.peers.seal import InvalidKeyFile, read_keys
 from flintlatch.peers.shell import BindError, Options, Shell
 from flintlatch.peers.words import MAX_SUBJECT_CHARS, MAX_VALUE_BYTES, EntryStore
-from flintlatch.verdicts.api import SEEN
+from flintlatch.verdicts.api import observation_topic
 
 OPEN_AGAIN_S = 0.5  # until an address that a predecessor may still hold is tried again
 RENEW = 3  # times in its life that a word to the instances is said anew
@@ -65,7 +65,7 @@
 
     def topics(self) -> tuple[Topic, ...]:
         limits = topics(self.config.terms.term_s) if self.limiting is not None else ()
-        seen = (SEEN(self.config.verdicts.life_s),) if self.config.verdicts is not None else ()
+        seen = (observation_topic(self.config.verdicts.life_s),) if self.config.verdicts is not None else ()
         return (NOTES, *limits, *seen)
 
     def gone(self, worker: int) -> None:
--- a/flintlatch/verdicts/core.py
+++ b/flintlatch/verdicts/core.py
@@ -19,7 +19,7 @@
 LEAST_SERVERS = 3  # below so many a part says nothing of who is ill
 
 
-def SEEN(life_s: float) -> Topic:  # noqa: N802
+def observation_topic(life_s: float) -> Topic:  # noqa: N802
     """The topic of voices: subject a server, any value."""
     return Topic(
         "seen", Merge.PER_MEMBER, life_s, max_per_member=MOST_VOICES, max_entries=32 * MOST_VOICES, weight=2.0
