--- a/flintlatch/fleet/judging.py
+++ b/flintlatch/fleet/judging.py
@@ -11,7 +11,7 @@
 from flintlatch.peers.clock import clock
 from flintlatch.peers.shell import Shell
 from flintlatch.peers.words import EntryStore
-from flintlatch.verdicts.api import Judgement, Rules, judge
+from flintlatch.verdicts.api import EjectionDecision, Rules, judge
 
 RENEW = 4  # times in a life that voices and words to the instances are said anew
 GOOD = b"0"  # a voice is how often it failed in a row; nothing of that any more
@@ -34,7 +34,7 @@
         self.answered: dict[int, set[str]] = {}  # what failed it and has answered it since
         # By server, what we say of it and when it is said anew.
         self.said: dict[str, tuple[bytes, float]] = {}
-        self.found = Judgement()
+        self.found = EjectionDecision()
         self.shunned: list[str] = []
         self.accused: list[str] = []
         self.tell_at = 0.0
@@ -104,7 +104,7 @@
                 shell.publish("seen", server, wanted, self.rules.life_s, renew=False)
                 self.said[server] = wanted, now + self.rules.life_s / RENEW
 
-    def _report(self, before: Judgement, me: str) -> None:
+    def _report(self, before: EjectionDecision, me: str) -> None:
         """Each change is one line."""
         for server, one in self.found.out.items():
             if server not in before.out:
--- a/flintlatch/verdicts/core.py
+++ b/flintlatch/verdicts/core.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Judgement:
+class EjectionDecision:
     out: dict[str, Verdict] = field(default_factory=dict)
     ill: frozenset[str] = frozenset()  # fleets whose own voices count for nothing
     many: int = 0  # servers that would be out and are all used again, since they are too many
@@ -55,7 +55,7 @@
     fleets: Mapping[str, str],
     servers: int,
     rules: Rules,
-) -> Judgement:
+) -> EjectionDecision:
     """`voices`: by server the fleets that it failed, with how often in a row; `good`: those that it answered
     a moment ago, of servers that somebody finds bad. Who says nothing does not use it. `fleets`: those that
     are there, with their zones."""
@@ -74,8 +74,8 @@
     most = int(rules.most_out * servers)
     if len(found) > most:
         # So many at once are no matter of single servers: it is load, or something that all of us share.
-        return Judgement({}, ill, len(found))
-    return Judgement(found, ill, 0)
+        return EjectionDecision({}, ill, len(found))
+    return EjectionDecision(found, ill, 0)
 
 
 def _ill(bad: Mapping[str, int], servers: int, rules: Rules) -> list[str]:
