--- a/flintlatch/verdicts/core.py
+++ b/flintlatch/verdicts/core.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
+class Ejection:
     server: str
     voices: tuple[str, ...]  # fleets that say so, those that count
     zone: str  # for the fleets of this zone alone: its way there, not the server; empty: for all
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EjectionDecision:
-    out: dict[str, Verdict] = field(default_factory=dict)
+    out: dict[str, Ejection] = field(default_factory=dict)
     ill: frozenset[str] = frozenset()  # fleets whose own voices count for nothing
     many: int = 0  # servers that would be out and are all used again, since they are too many
 
@@ -65,7 +65,7 @@
             bad[fleet] += 1
     ill = frozenset(_ill(bad, servers, rules))
     sound = {fleet: zone for fleet, zone in fleets.items() if fleet not in ill}
-    found: dict[str, Verdict] = {}
+    found: dict[str, Ejection] = {}
     for server, named in sorted(voices.items()):
         against = {fleet: count for fleet, count in sorted(named.items()) if fleet in sound}
         verdict = _verdict(server, against, good.get(server, set()) & sound.keys(), sound, rules)
@@ -89,7 +89,7 @@
 
 def _verdict(
     server: str, against: Mapping[str, int], good: set[str], sound: Mapping[str, str], rules: Rules
-) -> Verdict | None:
+) -> Ejection | None:
     """For all, if those that it fails are over twice those that it answers; else for the first zone by name
     of which that holds: their way there."""
     for zone in ("", *sorted({sound[fleet] for fleet in against})):
@@ -99,7 +99,7 @@
         enough = max(rules.strikes, rules.part * len(sound))
         if len(here) >= rules.quorum and weight >= enough and 2 * len(fine) < len(here):
             those = [fleet for fleet, where in sound.items() if zone in ("", where)]
-            return Verdict(server, tuple(here), zone, turns(server, list(here), those, rules.quorum + 1))
+            return Ejection(server, tuple(here), zone, turns(server, list(here), those, rules.quorum + 1))
     return None
 
 
