--- a/bench/verdicts.py
+++ b/bench/verdicts.py
@@ -27,7 +27,7 @@
 from flintlatch.api import Event, Shun
 from flintlatch.standin.fleets import fleets
 from flintlatch.standin.rig import MIX
-from flintlatch.verdicts.api import Rules, judge
+from flintlatch.verdicts.api import Rules, decide_ejections
 
 SERVERS, SILENT, LOAD = 40, 5, 0.6
 SECONDS, FROM_MS, UNTIL_MS = 16, 3000, 11_000
@@ -67,7 +67,7 @@
             while len(told) > 1 and told[1][0] <= world.now - WORD_MS:
                 told.popleft()
             if told[0][0] <= world.now - WORD_MS:
-                found = judge(told[0][1], told[0][2], fleets_, SERVERS, rules)
+                found = decide_ejections(told[0][1], told[0][2], fleets_, SERVERS, rules)
                 wrong |= found.out.keys() - {server.name for server in struck}
                 for n in range(proxies):
                     wanted = set(found.shuns(f"p{n}", fleets_[f"p{n}"]))
--- a/flintlatch/fleet/judging.py
+++ b/flintlatch/fleet/judging.py
@@ -11,7 +11,7 @@
 from flintlatch.peers.clock import clock
 from flintlatch.peers.shell import Shell
 from flintlatch.peers.words import EntryStore
-from flintlatch.verdicts.api import EjectionDecision, Rules, judge
+from flintlatch.verdicts.api import EjectionDecision, Rules, decide_ejections
 
 RENEW = 4  # times in a life that voices and words to the instances are said anew
 GOOD = b"0"  # a voice is how often it failed in a row; nothing of that any more
@@ -76,7 +76,7 @@
             else:
                 voices.setdefault(said.subject, {})[said.origin] = int(said.value[:4])
         there = {record.name: record.zone for record in shell.member.peers.alive()}
-        before, self.found = self.found, judge(voices, good, there, len(servers), self.rules)
+        before, self.found = self.found, decide_ejections(voices, good, there, len(servers), self.rules)
         me = shell.member.me
         self._report(before, me.name)
         shunned, accused = sorted(self.found.shuns(me.name, me.zone)), sorted(voices)
--- a/flintlatch/verdicts/core.py
+++ b/flintlatch/verdicts/core.py
@@ -49,7 +49,7 @@
         ]
 
 
-def judge(
+def decide_ejections(
     voices: Mapping[str, Mapping[str, int]],
     good: Mapping[str, set[str]],
     fleets: Mapping[str, str],
--- a/tests/verdicts/test_core.py
+++ b/tests/verdicts/test_core.py
@@ -7,7 +7,7 @@
 
 from flintlatch.api import Proxies, Result, Shun
 from flintlatch.fleet.heard import Heard
-from flintlatch.verdicts.api import Rules, judge
+from flintlatch.verdicts.api import Rules, decide_ejections
 from flintlatch.verdicts.core import EACH_MOST
 from tests.support import Driver, fleet
 from tests.support import settings as module_settings
@@ -17,7 +17,7 @@
 
 
 def test_two_zones_that_find_a_server_bad_leave_it_and_three_go_on_trying_it() -> None:
-    found = judge({"s": {"a1": 2, "b1": 2}}, {}, FLEETS, 10, RULES)
+    found = decide_ejections({"s": {"a1": 2, "b1": 2}}, {}, FLEETS, 10, RULES)
     verdict = found.out["s"]
     assert verdict.zone == "" and len(verdict.tries) == RULES.quorum + 1
     shunning = {f for f, z in FLEETS.items() if "s" in found.shuns(f, z)}
@@ -25,46 +25,48 @@
 
 
 def test_one_voice_makes_no_verdict_however_loud() -> None:
-    assert not judge({"s": {"a1": 10**9}}, {}, FLEETS, 10, RULES).out
-    assert not judge({"s": {"a1": 1, "b1": 1}}, {}, FLEETS, 10, RULES).out  # and two by chance neither
+    assert not decide_ejections({"s": {"a1": 10**9}}, {}, FLEETS, 10, RULES).out
+    assert not decide_ejections(
+        {"s": {"a1": 1, "b1": 1}}, {}, FLEETS, 10, RULES
+    ).out  # and two by chance neither
 
 
 def test_what_one_zone_alone_finds_is_a_verdict_for_that_zone() -> None:
-    found = judge({"s": {"b1": 3, "b2": 3}}, {"s": {"a1", "a2"}}, FLEETS, 10, RULES)
+    found = decide_ejections({"s": {"b1": 3, "b2": 3}}, {"s": {"a1", "a2"}}, FLEETS, 10, RULES)
     assert found.out["s"].zone == "b"
     assert not any(found.shuns(f, "a") for f in ("a1", "a2"))
     assert sum("s" in found.shuns(f, "b") for f in ("b1", "b2", "b3")) == 0  # three try, three there are
-    alone = judge({"s": {"b1": 3, "b2": 3}}, {}, FLEETS, 10, RULES)
+    alone = decide_ejections({"s": {"b1": 3, "b2": 3}}, {}, FLEETS, 10, RULES)
     assert alone.out["s"].zone == ""  # that nobody else speaks of it says only that nobody else uses it
 
 
 def test_one_that_finds_most_bad_is_ill_itself_and_counts_for_nothing() -> None:
     voices = {f"s{n}": {"a1": 3} for n in range(8)} | {"s0": {"a1": 3, "b1": 1}}
-    found = judge(voices, {}, FLEETS, 10, RULES)
+    found = decide_ejections(voices, {}, FLEETS, 10, RULES)
     assert found.ill == {"a1"} and not found.out
     assert not found.shuns("a1", "a")
 
 
 def test_too_many_at_once_are_no_verdict_and_are_told() -> None:
     voices = {f"s{n}": {"a1": 3, "b1": 3} for n in range(4)}
-    assert judge(voices, {}, FLEETS, 10, RULES).many == 4
-    assert not judge(voices, {}, FLEETS, 10, RULES).out
-    assert len(judge(dict(list(voices.items())[:3]), {}, FLEETS, 10, RULES).out) == 3
+    assert decide_ejections(voices, {}, FLEETS, 10, RULES).many == 4
+    assert not decide_ejections(voices, {}, FLEETS, 10, RULES).out
+    assert len(decide_ejections(dict(list(voices.items())[:3]), {}, FLEETS, 10, RULES).out) == 3
 
 
 def test_what_it_answers_weighs_against_what_it_fails() -> None:
     voices = {"s": {"a1": 3, "b1": 3, "b2": 3}}
-    assert judge(voices, {"s": {"a2"}}, FLEETS, 10, RULES).out["s"].zone == ""
-    assert not judge(voices, {"s": {"a2", "b3"}}, FLEETS, 10, RULES).out
+    assert decide_ejections(voices, {"s": {"a2"}}, FLEETS, 10, RULES).out["s"].zone == ""
+    assert not decide_ejections(voices, {"s": {"a2", "b3"}}, FLEETS, 10, RULES).out
     # Only those that try it are left to speak then: one of them that it answers lifts it.
-    assert not judge({"s": {"a1": 3, "b2": 3}}, {"s": {"b1"}}, FLEETS, 10, RULES).out
+    assert not decide_ejections({"s": {"a1": 3, "b2": 3}}, {"s": {"b1"}}, FLEETS, 10, RULES).out
 
 
 def test_the_turns_go_on_when_one_of_those_who_try_dies() -> None:
     voices = {"s": dict.fromkeys(FLEETS, 3)}
-    before = judge(voices, {}, FLEETS, 10, RULES).out["s"].tries
+    before = decide_ejections(voices, {}, FLEETS, 10, RULES).out["s"].tries
     rest = {f: z for f, z in FLEETS.items() if f != before[0]}
-    after = judge(voices, {}, rest, 10, RULES).out["s"].tries
+    after = decide_ejections(voices, {}, rest, 10, RULES).out["s"].tries
     assert len(after) == 3 and set(before[1:]) <= set(after)
 
 
@@ -82,7 +84,7 @@
     said = {server: dict(named) for server, named in voices.items()}
     for server in said:
         said[server][liar] = lies.get(liar, 10**9)
-    found = judge(said, {}, FLEETS, 8, RULES)
+    found = decide_ejections(said, {}, FLEETS, 8, RULES)
     for server, verdict in found.out.items():
         others = {f: n for f, n in said[server].items() if f != liar}
         assert others, server
