--- a/bench/scale/verdicts.py
+++ b/bench/scale/verdicts.py
@@ -16,7 +16,7 @@
 from bench.scale.peers import Got, Hollow, Meter, child
 from flintlatch.fleet.judging import RENEW, Judging
 from flintlatch.peers import Entry, Record, Topic
-from flintlatch.verdicts.api import Rules, observation_topic
+from flintlatch.verdicts.api import EjectionRules, observation_topic
 
 ROWS, ROWS_SMALL = (10, 50, 200, 1000, 2000), (10, 50)
 OBSERVERS, OBSERVERS_SMALL = (20, 100, 500, 2200), (10, 20)
@@ -25,7 +25,7 @@
 VOICES, FEW, FEW_ROWS = 4, 40, 3  # observers of one server; of all where rows vary; rows where observers do
 SERVERS = 20_000  # of the own list: what is reported on is a part of it
 LISTED, LISTED_SMALL = (200, 2000, 20_000, 200_000), (20, 200)
-RULES = Rules()
+RULES = EjectionRules()
 SAY_S = RULES.life_s / RENEW
 SAID, LOOK_S = 5, 0.37  # entries said; between two looks at who believes them: no part of a renewal
 
--- a/bench/verdicts.py
+++ b/bench/verdicts.py
@@ -27,7 +27,7 @@
 from flintlatch.api import Event, Shun
 from flintlatch.standin.fleets import fleets
 from flintlatch.standin.rig import MIX
-from flintlatch.verdicts.api import Rules, decide_ejections
+from flintlatch.verdicts.api import EjectionRules, decide_ejections
 
 SERVERS, SILENT, LOAD = 40, 5, 0.6
 SECONDS, FROM_MS, UNTIL_MS = 16, 3000, 11_000
@@ -36,7 +36,7 @@
 LIFE_S = 1.0
 
 
-def play(proxies: int, seed: int, rules: Rules | None) -> tuple[int, list[float], int]:
+def play(proxies: int, seed: int, rules: EjectionRules | None) -> tuple[int, list[float], int]:
     """Attempts burnt while servers were silent, the parts served of both classes, healthy servers left."""
     world = World(proxies, SERVERS, seed)
     everyone = list(world.servers.values())
@@ -102,7 +102,11 @@
 
 
 async def run(seed: int, sizes: list[int], count: int, nodes: int, rate: float, folder: Path) -> int:
-    ways = {"alone": None, "shared": Rules(), "blindly": Rules(quorum=1, strikes=1, most_out=1.0)}
+    ways = {
+        "alone": None,
+        "shared": EjectionRules(),
+        "blindly": EjectionRules(quorum=1, strikes=1, most_out=1.0),
+    }
     burnt: dict[tuple[str, int], int] = {}
     wrong = 0
     for proxies in sizes:
--- a/flintlatch/config/__init__.py
+++ b/flintlatch/config/__init__.py
@@ -44,10 +44,10 @@
 )
 from flintlatch.limits.rows import MOST_LIMITS, Limit, Terms, WhenCut
 from flintlatch.settings import Wire
-from flintlatch.verdicts.rows import Rules
+from flintlatch.verdicts.rows import EjectionRules
 
 if TYPE_CHECKING:
-    from flintlatch.delivery.model import Rules as DeliveryRules
+    from flintlatch.delivery.model import EjectionRules as DeliveryRules
 
 __all__ = ["Config", "Problem", "Unusable", "beside", "find_control", "load", "parse", "read_file"]
 
@@ -72,7 +72,7 @@
     access_log: AccessLogTable | None
     peers: PeersTable | None  # None: this fleet knows of no other
     delivery: DeliveryTable | None  # None: nothing is followed
-    verdicts: Rules | None  # None: each judges servers by itself
+    verdicts: EjectionRules | None  # None: each judges servers by itself
     shared: tuple[Limit, ...]  # limits of all fleets together
     terms: Terms
 
--- a/flintlatch/config/tables.py
+++ b/flintlatch/config/tables.py
@@ -11,10 +11,10 @@
 from flintlatch.api import Effect, RequestClass, Scope
 from flintlatch.config.reader import Reader, address, shown
 from flintlatch.limits.rows import MOST_HOLDERS, Limit, Terms, WhenCut
-from flintlatch.verdicts.rows import Rules
+from flintlatch.verdicts.rows import EjectionRules
 
 if TYPE_CHECKING:
-    from flintlatch.delivery.model import Rules as DeliveryRules
+    from flintlatch.delivery.model import EjectionRules as DeliveryRules
 
 MOST_INSTANCES = 256  # processes on one machine: far beyond its cores, and far below its process table
 CONTROL_PATH_MOST = 100  # bytes: a Unix socket's path holds 108, less the suffix it is first made under
@@ -578,8 +578,8 @@
     return terms
 
 
-def read_verdicts(reader: Reader) -> Rules:
-    rules = Rules(
+def read_verdicts(reader: Reader) -> EjectionRules:
+    rules = EjectionRules(
         quorum=reader.whole("quorum", 2, 100, 2),
         strikes=reader.whole("strikes", 2, 1000, 4),
         part=reader.number("part", 0, 1, 0.05),
--- a/flintlatch/fleet/judging.py
+++ b/flintlatch/fleet/judging.py
@@ -11,7 +11,7 @@
 from flintlatch.peers.clock import clock
 from flintlatch.peers.shell import Shell
 from flintlatch.peers.words import EntryStore
-from flintlatch.verdicts.api import EjectionDecision, Rules, decide_ejections
+from flintlatch.verdicts.api import EjectionDecision, EjectionRules, decide_ejections
 
 RENEW = 4  # times in a life that voices and words to the instances are said anew
 GOOD = b"0"  # a voice is how often it failed in a row; nothing of that any more
@@ -23,7 +23,7 @@
 
     def __init__(
         self,
-        rules: Rules,
+        rules: EjectionRules,
         shell: Callable[[], Shell | None],
         tell: Callable[[Message], None],
         servers: Callable[[], set[str]],
--- a/flintlatch/verdicts/api.py
+++ b/flintlatch/verdicts/api.py
@@ -1,6 +1,6 @@
 """What others may call of verdicts."""
 
 from flintlatch.verdicts.core import Ejection, EjectionDecision, decide_ejections, observation_topic
-from flintlatch.verdicts.rows import Rules
+from flintlatch.verdicts.rows import EjectionRules
 
 __all__ = ["SEEN", "Judgement", "Rules", "Verdict", "judge"]
--- a/flintlatch/verdicts/core.py
+++ b/flintlatch/verdicts/core.py
@@ -12,7 +12,7 @@
 from zlib import crc32
 
 from flintlatch.peers import Merge, Topic
-from flintlatch.verdicts.rows import Rules
+from flintlatch.verdicts.rows import EjectionRules
 
 MOST_VOICES = 256  # servers that one fleet may call bad at once
 EACH_MOST = 3  # failures that one voice counts for: after so many it rests the server by itself
@@ -54,7 +54,7 @@
     good: Mapping[str, set[str]],
     fleets: Mapping[str, str],
     servers: int,
-    rules: Rules,
+    rules: EjectionRules,
 ) -> EjectionDecision:
     """`voices`: by server the fleets that it failed, with how often in a row; `good`: those that it answered
     a moment ago, of servers that somebody finds bad. Who says nothing does not use it. `fleets`: those that
@@ -78,7 +78,7 @@
     return EjectionDecision(found, ill, 0)
 
 
-def _ill(bad: Mapping[str, int], servers: int, rules: Rules) -> list[str]:
+def _ill(bad: Mapping[str, int], servers: int, rules: EjectionRules) -> list[str]:
     """Those that find most servers bad while most others don't: what they reach is what ails them."""
     if servers < LEAST_SERVERS:
         return []
@@ -88,7 +88,7 @@
 
 
 def _verdict(
-    server: str, against: Mapping[str, int], good: set[str], sound: Mapping[str, str], rules: Rules
+    server: str, against: Mapping[str, int], good: set[str], sound: Mapping[str, str], rules: EjectionRules
 ) -> Ejection | None:
     """For all, if those that it fails are over twice those that it answers; else for the first zone by name
     of which that holds: their way there."""
--- a/flintlatch/verdicts/rows.py
+++ b/flintlatch/verdicts/rows.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rules:
+class EjectionRules:
     quorum: int = 2  # independent voices, one a fleet, without which there is no verdict
     strikes: int = 4  # failures in a row of all voices together, three of each at the most, that make one
     part: float = 0.05  # of the fleets: as many failures at least, since many fail somewhere by chance
--- a/tests/verdicts/test_core.py
+++ b/tests/verdicts/test_core.py
@@ -7,12 +7,12 @@
 
 from flintlatch.api import Proxies, Result, Shun
 from flintlatch.fleet.heard import Heard
-from flintlatch.verdicts.api import Rules, decide_ejections
+from flintlatch.verdicts.api import EjectionRules, decide_ejections
 from flintlatch.verdicts.core import EACH_MOST
 from tests.support import Driver, fleet
 from tests.support import settings as module_settings
 
-RULES = Rules()
+RULES = EjectionRules()
 FLEETS = {"a1": "a", "a2": "a", "b1": "b", "b2": "b", "b3": "b"}
 
 
