--- a/bench/verdicts.py
+++ b/bench/verdicts.py
@@ -68,7 +68,7 @@
                 told.popleft()
             if told[0][0] <= world.now - WORD_MS:
                 found = decide_ejections(told[0][1], told[0][2], fleets_, SERVERS, rules)
-                wrong |= found.out.keys() - {server.name for server in struck}
+                wrong |= found.ejected.keys() - {server.name for server in struck}
                 for n in range(proxies):
                     wanted = set(found.shuns(f"p{n}", fleets_[f"p{n}"]))
                     events: list[Event] = [Shun(name, 0.0) for name in shunned[n] - wanted]
--- a/flintlatch/fleet/judging.py
+++ b/flintlatch/fleet/judging.py
@@ -106,12 +106,12 @@
 
     def _report(self, before: EjectionDecision, me: str) -> None:
         """Each change is one line."""
-        for server, one in self.found.out.items():
-            if server not in before.out:
+        for server, one in self.found.ejected.items():
+            if server not in before.ejected:
                 where = f"for zone {one.zone}" if one.zone else "for all"
                 told = f"found bad {where} by {', '.join(one.voices)}; tried on by {', '.join(one.tries)}"
                 self.log("info", f"{server}: {told}")
-        for server in before.out.keys() - self.found.out.keys():
+        for server in before.ejected.keys() - self.found.ejected.keys():
             self.log("info", f"{server}: no longer found bad together")
         if me in self.found.ill - before.ill:
             self.log("warning", "most servers fail here and not elsewhere: our voice counts for nothing")
@@ -128,7 +128,7 @@
                     voices.setdefault(said.subject, []).append(said.origin)
         rows = []
         for server, named in sorted(voices.items()):
-            one = self.found.out.get(server)
+            one = self.found.ejected.get(server)
             rows.append(
                 {
                     "server": server,
--- a/flintlatch/verdicts/core.py
+++ b/flintlatch/verdicts/core.py
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EjectionDecision:
-    out: dict[str, Ejection] = field(default_factory=dict)
+    ejected: dict[str, Ejection] = field(default_factory=dict)
     ill: frozenset[str] = frozenset()  # fleets whose own voices count for nothing
     many: int = 0  # servers that would be out and are all used again, since they are too many
 
@@ -44,7 +44,7 @@
         """Servers that this fleet leaves to others for now."""
         return [
             one.server
-            for one in self.out.values()
+            for one in self.ejected.values()
             if fleet not in one.tries and fleet not in self.ill and one.zone in ("", zone)
         ]
 
--- a/tests/verdicts/test_core.py
+++ b/tests/verdicts/test_core.py
@@ -18,55 +18,55 @@
 
 def test_two_zones_that_find_a_server_bad_leave_it_and_three_go_on_trying_it() -> None:
     found = decide_ejections({"s": {"a1": 2, "b1": 2}}, {}, FLEETS, 10, RULES)
-    verdict = found.out["s"]
+    verdict = found.ejected["s"]
     assert verdict.zone == "" and len(verdict.tries) == RULES.quorum + 1
     shunning = {f for f, z in FLEETS.items() if "s" in found.shuns(f, z)}
     assert shunning == FLEETS.keys() - set(verdict.tries)
 
 
 def test_one_voice_makes_no_verdict_however_loud() -> None:
-    assert not decide_ejections({"s": {"a1": 10**9}}, {}, FLEETS, 10, RULES).out
+    assert not decide_ejections({"s": {"a1": 10**9}}, {}, FLEETS, 10, RULES).ejected
     assert not decide_ejections(
         {"s": {"a1": 1, "b1": 1}}, {}, FLEETS, 10, RULES
-    ).out  # and two by chance neither
+    ).ejected  # and two by chance neither
 
 
 def test_what_one_zone_alone_finds_is_a_verdict_for_that_zone() -> None:
     found = decide_ejections({"s": {"b1": 3, "b2": 3}}, {"s": {"a1", "a2"}}, FLEETS, 10, RULES)
-    assert found.out["s"].zone == "b"
+    assert found.ejected["s"].zone == "b"
     assert not any(found.shuns(f, "a") for f in ("a1", "a2"))
     assert sum("s" in found.shuns(f, "b") for f in ("b1", "b2", "b3")) == 0  # three try, three there are
     alone = decide_ejections({"s": {"b1": 3, "b2": 3}}, {}, FLEETS, 10, RULES)
-    assert alone.out["s"].zone == ""  # that nobody else speaks of it says only that nobody else uses it
+    assert alone.ejected["s"].zone == ""  # that nobody else speaks of it says only that nobody else uses it
 
 
 def test_one_that_finds_most_bad_is_ill_itself_and_counts_for_nothing() -> None:
     voices = {f"s{n}": {"a1": 3} for n in range(8)} | {"s0": {"a1": 3, "b1": 1}}
     found = decide_ejections(voices, {}, FLEETS, 10, RULES)
-    assert found.ill == {"a1"} and not found.out
+    assert found.ill == {"a1"} and not found.ejected
     assert not found.shuns("a1", "a")
 
 
 def test_too_many_at_once_are_no_verdict_and_are_told() -> None:
     voices = {f"s{n}": {"a1": 3, "b1": 3} for n in range(4)}
     assert decide_ejections(voices, {}, FLEETS, 10, RULES).many == 4
-    assert not decide_ejections(voices, {}, FLEETS, 10, RULES).out
-    assert len(decide_ejections(dict(list(voices.items())[:3]), {}, FLEETS, 10, RULES).out) == 3
+    assert not decide_ejections(voices, {}, FLEETS, 10, RULES).ejected
+    assert len(decide_ejections(dict(list(voices.items())[:3]), {}, FLEETS, 10, RULES).ejected) == 3
 
 
 def test_what_it_answers_weighs_against_what_it_fails() -> None:
     voices = {"s": {"a1": 3, "b1": 3, "b2": 3}}
-    assert decide_ejections(voices, {"s": {"a2"}}, FLEETS, 10, RULES).out["s"].zone == ""
-    assert not decide_ejections(voices, {"s": {"a2", "b3"}}, FLEETS, 10, RULES).out
+    assert decide_ejections(voices, {"s": {"a2"}}, FLEETS, 10, RULES).ejected["s"].zone == ""
+    assert not decide_ejections(voices, {"s": {"a2", "b3"}}, FLEETS, 10, RULES).ejected
     # Only those that try it are left to speak then: one of them that it answers lifts it.
-    assert not decide_ejections({"s": {"a1": 3, "b2": 3}}, {"s": {"b1"}}, FLEETS, 10, RULES).out
+    assert not decide_ejections({"s": {"a1": 3, "b2": 3}}, {"s": {"b1"}}, FLEETS, 10, RULES).ejected
 
 
 def test_the_turns_go_on_when_one_of_those_who_try_dies() -> None:
     voices = {"s": dict.fromkeys(FLEETS, 3)}
-    before = decide_ejections(voices, {}, FLEETS, 10, RULES).out["s"].tries
+    before = decide_ejections(voices, {}, FLEETS, 10, RULES).ejected["s"].tries
     rest = {f: z for f, z in FLEETS.items() if f != before[0]}
-    after = decide_ejections(voices, {}, rest, 10, RULES).out["s"].tries
+    after = decide_ejections(voices, {}, rest, 10, RULES).ejected["s"].tries
     assert len(after) == 3 and set(before[1:]) <= set(after)
 
 
@@ -85,12 +85,12 @@
     for server in said:
         said[server][liar] = lies.get(liar, 10**9)
     found = decide_ejections(said, {}, FLEETS, 8, RULES)
-    for server, verdict in found.out.items():
+    for server, verdict in found.ejected.items():
         others = {f: n for f, n in said[server].items() if f != liar}
         assert others, server
         weight = sum(min(said[server][fleet], EACH_MOST) for fleet in verdict.voices)
         assert len(verdict.voices) >= RULES.quorum and weight >= RULES.strikes
-    assert len(found.out) <= RULES.most_out * 8
+    assert len(found.ejected) <= RULES.most_out * 8
 
 
 def test_the_module_leaves_a_shunned_server_unless_it_answered_and_begins_with_one_on_trial() -> None:
