--- a/flintlatch/fleet/judging.py
+++ b/flintlatch/fleet/judging.py
@@ -113,7 +113,7 @@
                 self.log("info", f"{server}: {told}")
         for server in before.ejected.keys() - self.found.ejected.keys():
             self.log("info", f"{server}: no longer found bad together")
-        if me in self.found.ill - before.ill:
+        if me in self.found.unreliable - before.unreliable:
             self.log("warning", "most servers fail here and not elsewhere: our voice counts for nothing")
         if self.found.many and not before.many:
             text = f"{self.found.many} servers found bad together are more than may be out: all are used"
@@ -141,7 +141,7 @@
             )
         return {
             "servers": rows,
-            "ill": sorted(self.found.ill),
+            "ill": sorted(self.found.unreliable),
             "many": self.found.many,
             "alone_within_s": round(2 * EntryStore.staleness_bound_s(self.rules.life_s), 2),
         }
--- a/flintlatch/verdicts/core.py
+++ b/flintlatch/verdicts/core.py
@@ -37,7 +37,7 @@
 @dataclass(frozen=True, slots=True)
 class EjectionDecision:
     ejected: dict[str, Ejection] = field(default_factory=dict)
-    ill: frozenset[str] = frozenset()  # fleets whose own voices count for nothing
+    unreliable: frozenset[str] = frozenset()  # fleets whose own voices count for nothing
     many: int = 0  # servers that would be out and are all used again, since they are too many
 
     def shuns(self, fleet: str, zone: str) -> list[str]:
@@ -45,7 +45,7 @@
         return [
             one.server
             for one in self.ejected.values()
-            if fleet not in one.tries and fleet not in self.ill and one.zone in ("", zone)
+            if fleet not in one.tries and fleet not in self.unreliable and one.zone in ("", zone)
         ]
 
 
--- a/tests/verdicts/test_core.py
+++ b/tests/verdicts/test_core.py
@@ -43,7 +43,7 @@
 def test_one_that_finds_most_bad_is_ill_itself_and_counts_for_nothing() -> None:
     voices = {f"s{n}": {"a1": 3} for n in range(8)} | {"s0": {"a1": 3, "b1": 1}}
     found = decide_ejections(voices, {}, FLEETS, 10, RULES)
-    assert found.ill == {"a1"} and not found.ejected
+    assert found.unreliable == {"a1"} and not found.ejected
     assert not found.shuns("a1", "a")
 
 
