--- a/flintlatch/fleet/judging.py
+++ b/flintlatch/fleet/judging.py
@@ -115,8 +115,10 @@
             self.log("info", f"{server}: no longer found bad together")
         if me in self.found.unreliable - before.unreliable:
             self.log("warning", "most servers fail here and not elsewhere: our voice counts for nothing")
-        if self.found.many and not before.many:
-            text = f"{self.found.many} servers found bad together are more than may be out: all are used"
+        if self.found.suppressed and not before.suppressed:
+            text = (
+                f"{self.found.suppressed} servers found bad together are more than may be out: all are used"
+            )
             self.log("warning", text)
 
     def report(self) -> dict[str, Any]:
@@ -142,6 +144,6 @@
         return {
             "servers": rows,
             "ill": sorted(self.found.unreliable),
-            "many": self.found.many,
+            "many": self.found.suppressed,
             "alone_within_s": round(2 * EntryStore.staleness_bound_s(self.rules.life_s), 2),
         }
--- a/flintlatch/verdicts/core.py
+++ b/flintlatch/verdicts/core.py
@@ -38,7 +38,7 @@
 class EjectionDecision:
     ejected: dict[str, Ejection] = field(default_factory=dict)
     unreliable: frozenset[str] = frozenset()  # fleets whose own voices count for nothing
-    many: int = 0  # servers that would be out and are all used again, since they are too many
+    suppressed: int = 0  # servers that would be out and are all used again, since they are too many
 
     def shuns(self, fleet: str, zone: str) -> list[str]:
         """Servers that this fleet leaves to others for now."""
--- a/tests/verdicts/test_core.py
+++ b/tests/verdicts/test_core.py
@@ -49,7 +49,7 @@
 
 def test_too_many_at_once_are_no_verdict_and_are_told() -> None:
     voices = {f"s{n}": {"a1": 3, "b1": 3} for n in range(4)}
-    assert decide_ejections(voices, {}, FLEETS, 10, RULES).many == 4
+    assert decide_ejections(voices, {}, FLEETS, 10, RULES).suppressed == 4
     assert not decide_ejections(voices, {}, FLEETS, 10, RULES).ejected
     assert len(decide_ejections(dict(list(voices.items())[:3]), {}, FLEETS, 10, RULES).ejected) == 3
 
