--- a/bench/verdicts.py
+++ b/bench/verdicts.py
@@ -70,7 +70,7 @@
                 found = decide_ejections(told[0][1], told[0][2], fleets_, SERVERS, rules)
                 wrong |= found.ejected.keys() - {server.name for server in struck}
                 for n in range(proxies):
-                    wanted = set(found.shuns(f"p{n}", fleets_[f"p{n}"]))
+                    wanted = set(found.ejected_for(f"p{n}", fleets_[f"p{n}"]))
                     events: list[Event] = [Shun(name, 0.0) for name in shunned[n] - wanted]
                     events += [Shun(name, HOLDS_MS) for name in wanted]
                     shunned[n] = wanted
--- a/flintlatch/fleet/judging.py
+++ b/flintlatch/fleet/judging.py
@@ -79,7 +79,7 @@
         before, self.found = self.found, decide_ejections(voices, good, there, len(servers), self.rules)
         me = shell.member.me
         self._report(before, me.name)
-        shunned, accused = sorted(self.found.shuns(me.name, me.zone)), sorted(voices)
+        shunned, accused = sorted(self.found.ejected_for(me.name, me.zone)), sorted(voices)
         if (shunned, accused) != (self.shunned, self.accused) or (shunned and now >= self.tell_at):
             self.shunned, self.accused = shunned, accused
             self.tell_at = now + self.rules.life_s / RENEW
--- a/flintlatch/verdicts/core.py
+++ b/flintlatch/verdicts/core.py
@@ -40,7 +40,7 @@
     unreliable: frozenset[str] = frozenset()  # fleets whose own voices count for nothing
     suppressed: int = 0  # servers that would be out and are all used again, since they are too many
 
-    def shuns(self, fleet: str, zone: str) -> list[str]:
+    def ejected_for(self, fleet: str, zone: str) -> list[str]:
         """Servers that this fleet leaves to others for now."""
         return [
             one.server
--- a/tests/verdicts/test_core.py
+++ b/tests/verdicts/test_core.py
@@ -20,7 +20,7 @@
     found = decide_ejections({"s": {"a1": 2, "b1": 2}}, {}, FLEETS, 10, RULES)
     verdict = found.ejected["s"]
     assert verdict.zone == "" and len(verdict.tries) == RULES.quorum + 1
-    shunning = {f for f, z in FLEETS.items() if "s" in found.shuns(f, z)}
+    shunning = {f for f, z in FLEETS.items() if "s" in found.ejected_for(f, z)}
     assert shunning == FLEETS.keys() - set(verdict.tries)
 
 
@@ -34,8 +34,10 @@
 def test_what_one_zone_alone_finds_is_a_verdict_for_that_zone() -> None:
     found = decide_ejections({"s": {"b1": 3, "b2": 3}}, {"s": {"a1", "a2"}}, FLEETS, 10, RULES)
     assert found.ejected["s"].zone == "b"
-    assert not any(found.shuns(f, "a") for f in ("a1", "a2"))
-    assert sum("s" in found.shuns(f, "b") for f in ("b1", "b2", "b3")) == 0  # three try, three there are
+    assert not any(found.ejected_for(f, "a") for f in ("a1", "a2"))
+    assert (
+        sum("s" in found.ejected_for(f, "b") for f in ("b1", "b2", "b3")) == 0
+    )  # three try, three there are
     alone = decide_ejections({"s": {"b1": 3, "b2": 3}}, {}, FLEETS, 10, RULES)
     assert alone.ejected["s"].zone == ""  # that nobody else speaks of it says only that nobody else uses it
 
@@ -44,7 +46,7 @@
     voices = {f"s{n}": {"a1": 3} for n in range(8)} | {"s0": {"a1": 3, "b1": 1}}
     found = decide_ejections(voices, {}, FLEETS, 10, RULES)
     assert found.unreliable == {"a1"} and not found.ejected
-    assert not found.shuns("a1", "a")
+    assert not found.ejected_for("a1", "a")
 
 
 def test_too_many_at_once_are_no_verdict_and_are_told() -> None:
