--- a/flintlatch/fleet/judging.py
+++ b/flintlatch/fleet/judging.py
@@ -109,7 +109,7 @@
         for server, one in self.found.ejected.items():
             if server not in before.ejected:
                 where = f"for zone {one.zone}" if one.zone else "for all"
-                told = f"found bad {where} by {', '.join(one.voices)}; tried on by {', '.join(one.tries)}"
+                told = f"found bad {where} by {', '.join(one.reporters)}; tried on by {', '.join(one.tries)}"
                 self.log("info", f"{server}: {told}")
         for server in before.ejected.keys() - self.found.ejected.keys():
             self.log("info", f"{server}: no longer found bad together")
--- a/flintlatch/verdicts/core.py
+++ b/flintlatch/verdicts/core.py
@@ -29,7 +29,7 @@
 @dataclass(frozen=True, slots=True)
 class Ejection:
     server: str
-    voices: tuple[str, ...]  # fleets that say so, those that count
+    reporters: tuple[str, ...]  # fleets that say so, those that count
     zone: str  # for the fleets of this zone alone: its way there, not the server; empty: for all
     tries: tuple[str, ...]  # fleets that go on trying it: the rest hear
 
--- a/tests/verdicts/test_core.py
+++ b/tests/verdicts/test_core.py
@@ -90,8 +90,8 @@
     for server, verdict in found.ejected.items():
         others = {f: n for f, n in said[server].items() if f != liar}
         assert others, server
-        weight = sum(min(said[server][fleet], EACH_MOST) for fleet in verdict.voices)
-        assert len(verdict.voices) >= RULES.quorum and weight >= RULES.strikes
+        weight = sum(min(said[server][fleet], EACH_MOST) for fleet in verdict.reporters)
+        assert len(verdict.reporters) >= RULES.quorum and weight >= RULES.strikes
     assert len(found.ejected) <= RULES.most_out * 8
 
 
