--- a/flintlatch/fleet/judging.py
+++ b/flintlatch/fleet/judging.py
@@ -109,7 +109,9 @@
         for server, one in self.found.ejected.items():
             if server not in before.ejected:
                 where = f"for zone {one.zone}" if one.zone else "for all"
-                told = f"found bad {where} by {', '.join(one.reporters)}; tried on by {', '.join(one.tries)}"
+                told = (
+                    f"found bad {where} by {', '.join(one.reporters)}; tried on by {', '.join(one.probers)}"
+                )
                 self.log("info", f"{server}: {told}")
         for server in before.ejected.keys() - self.found.ejected.keys():
             self.log("info", f"{server}: no longer found bad together")
@@ -137,7 +139,7 @@
                     "out": one is not None,
                     "zone": one.zone if one is not None else "",
                     "voices": sorted(named),
-                    "tries": list(one.tries) if one is not None else [],
+                    "tries": list(one.probers) if one is not None else [],
                     "shunned_here": server in self.shunned,
                 }
             )
--- a/flintlatch/verdicts/core.py
+++ b/flintlatch/verdicts/core.py
@@ -31,7 +31,7 @@
     server: str
     reporters: tuple[str, ...]  # fleets that say so, those that count
     zone: str  # for the fleets of this zone alone: its way there, not the server; empty: for all
-    tries: tuple[str, ...]  # fleets that go on trying it: the rest hear
+    probers: tuple[str, ...]  # fleets that go on trying it: the rest hear
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,7 +45,7 @@
         return [
             one.server
             for one in self.ejected.values()
-            if fleet not in one.tries and fleet not in self.unreliable and one.zone in ("", zone)
+            if fleet not in one.probers and fleet not in self.unreliable and one.zone in ("", zone)
         ]
 
 
--- a/tests/verdicts/test_core.py
+++ b/tests/verdicts/test_core.py
@@ -19,9 +19,9 @@
 def test_two_zones_that_find_a_server_bad_leave_it_and_three_go_on_trying_it() -> None:
     found = decide_ejections({"s": {"a1": 2, "b1": 2}}, {}, FLEETS, 10, RULES)
     verdict = found.ejected["s"]
-    assert verdict.zone == "" and len(verdict.tries) == RULES.quorum + 1
+    assert verdict.zone == "" and len(verdict.probers) == RULES.quorum + 1
     shunning = {f for f, z in FLEETS.items() if "s" in found.ejected_for(f, z)}
-    assert shunning == FLEETS.keys() - set(verdict.tries)
+    assert shunning == FLEETS.keys() - set(verdict.probers)
 
 
 def test_one_voice_makes_no_verdict_however_loud() -> None:
@@ -66,9 +66,9 @@
 
 def test_the_turns_go_on_when_one_of_those_who_try_dies() -> None:
     voices = {"s": dict.fromkeys(FLEETS, 3)}
-    before = decide_ejections(voices, {}, FLEETS, 10, RULES).ejected["s"].tries
+    before = decide_ejections(voices, {}, FLEETS, 10, RULES).ejected["s"].probers
     rest = {f: z for f, z in FLEETS.items() if f != before[0]}
-    after = decide_ejections(voices, {}, rest, 10, RULES).ejected["s"].tries
+    after = decide_ejections(voices, {}, rest, 10, RULES).ejected["s"].probers
     assert len(after) == 3 and set(before[1:]) <= set(after)
 
 
