--- a/flintlatch/peers/words.py
+++ b/flintlatch/peers/words.py
@@ -50,7 +50,7 @@
     name: str
     merge: Merge
     ttl_s: float
-max_per_member: int = 8  # subjects of one member that are held
+    max_per_member: int = 8  # subjects of one member that are held
     max_entries: int = 4096  # words held in all
     weight: float = 1.0  # of a datagram's room
 
