--- a/flintlatch/fleet/limiting.py
+++ b/flintlatch/fleet/limiting.py
@@ -22,7 +22,7 @@
     Vote,
     WhenCut,
     most,
-    over_s,
+    term_validity_s,
     topics,
 )
 from flintlatch.limits.model import holder as holder_of
@@ -75,7 +75,10 @@
     def __init__(self, limit: Limit, terms: Terms, now: float) -> None:
         self.limit = limit
         fixed = limit.fixed(terms.fleets)
-        self.holder, self.keeper = Holder(limit, terms, fixed, now + over_s(terms)), Keeper(limit, terms)
+        self.holder, self.keeper = (
+            Holder(limit, terms, fixed, now + term_validity_s(terms)),
+            Keeper(limit, terms),
+        )
         self.keeps_since: float | None = None  # as the keeper of an open one
         self.number = 0
         self.asked: Ask | None = None
@@ -273,7 +276,7 @@
             if row.keeps_since is None:
                 row.keeps_since, row.number = now, row.number + 1
                 row.keeper.number = 0
-            number, settled = row.number, now >= row.keeps_since + over_s(self.terms)
+            number, settled = row.number, now >= row.keeps_since + term_validity_s(self.terms)
             if row.keeper.number:
                 number = row.keeper.number
         view = shell.member.peers.view
@@ -322,7 +325,7 @@
                     "granted": round(keeps, 2) if keeps else None,
                     "most_in_a_second": round(most(limit, self.terms, 1.0, instances), 2),
                     "most_without_cuts": round(most(limit, self.terms, 1.0, instances, cut=False), 2),
-                    "follows_a_change_s": over_s(self.terms),
+                    "follows_a_change_s": term_validity_s(self.terms),
                 }
             )
         return rows
--- a/flintlatch/limits/keeper.py
+++ b/flintlatch/limits/keeper.py
@@ -13,7 +13,7 @@
 
 from collections.abc import Iterable, Mapping
 
-from flintlatch.limits.model import Ask, Grant, Mark, over_s
+from flintlatch.limits.model import Ask, Grant, Mark, term_validity_s
 from flintlatch.limits.rows import Limit, Terms, WhenCut
 from flintlatch.limits.split import Split
 
@@ -55,7 +55,7 @@
         if not settled:
             needs = {name: ask.used for name, ask in asks.items()}
         told = self.split.deal(now, capacity, needs, spread=settled)
-        over = now + over_s(self.terms)
+        over = now + term_validity_s(self.terms)
         grants = {}
         for holder, amount in sorted(told.items()):
             if not due and self.split.slight(now, holder, amount, capacity):
--- a/flintlatch/limits/model.py
+++ b/flintlatch/limits/model.py
@@ -20,7 +20,7 @@
 GRANTS_MOST = MOST_LIMITS * MOST_HOLDERS  # words of one keeper
 
 
-def over_s(terms: Terms) -> float:
+def term_validity_s(terms: Terms) -> float:
     """When nobody believes a word of a term any more, counted on any clock since it was said."""
     return terms.term_s * (1 + MAX_CLOCK_DRIFT) / (1 - MAX_CLOCK_DRIFT) + 0.01 * terms.term_s
 
--- a/flintlatch/limits/seat.py
+++ b/flintlatch/limits/seat.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Iterable
 from zlib import crc32
 
-from flintlatch.limits.model import MOST_NUMBER, Vote, over_s
+from flintlatch.limits.model import MOST_NUMBER, Vote, term_validity_s
 from flintlatch.limits.rows import Terms
 
 
@@ -24,7 +24,7 @@
     def __init__(self, me: str, terms: Terms, now: float) -> None:
         self.me, self.terms = me, terms
         self.named = ""  # whom we voted for last
-        self.free_at = now + over_s(terms)  # when we may name another
+        self.free_at = now + term_validity_s(terms)  # when we may name another
         self.number = 0  # highest heard
         self.kept_since: float | None = None  # since when we have held the seat without a break
         self.kept_until = 0.0  # by the votes of the last look
@@ -50,7 +50,7 @@
                 return None
             self.named = wanted
             self.number += 1
-        self.free_at = now + over_s(self.terms)
+        self.free_at = now + term_validity_s(self.terms)
         return Vote(wanted, self.number)
 
     def hear(self, vote: Vote) -> None:
@@ -82,4 +82,4 @@
 
     def settled(self, now: float) -> bool:
         """Whether all that a keeper before us granted is over."""
-        return self.kept_since is not None and now >= self.kept_since + over_s(self.terms)
+        return self.kept_since is not None and now >= self.kept_since + term_validity_s(self.terms)
--- a/tests/limits/explored.py
+++ b/tests/limits/explored.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from flintlatch.limits.api import Holder, Keeper, Limit, Mark, Terms, WhenCut, over_s
+from flintlatch.limits.api import Holder, Keeper, Limit, Mark, Terms, WhenCut, term_validity_s
 from flintlatch.limits.model import Ask, holder
 from flintlatch.limits.split import Given, Out, Split
 
@@ -110,7 +110,7 @@
         if said is not None and said.ends > world.now:
             ask: Ask = said.value
             asks[holder(f"h{h}", ask.life)] = ask
-    settled = world.now >= world.since + over_s(TERMS)
+    settled = world.now >= world.since + term_validity_s(TERMS)
     told = core.step(world.now, f"k{k}", world.numbers, settled, core.capacity(2, 2), asks, False)
     grants, epochs = world.grants[k], world.epochs
     for name, grant in told.items():
--- a/tests/limits/test_cores.py
+++ b/tests/limits/test_cores.py
@@ -13,7 +13,18 @@
 from flintlatch.api import Part, Proxies, Refuse
 from flintlatch.fleet.heard import Heard
 from flintlatch.lab.explore import Broken, explore, wander
-from flintlatch.limits.api import Keeper, Limit, Malformed, Seat, Split, Terms, Vote, WhenCut, fair, over_s
+from flintlatch.limits.api import (
+    Keeper,
+    Limit,
+    Malformed,
+    Seat,
+    Split,
+    Terms,
+    Vote,
+    WhenCut,
+    fair,
+    term_validity_s,
+)
 from flintlatch.limits.model import Ask, Grant, Mark, read_ask, read_grant, read_vote, write_ask, write_grant
 from tests.support import Driver, fleet, of
 from tests.support import settings as module_settings
@@ -145,7 +156,7 @@
 def test_a_break_that_the_keeper_slept_through_ends_its_seat() -> None:
     seat = Seat("a", TERMS, -10.0)
     votes = {name: (Vote("a", 1), 2.0) for name in NAMES}
-    assert seat.look(0.0, votes) and not seat.settled(1.0) and seat.settled(over_s(TERMS))
+    assert seat.look(0.0, votes) and not seat.settled(1.0) and seat.settled(term_validity_s(TERMS))
     number = seat.mine
     again = {name: (Vote("a", 1), 52.0) for name in NAMES}  # it slept for 50 s, and hears new votes first
     assert seat.look(50.0, again) and not seat.settled(50.0) and seat.mine > number
