--- a/flintlatch/fleet/limiting.py
+++ b/flintlatch/fleet/limiting.py
@@ -21,7 +21,7 @@
     Terms,
     Vote,
     WhenCut,
-    most,
+    max_admitted,
     term_validity_s,
     topics,
 )
@@ -323,8 +323,8 @@
                     "fixed_here": round(limit.fixed(self.terms.fleets), 2),
                     "alone_here": round(limit.alone(self.terms), 2),
                     "granted": round(keeps, 2) if keeps else None,
-                    "most_in_a_second": round(most(limit, self.terms, 1.0, instances), 2),
-                    "most_without_cuts": round(most(limit, self.terms, 1.0, instances, cut=False), 2),
+                    "most_in_a_second": round(max_admitted(limit, self.terms, 1.0, instances), 2),
+                    "most_without_cuts": round(max_admitted(limit, self.terms, 1.0, instances, cut=False), 2),
                     "follows_a_change_s": term_validity_s(self.terms),
                 }
             )
--- a/flintlatch/limits/api.py
+++ b/flintlatch/limits/api.py
@@ -6,7 +6,7 @@
 
 from flintlatch.limits.holder import Holder, Part
 from flintlatch.limits.keeper import Keeper
-from flintlatch.limits.model import Ask, Grant, Malformed, Mark, Vote, most, term_validity_s, topics
+from flintlatch.limits.model import Ask, Grant, Malformed, Mark, Vote, max_admitted, term_validity_s, topics
 from flintlatch.limits.rows import Limit, Terms, WhenCut
 from flintlatch.limits.seat import Seat
 from flintlatch.limits.split import Split, fair
@@ -26,7 +26,7 @@
     "Vote",
     "WhenCut",
     "fair",
-    "most",
+    "max_admitted",
     "over_s",
     "topics",
 ]
--- a/flintlatch/limits/model.py
+++ b/flintlatch/limits/model.py
@@ -25,7 +25,7 @@
     return terms.term_s * (1 + MAX_CLOCK_DRIFT) / (1 - MAX_CLOCK_DRIFT) + 0.01 * terms.term_s
 
 
-def most(limit: Limit, terms: Terms, window_s: float, instances: int, cut: bool = True) -> float:
+def max_admitted(limit: Limit, terms: Terms, window_s: float, instances: int, cut: bool = True) -> float:
     """The stated bound: requests taken by all fleets in any window. A rate's clock may be fast by DRIFT; each
     instance may hold one whole request beyond its part of the burst."""
     factor = terms.cut_factor if cut and limit.when_cut is WhenCut.OPEN else 1.0
