--- a/bench/scale/limits.py
+++ b/bench/scale/limits.py
@@ -21,7 +21,7 @@
 from flintlatch.fleet import judging, limiting
 from flintlatch.fleet.limiting import Limiting
 from flintlatch.lab.engine import Engine
-from flintlatch.limits.api import Ask, Limit, Mark, Terms, WhenCut, topics
+from flintlatch.limits.api import Ask, Limit, Mark, Terms, WhenCut, limit_topics
 from flintlatch.limits.model import holder, write_ask
 from flintlatch.peers import DatagramReceived, Entry, Kind, Message, Record, Rules, State, Topic
 from flintlatch.peers.member import PAYLOAD_BYTES, Envelope
@@ -108,7 +108,7 @@
 
 def wide(rows: int, holders: int) -> tuple[Topic, ...]:
     """Today's topics, with room for so many."""
-    vote, ask, grant = topics(TERM_S)
+    vote, ask, grant = limit_topics(TERM_S)
     most = max(rows * (holders + 1), ask.max_entries)
     return (
         vote,
@@ -221,7 +221,7 @@
 def whole(rows: int, n: int, seed: int) -> dict[str, float]:
     """Every member is real: the part of all (holder, limit) that have a grant, and bytes a second of the
     member that sends most and of all on average."""
-    members = Hollow(seed, topics=wide(rows, n))
+    members = Hollow(seed, limit_topics=wide(rows, n))
     names = members.settled(n)
     terms = Terms(tuple(names[:3]), n, TERM_S)
     with virtual(members):
--- a/flintlatch/fleet/agreed.py
+++ b/flintlatch/fleet/agreed.py
@@ -13,7 +13,7 @@
 from flintlatch.fleet.channel import Message
 from flintlatch.fleet.judging import Judging
 from flintlatch.fleet.limiting import Limiting
-from flintlatch.limits.api import topics
+from flintlatch.limits.api import limit_topics
 from flintlatch.peers import Census, CensusView, Entry, FleetPosition, Merge, Rules, State, Topic, View
 from flintlatch.peers.clock import clock
 from flintlatch.peers.seal import InvalidKeyFile, read_keys
@@ -64,7 +64,7 @@
             self.judging.start()
 
     def topics(self) -> tuple[Topic, ...]:
-        limits = topics(self.config.terms.term_s) if self.limiting is not None else ()
+        limits = limit_topics(self.config.terms.term_s) if self.limiting is not None else ()
         seen = (observation_topic(self.config.verdicts.life_s),) if self.config.verdicts is not None else ()
         return (NOTES, *limits, *seen)
 
--- a/flintlatch/fleet/limiting.py
+++ b/flintlatch/fleet/limiting.py
@@ -21,9 +21,9 @@
     Terms,
     Vote,
     WhenCut,
+    limit_topics,
     max_admitted,
     term_validity_s,
-    topics,
 )
 from flintlatch.limits.model import holder as holder_of
 from flintlatch.limits.model import (
@@ -108,7 +108,7 @@
         self.timer: asyncio.TimerHandle | None = None
         self.soon: asyncio.TimerHandle | None = None
 
-    topics = staticmethod(topics)
+    topics = staticmethod(limit_topics)
 
     def reconfigure(self, limits: tuple[Limit, ...], terms: Terms) -> None:
         """A reload. What is lent stays lent: the new figure holds once that has come down or is over."""
--- a/flintlatch/limits/api.py
+++ b/flintlatch/limits/api.py
@@ -6,7 +6,16 @@
 
 from flintlatch.limits.holder import Holder, Part
 from flintlatch.limits.keeper import Keeper
-from flintlatch.limits.model import Ask, Grant, Malformed, Mark, Vote, max_admitted, term_validity_s, topics
+from flintlatch.limits.model import (
+    Ask,
+    Grant,
+    Malformed,
+    Mark,
+    Vote,
+    limit_topics,
+    max_admitted,
+    term_validity_s,
+)
 from flintlatch.limits.rows import Limit, Terms, WhenCut
 from flintlatch.limits.seat import Seat
 from flintlatch.limits.split import Split, fair
@@ -28,5 +37,5 @@
     "fair",
     "max_admitted",
     "over_s",
-    "topics",
+    "limit_topics",
 ]
--- a/flintlatch/limits/model.py
+++ b/flintlatch/limits/model.py
@@ -32,7 +32,7 @@
     return factor * (limit.per_s * window_s * (1 + MAX_CLOCK_DRIFT) + limit.burst) + instances
 
 
-def topics(term_s: float) -> tuple[Topic, Topic, Topic]:
+def limit_topics(term_s: float) -> tuple[Topic, Topic, Topic]:
     return (
         Topic("vote", Merge.PER_MEMBER, term_s, max_per_member=1, max_entries=1024),
         Topic(
