--- a/bench/scale/limits.py
+++ b/bench/scale/limits.py
@@ -22,7 +22,7 @@
 from flintlatch.fleet.limiting import Limiting
 from flintlatch.lab.engine import Engine
 from flintlatch.limits.api import Ask, Limit, Mark, Terms, WhenCut, limit_topics
-from flintlatch.limits.model import holder, write_ask
+from flintlatch.limits.model import holder_id, write_ask
 from flintlatch.peers import DatagramReceived, Entry, Kind, Message, Record, Rules, State, Topic
 from flintlatch.peers.member import PAYLOAD_BYTES, Envelope
 from flintlatch.peers.wire import pack, unpack
@@ -143,7 +143,7 @@
         self.epoch += 1
         words, me = list[Entry](), self.record
         for name, row in self.lessor.rows.items():
-            out = row.keeper.split.outs.get(holder(me.name, me.life))
+            out = row.keeper.split.outs.get(holder_id(me.name, me.life))
             given = out.given[-1] if out is not None and out.given else None
             mark, used = (given.mark, given.amount) if given is not None else (Mark(0, 0), 0.0)
             ask = Ask(self.share, "f0", "f0" if given else "", mark, used, PER_S, me.life)
--- a/flintlatch/fleet/limiting.py
+++ b/flintlatch/fleet/limiting.py
@@ -25,7 +25,7 @@
     max_admitted,
     term_validity_s,
 )
-from flintlatch.limits.model import holder as holder_of
+from flintlatch.limits.model import holder_id as holder_of
 from flintlatch.limits.model import (
     read_ask,
     read_grant,
--- a/flintlatch/limits/model.py
+++ b/flintlatch/limits/model.py
@@ -85,7 +85,7 @@
     carried: bool  # by a new keeper: no more of it than the holder may use already
 
 
-def holder(name: str, life: int) -> str:
+def holder_id(name: str, life: int) -> str:
     """A holder: one process of one fleet."""
     return f"{name}/{life:x}"
 
