--- a/flintlatch/fleet/limiting.py
+++ b/flintlatch/fleet/limiting.py
@@ -14,9 +14,9 @@
     Ask,
     Holder,
     Keeper,
+    LeaseVersion,
     Limit,
     Malformed,
-    Mark,
     Seat,
     Terms,
     Vote,
@@ -65,7 +65,7 @@
 
 class Instance:
     def __init__(self) -> None:
-        self.follows: dict[str, Mark] = {}
+        self.follows: dict[str, LeaseVersion] = {}
         self.needs: dict[str, Need] = {}
 
 
@@ -147,7 +147,7 @@
             instance.needs.setdefault(name, Need()).told(now, int(asked))
         for name, mark in message["follows"].items():
             if mark:
-                instance.follows[name] = Mark(int(mark[0]), int(mark[1]))
+                instance.follows[name] = LeaseVersion(int(mark[0]), int(mark[1]))
         self.on_news()
 
     def gone(self, worker: int) -> None:
--- a/flintlatch/limits/api.py
+++ b/flintlatch/limits/api.py
@@ -9,8 +9,8 @@
 from flintlatch.limits.model import (
     Ask,
     Grant,
+    LeaseVersion,
     Malformed,
-    Mark,
     Vote,
     limit_topics,
     max_admitted,
--- a/flintlatch/limits/holder.py
+++ b/flintlatch/limits/holder.py
@@ -10,7 +10,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from flintlatch.limits.model import NO_MARK, Ask, Grant, Mark
+from flintlatch.limits.model import NO_MARK, Ask, Grant, LeaseVersion
 from flintlatch.limits.rows import Limit, Terms, WhenCut
 from flintlatch.limits.split import EPS, Split
 
@@ -25,7 +25,7 @@
 
     per_s: float
     burst: float
-    mark: Mark
+    mark: LeaseVersion
     until: float
 
 
@@ -77,7 +77,12 @@
         return Ask(need, asked, self.keeper if held else "", mark, used, self.limit.per_s)
 
     def parts(
-        self, now: float, follows: Mapping[str, Mark], needs: Mapping[str, float], term_s: float, due: bool
+        self,
+        now: float,
+        follows: Mapping[str, LeaseVersion],
+        needs: Mapping[str, float],
+        term_s: float,
+        due: bool,
     ) -> dict[str, Part]:
         """What to tell our instances now. `follows`: what each says it follows. None outlasts the grant."""
         for name, mark in follows.items():
@@ -94,7 +99,7 @@
             if not due and self.split.slight(now, name, amount, lent):
                 continue
             self.place += 1
-            mark = Mark(1, self.place)
+            mark = LeaseVersion(1, self.place)
             self.split.give(name, mark, amount, until)
             parts[name] = Part(amount, self.limit.burst * amount / self.limit.per_s, mark, until)
         return parts
--- a/flintlatch/limits/keeper.py
+++ b/flintlatch/limits/keeper.py
@@ -13,7 +13,7 @@
 
 from collections.abc import Iterable, Mapping
 
-from flintlatch.limits.model import Ask, Grant, Mark, term_validity_s
+from flintlatch.limits.model import Ask, Grant, LeaseVersion, term_validity_s
 from flintlatch.limits.rows import Limit, Terms, WhenCut
 from flintlatch.limits.split import Split
 
@@ -61,7 +61,7 @@
             if not due and self.split.slight(now, holder, amount, capacity):
                 continue
             self.place += 1
-            mark = Mark(number, self.place)
+            mark = LeaseVersion(number, self.place)
             self.split.give(holder, mark, amount, over)
             grants[holder] = Grant(amount, mark, not settled)
         return grants
--- a/flintlatch/limits/model.py
+++ b/flintlatch/limits/model.py
@@ -54,14 +54,14 @@
     )
 
 
-class Mark(NamedTuple):
+class LeaseVersion(NamedTuple):
     """Which grant: the keeper's number (higher with each keeper) and, of its own, the place."""
 
     number: int
     place: int
 
 
-NO_MARK = Mark(0, 0)
+NO_MARK = LeaseVersion(0, 0)
 
 
 class Vote(NamedTuple):
@@ -73,7 +73,7 @@
     need: float  # a second
     keeper: str  # who is asked: one at a time
     of: str  # whose grant is followed
-    mark: Mark  # of that grant; all that was larger before it is out of use
+    mark: LeaseVersion  # of that grant; all that was larger before it is out of use
     used: float  # a second: the most that may still be in use by anybody's grant
     per_s: float = 0.0  # the whole limit, as the holder's configuration has it
     life: int = 0  # of the process: what one before it left in use is a holder of its own
@@ -81,7 +81,7 @@
 
 class Grant(NamedTuple):
     amount: float  # a second
-    mark: Mark
+    mark: LeaseVersion
     carried: bool  # by a new keeper: no more of it than the holder may use already
 
 
@@ -120,10 +120,10 @@
     return value
 
 
-def _mark(number: int, place: int) -> Mark:
+def _mark(number: int, place: int) -> LeaseVersion:
     if not (0 <= number < MOST_NUMBER and 0 <= place < MOST_NUMBER):
         raise Malformed(f"a mark of {number}, {place}")
-    return Mark(number, place)
+    return LeaseVersion(number, place)
 
 
 def read_vote(value: bytes) -> Vote:
--- a/flintlatch/limits/split.py
+++ b/flintlatch/limits/split.py
@@ -12,7 +12,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from flintlatch.limits.model import NO_MARK, Mark
+from flintlatch.limits.model import NO_MARK, LeaseVersion
 
 SLIGHT = 0.02  # of the limit: a change of a grant by less is not worth a word, unless it brings it to its aim
 EPS = 1e-9
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Given:
-    mark: Mark
+    mark: LeaseVersion
     amount: float
     over: float  # on the dealer's clock: nobody believes it any more
 
@@ -30,7 +30,7 @@
     """What is out at one holder."""
 
     given: list[Given] = field(default_factory=list)  # oldest first
-    acked: Mark = NO_MARK
+    acked: LeaseVersion = NO_MARK
 
     def held(self, now: float) -> float:
         return max(
@@ -52,10 +52,10 @@
     def out(self, now: float) -> float:
         return sum(out.held(now) for out in self.outs.values())
 
-    def give(self, holder: str, mark: Mark, amount: float, over: float) -> None:
+    def give(self, holder: str, mark: LeaseVersion, amount: float, over: float) -> None:
         self.outs.setdefault(holder, Out()).given.append(Given(mark, amount, over))
 
-    def ack(self, holder: str, mark: Mark) -> None:
+    def ack(self, holder: str, mark: LeaseVersion) -> None:
         """It follows that grant, and uses nothing of what was larger before."""
         out = self.outs.get(holder)
         if out is not None and mark > out.acked and any(one.mark == mark for one in out.given):
--- a/tests/limits/explored.py
+++ b/tests/limits/explored.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from flintlatch.limits.api import Holder, Keeper, Limit, Mark, Terms, WhenCut, term_validity_s
+from flintlatch.limits.api import Holder, Keeper, LeaseVersion, Limit, Terms, WhenCut, term_validity_s
 from flintlatch.limits.model import Ask, holder_id
 from flintlatch.limits.split import Given, Out, Split
 
@@ -38,10 +38,10 @@
     core: Holder
     life: int = 1
     need: float = 0.0
-    follows: Mark = Mark(0, 0)
+    follows: LeaseVersion = LeaseVersion(0, 0)
     amount: float = 0.0  # of the instance
     until: float = 0.0
-    waits: tuple[tuple[float, Mark, float], ...] = ()
+    waits: tuple[tuple[float, LeaseVersion, float], ...] = ()
     paused: bool = False
 
 
--- a/tests/limits/test_cores.py
+++ b/tests/limits/test_cores.py
@@ -25,7 +25,16 @@
     fair,
     term_validity_s,
 )
-from flintlatch.limits.model import Ask, Grant, Mark, read_ask, read_grant, read_vote, write_ask, write_grant
+from flintlatch.limits.model import (
+    Ask,
+    Grant,
+    LeaseVersion,
+    read_ask,
+    read_grant,
+    read_vote,
+    write_ask,
+    write_grant,
+)
 from tests.support import Driver, fleet, of
 from tests.support import settings as module_settings
 
@@ -194,9 +203,9 @@
 
 
 def test_words_of_limits_that_nobody_can_have_meant_are_refused() -> None:
-    ask = Ask(1.5, "k", "o", Mark(2, 3), 4.0, 5.0, 6)
+    ask = Ask(1.5, "k", "o", LeaseVersion(2, 3), 4.0, 5.0, 6)
     assert read_ask(write_ask(ask)) == ask
-    grant = Grant(3.0, Mark(1, 2), True)
+    grant = Grant(3.0, LeaseVersion(1, 2), True)
     assert read_grant(write_grant(grant)) == grant
     for bad in (b"", b"\xc0", write_grant(grant)[:-1], write_grant(grant._replace(amount=float("nan")))):
         with pytest.raises(Malformed):
@@ -210,12 +219,12 @@
 def test_what_is_lowered_is_free_only_once_it_is_answered_or_over() -> None:
     split = Split()
     told = split.deal(0.0, 10.0, {"a": 10.0})
-    split.give("a", Mark(1, 1), told["a"], 2.0)
+    split.give("a", LeaseVersion(1, 1), told["a"], 2.0)
     told = split.deal(0.1, 10.0, {"a": 0.0, "b": 10.0})
     assert told == {"a": 0.0, "b": 0.0}
-    split.give("a", Mark(1, 2), 0.0, 2.1)
+    split.give("a", LeaseVersion(1, 2), 0.0, 2.1)
     assert split.deal(0.2, 10.0, {"a": 0.0, "b": 10.0})["b"] == 0.0
-    split.ack("a", Mark(1, 2))
+    split.ack("a", LeaseVersion(1, 2))
     assert split.deal(0.3, 10.0, {"a": 0.0, "b": 10.0})["b"] == pytest.approx(10.0)
 
 
--- a/tests/limits/test_explored.py
+++ b/tests/limits/test_explored.py
@@ -11,7 +11,7 @@
 
 from flintlatch.lab.explore import Broken, explore, wander
 from flintlatch.limits import split as split_module
-from flintlatch.limits.api import Grant, Holder, Keeper, Mark, Split
+from flintlatch.limits.api import Grant, Holder, Keeper, LeaseVersion, Split
 from flintlatch.limits.holder import Part
 from flintlatch.limits.model import Ask
 from flintlatch.limits.split import Out
@@ -51,7 +51,7 @@
     return deal(self, now, capacity, needs, spread)
 
 
-def forgets(self: Split, holder: str, mark: Mark, amount: float, over: float) -> None:
+def forgets(self: Split, holder: str, mark: LeaseVersion, amount: float, over: float) -> None:
     pass
 
 
