--- a/bench/scale/limits.py
+++ b/bench/scale/limits.py
@@ -21,7 +21,7 @@
 from flintlatch.fleet import judging, limiting
 from flintlatch.fleet.limiting import Limiting
 from flintlatch.lab.engine import Engine
-from flintlatch.limits.api import Ask, LeaseVersion, Limit, Terms, WhenCut, limit_topics
+from flintlatch.limits.api import LeaseRequest, LeaseVersion, Limit, Terms, WhenCut, limit_topics
 from flintlatch.limits.model import holder_id, write_ask
 from flintlatch.peers import DatagramReceived, Entry, Kind, Message, Record, Rules, State, Topic
 from flintlatch.peers.member import PAYLOAD_BYTES, Envelope
@@ -146,7 +146,7 @@
             out = row.keeper.split.outs.get(holder_id(me.name, me.life))
             given = out.given[-1] if out is not None and out.given else None
             mark, used = (given.mark, given.amount) if given is not None else (LeaseVersion(0, 0), 0.0)
-            ask = Ask(self.share, "f0", "f0" if given else "", mark, used, PER_S, me.life)
+            ask = LeaseRequest(self.share, "f0", "f0" if given else "", mark, used, PER_S, me.life)
             words.append(Entry("ask", me.name, name, self.epoch, write_ask(ask), TERM_S))
         self.number = arrive(self.members, me, self.number, words)
 
--- a/flintlatch/fleet/limiting.py
+++ b/flintlatch/fleet/limiting.py
@@ -11,9 +11,9 @@
 
 from flintlatch.fleet.channel import Message
 from flintlatch.limits.api import (
-    Ask,
     Holder,
     Keeper,
+    LeaseRequest,
     LeaseVersion,
     Limit,
     Malformed,
@@ -81,7 +81,7 @@
         )
         self.keeps_since: float | None = None  # as the keeper of an open one
         self.number = 0
-        self.asked: Ask | None = None
+        self.asked: LeaseRequest | None = None
         self.ask_at = self.deal_at = self.part_at = 0.0
         self.others: list[str] = []  # whose rows are not ours
         self.over = False  # more is asked for than there is
@@ -254,7 +254,7 @@
     def _keep(self, now: float, shell: Shell, row: Row, keeping: bool, told: set[str]) -> None:
         limit, me, seat = row.limit, shell.member.me, self.seat
         assert seat is not None
-        asks: dict[str, tuple[str, Ask]] = {}
+        asks: dict[str, tuple[str, LeaseRequest]] = {}
         for said in shell.member.entry_store.read(now, "ask", limit.name):
             try:
                 ask = read_ask(said.value)
@@ -335,7 +335,7 @@
     return {"kind": "word", "about": "limit", "limit": limit, "value": value, "until": until}
 
 
-def moved(before: Ask, ask: Ask, limit: Limit) -> bool:
+def moved(before: LeaseRequest, ask: LeaseRequest, limit: Limit) -> bool:
     """Whether what is said differs enough to be said at once."""
     if (before.mark, before.keeper, before.of) != (ask.mark, ask.keeper, ask.of):
         return True
--- a/flintlatch/limits/api.py
+++ b/flintlatch/limits/api.py
@@ -7,8 +7,8 @@
 from flintlatch.limits.holder import Holder, Part
 from flintlatch.limits.keeper import Keeper
 from flintlatch.limits.model import (
-    Ask,
     Grant,
+    LeaseRequest,
     LeaseVersion,
     Malformed,
     Vote,
--- a/flintlatch/limits/holder.py
+++ b/flintlatch/limits/holder.py
@@ -10,7 +10,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from flintlatch.limits.model import NO_MARK, Ask, Grant, LeaseVersion
+from flintlatch.limits.model import NO_MARK, Grant, LeaseRequest, LeaseVersion
 from flintlatch.limits.rows import Limit, Terms, WhenCut
 from flintlatch.limits.split import EPS, Split
 
@@ -63,7 +63,7 @@
         else:
             self.need += (asked_per_s - self.need) * NEED_PART
 
-    def ask(self, now: float, keeper: str) -> Ask:
+    def ask(self, now: float, keeper: str) -> LeaseRequest:
         """What to say. `keeper`: whom we hold for it. A strict limit's is asked for as long as its grant
         holds."""
         out = self.split.out(now)
@@ -74,7 +74,7 @@
         used = max(out - self.own(now), self.lent(now))
         stays = held and self.limit.when_cut is WhenCut.STRICT
         asked = self.keeper if stays else keeper
-        return Ask(need, asked, self.keeper if held else "", mark, used, self.limit.per_s)
+        return LeaseRequest(need, asked, self.keeper if held else "", mark, used, self.limit.per_s)
 
     def parts(
         self,
--- a/flintlatch/limits/keeper.py
+++ b/flintlatch/limits/keeper.py
@@ -13,7 +13,7 @@
 
 from collections.abc import Iterable, Mapping
 
-from flintlatch.limits.model import Ask, Grant, LeaseVersion, term_validity_s
+from flintlatch.limits.model import Grant, LeaseRequest, LeaseVersion, term_validity_s
 from flintlatch.limits.rows import Limit, Terms, WhenCut
 from flintlatch.limits.split import Split
 
@@ -25,7 +25,7 @@
         self.number = 0
         self.place = 0
 
-    def capacity(self, following: int, configured: int, asks: Iterable[Ask] = ()) -> float:
+    def capacity(self, following: int, configured: int, asks: Iterable[LeaseRequest] = ()) -> float:
         """Of all instances that are configured so many name us as their keeper. Where rows contradict each
         other the lowest holds: while a reload goes round, and for good if somebody forgot one."""
         lowest = min([self.limit.per_s, *(ask.per_s for ask in asks if ask.per_s)])
@@ -41,7 +41,7 @@
         number: int,
         settled: bool,
         capacity: float,
-        asks: Mapping[str, Ask],
+        asks: Mapping[str, LeaseRequest],
         due: bool,
     ) -> dict[str, Grant]:
         """Grants to say now, each for a term, by holder. `due`: what was said must be said anew. `number`:
--- a/flintlatch/limits/model.py
+++ b/flintlatch/limits/model.py
@@ -69,7 +69,7 @@
     number: int
 
 
-class Ask(NamedTuple):
+class LeaseRequest(NamedTuple):
     need: float  # a second
     keeper: str  # who is asked: one at a time
     of: str  # whose grant is followed
@@ -106,7 +106,7 @@
     return _encoder.encode(tuple(vote))
 
 
-def write_ask(ask: Ask) -> bytes:
+def write_ask(ask: LeaseRequest) -> bytes:
     return _encoder.encode((ask.need, ask.keeper, ask.of, *ask.mark, ask.used, ask.per_s, ask.life))
 
 
@@ -135,12 +135,12 @@
     return Vote(keeper, _mark(number, 0).number)
 
 
-def read_ask(value: bytes) -> Ask:
+def read_ask(value: bytes) -> LeaseRequest:
     try:
         need, keeper, of, number, place, used, per_s, life = _ask.decode(value)
     except msgspec.DecodeError as error:
         raise Malformed(str(error)) from None
-    return Ask(_amount(need), keeper, of, _mark(number, place), _amount(used), _amount(per_s), life)
+    return LeaseRequest(_amount(need), keeper, of, _mark(number, place), _amount(used), _amount(per_s), life)
 
 
 def read_grant(value: bytes) -> Grant:
--- a/tests/limits/explored.py
+++ b/tests/limits/explored.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from flintlatch.limits.api import Holder, Keeper, LeaseVersion, Limit, Terms, WhenCut, term_validity_s
-from flintlatch.limits.model import Ask, holder_id
+from flintlatch.limits.model import LeaseRequest, holder_id
 from flintlatch.limits.split import Given, Out, Split
 
 LIMIT = Limit("l", "", "", 10.0, 0.0, WhenCut.STRICT, reserve=0.0)
@@ -108,7 +108,7 @@
     asks = {}
     for h, said in enumerate(world.heard_asks[k]):
         if said is not None and said.ends > world.now:
-            ask: Ask = said.value
+            ask: LeaseRequest = said.value
             asks[holder_id(f"h{h}", ask.life)] = ask
     settled = world.now >= world.since + term_validity_s(TERMS)
     told = core.step(world.now, f"k{k}", world.numbers, settled, core.capacity(2, 2), asks, False)
--- a/tests/limits/test_explored.py
+++ b/tests/limits/test_explored.py
@@ -13,7 +13,7 @@
 from flintlatch.limits import split as split_module
 from flintlatch.limits.api import Grant, Holder, Keeper, LeaseVersion, Split
 from flintlatch.limits.holder import Part
-from flintlatch.limits.model import Ask
+from flintlatch.limits.model import LeaseRequest
 from flintlatch.limits.split import Out
 from tests.limits import explored
 
@@ -67,7 +67,7 @@
     hear(self, now, keeper, grant._replace(carried=False), ends)
 
 
-def has_come_down(self: Holder, now: float, keeper: str) -> Ask:
+def has_come_down(self: Holder, now: float, keeper: str) -> LeaseRequest:
     return ask(self, now, keeper)._replace(mark=self.mark)
 
 
