--- a/flintlatch/limits/holder.py
+++ b/flintlatch/limits/holder.py
@@ -10,7 +10,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from flintlatch.limits.model import NO_MARK, Grant, LeaseRequest, LeaseVersion
+from flintlatch.limits.model import NO_MARK, Lease, LeaseRequest, LeaseVersion
 from flintlatch.limits.rows import Limit, Terms, WhenCut
 from flintlatch.limits.split import EPS, Split
 
@@ -42,7 +42,7 @@
         self.place = 0
         self.need = 0.0
 
-    def hear(self, now: float, keeper: str, grant: Grant, ends: float) -> None:
+    def hear(self, now: float, keeper: str, grant: Lease, ends: float) -> None:
         """A grant that holds until `ends`. An older one than that we follow is none, while that holds."""
         if grant.mark > self.mark or now >= self.ends:
             amount = min(grant.amount, self.lent(now)) if grant.carried else grant.amount
--- a/flintlatch/limits/keeper.py
+++ b/flintlatch/limits/keeper.py
@@ -13,7 +13,7 @@
 
 from collections.abc import Iterable, Mapping
 
-from flintlatch.limits.model import Grant, LeaseRequest, LeaseVersion, term_validity_s
+from flintlatch.limits.model import Lease, LeaseRequest, LeaseVersion, term_validity_s
 from flintlatch.limits.rows import Limit, Terms, WhenCut
 from flintlatch.limits.split import Split
 
@@ -43,7 +43,7 @@
         capacity: float,
         asks: Mapping[str, LeaseRequest],
         due: bool,
-    ) -> dict[str, Grant]:
+    ) -> dict[str, Lease]:
         """Grants to say now, each for a term, by holder. `due`: what was said must be said anew. `number`:
         under which we keep; a new one means that we have begun anew."""
         if number != self.number:
@@ -63,5 +63,5 @@
             self.place += 1
             mark = LeaseVersion(number, self.place)
             self.split.give(holder, mark, amount, over)
-            grants[holder] = Grant(amount, mark, not settled)
+            grants[holder] = Lease(amount, mark, not settled)
         return grants
--- a/flintlatch/limits/model.py
+++ b/flintlatch/limits/model.py
@@ -79,7 +79,7 @@
     life: int = 0  # of the process: what one before it left in use is a holder of its own
 
 
-class Grant(NamedTuple):
+class Lease(NamedTuple):
     amount: float  # a second
     mark: LeaseVersion
     carried: bool  # by a new keeper: no more of it than the holder may use already
@@ -110,7 +110,7 @@
     return _encoder.encode((ask.need, ask.keeper, ask.of, *ask.mark, ask.used, ask.per_s, ask.life))
 
 
-def write_grant(grant: Grant) -> bytes:
+def write_grant(grant: Lease) -> bytes:
     return _encoder.encode((grant.amount, *grant.mark, grant.carried))
 
 
@@ -143,9 +143,9 @@
     return LeaseRequest(_amount(need), keeper, of, _mark(number, place), _amount(used), _amount(per_s), life)
 
 
-def read_grant(value: bytes) -> Grant:
+def read_grant(value: bytes) -> Lease:
     try:
         amount, number, place, carried = _grant.decode(value)
     except msgspec.DecodeError as error:
         raise Malformed(str(error)) from None
-    return Grant(_amount(amount), _mark(number, place), carried)
+    return Lease(_amount(amount), _mark(number, place), carried)
--- a/tests/limits/test_cores.py
+++ b/tests/limits/test_cores.py
@@ -26,7 +26,7 @@
     term_validity_s,
 )
 from flintlatch.limits.model import (
-    Grant,
+    Lease,
     LeaseRequest,
     LeaseVersion,
     read_ask,
@@ -205,7 +205,7 @@
 def test_words_of_limits_that_nobody_can_have_meant_are_refused() -> None:
     ask = LeaseRequest(1.5, "k", "o", LeaseVersion(2, 3), 4.0, 5.0, 6)
     assert read_ask(write_ask(ask)) == ask
-    grant = Grant(3.0, LeaseVersion(1, 2), True)
+    grant = Lease(3.0, LeaseVersion(1, 2), True)
     assert read_grant(write_grant(grant)) == grant
     for bad in (b"", b"\xc0", write_grant(grant)[:-1], write_grant(grant._replace(amount=float("nan")))):
         with pytest.raises(Malformed):
--- a/tests/limits/test_explored.py
+++ b/tests/limits/test_explored.py
@@ -11,7 +11,7 @@
 
 from flintlatch.lab.explore import Broken, explore, wander
 from flintlatch.limits import split as split_module
-from flintlatch.limits.api import Grant, Holder, Keeper, LeaseVersion, Split
+from flintlatch.limits.api import Holder, Keeper, Lease, LeaseVersion, Split
 from flintlatch.limits.holder import Part
 from flintlatch.limits.model import LeaseRequest
 from flintlatch.limits.split import Out
@@ -63,7 +63,7 @@
     return step(self, now, me, number, True, *more)
 
 
-def not_carried(self: Holder, now: float, keeper: str, grant: Grant, ends: float) -> None:
+def not_carried(self: Holder, now: float, keeper: str, grant: Lease, ends: float) -> None:
     hear(self, now, keeper, grant._replace(carried=False), ends)
 
 
