--- a/flintlatch/fleet/limiting.py
+++ b/flintlatch/fleet/limiting.py
@@ -12,9 +12,9 @@
 from flintlatch.fleet.channel import Message
 from flintlatch.limits.api import (
     Holder,
-    Keeper,
     LeaseRequest,
     LeaseVersion,
+    Lessor,
     Limit,
     Malformed,
     Seat,
@@ -77,7 +77,7 @@
         fixed = limit.fixed(terms.fleets)
         self.holder, self.keeper = (
             Holder(limit, terms, fixed, now + term_validity_s(terms)),
-            Keeper(limit, terms),
+            Lessor(limit, terms),
         )
         self.keeps_since: float | None = None  # as the keeper of an open one
         self.number = 0
--- a/flintlatch/limits/api.py
+++ b/flintlatch/limits/api.py
@@ -5,7 +5,7 @@
 """
 
 from flintlatch.limits.holder import Holder, Part
-from flintlatch.limits.keeper import Keeper
+from flintlatch.limits.keeper import Lessor
 from flintlatch.limits.model import (
     Lease,
     LeaseRequest,
--- a/flintlatch/limits/keeper.py
+++ b/flintlatch/limits/keeper.py
@@ -18,7 +18,7 @@
 from flintlatch.limits.split import Split
 
 
-class Keeper:
+class Lessor:
     def __init__(self, limit: Limit, terms: Terms) -> None:
         self.limit, self.terms = limit, terms
         self.split = Split()
--- a/tests/limits/explored.py
+++ b/tests/limits/explored.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from flintlatch.limits.api import Holder, Keeper, LeaseVersion, Limit, Terms, WhenCut, term_validity_s
+from flintlatch.limits.api import Holder, LeaseVersion, Lessor, Limit, Terms, WhenCut, term_validity_s
 from flintlatch.limits.model import LeaseRequest, holder_id
 from flintlatch.limits.split import Given, Out, Split
 
@@ -48,7 +48,7 @@
 @dataclass(frozen=True)
 class World:
     now: float
-    keepers: tuple[Keeper, Keeper]
+    keepers: tuple[Lessor, Lessor]
     seat: int  # who has it: 0, 1, or -1
     since: float
     numbers: int
@@ -84,7 +84,7 @@
 def start(faults: int) -> World:
     two = Process(Holder(LIMIT, TERMS), need=10.0), Process(Holder(LIMIT, TERMS))
     none = (None, None)
-    keepers = Keeper(LIMIT, TERMS), Keeper(LIMIT, TERMS)
+    keepers = Lessor(LIMIT, TERMS), Lessor(LIMIT, TERMS)
     return World(
         0.0, keepers, 0, -10.0, 1, two, (), none, (none, none), (none, none), ((0, 0), (0, 0)), faults
     )
--- a/tests/limits/test_explored.py
+++ b/tests/limits/test_explored.py
@@ -11,7 +11,7 @@
 
 from flintlatch.lab.explore import Broken, explore, wander
 from flintlatch.limits import split as split_module
-from flintlatch.limits.api import Holder, Keeper, Lease, LeaseVersion, Split
+from flintlatch.limits.api import Holder, Lease, LeaseVersion, Lessor, Split
 from flintlatch.limits.holder import Part
 from flintlatch.limits.model import LeaseRequest
 from flintlatch.limits.split import Out
@@ -35,7 +35,7 @@
 
 
 held, deal, hear, ask, parts = Out.held, Split.deal, Holder.hear, Holder.ask, Holder.parts
-step = Keeper.step
+step = Lessor.step
 
 
 def told_last(self: Out, now: float) -> float:
@@ -59,7 +59,7 @@
     return max((g.amount for g in self.given if g.mark >= self.acked and g.over > now + 1.1), default=0.0)
 
 
-def settled(self: Keeper, now: float, me: str, number: int, _: bool, *more: Any) -> Any:
+def settled(self: Lessor, now: float, me: str, number: int, _: bool, *more: Any) -> Any:
     return step(self, now, me, number, True, *more)
 
 
@@ -85,7 +85,7 @@
 
 
 def any_keepers_mark(
-    self: Keeper, now: float, me: str, number: int, s: bool, c: float, asks: Any, due: bool
+    self: Lessor, now: float, me: str, number: int, s: bool, c: float, asks: Any, due: bool
 ) -> Any:
     last = {h: out.given[-1].mark for h, out in self.split.outs.items() if out.given}
     heard = {h: a._replace(of=me, mark=last.get(h, a.mark)) for h, a in asks.items()}
@@ -102,13 +102,13 @@
     "an answer nobody gave counts": lambda m: m.setattr(Split, "deal", acked_unheard),
     "what is given is forgotten": lambda m: m.setattr(Split, "give", forgets),
     "a grant counts for less than its life": lambda m: m.setattr(Out, "held", over_at_once),
-    "a new keeper deals at once": lambda m: m.setattr(Keeper, "step", settled),
+    "a new keeper deals at once": lambda m: m.setattr(Lessor, "step", settled),
     "a carried grant counts whole": lambda m: m.setattr(Holder, "hear", not_carried),
     "it says too early that it has come down": lambda m: m.setattr(Holder, "ask", has_come_down),
     "a part outlasts its grant": lambda m: m.setattr(Holder, "parts", outlasts),
     "each gets all": lambda m: m.setattr(split_module, "fair", all_to_each),
     "what is out does not count": lambda m: m.setattr(Split, "out", without_what_is_out),
-    "an answer to another keeper counts": lambda m: m.setattr(Keeper, "step", any_keepers_mark),
+    "an answer to another keeper counts": lambda m: m.setattr(Lessor, "step", any_keepers_mark),
     "an instance is held to follow what it has not heard": lambda m: m.setattr(
         Holder, "parts", instance_follows_at_once
     ),
