--- a/flintlatch/fleet/limiting.py
+++ b/flintlatch/fleet/limiting.py
@@ -11,7 +11,7 @@
 
 from flintlatch.fleet.channel import Message
 from flintlatch.limits.api import (
-    Holder,
+    LeaseHolder,
     LeaseRequest,
     LeaseVersion,
     Lessor,
@@ -76,7 +76,7 @@
         self.limit = limit
         fixed = limit.fixed(terms.fleets)
         self.holder, self.keeper = (
-            Holder(limit, terms, fixed, now + term_validity_s(terms)),
+            LeaseHolder(limit, terms, fixed, now + term_validity_s(terms)),
             Lessor(limit, terms),
         )
         self.keeps_since: float | None = None  # as the keeper of an open one
--- a/flintlatch/limits/api.py
+++ b/flintlatch/limits/api.py
@@ -4,7 +4,7 @@
 docs/design/ limits.md has the options, the bounds and their proofs.
 """
 
-from flintlatch.limits.holder import Holder, Part
+from flintlatch.limits.holder import LeaseHolder, Part
 from flintlatch.limits.keeper import Lessor
 from flintlatch.limits.model import (
     Lease,
--- a/flintlatch/limits/holder.py
+++ b/flintlatch/limits/holder.py
@@ -29,7 +29,7 @@
     until: float
 
 
-class Holder:
+class LeaseHolder:
     def __init__(self, limit: Limit, terms: Terms, fixed: float = 0.0, fixed_from: float = 0.0) -> None:
         """`fixed`: what is ours for good, from `fixed_from` on: instances of a process before us may hold it
         until then."""
--- a/tests/limits/explored.py
+++ b/tests/limits/explored.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from flintlatch.limits.api import Holder, LeaseVersion, Lessor, Limit, Terms, WhenCut, term_validity_s
+from flintlatch.limits.api import LeaseHolder, LeaseVersion, Lessor, Limit, Terms, WhenCut, term_validity_s
 from flintlatch.limits.model import LeaseRequest, holder_id
 from flintlatch.limits.split import Given, Out, Split
 
@@ -35,7 +35,7 @@
 class Process:
     """A holder: its core, one instance, what waits for that, and whether it is paused."""
 
-    core: Holder
+    core: LeaseHolder
     life: int = 1
     need: float = 0.0
     follows: LeaseVersion = LeaseVersion(0, 0)
@@ -82,7 +82,7 @@
 
 
 def start(faults: int) -> World:
-    two = Process(Holder(LIMIT, TERMS), need=10.0), Process(Holder(LIMIT, TERMS))
+    two = Process(LeaseHolder(LIMIT, TERMS), need=10.0), Process(LeaseHolder(LIMIT, TERMS))
     none = (None, None)
     keepers = Lessor(LIMIT, TERMS), Lessor(LIMIT, TERMS)
     return World(
@@ -199,7 +199,7 @@
     process = world.holders[0]
     if not process.paused:
         yield "h0 is paused", replace(fewer, holders=put(world.holders, 0, replace(process, paused=True)))
-    fresh = Process(Holder(LIMIT, TERMS), process.life + NEXT_LIFE, process.need)
+    fresh = Process(LeaseHolder(LIMIT, TERMS), process.life + NEXT_LIFE, process.need)
     orphans = (
         (*world.orphans, (process.amount, process.until)) if process.until > world.now else world.orphans
     )
--- a/tests/limits/test_explored.py
+++ b/tests/limits/test_explored.py
@@ -11,7 +11,7 @@
 
 from flintlatch.lab.explore import Broken, explore, wander
 from flintlatch.limits import split as split_module
-from flintlatch.limits.api import Holder, Lease, LeaseVersion, Lessor, Split
+from flintlatch.limits.api import Lease, LeaseHolder, LeaseVersion, Lessor, Split
 from flintlatch.limits.holder import Part
 from flintlatch.limits.model import LeaseRequest
 from flintlatch.limits.split import Out
@@ -34,7 +34,7 @@
     )
 
 
-held, deal, hear, ask, parts = Out.held, Split.deal, Holder.hear, Holder.ask, Holder.parts
+held, deal, hear, ask, parts = Out.held, Split.deal, LeaseHolder.hear, LeaseHolder.ask, LeaseHolder.parts
 step = Lessor.step
 
 
@@ -63,15 +63,17 @@
     return step(self, now, me, number, True, *more)
 
 
-def not_carried(self: Holder, now: float, keeper: str, grant: Lease, ends: float) -> None:
+def not_carried(self: LeaseHolder, now: float, keeper: str, grant: Lease, ends: float) -> None:
     hear(self, now, keeper, grant._replace(carried=False), ends)
 
 
-def has_come_down(self: Holder, now: float, keeper: str) -> LeaseRequest:
+def has_come_down(self: LeaseHolder, now: float, keeper: str) -> LeaseRequest:
     return ask(self, now, keeper)._replace(mark=self.mark)
 
 
-def outlasts(self: Holder, now: float, follows: Any, needs: Any, term_s: float, due: bool) -> dict[str, Part]:
+def outlasts(
+    self: LeaseHolder, now: float, follows: Any, needs: Any, term_s: float, due: bool
+) -> dict[str, Part]:
     made = parts(self, now, follows, needs, term_s, due)
     return {name: Part(p.per_s, p.burst, p.mark, now + term_s) for name, p in made.items()}
 
@@ -92,7 +94,7 @@
     return step(self, now, me, number, s, c, heard, due)
 
 
-def instance_follows_at_once(self: Holder, now: float, follows: Any, *more: Any) -> Any:
+def instance_follows_at_once(self: LeaseHolder, now: float, follows: Any, *more: Any) -> Any:
     last = {n: out.given[-1].mark for n, out in self.split.outs.items() if out.given}
     return parts(self, now, last, *more)
 
@@ -103,14 +105,14 @@
     "what is given is forgotten": lambda m: m.setattr(Split, "give", forgets),
     "a grant counts for less than its life": lambda m: m.setattr(Out, "held", over_at_once),
     "a new keeper deals at once": lambda m: m.setattr(Lessor, "step", settled),
-    "a carried grant counts whole": lambda m: m.setattr(Holder, "hear", not_carried),
-    "it says too early that it has come down": lambda m: m.setattr(Holder, "ask", has_come_down),
-    "a part outlasts its grant": lambda m: m.setattr(Holder, "parts", outlasts),
+    "a carried grant counts whole": lambda m: m.setattr(LeaseHolder, "hear", not_carried),
+    "it says too early that it has come down": lambda m: m.setattr(LeaseHolder, "ask", has_come_down),
+    "a part outlasts its grant": lambda m: m.setattr(LeaseHolder, "parts", outlasts),
     "each gets all": lambda m: m.setattr(split_module, "fair", all_to_each),
     "what is out does not count": lambda m: m.setattr(Split, "out", without_what_is_out),
     "an answer to another keeper counts": lambda m: m.setattr(Lessor, "step", any_keepers_mark),
     "an instance is held to follow what it has not heard": lambda m: m.setattr(
-        Holder, "parts", instance_follows_at_once
+        LeaseHolder, "parts", instance_follows_at_once
     ),
     "one process of a fleet is taken for another": lambda m: m.setattr(explored, "NEXT_LIFE", 0),
 }
