--- a/flintlatch/fleet/limiting.py
+++ b/flintlatch/fleet/limiting.py
@@ -11,13 +11,13 @@
 
 from flintlatch.fleet.channel import Message
 from flintlatch.limits.api import (
+    Leadership,
     LeaseHolder,
     LeaseRequest,
     LeaseVersion,
     Lessor,
     Limit,
     Malformed,
-    Seat,
     Terms,
     Vote,
     WhenCut,
@@ -101,7 +101,7 @@
         self.terms, self.shell, self.tell, self.log = terms, shell, tell, log
         self.rows = {limit.name: Row(limit, terms, clock()) for limit in limits}
         self.instances: dict[int, Instance] = {}
-        self.seat: Seat | None = None
+        self.seat: Leadership | None = None
         self.vote_at = 0.0
         self.voted: Vote | None = None
         self.loop = asyncio.get_running_loop()
@@ -161,7 +161,7 @@
             return
         now = clock()
         if self.seat is None:
-            self.seat = Seat(shell.member.me.name, self.terms, now)
+            self.seat = Leadership(shell.member.me.name, self.terms, now)
         keeping = self._seat(now, shell, self.seat)
         told: set[str] = set()
         for row in self.rows.values():
@@ -179,7 +179,7 @@
 
         return there
 
-    def _seat(self, now: float, shell: Shell, seat: Seat) -> bool:
+    def _seat(self, now: float, shell: Shell, seat: Leadership) -> bool:
         votes: dict[str, tuple[Vote, float]] = {}
         for said in shell.member.entry_store.read(now, "vote"):
             try:
--- a/flintlatch/limits/api.py
+++ b/flintlatch/limits/api.py
@@ -17,7 +17,7 @@
     term_validity_s,
 )
 from flintlatch.limits.rows import Limit, Terms, WhenCut
-from flintlatch.limits.seat import Seat
+from flintlatch.limits.seat import Leadership
 from flintlatch.limits.split import Split, fair
 
 __all__ = [
--- a/flintlatch/limits/seat.py
+++ b/flintlatch/limits/seat.py
@@ -20,7 +20,7 @@
     return max((v for v in voters if there(v)), key=lambda v: (crc32(f"seat {v}".encode()), v), default="")
 
 
-class Seat:
+class Leadership:
     def __init__(self, me: str, terms: Terms, now: float) -> None:
         self.me, self.terms = me, terms
         self.named = ""  # whom we voted for last
--- a/tests/limits/test_cores.py
+++ b/tests/limits/test_cores.py
@@ -14,10 +14,10 @@
 from flintlatch.fleet.heard import Heard
 from flintlatch.lab.explore import Broken, explore, wander
 from flintlatch.limits.api import (
+    Leadership,
     Lessor,
     Limit,
     Malformed,
-    Seat,
     Split,
     Terms,
     Vote,
@@ -48,7 +48,7 @@
     there."""
 
     now: float
-    seats: tuple[Seat, ...]
+    seats: tuple[Leadership, ...]
     said: tuple[tuple[Vote, float] | None, ...]
     heard: tuple[tuple[tuple[Vote, float] | None, ...], ...]  # by hearer
     there: tuple[frozenset[str], ...]
@@ -61,7 +61,7 @@
 
 
 def start(faults: int) -> World:
-    seats = tuple(Seat(name, TERMS, -10.0) for name in NAMES)
+    seats = tuple(Leadership(name, TERMS, -10.0) for name in NAMES)
     none = (None, None, None)
     return World(0.0, seats, none, (none,) * 3, (frozenset(NAMES),) * 3, (0.0,) * 3, faults)
 
@@ -100,7 +100,7 @@
             for other in NAMES:
                 gone = world.there[n] - {other} if other in world.there[n] else world.there[n] | {other}
                 yield f"{name} turns its mind on {other}", replace(fewer, there=put(world.there, n, gone))
-            fresh = Seat(name, TERMS, world.now)
+            fresh = Leadership(name, TERMS, world.now)
             blank = put(world.heard, n, (None, None, None))
             yield (
                 f"{name} restarts",
@@ -111,7 +111,7 @@
 def key(world: World) -> Hashable:
     now = world.now
 
-    def seat(s: Seat) -> Hashable:
+    def seat(s: Leadership) -> Hashable:
         kept = s.kept_since is not None
         return s.named, max(s.free_at - now, 0), s.number, s.mine, kept, max(s.kept_until - now, 0)
 
@@ -145,25 +145,27 @@
 @pytest.mark.parametrize("fault", ["names another at once", "votes after a restart", "no majority"])
 def test_a_fault_in_the_seat_is_found(fault: str, monkeypatch: pytest.MonkeyPatch) -> None:
     if fault == "names another at once":
-        plain = Seat.vote
+        plain = Leadership.vote
 
-        def vote(self: Seat, now: float, there: object) -> Vote | None:
+        def vote(self: Leadership, now: float, there: object) -> Vote | None:
             self.free_at = 0.0
             return plain(self, now, there)  # type: ignore[arg-type]
 
-        monkeypatch.setattr(Seat, "vote", vote)
+        monkeypatch.setattr(Leadership, "vote", vote)
     elif fault == "votes after a restart":
-        plain_init = Seat.__init__
-        monkeypatch.setattr(Seat, "__init__", lambda self, me, terms, now: plain_init(self, me, terms, -10.0))
+        plain_init = Leadership.__init__
+        monkeypatch.setattr(
+            Leadership, "__init__", lambda self, me, terms, now: plain_init(self, me, terms, -10.0)
+        )
     else:
-        monkeypatch.setattr(Seat, "majority", lambda self: 1)
+        monkeypatch.setattr(Leadership, "majority", lambda self: 1)
     with pytest.raises(Broken):
         for seed in range(20):
             wander(start(5), steps, check, seed, 300, 80)
 
 
 def test_a_break_that_the_keeper_slept_through_ends_its_seat() -> None:
-    seat = Seat("a", TERMS, -10.0)
+    seat = Leadership("a", TERMS, -10.0)
     votes = {name: (Vote("a", 1), 2.0) for name in NAMES}
     assert seat.look(0.0, votes) and not seat.settled(1.0) and seat.settled(term_validity_s(TERMS))
     number = seat.mine
