--- a/bench/limits.py
+++ b/bench/limits.py
@@ -24,7 +24,7 @@
 import uvloop
 
 from flintlatch.fleet.control import Taken
-from flintlatch.limits.api import Limit, Terms, WhenCut, max_admitted
+from flintlatch.limits.api import LeaseSettings, Limit, WhenCut, max_admitted
 from flintlatch.net.clock import now_ms
 from flintlatch.standin.client import Clients
 from flintlatch.standin.fleets import Fleets, fleets
@@ -110,7 +110,7 @@
         limit = Limit(
             "answers", "", "answer", PER_S, BURST, WhenCut.OPEN if mode == "open" else WhenCut.STRICT
         )
-        terms = Terms(tuple(keepers["voters"]), count, TERM_S)  # type: ignore[arg-type]
+        terms = LeaseSettings(tuple(keepers["voters"]), count, TERM_S)  # type: ignore[arg-type]
         parts = {w: audit.worst(w) / max_admitted(limit, terms, w + WAIT_S, count) for w in WINDOWS_S}
         stays = [(a + 1000 * SETTLED_S, b - 300) for a, b in quiet]
         settled = [audit.per_s(a, b) / PER_S for a, b in stays if b - a > 500]
--- a/bench/scale/limits.py
+++ b/bench/scale/limits.py
@@ -21,7 +21,7 @@
 from flintlatch.fleet import judging, limiting
 from flintlatch.fleet.limiting import Limiting
 from flintlatch.lab.engine import Engine
-from flintlatch.limits.api import LeaseRequest, LeaseVersion, Limit, Terms, WhenCut, limit_topics
+from flintlatch.limits.api import LeaseRequest, LeaseSettings, LeaseVersion, Limit, WhenCut, limit_topics
 from flintlatch.limits.model import holder_id, write_ask
 from flintlatch.peers import DatagramReceived, Entry, Kind, Message, Record, Rules, State, Topic
 from flintlatch.peers.member import PAYLOAD_BYTES, Envelope
@@ -159,7 +159,7 @@
         tracemalloc.start()
     with virtual(members):
         station: Any = Station(members, "f0")
-        terms = Terms(("f0",), holders, TERM_S)
+        terms = LeaseSettings(("f0",), holders, TERM_S)
         made = Limiting(rows_of(rows), terms, lambda: station, lambda worker, told: None, lambda *line: None)
         look = Meter()
         for record in others:
@@ -197,7 +197,7 @@
 class Proxy:
     """A member with its limits and one instance that is asked for its part of each, no more."""
 
-    def __init__(self, members: Hollow, name: str, rows: int, terms: Terms) -> None:
+    def __init__(self, members: Hollow, name: str, rows: int, terms: LeaseSettings) -> None:
         self.members, self.share = members, PER_S / terms.fleets
         station: Any = Station(members, name)
         self.made = Limiting(rows_of(rows), terms, lambda: station, self.tell, lambda *line: None)
@@ -223,7 +223,7 @@
     member that sends most and of all on average."""
     members = Hollow(seed, limit_topics=wide(rows, n))
     names = members.settled(n)
-    terms = Terms(tuple(names[:3]), n, TERM_S)
+    terms = LeaseSettings(tuple(names[:3]), n, TERM_S)
     with virtual(members):
         proxies = {name: Proxy(members, name, rows, terms) for name in names}
         members.news = lambda name, now, words: proxies[name].made.on_news()
@@ -244,7 +244,7 @@
 
 def table(rows: int, traced: bool) -> float:
     """Each row as the supervisor makes it, asked for and granted once: milliseconds for all, or bytes."""
-    terms, limits = Terms(("f0",), 1, TERM_S), rows_of(rows)
+    terms, limits = LeaseSettings(("f0",), 1, TERM_S), rows_of(rows)
     if traced:
         tracemalloc.start()
     made, took = [limiting.Row(limit, terms, 0.0) for limit in limits], 0.0
--- a/flintlatch/config/__init__.py
+++ b/flintlatch/config/__init__.py
@@ -42,7 +42,7 @@
     read_verdicts,
     unique,
 )
-from flintlatch.limits.rows import MOST_LIMITS, Limit, Terms, WhenCut
+from flintlatch.limits.rows import MOST_LIMITS, LeaseSettings, Limit, WhenCut
 from flintlatch.settings import Wire
 from flintlatch.verdicts.rows import EjectionRules
 
@@ -74,7 +74,7 @@
     delivery: DeliveryTable | None  # None: nothing is followed
     verdicts: EjectionRules | None  # None: each judges servers by itself
     shared: tuple[Limit, ...]  # limits of all fleets together
-    terms: Terms
+    terms: LeaseSettings
 
     @property
     def control_path(self) -> str:
--- a/flintlatch/config/tables.py
+++ b/flintlatch/config/tables.py
@@ -10,7 +10,7 @@
 
 from flintlatch.api import Effect, RequestClass, Scope
 from flintlatch.config.reader import Reader, address, shown
-from flintlatch.limits.rows import MOST_HOLDERS, Limit, Terms, WhenCut
+from flintlatch.limits.rows import MOST_HOLDERS, LeaseSettings, Limit, WhenCut
 from flintlatch.verdicts.rows import EjectionRules
 
 if TYPE_CHECKING:
@@ -561,12 +561,12 @@
     return limit
 
 
-def read_keepers(reader: Reader) -> Terms:
+def read_keepers(reader: Reader) -> LeaseSettings:
     voters = reader.items("voters", 'names of fleets such as ["a", "b", "c"]')
     for place, name in enumerate(voters):
         if not isinstance(name, str) or not name or voters.count(name) > 1:
             reader.problem(f"voters[{place}]", shown(name), "the name of a fleet, each once")
-    terms = Terms(
+    terms = LeaseSettings(
         voters=tuple(name for name in voters if isinstance(name, str)),
         fleets=reader.whole("fleets", 1, MOST_HOLDERS, max(len(voters), 1)),
         term_s=reader.number("term_s", 0.2, 60, 2),
--- a/flintlatch/fleet/limiting.py
+++ b/flintlatch/fleet/limiting.py
@@ -14,11 +14,11 @@
     Leadership,
     LeaseHolder,
     LeaseRequest,
+    LeaseSettings,
     LeaseVersion,
     Lessor,
     Limit,
     Malformed,
-    Terms,
     Vote,
     WhenCut,
     limit_topics,
@@ -72,7 +72,7 @@
 class Row:
     """One limit, here."""
 
-    def __init__(self, limit: Limit, terms: Terms, now: float) -> None:
+    def __init__(self, limit: Limit, terms: LeaseSettings, now: float) -> None:
         self.limit = limit
         fixed = limit.fixed(terms.fleets)
         self.holder, self.keeper = (
@@ -93,7 +93,7 @@
     def __init__(
         self,
         limits: tuple[Limit, ...],
-        terms: Terms,
+        terms: LeaseSettings,
         shell: Callable[[], Shell | None],
         tell: Callable[[int, Message], None],
         log: Callable[[str, str], None],
@@ -110,7 +110,7 @@
 
     topics = staticmethod(limit_topics)
 
-    def reconfigure(self, limits: tuple[Limit, ...], terms: Terms) -> None:
+    def reconfigure(self, limits: tuple[Limit, ...], terms: LeaseSettings) -> None:
         """A reload. What is lent stays lent: the new figure holds once that has come down or is over."""
         if terms != self.terms:
             self.log("warning", "keepers: a change of voters or terms takes a restart of all fleets")
--- a/flintlatch/limits/holder.py
+++ b/flintlatch/limits/holder.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from flintlatch.limits.model import NO_MARK, Lease, LeaseRequest, LeaseVersion
-from flintlatch.limits.rows import Limit, Terms, WhenCut
+from flintlatch.limits.rows import LeaseSettings, Limit, WhenCut
 from flintlatch.limits.split import EPS, Split
 
 NEED_PART = 0.5  # of a new measure in the smoothed need, as it falls; as it rises it counts at once
@@ -30,7 +30,9 @@
 
 
 class LeaseHolder:
-    def __init__(self, limit: Limit, terms: Terms, fixed: float = 0.0, fixed_from: float = 0.0) -> None:
+    def __init__(
+        self, limit: Limit, terms: LeaseSettings, fixed: float = 0.0, fixed_from: float = 0.0
+    ) -> None:
         """`fixed`: what is ours for good, from `fixed_from` on: instances of a process before us may hold it
         until then."""
         self.limit, self.terms, self.fixed, self.fixed_from = limit, terms, fixed, fixed_from
--- a/flintlatch/limits/keeper.py
+++ b/flintlatch/limits/keeper.py
@@ -14,12 +14,12 @@
 from collections.abc import Iterable, Mapping
 
 from flintlatch.limits.model import Lease, LeaseRequest, LeaseVersion, term_validity_s
-from flintlatch.limits.rows import Limit, Terms, WhenCut
+from flintlatch.limits.rows import LeaseSettings, Limit, WhenCut
 from flintlatch.limits.split import Split
 
 
 class Lessor:
-    def __init__(self, limit: Limit, terms: Terms) -> None:
+    def __init__(self, limit: Limit, terms: LeaseSettings) -> None:
         self.limit, self.terms = limit, terms
         self.split = Split()
         self.number = 0
--- a/flintlatch/limits/model.py
+++ b/flintlatch/limits/model.py
@@ -13,19 +13,21 @@
 
 import msgspec
 
-from flintlatch.limits.rows import MOST_HOLDERS, MOST_LIMITS, Limit, Terms, WhenCut
+from flintlatch.limits.rows import MOST_HOLDERS, MOST_LIMITS, LeaseSettings, Limit, WhenCut
 from flintlatch.peers import Merge, Topic
 from flintlatch.peers.words import MAX_CLOCK_DRIFT
 
 GRANTS_MOST = MOST_LIMITS * MOST_HOLDERS  # words of one keeper
 
 
-def term_validity_s(terms: Terms) -> float:
+def term_validity_s(terms: LeaseSettings) -> float:
     """When nobody believes a word of a term any more, counted on any clock since it was said."""
     return terms.term_s * (1 + MAX_CLOCK_DRIFT) / (1 - MAX_CLOCK_DRIFT) + 0.01 * terms.term_s
 
 
-def max_admitted(limit: Limit, terms: Terms, window_s: float, instances: int, cut: bool = True) -> float:
+def max_admitted(
+    limit: Limit, terms: LeaseSettings, window_s: float, instances: int, cut: bool = True
+) -> float:
     """The stated bound: requests taken by all fleets in any window. A rate's clock may be fast by DRIFT; each
     instance may hold one whole request beyond its part of the burst."""
     factor = terms.cut_factor if cut and limit.when_cut is WhenCut.OPEN else 1.0
--- a/flintlatch/limits/seat.py
+++ b/flintlatch/limits/seat.py
@@ -12,7 +12,7 @@
 from zlib import crc32
 
 from flintlatch.limits.model import MOST_NUMBER, Vote, term_validity_s
-from flintlatch.limits.rows import Terms
+from flintlatch.limits.rows import LeaseSettings
 
 
 def preferred(voters: Iterable[str], there: Callable[[str], bool]) -> str:
@@ -21,7 +21,7 @@
 
 
 class Leadership:
-    def __init__(self, me: str, terms: Terms, now: float) -> None:
+    def __init__(self, me: str, terms: LeaseSettings, now: float) -> None:
         self.me, self.terms = me, terms
         self.named = ""  # whom we voted for last
         self.free_at = now + term_validity_s(terms)  # when we may name another
--- a/tests/limits/explored.py
+++ b/tests/limits/explored.py
@@ -12,12 +12,20 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from flintlatch.limits.api import LeaseHolder, LeaseVersion, Lessor, Limit, Terms, WhenCut, term_validity_s
+from flintlatch.limits.api import (
+    LeaseHolder,
+    LeaseSettings,
+    LeaseVersion,
+    Lessor,
+    Limit,
+    WhenCut,
+    term_validity_s,
+)
 from flintlatch.limits.model import LeaseRequest, holder_id
 from flintlatch.limits.split import Given, Out, Split
 
 LIMIT = Limit("l", "", "", 10.0, 0.0, WhenCut.STRICT, reserve=0.0)
-TERMS = Terms(("k0", "k1", "k2"), 2, term_s=2.0)
+TERMS = LeaseSettings(("k0", "k1", "k2"), 2, term_s=2.0)
 STEP_S = 1.0
 CAPACITY = LIMIT.lent()
 LATEST_S = 9.0
--- a/tests/limits/test_cores.py
+++ b/tests/limits/test_cores.py
@@ -15,11 +15,11 @@
 from flintlatch.lab.explore import Broken, explore, wander
 from flintlatch.limits.api import (
     Leadership,
+    LeaseSettings,
     Lessor,
     Limit,
     Malformed,
     Split,
-    Terms,
     Vote,
     WhenCut,
     fair,
@@ -38,7 +38,7 @@
 from tests.support import Driver, fleet, of
 from tests.support import settings as module_settings
 
-TERMS = Terms(("a", "b", "c"), 3, term_s=2.0)
+TERMS = LeaseSettings(("a", "b", "c"), 3, term_s=2.0)
 NAMES = TERMS.voters
 
 
@@ -199,7 +199,7 @@
 
 def test_an_open_limit_s_parts_of_a_cut_stay_within_its_factor() -> None:
     limit = Limit("l", "", "", 100.0, 0.0, WhenCut.OPEN, reserve=0.0)
-    keeper = Lessor(limit, Terms((), 12, cut_factor=1.5))
+    keeper = Lessor(limit, LeaseSettings((), 12, cut_factor=1.5))
     for parts in ([12], [6, 6], [4, 4, 4], [1] * 12, [7, 3, 1, 1]):
         assert sum(keeper.capacity(part, 12) for part in parts) <= 150.0 + 1e-9
 
