--- a/bench/limits.py
+++ b/bench/limits.py
@@ -24,7 +24,7 @@
 import uvloop
 
 from flintlatch.fleet.control import Taken
-from flintlatch.limits.api import LeaseSettings, Limit, WhenCut, max_admitted
+from flintlatch.limits.api import LeaseSettings, Limit, PartitionPolicy, max_admitted
 from flintlatch.net.clock import now_ms
 from flintlatch.standin.client import Clients
 from flintlatch.standin.fleets import Fleets, fleets
@@ -108,7 +108,12 @@
                 after.append(0)
         audit = Audit(made)
         limit = Limit(
-            "answers", "", "answer", PER_S, BURST, WhenCut.OPEN if mode == "open" else WhenCut.STRICT
+            "answers",
+            "",
+            "answer",
+            PER_S,
+            BURST,
+            PartitionPolicy.OPEN if mode == "open" else PartitionPolicy.STRICT,
         )
         terms = LeaseSettings(tuple(keepers["voters"]), count, TERM_S)  # type: ignore[arg-type]
         parts = {w: audit.worst(w) / max_admitted(limit, terms, w + WAIT_S, count) for w in WINDOWS_S}
--- a/bench/scale/limits.py
+++ b/bench/scale/limits.py
@@ -21,7 +21,14 @@
 from flintlatch.fleet import judging, limiting
 from flintlatch.fleet.limiting import Limiting
 from flintlatch.lab.engine import Engine
-from flintlatch.limits.api import LeaseRequest, LeaseSettings, LeaseVersion, Limit, WhenCut, limit_topics
+from flintlatch.limits.api import (
+    LeaseRequest,
+    LeaseSettings,
+    LeaseVersion,
+    Limit,
+    PartitionPolicy,
+    limit_topics,
+)
 from flintlatch.limits.model import holder_id, write_ask
 from flintlatch.peers import DatagramReceived, Entry, Kind, Message, Record, Rules, State, Topic
 from flintlatch.peers.member import PAYLOAD_BYTES, Envelope
@@ -103,7 +110,7 @@
 
 
 def rows_of(count: int) -> tuple[Limit, ...]:
-    return tuple(Limit(f"limit-{i:05d}", "", "", PER_S, 10.0, WhenCut.STRICT) for i in range(count))
+    return tuple(Limit(f"limit-{i:05d}", "", "", PER_S, 10.0, PartitionPolicy.STRICT) for i in range(count))
 
 
 def wide(rows: int, holders: int) -> tuple[Topic, ...]:
--- a/flintlatch/config/__init__.py
+++ b/flintlatch/config/__init__.py
@@ -42,7 +42,7 @@
     read_verdicts,
     unique,
 )
-from flintlatch.limits.rows import MOST_LIMITS, LeaseSettings, Limit, WhenCut
+from flintlatch.limits.rows import MOST_LIMITS, LeaseSettings, Limit, PartitionPolicy
 from flintlatch.settings import Wire
 from flintlatch.verdicts.rows import EjectionRules
 
@@ -198,7 +198,7 @@
         top.problem("limit", f"{len(shared)} rows", f"at most {MOST_LIMITS}")
     if shared and "peers" not in raw:
         top.problem("limit", f"{len(shared)} rows", "a [peers] table: they hold for several fleets")
-    if any(row.when_cut is WhenCut.STRICT for row in shared) and not config.terms.voters:
+    if any(row.when_cut is PartitionPolicy.STRICT for row in shared) and not config.terms.voters:
         top.problem("keepers.voters", "", 'the fleets that vote, where a limit is "strict"')
     if "peers" in raw:
         config = replace(config, peers=read_peers(top.sub("peers"), config.fleet.name))
--- a/flintlatch/config/tables.py
+++ b/flintlatch/config/tables.py
@@ -10,7 +10,7 @@
 
 from flintlatch.api import Effect, RequestClass, Scope
 from flintlatch.config.reader import Reader, address, shown
-from flintlatch.limits.rows import MOST_HOLDERS, LeaseSettings, Limit, WhenCut
+from flintlatch.limits.rows import MOST_HOLDERS, LeaseSettings, Limit, PartitionPolicy
 from flintlatch.verdicts.rows import EjectionRules
 
 if TYPE_CHECKING:
@@ -554,7 +554,7 @@
         cls=reader.choice("class", ("", *classes), ""),
         per_s=reader.number("per_s", 0.01, 1e9),
         burst=reader.number("burst", 0, 1e9, 0),
-        when_cut=WhenCut(reader.choice("when_cut", ("strict", "open"))),
+        when_cut=PartitionPolicy(reader.choice("when_cut", ("strict", "open"))),
         reserve=reader.number("reserve", 0, 1, 0.02),
     )
     reader.done()
--- a/flintlatch/fleet/limiting.py
+++ b/flintlatch/fleet/limiting.py
@@ -19,8 +19,8 @@
     Lessor,
     Limit,
     Malformed,
+    PartitionPolicy,
     Vote,
-    WhenCut,
     limit_topics,
     max_admitted,
     term_validity_s,
@@ -245,7 +245,7 @@
     def _keeper_of(self, shell: Shell, limit: Limit) -> str:
         """By rendezvous over those that are there, for the open ones; the strict ones' is whoever has the
         seat."""
-        if limit.when_cut is WhenCut.STRICT:
+        if limit.when_cut is PartitionPolicy.STRICT:
             votes = [read_vote(s.value).keeper for s in shell.member.entry_store.read(clock(), "vote")]
             return max(set(votes), key=lambda name: (votes.count(name), name), default="")
         there = [record.name for record in shell.member.peers.alive()]
@@ -262,7 +262,7 @@
                 continue
             asks[holder_of(said.origin, ask.life)] = said.origin, ask
             row.number = max(row.number, ask.mark.number)
-        if limit.when_cut is WhenCut.STRICT:
+        if limit.when_cut is PartitionPolicy.STRICT:
             if not keeping:
                 return
             number, settled = seat.mine, seat.settled(now)
--- a/flintlatch/limits/api.py
+++ b/flintlatch/limits/api.py
@@ -16,7 +16,7 @@
     max_admitted,
     term_validity_s,
 )
-from flintlatch.limits.rows import LeaseSettings, Limit, WhenCut
+from flintlatch.limits.rows import LeaseSettings, Limit, PartitionPolicy
 from flintlatch.limits.seat import Leadership
 from flintlatch.limits.split import Split, fair
 
--- a/flintlatch/limits/holder.py
+++ b/flintlatch/limits/holder.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from flintlatch.limits.model import NO_MARK, Lease, LeaseRequest, LeaseVersion
-from flintlatch.limits.rows import LeaseSettings, Limit, WhenCut
+from flintlatch.limits.rows import LeaseSettings, Limit, PartitionPolicy
 from flintlatch.limits.split import EPS, Split
 
 NEED_PART = 0.5  # of a new measure in the smoothed need, as it falls; as it rises it counts at once
@@ -74,7 +74,7 @@
         held = now < self.ends
         mark = self.mark if came_down and held else NO_MARK
         used = max(out - self.own(now), self.lent(now))
-        stays = held and self.limit.when_cut is WhenCut.STRICT
+        stays = held and self.limit.when_cut is PartitionPolicy.STRICT
         asked = self.keeper if stays else keeper
         return LeaseRequest(need, asked, self.keeper if held else "", mark, used, self.limit.per_s)
 
@@ -90,7 +90,7 @@
         for name, mark in follows.items():
             self.split.ack(name, mark)
         lent = self.lent(now) + self.own(now)
-        if self.limit.when_cut is WhenCut.OPEN and now >= self.ends:
+        if self.limit.when_cut is PartitionPolicy.OPEN and now >= self.ends:
             lent = max(lent, self.limit.alone(self.terms))  # nobody grants: as a part with nobody else
         told = self.split.deal(now, lent, needs)
         until = min(self.ends, now + term_s) if self.lent(now) else now + term_s
--- a/flintlatch/limits/keeper.py
+++ b/flintlatch/limits/keeper.py
@@ -14,7 +14,7 @@
 from collections.abc import Iterable, Mapping
 
 from flintlatch.limits.model import Lease, LeaseRequest, LeaseVersion, term_validity_s
-from flintlatch.limits.rows import LeaseSettings, Limit, WhenCut
+from flintlatch.limits.rows import LeaseSettings, Limit, PartitionPolicy
 from flintlatch.limits.split import Split
 
 
@@ -30,7 +30,7 @@
         other the lowest holds: while a reload goes round, and for good if somebody forgot one."""
         lowest = min([self.limit.per_s, *(ask.per_s for ask in asks if ask.per_s)])
         lent = self.limit.lent() * lowest / self.limit.per_s
-        if self.limit.when_cut is WhenCut.STRICT:
+        if self.limit.when_cut is PartitionPolicy.STRICT:
             return lent
         return lent * min(1.0, self.terms.cut_factor * following / max(configured, following, 1))
 
--- a/flintlatch/limits/model.py
+++ b/flintlatch/limits/model.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from flintlatch.limits.rows import MOST_HOLDERS, MOST_LIMITS, LeaseSettings, Limit, WhenCut
+from flintlatch.limits.rows import MOST_HOLDERS, MOST_LIMITS, LeaseSettings, Limit, PartitionPolicy
 from flintlatch.peers import Merge, Topic
 from flintlatch.peers.words import MAX_CLOCK_DRIFT
 
@@ -30,7 +30,7 @@
 ) -> float:
     """The stated bound: requests taken by all fleets in any window. A rate's clock may be fast by DRIFT; each
     instance may hold one whole request beyond its part of the burst."""
-    factor = terms.cut_factor if cut and limit.when_cut is WhenCut.OPEN else 1.0
+    factor = terms.cut_factor if cut and limit.when_cut is PartitionPolicy.OPEN else 1.0
     return factor * (limit.per_s * window_s * (1 + MAX_CLOCK_DRIFT) + limit.burst) + instances
 
 
--- a/flintlatch/limits/rows.py
+++ b/flintlatch/limits/rows.py
@@ -9,7 +9,7 @@
 MOST_HOLDERS = 256  # fleets under one limit
 
 
-class WhenCut(Enum):
+class PartitionPolicy(Enum):
     STRICT = "strict"  # never over, even if some of it can't be used
     OPEN = "open"  # service goes on; over by at most a stated factor
 
@@ -34,7 +34,7 @@
     cls: str
     per_s: float
     burst: float  # requests at once beyond the rate
-    when_cut: WhenCut
+    when_cut: PartitionPolicy
     reserve: float = 0.02  # part that is dealt out for good, evenly over the configured fleets
 
     def lent(self) -> float:
@@ -48,6 +48,6 @@
     def alone(self, terms: LeaseSettings) -> float:
         """What the instances of a fleet may use whose supervisor says nothing. Of an open limit as a part of
         a cut with nobody else in it; of a strict one nothing, since another process may deal out the same."""
-        if self.when_cut is WhenCut.STRICT:
+        if self.when_cut is PartitionPolicy.STRICT:
             return 0.0
         return min(self.per_s, self.per_s * terms.cut_factor / max(terms.fleets, 1))
--- a/tests/fleet/test_limits.py
+++ b/tests/fleet/test_limits.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from flintlatch.limits.api import LeaseSettings, Limit, WhenCut, max_admitted
+from flintlatch.limits.api import LeaseSettings, Limit, PartitionPolicy, max_admitted
 from flintlatch.net.clock import now_ms
 from flintlatch.standin.client import Clients
 from flintlatch.standin.fleets import Fleets, fleets
@@ -32,7 +32,7 @@
 
 
 def bound(mode: str, count: int, window_s: float) -> float:
-    limit = Limit("answers", "", "answer", PER_S, BURST, WhenCut(mode))
+    limit = Limit("answers", "", "answer", PER_S, BURST, PartitionPolicy(mode))
     terms = LeaseSettings(tuple(f"f{n}" for n in range(count)), count, TERM_S)
     return max_admitted(limit, terms, window_s + WAIT_S, count)
 
@@ -188,7 +188,7 @@
             await made.until(lowered, "the lower limit")
             began = now_ms()
             await ask(made, first, PER_S, 2.0, 40)
-            limit = Limit("answers", "", "answer", PER_S / 10, BURST, WhenCut.STRICT)
+            limit = Limit("answers", "", "answer", PER_S / 10, BURST, PartitionPolicy.STRICT)
             terms = LeaseSettings(("f0", "f1", "f2"), 3, TERM_S)
             seen = worst(first_runs(made, began), 1.0)
             assert seen <= max_admitted(limit, terms, 1.0 + WAIT_S, 3)
--- a/tests/limits/explored.py
+++ b/tests/limits/explored.py
@@ -18,13 +18,13 @@
     LeaseVersion,
     Lessor,
     Limit,
-    WhenCut,
+    PartitionPolicy,
     term_validity_s,
 )
 from flintlatch.limits.model import LeaseRequest, holder_id
 from flintlatch.limits.split import Given, Out, Split
 
-LIMIT = Limit("l", "", "", 10.0, 0.0, WhenCut.STRICT, reserve=0.0)
+LIMIT = Limit("l", "", "", 10.0, 0.0, PartitionPolicy.STRICT, reserve=0.0)
 TERMS = LeaseSettings(("k0", "k1", "k2"), 2, term_s=2.0)
 STEP_S = 1.0
 CAPACITY = LIMIT.lent()
--- a/tests/limits/test_cores.py
+++ b/tests/limits/test_cores.py
@@ -19,9 +19,9 @@
     Lessor,
     Limit,
     Malformed,
+    PartitionPolicy,
     Split,
     Vote,
-    WhenCut,
     fair,
     term_validity_s,
 )
@@ -198,7 +198,7 @@
 
 
 def test_an_open_limit_s_parts_of_a_cut_stay_within_its_factor() -> None:
-    limit = Limit("l", "", "", 100.0, 0.0, WhenCut.OPEN, reserve=0.0)
+    limit = Limit("l", "", "", 100.0, 0.0, PartitionPolicy.OPEN, reserve=0.0)
     keeper = Lessor(limit, LeaseSettings((), 12, cut_factor=1.5))
     for parts in ([12], [6, 6], [4, 4, 4], [1] * 12, [7, 3, 1, 1]):
         assert sum(keeper.capacity(part, 12) for part in parts) <= 150.0 + 1e-9
