--- a/flintlatch/config/__init__.py
+++ b/flintlatch/config/__init__.py
@@ -42,7 +42,7 @@
     read_verdicts,
     unique,
 )
-from flintlatch.limits.rows import MOST_LIMITS, LeaseSettings, Limit, PartitionPolicy
+from flintlatch.limits.rows import MAX_LIMITS, LeaseSettings, Limit, PartitionPolicy
 from flintlatch.settings import Wire
 from flintlatch.verdicts.rows import EjectionRules
 
@@ -194,8 +194,8 @@
     config = replace(config, shared=shared)
     if config.verdicts is not None and "peers" not in raw:
         top.problem("verdicts", "a table", "a [peers] table: they are shared with other fleets")
-    if len(shared) > MOST_LIMITS:
-        top.problem("limit", f"{len(shared)} rows", f"at most {MOST_LIMITS}")
+    if len(shared) > MAX_LIMITS:
+        top.problem("limit", f"{len(shared)} rows", f"at most {MAX_LIMITS}")
     if shared and "peers" not in raw:
         top.problem("limit", f"{len(shared)} rows", "a [peers] table: they hold for several fleets")
     if any(row.when_cut is PartitionPolicy.STRICT for row in shared) and not config.terms.voters:
--- a/flintlatch/limits/rows.py
+++ b/flintlatch/limits/rows.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-MOST_LIMITS = 64  # of one fleet: each member asks for each of them by a word of its own
+MAX_LIMITS = 64  # of one fleet: each member asks for each of them by a word of its own
 MOST_HOLDERS = 256  # fleets under one limit
 
 
