--- a/flintlatch/config/tables.py
+++ b/flintlatch/config/tables.py
@@ -10,7 +10,7 @@
 
 from flintlatch.api import Effect, RequestClass, Scope
 from flintlatch.config.reader import Reader, address, shown
-from flintlatch.limits.rows import MOST_HOLDERS, LeaseSettings, Limit, PartitionPolicy
+from flintlatch.limits.rows import MAX_HOLDERS, LeaseSettings, Limit, PartitionPolicy
 from flintlatch.verdicts.rows import EjectionRules
 
 if TYPE_CHECKING:
@@ -568,7 +568,7 @@
             reader.problem(f"voters[{place}]", shown(name), "the name of a fleet, each once")
     terms = LeaseSettings(
         voters=tuple(name for name in voters if isinstance(name, str)),
-        fleets=reader.whole("fleets", 1, MOST_HOLDERS, max(len(voters), 1)),
+        fleets=reader.whole("fleets", 1, MAX_HOLDERS, max(len(voters), 1)),
         term_s=reader.number("term_s", 0.2, 60, 2),
         cut_factor=reader.number("cut_factor", 1, 100, 2),
     )
--- a/flintlatch/limits/model.py
+++ b/flintlatch/limits/model.py
@@ -13,11 +13,11 @@
 
 import msgspec
 
-from flintlatch.limits.rows import MAX_LIMITS, MOST_HOLDERS, LeaseSettings, Limit, PartitionPolicy
+from flintlatch.limits.rows import MAX_HOLDERS, MAX_LIMITS, LeaseSettings, Limit, PartitionPolicy
 from flintlatch.peers import Merge, Topic
 from flintlatch.peers.words import MAX_CLOCK_DRIFT
 
-GRANTS_MOST = MAX_LIMITS * MOST_HOLDERS  # words of one keeper
+GRANTS_MOST = MAX_LIMITS * MAX_HOLDERS  # words of one keeper
 
 
 def term_validity_s(terms: LeaseSettings) -> float:
@@ -42,7 +42,7 @@
             Merge.PER_MEMBER,
             term_s,
             max_per_member=MAX_LIMITS,
-            max_entries=MAX_LIMITS * MOST_HOLDERS,
+            max_entries=MAX_LIMITS * MAX_HOLDERS,
             weight=2.0,
         ),
         Topic(
--- a/flintlatch/limits/rows.py
+++ b/flintlatch/limits/rows.py
@@ -6,7 +6,7 @@
 from enum import Enum
 
 MAX_LIMITS = 64  # of one fleet: each member asks for each of them by a word of its own
-MOST_HOLDERS = 256  # fleets under one limit
+MAX_HOLDERS = 256  # fleets under one limit
 
 
 class PartitionPolicy(Enum):
