--- a/bench/scale/limits.py
+++ b/bench/scale/limits.py
@@ -29,7 +29,7 @@
     PartitionPolicy,
     limit_topics,
 )
-from flintlatch.limits.model import holder_id, write_ask
+from flintlatch.limits.model import holder_id, write_lease_request
 from flintlatch.peers import DatagramReceived, Entry, Kind, Message, Record, Rules, State, Topic
 from flintlatch.peers.member import PAYLOAD_BYTES, Envelope
 from flintlatch.peers.wire import pack, unpack
@@ -154,7 +154,7 @@
             given = out.given[-1] if out is not None and out.given else None
             mark, used = (given.mark, given.amount) if given is not None else (LeaseVersion(0, 0), 0.0)
             ask = LeaseRequest(self.share, "f0", "f0" if given else "", mark, used, PER_S, me.life)
-            words.append(Entry("ask", me.name, name, self.epoch, write_ask(ask), TERM_S))
+            words.append(Entry("ask", me.name, name, self.epoch, write_lease_request(ask), TERM_S))
         self.number = arrive(self.members, me, self.number, words)
 
 
--- a/flintlatch/fleet/limiting.py
+++ b/flintlatch/fleet/limiting.py
@@ -30,8 +30,8 @@
     read_ask,
     read_grant,
     read_vote,
-    write_ask,
     write_grant,
+    write_lease_request,
     write_vote,
 )
 from flintlatch.peers import State
@@ -232,7 +232,7 @@
             row.part_at = now + self.terms.term_s / RENEW
         ask = holder.ask(now, self._keeper_of(shell, limit))._replace(life=me.life)
         if now >= row.ask_at or row.asked is None or moved(row.asked, ask, limit):
-            shell.publish("ask", limit.name, write_ask(ask), self.terms.term_s, renew=False)
+            shell.publish("ask", limit.name, write_lease_request(ask), self.terms.term_s, renew=False)
             row.asked, row.ask_at = ask, now + self.terms.term_s / RENEW
             if ask.keeper and ask.keeper != me.name:
                 told.add(ask.keeper)
--- a/flintlatch/limits/model.py
+++ b/flintlatch/limits/model.py
@@ -108,7 +108,7 @@
     return _encoder.encode(tuple(vote))
 
 
-def write_ask(ask: LeaseRequest) -> bytes:
+def write_lease_request(ask: LeaseRequest) -> bytes:
     return _encoder.encode((ask.need, ask.keeper, ask.of, *ask.mark, ask.used, ask.per_s, ask.life))
 
 
