--- a/flintlatch/fleet/limiting.py
+++ b/flintlatch/fleet/limiting.py
@@ -27,8 +27,8 @@
 )
 from flintlatch.limits.model import holder_id as holder_of
 from flintlatch.limits.model import (
-    read_ask,
     read_grant,
+    read_lease_request,
     read_vote,
     write_grant,
     write_lease_request,
@@ -257,7 +257,7 @@
         asks: dict[str, tuple[str, LeaseRequest]] = {}
         for said in shell.member.entry_store.read(now, "ask", limit.name):
             try:
-                ask = read_ask(said.value)
+                ask = read_lease_request(said.value)
             except Malformed:
                 continue
             asks[holder_of(said.origin, ask.life)] = said.origin, ask
--- a/flintlatch/limits/model.py
+++ b/flintlatch/limits/model.py
@@ -137,7 +137,7 @@
     return Vote(keeper, _mark(number, 0).number)
 
 
-def read_ask(value: bytes) -> LeaseRequest:
+def read_lease_request(value: bytes) -> LeaseRequest:
     try:
         need, keeper, of, number, place, used, per_s, life = _ask.decode(value)
     except msgspec.DecodeError as error:
--- a/tests/limits/test_cores.py
+++ b/tests/limits/test_cores.py
@@ -29,8 +29,8 @@
     Lease,
     LeaseRequest,
     LeaseVersion,
-    read_ask,
     read_grant,
+    read_lease_request,
     read_vote,
     write_grant,
     write_lease_request,
@@ -206,14 +206,14 @@
 
 def test_words_of_limits_that_nobody_can_have_meant_are_refused() -> None:
     ask = LeaseRequest(1.5, "k", "o", LeaseVersion(2, 3), 4.0, 5.0, 6)
-    assert read_ask(write_lease_request(ask)) == ask
+    assert read_lease_request(write_lease_request(ask)) == ask
     grant = Lease(3.0, LeaseVersion(1, 2), True)
     assert read_grant(write_grant(grant)) == grant
     for bad in (b"", b"\xc0", write_grant(grant)[:-1], write_grant(grant._replace(amount=float("nan")))):
         with pytest.raises(Malformed):
             read_grant(bad)
     with pytest.raises(Malformed):
-        read_ask(write_lease_request(ask._replace(need=-1.0)))
+        read_lease_request(write_lease_request(ask._replace(need=-1.0)))
     with pytest.raises(Malformed):
         read_vote(b"\x93\xa1a\x01\x02")
 
