--- a/flintlatch/fleet/limiting.py
+++ b/flintlatch/fleet/limiting.py
@@ -30,7 +30,7 @@
     read_grant,
     read_lease_request,
     read_vote,
-    write_grant,
+    write_lease,
     write_lease_request,
     write_vote,
 )
@@ -292,7 +292,7 @@
         due = now >= row.deal_at
         heard = {name: ask for name, (_, ask) in mine.items()}
         for name, grant in row.keeper.step(now, me.name, number, settled, capacity, heard, due).items():
-            shell.publish("grant", f"{name} {limit.name}", write_grant(grant), self.terms.term_s, renew=False)
+            shell.publish("grant", f"{name} {limit.name}", write_lease(grant), self.terms.term_s, renew=False)
             if mine[name][0] != me.name:
                 told.add(mine[name][0])
             else:
--- a/flintlatch/limits/model.py
+++ b/flintlatch/limits/model.py
@@ -112,7 +112,7 @@
     return _encoder.encode((ask.need, ask.keeper, ask.of, *ask.mark, ask.used, ask.per_s, ask.life))
 
 
-def write_grant(grant: Lease) -> bytes:
+def write_lease(grant: Lease) -> bytes:
     return _encoder.encode((grant.amount, *grant.mark, grant.carried))
 
 
