--- a/flintlatch/fleet/limiting.py
+++ b/flintlatch/fleet/limiting.py
@@ -27,7 +27,7 @@
 )
 from flintlatch.limits.model import holder_id as holder_of
 from flintlatch.limits.model import (
-    read_grant,
+    read_lease,
     read_lease_request,
     read_vote,
     write_lease,
@@ -212,7 +212,7 @@
         mine = f"{holder_of(me.name, me.life)} {limit.name}"
         for said in shell.member.entry_store.read(now, "grant", mine):
             try:
-                holder.hear(now, said.origin, read_grant(said.value), said.expires_at)
+                holder.hear(now, said.origin, read_lease(said.value), said.expires_at)
             except Malformed:
                 continue
         needs = {
--- a/flintlatch/limits/model.py
+++ b/flintlatch/limits/model.py
@@ -145,7 +145,7 @@
     return LeaseRequest(_amount(need), keeper, of, _mark(number, place), _amount(used), _amount(per_s), life)
 
 
-def read_grant(value: bytes) -> Lease:
+def read_lease(value: bytes) -> Lease:
     try:
         amount, number, place, carried = _grant.decode(value)
     except msgspec.DecodeError as error:
--- a/tests/limits/test_cores.py
+++ b/tests/limits/test_cores.py
@@ -29,7 +29,7 @@
     Lease,
     LeaseRequest,
     LeaseVersion,
-    read_grant,
+    read_lease,
     read_lease_request,
     read_vote,
     write_lease,
@@ -208,10 +208,10 @@
     ask = LeaseRequest(1.5, "k", "o", LeaseVersion(2, 3), 4.0, 5.0, 6)
     assert read_lease_request(write_lease_request(ask)) == ask
     grant = Lease(3.0, LeaseVersion(1, 2), True)
-    assert read_grant(write_lease(grant)) == grant
+    assert read_lease(write_lease(grant)) == grant
     for bad in (b"", b"\xc0", write_lease(grant)[:-1], write_lease(grant._replace(amount=float("nan")))):
         with pytest.raises(Malformed):
-            read_grant(bad)
+            read_lease(bad)
     with pytest.raises(Malformed):
         read_lease_request(write_lease_request(ask._replace(need=-1.0)))
     with pytest.raises(Malformed):
