--- a/flintlatch/fleet/limiting.py
+++ b/flintlatch/fleet/limiting.py
@@ -74,7 +74,7 @@
 
     def __init__(self, limit: Limit, terms: LeaseSettings, now: float) -> None:
         self.limit = limit
-        fixed = limit.fixed(terms.fleets)
+        fixed = limit.reserved_per_s(terms.fleets)
         self.holder, self.keeper = (
             LeaseHolder(limit, terms, fixed, now + term_validity_s(terms)),
             Lessor(limit, terms),
@@ -117,7 +117,7 @@
         for limit in limits:
             row = self.rows.setdefault(limit.name, Row(limit, self.terms, clock()))
             row.limit = row.holder.limit = row.keeper.limit = limit
-            row.holder.fixed = limit.fixed(self.terms.fleets)
+            row.holder.fixed = limit.reserved_per_s(self.terms.fleets)
         for name in [name for name in self.rows if name not in {limit.name for limit in limits}]:
             del self.rows[name]
 
@@ -236,7 +236,7 @@
             row.asked, row.ask_at = ask, now + self.terms.term_s / RENEW
             if ask.keeper and ask.keeper != me.name:
                 told.add(ask.keeper)
-        over = holder.need > holder.lent(now) + limit.fixed(self.terms.fleets) + 1e-9
+        over = holder.need > holder.lent(now) + limit.reserved_per_s(self.terms.fleets) + 1e-9
         if over != row.over:
             row.over = over
             text = "more is asked for here than its part" if over else "its part is enough again"
@@ -320,7 +320,7 @@
                     "keeper": holder.keeper if now < holder.ends else "",
                     "asked_here": round(holder.need, 2),
                     "lent_here": round(holder.lent(now), 2),
-                    "fixed_here": round(limit.fixed(self.terms.fleets), 2),
+                    "fixed_here": round(limit.reserved_per_s(self.terms.fleets), 2),
                     "alone_here": round(limit.alone(self.terms), 2),
                     "granted": round(keeps, 2) if keeps else None,
                     "most_in_a_second": round(max_admitted(limit, self.terms, 1.0, instances), 2),
--- a/flintlatch/limits/rows.py
+++ b/flintlatch/limits/rows.py
@@ -41,7 +41,7 @@
         """What keepers deal out: a second."""
         return self.per_s * (1 - self.reserve)
 
-    def fixed(self, fleets: int) -> float:
+    def reserved_per_s(self, fleets: int) -> float:
         """What each of so many configured fleets may use for good, beside what it is lent."""
         return self.per_s * self.reserve / max(fleets, 1)
 
