--- a/flintlatch/config/__init__.py
+++ b/flintlatch/config/__init__.py
@@ -109,7 +109,7 @@
         tenants = [row.name for row in self.tenants]
         parts = []
         for row in self.shared:
-            part = row.alone(self.terms) / self.fleet.instances
+            part = row.fallback_per_s(self.terms) / self.fleet.instances
             cls = classes.index(row.cls) if row.cls else -1
             tenant = tenants.index(row.tenant) if row.tenant else -1
             parts.append(Part(row.name, cls, tenant, part, row.burst * part / row.per_s))
--- a/flintlatch/fleet/limiting.py
+++ b/flintlatch/fleet/limiting.py
@@ -321,7 +321,7 @@
                     "asked_here": round(holder.need, 2),
                     "lent_here": round(holder.lent(now), 2),
                     "fixed_here": round(limit.reserved_per_s(self.terms.fleets), 2),
-                    "alone_here": round(limit.alone(self.terms), 2),
+                    "alone_here": round(limit.fallback_per_s(self.terms), 2),
                     "granted": round(keeps, 2) if keeps else None,
                     "most_in_a_second": round(max_admitted(limit, self.terms, 1.0, instances), 2),
                     "most_without_cuts": round(max_admitted(limit, self.terms, 1.0, instances, cut=False), 2),
--- a/flintlatch/limits/holder.py
+++ b/flintlatch/limits/holder.py
@@ -91,7 +91,9 @@
             self.split.ack(name, mark)
         lent = self.lent(now) + self.own(now)
         if self.limit.when_cut is PartitionPolicy.OPEN and now >= self.ends:
-            lent = max(lent, self.limit.alone(self.terms))  # nobody grants: as a part with nobody else
+            lent = max(
+                lent, self.limit.fallback_per_s(self.terms)
+            )  # nobody grants: as a part with nobody else
         told = self.split.deal(now, lent, needs)
         until = min(self.ends, now + term_s) if self.lent(now) else now + term_s
         if not lent:
--- a/flintlatch/limits/rows.py
+++ b/flintlatch/limits/rows.py
@@ -45,7 +45,7 @@
         """What each of so many configured fleets may use for good, beside what it is lent."""
         return self.per_s * self.reserve / max(fleets, 1)
 
-    def alone(self, terms: LeaseSettings) -> float:
+    def fallback_per_s(self, terms: LeaseSettings) -> float:
         """What the instances of a fleet may use whose supervisor says nothing. Of an open limit as a part of
         a cut with nobody else in it; of a strict one nothing, since another process may deal out the same."""
         if self.when_cut is PartitionPolicy.STRICT:
