--- a/flintlatch/limits/holder.py
+++ b/flintlatch/limits/holder.py
@@ -70,7 +70,7 @@
         holds."""
         out = self.split.out(now)
         came_down = out <= self.lent(now) + self.own(now) + EPS
-        need = self.need * AHEAD + FLOOR_PART * self.limit.lent() / self.terms.fleets
+        need = self.need * AHEAD + FLOOR_PART * self.limit.leasable_per_s() / self.terms.fleets
         held = now < self.ends
         mark = self.mark if came_down and held else NO_MARK
         used = max(out - self.own(now), self.lent(now))
--- a/flintlatch/limits/keeper.py
+++ b/flintlatch/limits/keeper.py
@@ -29,7 +29,7 @@
         """Of all instances that are configured so many name us as their keeper. Where rows contradict each
         other the lowest holds: while a reload goes round, and for good if somebody forgot one."""
         lowest = min([self.limit.per_s, *(ask.per_s for ask in asks if ask.per_s)])
-        lent = self.limit.lent() * lowest / self.limit.per_s
+        lent = self.limit.leasable_per_s() * lowest / self.limit.per_s
         if self.limit.when_cut is PartitionPolicy.STRICT:
             return lent
         return lent * min(1.0, self.terms.cut_factor * following / max(configured, following, 1))
--- a/flintlatch/limits/rows.py
+++ b/flintlatch/limits/rows.py
@@ -37,7 +37,7 @@
     when_cut: PartitionPolicy
     reserve: float = 0.02  # part that is dealt out for good, evenly over the configured fleets
 
-    def lent(self) -> float:
+    def leasable_per_s(self) -> float:
         """What keepers deal out: a second."""
         return self.per_s * (1 - self.reserve)
 
--- a/tests/limits/explored.py
+++ b/tests/limits/explored.py
@@ -27,7 +27,7 @@
 LIMIT = Limit("l", "", "", 10.0, 0.0, PartitionPolicy.STRICT, reserve=0.0)
 TERMS = LeaseSettings(("k0", "k1", "k2"), 2, term_s=2.0)
 STEP_S = 1.0
-CAPACITY = LIMIT.lent()
+CAPACITY = LIMIT.leasable_per_s()
 LATEST_S = 9.0
 NEXT_LIFE = 1  # added to a life by a restart
 
