--- a/bench/scale/limits.py
+++ b/bench/scale/limits.py
@@ -152,7 +152,7 @@
         for name, row in self.lessor.rows.items():
             out = row.keeper.split.outs.get(holder_id(me.name, me.life))
             given = out.given[-1] if out is not None and out.given else None
-            mark, used = (given.mark, given.amount) if given is not None else (LeaseVersion(0, 0), 0.0)
+            mark, used = (given.version, given.amount) if given is not None else (LeaseVersion(0, 0), 0.0)
             ask = LeaseRequest(self.share, "f0", "f0" if given else "", mark, used, PER_S, me.life)
             words.append(Entry("ask", me.name, name, self.epoch, write_lease_request(ask), TERM_S))
         self.number = arrive(self.members, me, self.number, words)
--- a/flintlatch/fleet/limiting.py
+++ b/flintlatch/fleet/limiting.py
@@ -227,7 +227,7 @@
         holder.measure(sum(needs.values()))
         part_due = now >= row.part_at
         for worker, part in holder.parts(now, follows, needs, self.terms.term_s, part_due).items():
-            self.tell(int(worker), word(limit.name, [part.per_s, part.burst, *part.mark], part.until))
+            self.tell(int(worker), word(limit.name, [part.per_s, part.burst, *part.version], part.until))
         if part_due:
             row.part_at = now + self.terms.term_s / RENEW
         ask = holder.ask(now, self._keeper_of(shell, limit))._replace(life=me.life)
@@ -261,7 +261,7 @@
             except Malformed:
                 continue
             asks[holder_of(said.origin, ask.life)] = said.origin, ask
-            row.number = max(row.number, ask.mark.number)
+            row.number = max(row.number, ask.version.number)
         if limit.when_cut is PartitionPolicy.STRICT:
             if not keeping:
                 return
@@ -337,6 +337,6 @@
 
 def moved(before: LeaseRequest, ask: LeaseRequest, limit: Limit) -> bool:
     """Whether what is said differs enough to be said at once."""
-    if (before.mark, before.keeper, before.of) != (ask.mark, ask.keeper, ask.of):
+    if (before.version, before.keeper, before.of) != (ask.version, ask.keeper, ask.of):
         return True
     return abs(before.need - ask.need) > CHANGED * limit.per_s
--- a/flintlatch/limits/holder.py
+++ b/flintlatch/limits/holder.py
@@ -25,7 +25,7 @@
 
     per_s: float
     burst: float
-    mark: LeaseVersion
+    version: LeaseVersion
     until: float
 
 
@@ -36,7 +36,7 @@
         """`fixed`: what is ours for good, from `fixed_from` on: instances of a process before us may hold it
         until then."""
         self.limit, self.terms, self.fixed, self.fixed_from = limit, terms, fixed, fixed_from
-        self.mark = NO_MARK
+        self.version = NO_MARK
         self.keeper = ""
         self.amount = 0.0
         self.ends = 0.0
@@ -46,10 +46,10 @@
 
     def hear(self, now: float, keeper: str, grant: Lease, ends: float) -> None:
         """A grant that holds until `ends`. An older one than that we follow is none, while that holds."""
-        if grant.mark > self.mark or now >= self.ends:
+        if grant.version > self.version or now >= self.ends:
             amount = min(grant.amount, self.lent(now)) if grant.carried else grant.amount
-            self.mark, self.keeper, self.amount, self.ends = grant.mark, keeper, amount, ends
-        elif grant.mark == self.mark and keeper == self.keeper:
+            self.version, self.keeper, self.amount, self.ends = grant.version, keeper, amount, ends
+        elif grant.version == self.version and keeper == self.keeper:
             self.ends = max(self.ends, ends)
 
     def lent(self, now: float) -> float:
@@ -72,11 +72,11 @@
         came_down = out <= self.lent(now) + self.own(now) + EPS
         need = self.need * AHEAD + FLOOR_PART * self.limit.leasable_per_s() / self.terms.fleets
         held = now < self.ends
-        mark = self.mark if came_down and held else NO_MARK
+        version = self.version if came_down and held else NO_MARK
         used = max(out - self.own(now), self.lent(now))
         stays = held and self.limit.when_cut is PartitionPolicy.STRICT
         asked = self.keeper if stays else keeper
-        return LeaseRequest(need, asked, self.keeper if held else "", mark, used, self.limit.per_s)
+        return LeaseRequest(need, asked, self.keeper if held else "", version, used, self.limit.per_s)
 
     def parts(
         self,
@@ -87,8 +87,8 @@
         due: bool,
     ) -> dict[str, Part]:
         """What to tell our instances now. `follows`: what each says it follows. None outlasts the grant."""
-        for name, mark in follows.items():
-            self.split.ack(name, mark)
+        for name, version in follows.items():
+            self.split.ack(name, version)
         lent = self.lent(now) + self.own(now)
         if self.limit.when_cut is PartitionPolicy.OPEN and now >= self.ends:
             lent = max(
@@ -103,7 +103,7 @@
             if not due and self.split.slight(now, name, amount, lent):
                 continue
             self.place += 1
-            mark = LeaseVersion(1, self.place)
-            self.split.give(name, mark, amount, until)
-            parts[name] = Part(amount, self.limit.burst * amount / self.limit.per_s, mark, until)
+            version = LeaseVersion(1, self.place)
+            self.split.give(name, version, amount, until)
+            parts[name] = Part(amount, self.limit.burst * amount / self.limit.per_s, version, until)
         return parts
--- a/flintlatch/limits/keeper.py
+++ b/flintlatch/limits/keeper.py
@@ -49,8 +49,8 @@
         if number != self.number:
             self.number, self.place, self.split = number, 0, Split()
         for holder, ask in asks.items():
-            if ask.of == me and ask.mark.number == number:
-                self.split.ack(holder, ask.mark)
+            if ask.of == me and ask.version.number == number:
+                self.split.ack(holder, ask.version)
         needs = {name: ask.need for name, ask in asks.items()}
         if not settled:
             needs = {name: ask.used for name, ask in asks.items()}
@@ -61,7 +61,7 @@
             if not due and self.split.slight(now, holder, amount, capacity):
                 continue
             self.place += 1
-            mark = LeaseVersion(number, self.place)
-            self.split.give(holder, mark, amount, over)
-            grants[holder] = Lease(amount, mark, not settled)
+            version = LeaseVersion(number, self.place)
+            self.split.give(holder, version, amount, over)
+            grants[holder] = Lease(amount, version, not settled)
         return grants
--- a/flintlatch/limits/model.py
+++ b/flintlatch/limits/model.py
@@ -75,7 +75,7 @@
     need: float  # a second
     keeper: str  # who is asked: one at a time
     of: str  # whose grant is followed
-    mark: LeaseVersion  # of that grant; all that was larger before it is out of use
+    version: LeaseVersion  # of that grant; all that was larger before it is out of use
     used: float  # a second: the most that may still be in use by anybody's grant
     per_s: float = 0.0  # the whole limit, as the holder's configuration has it
     life: int = 0  # of the process: what one before it left in use is a holder of its own
@@ -83,7 +83,7 @@
 
 class Lease(NamedTuple):
     amount: float  # a second
-    mark: LeaseVersion
+    version: LeaseVersion
     carried: bool  # by a new keeper: no more of it than the holder may use already
 
 
@@ -109,11 +109,11 @@
 
 
 def write_lease_request(ask: LeaseRequest) -> bytes:
-    return _encoder.encode((ask.need, ask.keeper, ask.of, *ask.mark, ask.used, ask.per_s, ask.life))
+    return _encoder.encode((ask.need, ask.keeper, ask.of, *ask.version, ask.used, ask.per_s, ask.life))
 
 
 def write_lease(grant: Lease) -> bytes:
-    return _encoder.encode((grant.amount, *grant.mark, grant.carried))
+    return _encoder.encode((grant.amount, *grant.version, grant.carried))
 
 
 def _amount(value: float) -> float:
--- a/flintlatch/limits/split.py
+++ b/flintlatch/limits/split.py
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Given:
-    mark: LeaseVersion
+    version: LeaseVersion
     amount: float
     over: float  # on the dealer's clock: nobody believes it any more
 
@@ -34,7 +34,7 @@
 
     def held(self, now: float) -> float:
         return max(
-            (one.amount for one in self.given if one.mark >= self.acked and one.over > now), default=0.0
+            (one.amount for one in self.given if one.version >= self.acked and one.over > now), default=0.0
         )
 
     def last(self, now: float) -> float:
@@ -42,7 +42,7 @@
         return self.given[-1].amount if self.given and self.given[-1].over > now else 0.0
 
     def tidy(self, now: float) -> None:
-        self.given = [one for one in self.given if one.over > now and one.mark >= self.acked]
+        self.given = [one for one in self.given if one.over > now and one.version >= self.acked]
 
 
 class Split:
@@ -52,14 +52,14 @@
     def out(self, now: float) -> float:
         return sum(out.held(now) for out in self.outs.values())
 
-    def give(self, holder: str, mark: LeaseVersion, amount: float, over: float) -> None:
-        self.outs.setdefault(holder, Out()).given.append(Given(mark, amount, over))
+    def give(self, holder: str, version: LeaseVersion, amount: float, over: float) -> None:
+        self.outs.setdefault(holder, Out()).given.append(Given(version, amount, over))
 
-    def ack(self, holder: str, mark: LeaseVersion) -> None:
+    def ack(self, holder: str, version: LeaseVersion) -> None:
         """It follows that grant, and uses nothing of what was larger before."""
         out = self.outs.get(holder)
-        if out is not None and mark > out.acked and any(one.mark == mark for one in out.given):
-            out.acked = mark
+        if out is not None and version > out.acked and any(one.version == version for one in out.given):
+            out.acked = version
 
     def deal(
         self, now: float, capacity: float, needs: Mapping[str, float], spread: bool = True
--- a/tests/limits/explored.py
+++ b/tests/limits/explored.py
@@ -139,7 +139,7 @@
     waits = process.waits
     if "w" in parts:
         part = parts["w"]
-        waits = (*waits[-1:], (part.per_s, part.mark, part.until))
+        waits = (*waits[-1:], (part.per_s, part.version, part.until))
     ask = core.ask(world.now, f"k{max(world.seat, 0)}")._replace(life=process.life)
     epochs = world.epochs + 1
     said = Said(ask, epochs, world.now + TERMS.term_s)
@@ -221,7 +221,7 @@
 
 def split_shape(split: Split, now: float) -> Hashable:
     def given(one: Given) -> Hashable:
-        return one.mark, one.amount, one.over - now
+        return one.version, one.amount, one.over - now
 
     return tuple(
         sorted(
@@ -240,7 +240,7 @@
 
     def process(p: Process) -> Hashable:
         c = p.core
-        core = (c.mark, c.keeper, c.amount, max(c.ends - now, 0.0), c.place, split_shape(c.split, now))
+        core = (c.version, c.keeper, c.amount, max(c.ends - now, 0.0), c.place, split_shape(c.split, now))
         live = (p.amount, p.until - now) if p.until > now else ()
         return core, p.life, p.need, p.follows, live, p.waits, p.paused
 
--- a/tests/limits/test_explored.py
+++ b/tests/limits/test_explored.py
@@ -26,7 +26,7 @@
     assert found.depth == 5 and found.states > 2000
 
 
-@pytest.mark.parametrize("seed", range(3))
+@pytest.version.parametrize("seed", range(3))
 def test_no_walk_by_chance_does_either(seed: int) -> None:
     assert (
         wander(explored.start(4), explored.steps, explored.check, seed, WALKS, LENGTH, explored.weight)
@@ -47,7 +47,7 @@
 ) -> Any:
     for out in self.outs.values():
         if out.given:
-            out.acked = out.given[-1].mark
+            out.acked = out.given[-1].version
     return deal(self, now, capacity, needs, spread)
 
 
@@ -56,7 +56,7 @@
 
 
 def over_at_once(self: Out, now: float) -> float:
-    return max((g.amount for g in self.given if g.mark >= self.acked and g.over > now + 1.1), default=0.0)
+    return max((g.amount for g in self.given if g.version >= self.acked and g.over > now + 1.1), default=0.0)
 
 
 def settled(self: Lessor, now: float, me: str, number: int, _: bool, *more: Any) -> Any:
@@ -68,14 +68,14 @@
 
 
 def has_come_down(self: LeaseHolder, now: float, keeper: str) -> LeaseRequest:
-    return ask(self, now, keeper)._replace(mark=self.mark)
+    return ask(self, now, keeper)._replace(version=self.version)
 
 
 def outlasts(
     self: LeaseHolder, now: float, follows: Any, needs: Any, term_s: float, due: bool
 ) -> dict[str, Part]:
     made = parts(self, now, follows, needs, term_s, due)
-    return {name: Part(p.per_s, p.burst, p.mark, now + term_s) for name, p in made.items()}
+    return {name: Part(p.per_s, p.burst, p.version, now + term_s) for name, p in made.items()}
 
 
 def all_to_each(capacity: float, needs: Mapping[str, float], spread: bool = True) -> dict[str, float]:
@@ -89,13 +89,13 @@
 def any_keepers_mark(
     self: Lessor, now: float, me: str, number: int, s: bool, c: float, asks: Any, due: bool
 ) -> Any:
-    last = {h: out.given[-1].mark for h, out in self.split.outs.items() if out.given}
-    heard = {h: a._replace(of=me, mark=last.get(h, a.mark)) for h, a in asks.items()}
+    last = {h: out.given[-1].version for h, out in self.split.outs.items() if out.given}
+    heard = {h: a._replace(of=me, version=last.get(h, a.version)) for h, a in asks.items()}
     return step(self, now, me, number, s, c, heard, due)
 
 
 def instance_follows_at_once(self: LeaseHolder, now: float, follows: Any, *more: Any) -> Any:
-    last = {n: out.given[-1].mark for n, out in self.split.outs.items() if out.given}
+    last = {n: out.given[-1].version for n, out in self.split.outs.items() if out.given}
     return parts(self, now, last, *more)
 
 
@@ -118,7 +118,7 @@
 }
 
 
-@pytest.mark.parametrize("fault", FAULTS)
+@pytest.version.parametrize("fault", FAULTS)
 def test_a_fault_of_one_line_is_found(fault: str, monkeypatch: pytest.MonkeyPatch) -> None:
     FAULTS[fault](monkeypatch)
     with pytest.raises(Broken):
