--- a/flintlatch/fleet/limiting.py
+++ b/flintlatch/fleet/limiting.py
@@ -261,7 +261,7 @@
             except Malformed:
                 continue
             asks[holder_of(said.origin, ask.life)] = said.origin, ask
-            row.number = max(row.number, ask.version.number)
+            row.number = max(row.number, ask.version.term)
         if limit.when_cut is PartitionPolicy.STRICT:
             if not keeping:
                 return
@@ -275,10 +275,10 @@
                 return
             if row.keeps_since is None:
                 row.keeps_since, row.number = now, row.number + 1
-                row.keeper.number = 0
+                row.keeper.term = 0
             number, settled = row.number, now >= row.keeps_since + term_validity_s(self.terms)
-            if row.keeper.number:
-                number = row.keeper.number
+            if row.keeper.term:
+                number = row.keeper.term
         view = shell.member.peers.view
         following = sum(view[origin].instances if origin in view else 1 for origin, _ in mine.values())
         configured = max(self.terms.fleets * max(me.instances, 1), 1)
--- a/flintlatch/limits/keeper.py
+++ b/flintlatch/limits/keeper.py
@@ -22,7 +22,7 @@
     def __init__(self, limit: Limit, terms: LeaseSettings) -> None:
         self.limit, self.terms = limit, terms
         self.split = Split()
-        self.number = 0
+        self.term = 0
         self.place = 0
 
     def capacity(self, following: int, configured: int, asks: Iterable[LeaseRequest] = ()) -> float:
@@ -38,7 +38,7 @@
         self,
         now: float,
         me: str,
-        number: int,
+        term: int,
         settled: bool,
         capacity: float,
         asks: Mapping[str, LeaseRequest],
@@ -46,10 +46,10 @@
     ) -> dict[str, Lease]:
         """Grants to say now, each for a term, by holder. `due`: what was said must be said anew. `number`:
         under which we keep; a new one means that we have begun anew."""
-        if number != self.number:
-            self.number, self.place, self.split = number, 0, Split()
+        if term != self.term:
+            self.term, self.place, self.split = term, 0, Split()
         for holder, ask in asks.items():
-            if ask.of == me and ask.version.number == number:
+            if ask.of == me and ask.version.term == term:
                 self.split.ack(holder, ask.version)
         needs = {name: ask.need for name, ask in asks.items()}
         if not settled:
@@ -61,7 +61,7 @@
             if not due and self.split.slight(now, holder, amount, capacity):
                 continue
             self.place += 1
-            version = LeaseVersion(number, self.place)
+            version = LeaseVersion(term, self.place)
             self.split.give(holder, version, amount, over)
             grants[holder] = Lease(amount, version, not settled)
         return grants
--- a/flintlatch/limits/model.py
+++ b/flintlatch/limits/model.py
@@ -59,7 +59,7 @@
 class LeaseVersion(NamedTuple):
     """Which grant: the keeper's number (higher with each keeper) and, of its own, the place."""
 
-    number: int
+    term: int
     place: int
 
 
@@ -68,7 +68,7 @@
 
 class Vote(NamedTuple):
     keeper: str
-    number: int
+    term: int
 
 
 class LeaseRequest(NamedTuple):
@@ -122,32 +122,32 @@
     return value
 
 
-def _mark(number: int, place: int) -> LeaseVersion:
-    if not (0 <= number < MOST_NUMBER and 0 <= place < MOST_NUMBER):
-        raise Malformed(f"a mark of {number}, {place}")
-    return LeaseVersion(number, place)
+def _mark(term: int, place: int) -> LeaseVersion:
+    if not (0 <= term < MOST_NUMBER and 0 <= place < MOST_NUMBER):
+        raise Malformed(f"a mark of {term}, {place}")
+    return LeaseVersion(term, place)
 
 
 def read_vote(value: bytes) -> Vote:
     """Raises Malformed, as the next two do."""
     try:
-        keeper, number = _vote.decode(value)
+        keeper, term = _vote.decode(value)
     except msgspec.DecodeError as error:
         raise Malformed(str(error)) from None
-    return Vote(keeper, _mark(number, 0).number)
+    return Vote(keeper, _mark(term, 0).term)
 
 
 def read_lease_request(value: bytes) -> LeaseRequest:
     try:
-        need, keeper, of, number, place, used, per_s, life = _ask.decode(value)
+        need, keeper, of, term, place, used, per_s, life = _ask.decode(value)
     except msgspec.DecodeError as error:
         raise Malformed(str(error)) from None
-    return LeaseRequest(_amount(need), keeper, of, _mark(number, place), _amount(used), _amount(per_s), life)
+    return LeaseRequest(_amount(need), keeper, of, _mark(term, place), _amount(used), _amount(per_s), life)
 
 
 def read_lease(value: bytes) -> Lease:
     try:
-        amount, number, place, carried = _grant.decode(value)
+        amount, term, place, carried = _grant.decode(value)
     except msgspec.DecodeError as error:
         raise Malformed(str(error)) from None
-    return Lease(_amount(amount), _mark(number, place), carried)
+    return Lease(_amount(amount), _mark(term, place), carried)
--- a/flintlatch/limits/seat.py
+++ b/flintlatch/limits/seat.py
@@ -54,8 +54,8 @@
         return Vote(wanted, self.number)
 
     def hear(self, vote: Vote) -> None:
-        if vote.number < MOST_NUMBER - 1:
-            self.number = max(self.number, vote.number)
+        if vote.term < MOST_NUMBER - 1:
+            self.number = max(self.number, vote.term)
 
     def look(self, now: float, votes: dict[str, tuple[Vote, float]]) -> bool:
         """Whether we hold the seat at this moment, by votes and their ends. Also a break that we did not look
--- a/tests/limits/explored.py
+++ b/tests/limits/explored.py
@@ -246,7 +246,7 @@
 
     return (
         now,
-        tuple((k.number, k.place, split_shape(k.split, now)) for k in world.keepers),
+        tuple((k.term, k.place, split_shape(k.split, now)) for k in world.keepers),
         (world.seat, world.since, world.numbers, world.faults, world.orphans),
         tuple(process(p) for p in world.holders),
         tuple(said_shape(said, now) for said in world.asks),
