--- a/flintlatch/fleet/limiting.py
+++ b/flintlatch/fleet/limiting.py
@@ -266,7 +266,7 @@
             if not keeping:
                 return
             number, settled = seat.mine, seat.settled(now)
-            seat.number = max(seat.number, row.number)
+            seat.highest_term = max(seat.highest_term, row.number)
             mine = asks
         else:
             mine = {name: pair for name, pair in asks.items() if pair[1].keeper == me.name}
--- a/flintlatch/limits/seat.py
+++ b/flintlatch/limits/seat.py
@@ -25,7 +25,7 @@
         self.me, self.terms = me, terms
         self.named = ""  # whom we voted for last
         self.free_at = now + term_validity_s(terms)  # when we may name another
-        self.number = 0  # highest heard
+        self.highest_term = 0  # highest heard
         self.kept_since: float | None = None  # since when we have held the seat without a break
         self.kept_until = 0.0  # by the votes of the last look
         self.mine = 0  # the number under which we hold it
@@ -49,13 +49,13 @@
             if now < self.free_at:
                 return None
             self.named = wanted
-            self.number += 1
+            self.highest_term += 1
         self.free_at = now + term_validity_s(self.terms)
-        return Vote(wanted, self.number)
+        return Vote(wanted, self.highest_term)
 
     def hear(self, vote: Vote) -> None:
         if vote.term < MOST_NUMBER - 1:
-            self.number = max(self.number, vote.term)
+            self.highest_term = max(self.highest_term, vote.term)
 
     def look(self, now: float, votes: dict[str, tuple[Vote, float]]) -> bool:
         """Whether we hold the seat at this moment, by votes and their ends. Also a break that we did not look
@@ -76,8 +76,8 @@
         self.kept_until = ends[self.majority() - 1]
         if self.kept_since is None:
             self.kept_since = now
-            self.number += 1
-            self.mine = self.number
+            self.highest_term += 1
+            self.mine = self.highest_term
         return True
 
     def settled(self, now: float) -> bool:
--- a/tests/limits/test_cores.py
+++ b/tests/limits/test_cores.py
@@ -113,7 +113,7 @@
 
     def seat(s: Leadership) -> Hashable:
         kept = s.kept_since is not None
-        return s.named, max(s.free_at - now, 0), s.number, s.mine, kept, max(s.kept_until - now, 0)
+        return s.named, max(s.free_at - now, 0), s.highest_term, s.mine, kept, max(s.kept_until - now, 0)
 
     def live(one: tuple[Vote, float] | None) -> Hashable:
         return None if one is None or one[1] <= now else (one[0], one[1] - now)
