--- a/flintlatch/fleet/limiting.py
+++ b/flintlatch/fleet/limiting.py
@@ -202,7 +202,7 @@
         before = seat.kept_since
         keeping = seat.look(now, votes)
         if keeping and before is None:
-            self.log("info", f"limits: keeper of the strict ones, number {seat.mine}")
+            self.log("info", f"limits: keeper of the strict ones, number {seat.term}")
         elif before is not None and not keeping:
             self.log("info", "limits: no longer keeper of the strict ones")
         return keeping
@@ -265,7 +265,7 @@
         if limit.when_cut is PartitionPolicy.STRICT:
             if not keeping:
                 return
-            number, settled = seat.mine, seat.settled(now)
+            number, settled = seat.term, seat.settled(now)
             seat.highest_term = max(seat.highest_term, row.number)
             mine = asks
         else:
--- a/flintlatch/limits/seat.py
+++ b/flintlatch/limits/seat.py
@@ -28,7 +28,7 @@
         self.highest_term = 0  # highest heard
         self.kept_since: float | None = None  # since when we have held the seat without a break
         self.kept_until = 0.0  # by the votes of the last look
-        self.mine = 0  # the number under which we hold it
+        self.term = 0  # the number under which we hold it
 
     @property
     def voter(self) -> bool:
@@ -77,7 +77,7 @@
         if self.kept_since is None:
             self.kept_since = now
             self.highest_term += 1
-            self.mine = self.highest_term
+            self.term = self.highest_term
         return True
 
     def settled(self, now: float) -> bool:
--- a/tests/limits/test_cores.py
+++ b/tests/limits/test_cores.py
@@ -113,7 +113,7 @@
 
     def seat(s: Leadership) -> Hashable:
         kept = s.kept_since is not None
-        return s.named, max(s.free_at - now, 0), s.highest_term, s.mine, kept, max(s.kept_until - now, 0)
+        return s.named, max(s.free_at - now, 0), s.highest_term, s.term, kept, max(s.kept_until - now, 0)
 
     def live(one: tuple[Vote, float] | None) -> Hashable:
         return None if one is None or one[1] <= now else (one[0], one[1] - now)
@@ -168,9 +168,9 @@
     seat = Leadership("a", TERMS, -10.0)
     votes = {name: (Vote("a", 1), 2.0) for name in NAMES}
     assert seat.look(0.0, votes) and not seat.settled(1.0) and seat.settled(term_validity_s(TERMS))
-    number = seat.mine
+    number = seat.term
     again = {name: (Vote("a", 1), 52.0) for name in NAMES}  # it slept for 50 s, and hears new votes first
-    assert seat.look(50.0, again) and not seat.settled(50.0) and seat.mine > number
+    assert seat.look(50.0, again) and not seat.settled(50.0) and seat.term > number
 
 
 needs = st.dictionaries(st.sampled_from("abcdef"), st.floats(0, 100), min_size=1)
