--- a/flintlatch/fleet/limiting.py
+++ b/flintlatch/fleet/limiting.py
@@ -199,7 +199,7 @@
             votes |= {s.origin: (vote_now, s.expires_at) for s in own if s.origin == shell.member.me.name}
         elif vote_now is None:
             self.voted = None
-        before = seat.kept_since
+        before = seat.leader_since
         keeping = seat.look(now, votes)
         if keeping and before is None:
             self.log("info", f"limits: keeper of the strict ones, number {seat.term}")
--- a/flintlatch/limits/seat.py
+++ b/flintlatch/limits/seat.py
@@ -26,7 +26,7 @@
         self.named = ""  # whom we voted for last
         self.free_at = now + term_validity_s(terms)  # when we may name another
         self.highest_term = 0  # highest heard
-        self.kept_since: float | None = None  # since when we have held the seat without a break
+        self.leader_since: float | None = None  # since when we have held the seat without a break
         self.kept_until = 0.0  # by the votes of the last look
         self.term = 0  # the number under which we hold it
 
@@ -69,17 +69,17 @@
             reverse=True,
         )
         if now >= self.kept_until:
-            self.kept_since = None
+            self.leader_since = None
         if len(ends) < self.majority() or now >= ends[self.majority() - 1]:
-            self.kept_since = None
+            self.leader_since = None
             return False
         self.kept_until = ends[self.majority() - 1]
-        if self.kept_since is None:
-            self.kept_since = now
+        if self.leader_since is None:
+            self.leader_since = now
             self.highest_term += 1
             self.term = self.highest_term
         return True
 
     def settled(self, now: float) -> bool:
         """Whether all that a keeper before us granted is over."""
-        return self.kept_since is not None and now >= self.kept_since + term_validity_s(self.terms)
+        return self.leader_since is not None and now >= self.leader_since + term_validity_s(self.terms)
--- a/tests/limits/test_cores.py
+++ b/tests/limits/test_cores.py
@@ -112,7 +112,7 @@
     now = world.now
 
     def seat(s: Leadership) -> Hashable:
-        kept = s.kept_since is not None
+        kept = s.leader_since is not None
         return s.named, max(s.free_at - now, 0), s.highest_term, s.term, kept, max(s.kept_until - now, 0)
 
     def live(one: tuple[Vote, float] | None) -> Hashable:
