--- a/flintlatch/fleet/limiting.py
+++ b/flintlatch/fleet/limiting.py
@@ -200,7 +200,7 @@
         elif vote_now is None:
             self.voted = None
         before = seat.leader_since
-        keeping = seat.look(now, votes)
+        keeping = seat.update(now, votes)
         if keeping and before is None:
             self.log("info", f"limits: keeper of the strict ones, number {seat.term}")
         elif before is not None and not keeping:
--- a/flintlatch/limits/seat.py
+++ b/flintlatch/limits/seat.py
@@ -57,7 +57,7 @@
         if vote.term < MOST_NUMBER - 1:
             self.highest_term = max(self.highest_term, vote.term)
 
-    def look(self, now: float, votes: dict[str, tuple[Vote, float]]) -> bool:
+    def update(self, now: float, votes: dict[str, tuple[Vote, float]]) -> bool:
         """Whether we hold the seat at this moment, by votes and their ends. Also a break that we did not look
         into, since we were paused, is one: another may have held it."""
         ends = sorted(
--- a/tests/limits/test_cores.py
+++ b/tests/limits/test_cores.py
@@ -74,7 +74,7 @@
         said = put(said, n, (vote, world.now + TERMS.term_s))
         heard = put(heard, n, put(heard[n], n, said[n]))
     votes = {NAMES[m]: one for m, one in enumerate(heard[n]) if one is not None and one[1] > world.now}
-    has = seat.look(world.now, votes)
+    has = seat.update(world.now, votes)
     held = put(world.held, n, seat.kept_until if has else 0.0)
     return replace(world, seats=put(world.seats, n, seat), said=said, heard=heard, held=held)
 
@@ -167,10 +167,10 @@
 def test_a_break_that_the_keeper_slept_through_ends_its_seat() -> None:
     seat = Leadership("a", TERMS, -10.0)
     votes = {name: (Vote("a", 1), 2.0) for name in NAMES}
-    assert seat.look(0.0, votes) and not seat.settled(1.0) and seat.settled(term_validity_s(TERMS))
+    assert seat.update(0.0, votes) and not seat.settled(1.0) and seat.settled(term_validity_s(TERMS))
     number = seat.term
     again = {name: (Vote("a", 1), 52.0) for name in NAMES}  # it slept for 50 s, and hears new votes first
-    assert seat.look(50.0, again) and not seat.settled(50.0) and seat.term > number
+    assert seat.update(50.0, again) and not seat.settled(50.0) and seat.term > number
 
 
 needs = st.dictionaries(st.sampled_from("abcdef"), st.floats(0, 100), min_size=1)
