--- a/flintlatch/fleet/limiting.py
+++ b/flintlatch/fleet/limiting.py
@@ -187,7 +187,7 @@
             except Malformed:
                 continue
             votes[said.origin] = vote, said.expires_at
-            seat.hear(vote)
+            seat.observe(vote)
         vote_now = (
             seat.vote(now, self._there(shell)) if now >= self.vote_at or self.voted is None else self.voted
         )
--- a/flintlatch/limits/seat.py
+++ b/flintlatch/limits/seat.py
@@ -53,7 +53,7 @@
         self.free_at = now + term_validity_s(self.terms)
         return Vote(wanted, self.highest_term)
 
-    def hear(self, vote: Vote) -> None:
+    def observe(self, vote: Vote) -> None:
         if vote.term < MOST_NUMBER - 1:
             self.highest_term = max(self.highest_term, vote.term)
 
--- a/tests/limits/test_cores.py
+++ b/tests/limits/test_cores.py
@@ -88,7 +88,7 @@
             one = world.said[m]
             if m != n and one is not None and one[1] > world.now and one != world.heard[n][m]:
                 seat = copy(world.seats[n])
-                seat.hear(one[0])
+                seat.observe(one[0])
                 heard = put(world.heard, n, put(world.heard[n], m, one))
                 yield (
                     f"{name} hears {other}",
