--- a/flintlatch/fleet/limiting.py
+++ b/flintlatch/fleet/limiting.py
@@ -265,7 +265,7 @@
         if limit.when_cut is PartitionPolicy.STRICT:
             if not keeping:
                 return
-            number, settled = seat.term, seat.settled(now)
+            number, settled = seat.term, seat.predecessors_expired(now)
             seat.highest_term = max(seat.highest_term, row.number)
             mine = asks
         else:
--- a/flintlatch/limits/seat.py
+++ b/flintlatch/limits/seat.py
@@ -80,6 +80,6 @@
             self.term = self.highest_term
         return True
 
-    def settled(self, now: float) -> bool:
+    def predecessors_expired(self, now: float) -> bool:
         """Whether all that a keeper before us granted is over."""
         return self.leader_since is not None and now >= self.leader_since + term_validity_s(self.terms)
--- a/tests/limits/test_cores.py
+++ b/tests/limits/test_cores.py
@@ -167,10 +167,14 @@
 def test_a_break_that_the_keeper_slept_through_ends_its_seat() -> None:
     seat = Leadership("a", TERMS, -10.0)
     votes = {name: (Vote("a", 1), 2.0) for name in NAMES}
-    assert seat.update(0.0, votes) and not seat.settled(1.0) and seat.settled(term_validity_s(TERMS))
+    assert (
+        seat.update(0.0, votes)
+        and not seat.predecessors_expired(1.0)
+        and seat.predecessors_expired(term_validity_s(TERMS))
+    )
     number = seat.term
     again = {name: (Vote("a", 1), 52.0) for name in NAMES}  # it slept for 50 s, and hears new votes first
-    assert seat.update(50.0, again) and not seat.settled(50.0) and seat.term > number
+    assert seat.update(50.0, again) and not seat.predecessors_expired(50.0) and seat.term > number
 
 
 needs = st.dictionaries(st.sampled_from("abcdef"), st.floats(0, 100), min_size=1)
