--- a/flintlatch/fleet/limiting.py
+++ b/flintlatch/fleet/limiting.py
@@ -246,7 +246,7 @@
         """By rendezvous over those that are there, for the open ones; the strict ones' is whoever has the
         seat."""
         if limit.when_cut is PartitionPolicy.STRICT:
-            votes = [read_vote(s.value).keeper for s in shell.member.entry_store.read(clock(), "vote")]
+            votes = [read_vote(s.value).candidate for s in shell.member.entry_store.read(clock(), "vote")]
             return max(set(votes), key=lambda name: (votes.count(name), name), default="")
         there = [record.name for record in shell.member.peers.alive()]
         return max(there, key=lambda name: (crc32(f"{limit.name} {name}".encode()), name))
--- a/flintlatch/limits/model.py
+++ b/flintlatch/limits/model.py
@@ -67,7 +67,7 @@
 
 
 class Vote(NamedTuple):
-    keeper: str
+    candidate: str
     term: int
 
 
--- a/flintlatch/limits/seat.py
+++ b/flintlatch/limits/seat.py
@@ -64,7 +64,7 @@
             (
                 ends
                 for voter, (v, ends) in votes.items()
-                if voter in self.terms.voters and v.keeper == self.me
+                if voter in self.terms.voters and v.candidate == self.me
             ),
             reverse=True,
         )
