--- a/flintlatch/fleet/limiting.py
+++ b/flintlatch/fleet/limiting.py
@@ -234,8 +234,8 @@
         if now >= row.ask_at or row.asked is None or moved(row.asked, ask, limit):
             shell.publish("ask", limit.name, write_lease_request(ask), self.terms.term_s, renew=False)
             row.asked, row.ask_at = ask, now + self.terms.term_s / RENEW
-            if ask.keeper and ask.keeper != me.name:
-                told.add(ask.keeper)
+            if ask.lessor and ask.lessor != me.name:
+                told.add(ask.lessor)
         over = holder.need > holder.lent(now) + limit.reserved_per_s(self.terms.fleets) + 1e-9
         if over != row.over:
             row.over = over
@@ -269,7 +269,7 @@
             seat.highest_term = max(seat.highest_term, row.number)
             mine = asks
         else:
-            mine = {name: pair for name, pair in asks.items() if pair[1].keeper == me.name}
+            mine = {name: pair for name, pair in asks.items() if pair[1].lessor == me.name}
             if not mine:
                 row.keeps_since = None
                 return
@@ -317,7 +317,7 @@
                     "per_s": limit.per_s,
                     "burst": limit.burst,
                     "when_cut": limit.when_cut.value,
-                    "keeper": holder.keeper if now < holder.ends else "",
+                    "keeper": holder.lessor if now < holder.ends else "",
                     "asked_here": round(holder.need, 2),
                     "lent_here": round(holder.lent(now), 2),
                     "fixed_here": round(limit.reserved_per_s(self.terms.fleets), 2),
@@ -337,6 +337,6 @@
 
 def moved(before: LeaseRequest, ask: LeaseRequest, limit: Limit) -> bool:
     """Whether what is said differs enough to be said at once."""
-    if (before.version, before.keeper, before.of) != (ask.version, ask.keeper, ask.of):
+    if (before.version, before.lessor, before.of) != (ask.version, ask.lessor, ask.of):
         return True
     return abs(before.need - ask.need) > CHANGED * limit.per_s
--- a/flintlatch/limits/holder.py
+++ b/flintlatch/limits/holder.py
@@ -37,7 +37,7 @@
         until then."""
         self.limit, self.terms, self.fixed, self.fixed_from = limit, terms, fixed, fixed_from
         self.version = NO_MARK
-        self.keeper = ""
+        self.lessor = ""
         self.amount = 0.0
         self.ends = 0.0
         self.split = Split()  # over our instances
@@ -48,8 +48,8 @@
         """A grant that holds until `ends`. An older one than that we follow is none, while that holds."""
         if grant.version > self.version or now >= self.ends:
             amount = min(grant.amount, self.lent(now)) if grant.carried else grant.amount
-            self.version, self.keeper, self.amount, self.ends = grant.version, keeper, amount, ends
-        elif grant.version == self.version and keeper == self.keeper:
+            self.version, self.lessor, self.amount, self.ends = grant.version, keeper, amount, ends
+        elif grant.version == self.version and keeper == self.lessor:
             self.ends = max(self.ends, ends)
 
     def lent(self, now: float) -> float:
@@ -75,8 +75,8 @@
         version = self.version if came_down and held else NO_MARK
         used = max(out - self.own(now), self.lent(now))
         stays = held and self.limit.when_cut is PartitionPolicy.STRICT
-        asked = self.keeper if stays else keeper
-        return LeaseRequest(need, asked, self.keeper if held else "", version, used, self.limit.per_s)
+        asked = self.lessor if stays else keeper
+        return LeaseRequest(need, asked, self.lessor if held else "", version, used, self.limit.per_s)
 
     def parts(
         self,
