--- a/flintlatch/fleet/limiting.py
+++ b/flintlatch/fleet/limiting.py
@@ -337,6 +337,6 @@
 
 def moved(before: LeaseRequest, ask: LeaseRequest, limit: Limit) -> bool:
     """Whether what is said differs enough to be said at once."""
-    if (before.version, before.lessor, before.of) != (ask.version, ask.lessor, ask.of):
+    if (before.version, before.lessor, before.lease_lessor) != (ask.version, ask.lessor, ask.lease_lessor):
         return True
     return abs(before.need - ask.need) > CHANGED * limit.per_s
--- a/flintlatch/limits/keeper.py
+++ b/flintlatch/limits/keeper.py
@@ -49,7 +49,7 @@
         if term != self.term:
             self.term, self.place, self.split = term, 0, Split()
         for holder, ask in asks.items():
-            if ask.of == me and ask.version.term == term:
+            if ask.lease_lessor == me and ask.version.term == term:
                 self.split.ack(holder, ask.version)
         needs = {name: ask.need for name, ask in asks.items()}
         if not settled:
--- a/flintlatch/limits/model.py
+++ b/flintlatch/limits/model.py
@@ -74,7 +74,7 @@
 class LeaseRequest(NamedTuple):
     need: float  # a second
     lessor: str  # who is asked: one at a time
-    of: str  # whose grant is followed
+    lease_lessor: str  # whose grant is followed
     version: LeaseVersion  # of that grant; all that was larger before it is out of use
     used: float  # a second: the most that may still be in use by anybody's grant
     per_s: float = 0.0  # the whole limit, as the holder's configuration has it
@@ -109,7 +109,9 @@
 
 
 def write_lease_request(ask: LeaseRequest) -> bytes:
-    return _encoder.encode((ask.need, ask.lessor, ask.of, *ask.version, ask.used, ask.per_s, ask.life))
+    return _encoder.encode(
+        (ask.need, ask.lessor, ask.lease_lessor, *ask.version, ask.used, ask.per_s, ask.life)
+    )
 
 
 def write_lease(grant: Lease) -> bytes:
--- a/tests/limits/test_explored.py
+++ b/tests/limits/test_explored.py
@@ -90,7 +90,7 @@
     self: Lessor, now: float, me: str, number: int, s: bool, c: float, asks: Any, due: bool
 ) -> Any:
     last = {h: out.given[-1].version for h, out in self.split.outs.items() if out.given}
-    heard = {h: a._replace(of=me, version=last.get(h, a.version)) for h, a in asks.items()}
+    heard = {h: a._replace(lease_lessor=me, version=last.get(h, a.version)) for h, a in asks.items()}
     return step(self, now, me, number, s, c, heard, due)
 
 
