--- a/flintlatch/fleet/limiting.py
+++ b/flintlatch/fleet/limiting.py
@@ -236,7 +236,7 @@
             row.asked, row.ask_at = ask, now + self.terms.term_s / RENEW
             if ask.lessor and ask.lessor != me.name:
                 told.add(ask.lessor)
-        over = holder.need > holder.lent(now) + limit.reserved_per_s(self.terms.fleets) + 1e-9
+        over = holder.demand > holder.lent(now) + limit.reserved_per_s(self.terms.fleets) + 1e-9
         if over != row.over:
             row.over = over
             text = "more is asked for here than its part" if over else "its part is enough again"
@@ -318,7 +318,7 @@
                     "burst": limit.burst,
                     "when_cut": limit.when_cut.value,
                     "keeper": holder.lessor if now < holder.ends else "",
-                    "asked_here": round(holder.need, 2),
+                    "asked_here": round(holder.demand, 2),
                     "lent_here": round(holder.lent(now), 2),
                     "fixed_here": round(limit.reserved_per_s(self.terms.fleets), 2),
                     "alone_here": round(limit.fallback_per_s(self.terms), 2),
@@ -339,4 +339,4 @@
     """Whether what is said differs enough to be said at once."""
     if (before.version, before.lessor, before.lease_lessor) != (ask.version, ask.lessor, ask.lease_lessor):
         return True
-    return abs(before.need - ask.need) > CHANGED * limit.per_s
+    return abs(before.demand - ask.demand) > CHANGED * limit.per_s
--- a/flintlatch/limits/holder.py
+++ b/flintlatch/limits/holder.py
@@ -42,7 +42,7 @@
         self.ends = 0.0
         self.split = Split()  # over our instances
         self.place = 0
-        self.need = 0.0
+        self.demand = 0.0
 
     def hear(self, now: float, keeper: str, grant: Lease, ends: float) -> None:
         """A grant that holds until `ends`. An older one than that we follow is none, while that holds."""
@@ -60,17 +60,17 @@
 
     def measure(self, asked_per_s: float) -> None:
         """What came in the last moments, refused ones included."""
-        if asked_per_s >= self.need:
-            self.need = asked_per_s
+        if asked_per_s >= self.demand:
+            self.demand = asked_per_s
         else:
-            self.need += (asked_per_s - self.need) * NEED_PART
+            self.demand += (asked_per_s - self.demand) * NEED_PART
 
     def ask(self, now: float, keeper: str) -> LeaseRequest:
         """What to say. `keeper`: whom we hold for it. A strict limit's is asked for as long as its grant
         holds."""
         out = self.split.out(now)
         came_down = out <= self.lent(now) + self.own(now) + EPS
-        need = self.need * AHEAD + FLOOR_PART * self.limit.leasable_per_s() / self.terms.fleets
+        need = self.demand * AHEAD + FLOOR_PART * self.limit.leasable_per_s() / self.terms.fleets
         held = now < self.ends
         version = self.version if came_down and held else NO_MARK
         used = max(out - self.own(now), self.lent(now))
--- a/flintlatch/limits/keeper.py
+++ b/flintlatch/limits/keeper.py
@@ -51,7 +51,7 @@
         for holder, ask in asks.items():
             if ask.lease_lessor == me and ask.version.term == term:
                 self.split.ack(holder, ask.version)
-        needs = {name: ask.need for name, ask in asks.items()}
+        needs = {name: ask.demand for name, ask in asks.items()}
         if not settled:
             needs = {name: ask.used for name, ask in asks.items()}
         told = self.split.deal(now, capacity, needs, spread=settled)
--- a/flintlatch/limits/model.py
+++ b/flintlatch/limits/model.py
@@ -72,7 +72,7 @@
 
 
 class LeaseRequest(NamedTuple):
-    need: float  # a second
+    demand: float  # a second
     lessor: str  # who is asked: one at a time
     lease_lessor: str  # whose grant is followed
     version: LeaseVersion  # of that grant; all that was larger before it is out of use
@@ -110,7 +110,7 @@
 
 def write_lease_request(ask: LeaseRequest) -> bytes:
     return _encoder.encode(
-        (ask.need, ask.lessor, ask.lease_lessor, *ask.version, ask.used, ask.per_s, ask.life)
+        (ask.demand, ask.lessor, ask.lease_lessor, *ask.version, ask.used, ask.per_s, ask.life)
     )
 
 
--- a/tests/limits/explored.py
+++ b/tests/limits/explored.py
@@ -134,7 +134,7 @@
     """A holder's turn: parts for its instance, then what it asks for."""
     process = world.holders[h]
     core = clone(process.core)
-    core.need = process.need
+    core.demand = process.need
     parts = core.parts(world.now, {"w": process.follows}, {"w": process.need}, TERMS.term_s, False)
     waits = process.waits
     if "w" in parts:
--- a/tests/limits/test_cores.py
+++ b/tests/limits/test_cores.py
@@ -217,7 +217,7 @@
         with pytest.raises(Malformed):
             read_lease(bad)
     with pytest.raises(Malformed):
-        read_lease_request(write_lease_request(ask._replace(need=-1.0)))
+        read_lease_request(write_lease_request(ask._replace(demand=-1.0)))
     with pytest.raises(Malformed):
         read_vote(b"\x93\xa1a\x01\x02")
 
