--- a/flintlatch/limits/keeper.py
+++ b/flintlatch/limits/keeper.py
@@ -53,7 +53,7 @@
                 self.split.ack(holder, ask.version)
         needs = {name: ask.demand for name, ask in asks.items()}
         if not settled:
-            needs = {name: ask.used for name, ask in asks.items()}
+            needs = {name: ask.in_use for name, ask in asks.items()}
         told = self.split.deal(now, capacity, needs, spread=settled)
         over = now + term_validity_s(self.terms)
         grants = {}
--- a/flintlatch/limits/model.py
+++ b/flintlatch/limits/model.py
@@ -76,7 +76,7 @@
     lessor: str  # who is asked: one at a time
     lease_lessor: str  # whose grant is followed
     version: LeaseVersion  # of that grant; all that was larger before it is out of use
-    used: float  # a second: the most that may still be in use by anybody's grant
+    in_use: float  # a second: the most that may still be in use by anybody's grant
     per_s: float = 0.0  # the whole limit, as the holder's configuration has it
     life: int = 0  # of the process: what one before it left in use is a holder of its own
 
@@ -110,7 +110,7 @@
 
 def write_lease_request(ask: LeaseRequest) -> bytes:
     return _encoder.encode(
-        (ask.demand, ask.lessor, ask.lease_lessor, *ask.version, ask.used, ask.per_s, ask.life)
+        (ask.demand, ask.lessor, ask.lease_lessor, *ask.version, ask.in_use, ask.per_s, ask.life)
     )
 
 
