--- a/bench/scale/limits.py
+++ b/bench/scale/limits.py
@@ -243,7 +243,7 @@
             members.run(0.1)
             looks += 1
             for proxy in proxies.values():
-                granted += sum(members.engine.now < row.holder.ends for row in proxy.made.rows.values())
+                granted += sum(members.engine.now < row.holder.expires_at for row in proxy.made.rows.values())
         took = members.engine.now - at
     sent = sorted((members.sent_by[one] - before.get(one, 0)) / took for one in members.sent_by)
     return {"granted": max(granted / looks / rows / n, 1e-6), "most": sent[-1], "mean": sum(sent) / n}
--- a/flintlatch/fleet/limiting.py
+++ b/flintlatch/fleet/limiting.py
@@ -317,7 +317,7 @@
                     "per_s": limit.per_s,
                     "burst": limit.burst,
                     "when_cut": limit.when_cut.value,
-                    "keeper": holder.lessor if now < holder.ends else "",
+                    "keeper": holder.lessor if now < holder.expires_at else "",
                     "asked_here": round(holder.demand, 2),
                     "lent_here": round(holder.lent(now), 2),
                     "fixed_here": round(limit.reserved_per_s(self.terms.fleets), 2),
--- a/flintlatch/limits/holder.py
+++ b/flintlatch/limits/holder.py
@@ -39,21 +39,21 @@
         self.version = NO_MARK
         self.lessor = ""
         self.amount = 0.0
-        self.ends = 0.0
+        self.expires_at = 0.0
         self.split = Split()  # over our instances
         self.place = 0
         self.demand = 0.0
 
     def hear(self, now: float, keeper: str, grant: Lease, ends: float) -> None:
         """A grant that holds until `ends`. An older one than that we follow is none, while that holds."""
-        if grant.version > self.version or now >= self.ends:
+        if grant.version > self.version or now >= self.expires_at:
             amount = min(grant.amount, self.lent(now)) if grant.carried else grant.amount
-            self.version, self.lessor, self.amount, self.ends = grant.version, keeper, amount, ends
+            self.version, self.lessor, self.amount, self.expires_at = grant.version, keeper, amount, ends
         elif grant.version == self.version and keeper == self.lessor:
-            self.ends = max(self.ends, ends)
+            self.expires_at = max(self.expires_at, ends)
 
     def lent(self, now: float) -> float:
-        return self.amount if now < self.ends else 0.0
+        return self.amount if now < self.expires_at else 0.0
 
     def own(self, now: float) -> float:
         return self.fixed if now >= self.fixed_from else 0.0
@@ -71,7 +71,7 @@
         out = self.split.out(now)
         came_down = out <= self.lent(now) + self.own(now) + EPS
         need = self.demand * AHEAD + FLOOR_PART * self.limit.leasable_per_s() / self.terms.fleets
-        held = now < self.ends
+        held = now < self.expires_at
         version = self.version if came_down and held else NO_MARK
         used = max(out - self.own(now), self.lent(now))
         stays = held and self.limit.when_cut is PartitionPolicy.STRICT
@@ -90,12 +90,12 @@
         for name, version in follows.items():
             self.split.ack(name, version)
         lent = self.lent(now) + self.own(now)
-        if self.limit.when_cut is PartitionPolicy.OPEN and now >= self.ends:
+        if self.limit.when_cut is PartitionPolicy.OPEN and now >= self.expires_at:
             lent = max(
                 lent, self.limit.fallback_per_s(self.terms)
             )  # nobody grants: as a part with nobody else
         told = self.split.deal(now, lent, needs)
-        until = min(self.ends, now + term_s) if self.lent(now) else now + term_s
+        until = min(self.expires_at, now + term_s) if self.lent(now) else now + term_s
         if not lent:
             return {}
         parts = {}
--- a/tests/limits/explored.py
+++ b/tests/limits/explored.py
@@ -240,7 +240,14 @@
 
     def process(p: Process) -> Hashable:
         c = p.core
-        core = (c.version, c.lessor, c.amount, max(c.ends - now, 0.0), c.place, split_shape(c.split, now))
+        core = (
+            c.version,
+            c.lessor,
+            c.amount,
+            max(c.expires_at - now, 0.0),
+            c.place,
+            split_shape(c.split, now),
+        )
         live = (p.amount, p.until - now) if p.until > now else ()
         return core, p.life, p.need, p.follows, live, p.waits, p.paused
 
