--- a/flintlatch/fleet/limiting.py
+++ b/flintlatch/fleet/limiting.py
@@ -236,7 +236,7 @@
             row.asked, row.ask_at = ask, now + self.terms.term_s / RENEW
             if ask.lessor and ask.lessor != me.name:
                 told.add(ask.lessor)
-        over = holder.demand > holder.lent(now) + limit.reserved_per_s(self.terms.fleets) + 1e-9
+        over = holder.demand > holder.leased(now) + limit.reserved_per_s(self.terms.fleets) + 1e-9
         if over != row.over:
             row.over = over
             text = "more is asked for here than its part" if over else "its part is enough again"
@@ -319,7 +319,7 @@
                     "when_cut": limit.when_cut.value,
                     "keeper": holder.lessor if now < holder.expires_at else "",
                     "asked_here": round(holder.demand, 2),
-                    "lent_here": round(holder.lent(now), 2),
+                    "lent_here": round(holder.leased(now), 2),
                     "fixed_here": round(limit.reserved_per_s(self.terms.fleets), 2),
                     "alone_here": round(limit.fallback_per_s(self.terms), 2),
                     "granted": round(keeps, 2) if keeps else None,
--- a/flintlatch/limits/holder.py
+++ b/flintlatch/limits/holder.py
@@ -47,12 +47,12 @@
     def hear(self, now: float, keeper: str, grant: Lease, ends: float) -> None:
         """A grant that holds until `ends`. An older one than that we follow is none, while that holds."""
         if grant.version > self.version or now >= self.expires_at:
-            amount = min(grant.amount, self.lent(now)) if grant.carried else grant.amount
+            amount = min(grant.amount, self.leased(now)) if grant.carried else grant.amount
             self.version, self.lessor, self.amount, self.expires_at = grant.version, keeper, amount, ends
         elif grant.version == self.version and keeper == self.lessor:
             self.expires_at = max(self.expires_at, ends)
 
-    def lent(self, now: float) -> float:
+    def leased(self, now: float) -> float:
         return self.amount if now < self.expires_at else 0.0
 
     def own(self, now: float) -> float:
@@ -69,11 +69,11 @@
         """What to say. `keeper`: whom we hold for it. A strict limit's is asked for as long as its grant
         holds."""
         out = self.split.out(now)
-        came_down = out <= self.lent(now) + self.own(now) + EPS
+        came_down = out <= self.leased(now) + self.own(now) + EPS
         need = self.demand * AHEAD + FLOOR_PART * self.limit.leasable_per_s() / self.terms.fleets
         held = now < self.expires_at
         version = self.version if came_down and held else NO_MARK
-        used = max(out - self.own(now), self.lent(now))
+        used = max(out - self.own(now), self.leased(now))
         stays = held and self.limit.when_cut is PartitionPolicy.STRICT
         asked = self.lessor if stays else keeper
         return LeaseRequest(need, asked, self.lessor if held else "", version, used, self.limit.per_s)
@@ -89,13 +89,13 @@
         """What to tell our instances now. `follows`: what each says it follows. None outlasts the grant."""
         for name, version in follows.items():
             self.split.ack(name, version)
-        lent = self.lent(now) + self.own(now)
+        lent = self.leased(now) + self.own(now)
         if self.limit.when_cut is PartitionPolicy.OPEN and now >= self.expires_at:
             lent = max(
                 lent, self.limit.fallback_per_s(self.terms)
             )  # nobody grants: as a part with nobody else
         told = self.split.deal(now, lent, needs)
-        until = min(self.expires_at, now + term_s) if self.lent(now) else now + term_s
+        until = min(self.expires_at, now + term_s) if self.leased(now) else now + term_s
         if not lent:
             return {}
         parts = {}
