--- a/flintlatch/fleet/limiting.py
+++ b/flintlatch/fleet/limiting.py
@@ -117,7 +117,7 @@
         for limit in limits:
             row = self.rows.setdefault(limit.name, Row(limit, self.terms, clock()))
             row.limit = row.holder.limit = row.keeper.limit = limit
-            row.holder.fixed = limit.reserved_per_s(self.terms.fleets)
+            row.holder.reserved = limit.reserved_per_s(self.terms.fleets)
         for name in [name for name in self.rows if name not in {limit.name for limit in limits}]:
             del self.rows[name]
 
--- a/flintlatch/limits/holder.py
+++ b/flintlatch/limits/holder.py
@@ -31,11 +31,11 @@
 
 class LeaseHolder:
     def __init__(
-        self, limit: Limit, terms: LeaseSettings, fixed: float = 0.0, fixed_from: float = 0.0
+        self, limit: Limit, terms: LeaseSettings, reserved: float = 0.0, fixed_from: float = 0.0
     ) -> None:
         """`fixed`: what is ours for good, from `fixed_from` on: instances of a process before us may hold it
         until then."""
-        self.limit, self.terms, self.fixed, self.fixed_from = limit, terms, fixed, fixed_from
+        self.limit, self.terms, self.reserved, self.fixed_from = limit, terms, reserved, fixed_from
         self.version = NO_MARK
         self.lessor = ""
         self.amount = 0.0
@@ -56,7 +56,7 @@
         return self.amount if now < self.expires_at else 0.0
 
     def own(self, now: float) -> float:
-        return self.fixed if now >= self.fixed_from else 0.0
+        return self.reserved if now >= self.fixed_from else 0.0
 
     def measure(self, asked_per_s: float) -> None:
         """What came in the last moments, refused ones included."""
