--- a/flintlatch/fleet/limiting.py
+++ b/flintlatch/fleet/limiting.py
@@ -212,7 +212,7 @@
         mine = f"{holder_of(me.name, me.life)} {limit.name}"
         for said in shell.member.entry_store.read(now, "grant", mine):
             try:
-                holder.hear(now, said.origin, read_lease(said.value), said.expires_at)
+                holder.accept_lease(now, said.origin, read_lease(said.value), said.expires_at)
             except Malformed:
                 continue
         needs = {
--- a/flintlatch/limits/holder.py
+++ b/flintlatch/limits/holder.py
@@ -44,7 +44,7 @@
         self.place = 0
         self.demand = 0.0
 
-    def hear(self, now: float, keeper: str, grant: Lease, ends: float) -> None:
+    def accept_lease(self, now: float, keeper: str, grant: Lease, ends: float) -> None:
         """A grant that holds until `ends`. An older one than that we follow is none, while that holds."""
         if grant.version > self.version or now >= self.expires_at:
             amount = min(grant.amount, self.leased(now)) if grant.carried else grant.amount
--- a/tests/limits/explored.py
+++ b/tests/limits/explored.py
@@ -172,7 +172,7 @@
                     life, grant = said.value
                     core = clone(process.core)
                     if life == process.life:
-                        core.hear(now, f"k{k}", grant, said.ends)
+                        core.accept_lease(now, f"k{k}", grant, said.ends)
                     heard = put(world.heard, h, put(world.heard[h], k, said.epoch))
                     told = put(world.holders, h, replace(process, core=core))
                     yield f"h{h} hears k{k}", act(replace(world, holders=told, heard=heard), h)
--- a/tests/limits/test_explored.py
+++ b/tests/limits/test_explored.py
@@ -34,7 +34,13 @@
     )
 
 
-held, deal, hear, ask, parts = Out.held, Split.deal, LeaseHolder.hear, LeaseHolder.ask, LeaseHolder.parts
+held, deal, hear, ask, parts = (
+    Out.held,
+    Split.deal,
+    LeaseHolder.accept_lease,
+    LeaseHolder.ask,
+    LeaseHolder.parts,
+)
 step = Lessor.step
 
 
@@ -105,7 +111,7 @@
     "what is given is forgotten": lambda m: m.setattr(Split, "give", forgets),
     "a grant counts for less than its life": lambda m: m.setattr(Out, "held", over_at_once),
     "a new keeper deals at once": lambda m: m.setattr(Lessor, "step", settled),
-    "a carried grant counts whole": lambda m: m.setattr(LeaseHolder, "hear", not_carried),
+    "a carried grant counts whole": lambda m: m.setattr(LeaseHolder, "accept_lease", not_carried),
     "it says too early that it has come down": lambda m: m.setattr(LeaseHolder, "ask", has_come_down),
     "a part outlasts its grant": lambda m: m.setattr(LeaseHolder, "parts", outlasts),
     "each gets all": lambda m: m.setattr(split_module, "fair", all_to_each),
