--- a/flintlatch/fleet/limiting.py
+++ b/flintlatch/fleet/limiting.py
@@ -224,7 +224,7 @@
             for worker, instance in self.instances.items()
             if limit.name in instance.follows
         }
-        holder.measure(sum(needs.values()))
+        holder.record_demand(sum(needs.values()))
         part_due = now >= row.part_at
         for worker, part in holder.parts(now, follows, needs, self.terms.term_s, part_due).items():
             self.tell(int(worker), word(limit.name, [part.per_s, part.burst, *part.version], part.until))
--- a/flintlatch/limits/holder.py
+++ b/flintlatch/limits/holder.py
@@ -58,7 +58,7 @@
     def own(self, now: float) -> float:
         return self.reserved if now >= self.fixed_from else 0.0
 
-    def measure(self, asked_per_s: float) -> None:
+    def record_demand(self, asked_per_s: float) -> None:
         """What came in the last moments, refused ones included."""
         if asked_per_s >= self.demand:
             self.demand = asked_per_s
