--- a/flintlatch/fleet/limiting.py
+++ b/flintlatch/fleet/limiting.py
@@ -230,7 +230,7 @@
             self.tell(int(worker), word(limit.name, [part.per_s, part.burst, *part.version], part.until))
         if part_due:
             row.part_at = now + self.terms.term_s / RENEW
-        ask = holder.ask(now, self._keeper_of(shell, limit))._replace(life=me.life)
+        ask = holder.request(now, self._keeper_of(shell, limit))._replace(life=me.life)
         if now >= row.ask_at or row.asked is None or moved(row.asked, ask, limit):
             shell.publish("ask", limit.name, write_lease_request(ask), self.terms.term_s, renew=False)
             row.asked, row.ask_at = ask, now + self.terms.term_s / RENEW
--- a/flintlatch/limits/holder.py
+++ b/flintlatch/limits/holder.py
@@ -65,7 +65,7 @@
         else:
             self.demand += (asked_per_s - self.demand) * NEED_PART
 
-    def ask(self, now: float, keeper: str) -> LeaseRequest:
+    def request(self, now: float, keeper: str) -> LeaseRequest:
         """What to say. `keeper`: whom we hold for it. A strict limit's is asked for as long as its grant
         holds."""
         out = self.split.out(now)
--- a/tests/limits/explored.py
+++ b/tests/limits/explored.py
@@ -140,7 +140,7 @@
     if "w" in parts:
         part = parts["w"]
         waits = (*waits[-1:], (part.per_s, part.version, part.until))
-    ask = core.ask(world.now, f"k{max(world.seat, 0)}")._replace(life=process.life)
+    ask = core.request(world.now, f"k{max(world.seat, 0)}")._replace(life=process.life)
     epochs = world.epochs + 1
     said = Said(ask, epochs, world.now + TERMS.term_s)
     before = world.asks[h]
--- a/tests/limits/test_explored.py
+++ b/tests/limits/test_explored.py
@@ -38,7 +38,7 @@
     Out.held,
     Split.deal,
     LeaseHolder.accept_lease,
-    LeaseHolder.ask,
+    LeaseHolder.request,
     LeaseHolder.parts,
 )
 step = Lessor.step
@@ -112,7 +112,7 @@
     "a grant counts for less than its life": lambda m: m.setattr(Out, "held", over_at_once),
     "a new keeper deals at once": lambda m: m.setattr(Lessor, "step", settled),
     "a carried grant counts whole": lambda m: m.setattr(LeaseHolder, "accept_lease", not_carried),
-    "it says too early that it has come down": lambda m: m.setattr(LeaseHolder, "ask", has_come_down),
+    "it says too early that it has come down": lambda m: m.setattr(LeaseHolder, "request", has_come_down),
     "a part outlasts its grant": lambda m: m.setattr(LeaseHolder, "parts", outlasts),
     "each gets all": lambda m: m.setattr(split_module, "fair", all_to_each),
     "what is out does not count": lambda m: m.setattr(Split, "out", without_what_is_out),
