--- a/bench/scale/limits.py
+++ b/bench/scale/limits.py
@@ -261,7 +261,7 @@
             ask = row.holder.request(now, "f0")._replace(life=1)
             grants = row.keeper.step(now, "f0", 1, True, row.limit.leasable_per_s(), {"f0/1": ask}, True)
             row.holder.accept_lease(now, "f0", grants["f0/1"], now + TERM_S)
-            row.holder.parts(now, {}, {"0": 1.0}, TERM_S, True)
+            row.holder.allocate(now, {}, {"0": 1.0}, TERM_S, True)
         took = time.process_time() - began
     if traced:
         held = tracemalloc.get_traced_memory()[0]
--- a/flintlatch/fleet/limiting.py
+++ b/flintlatch/fleet/limiting.py
@@ -226,7 +226,7 @@
         }
         holder.record_demand(sum(needs.values()))
         part_due = now >= row.part_at
-        for worker, part in holder.parts(now, follows, needs, self.terms.term_s, part_due).items():
+        for worker, part in holder.allocate(now, follows, needs, self.terms.term_s, part_due).items():
             self.tell(int(worker), word(limit.name, [part.per_s, part.burst, *part.version], part.until))
         if part_due:
             row.part_at = now + self.terms.term_s / RENEW
--- a/flintlatch/limits/holder.py
+++ b/flintlatch/limits/holder.py
@@ -78,7 +78,7 @@
         asked = self.lessor if stays else keeper
         return LeaseRequest(need, asked, self.lessor if held else "", version, used, self.limit.per_s)
 
-    def parts(
+    def allocate(
         self,
         now: float,
         follows: Mapping[str, LeaseVersion],
--- a/tests/limits/explored.py
+++ b/tests/limits/explored.py
@@ -135,7 +135,7 @@
     process = world.holders[h]
     core = clone(process.core)
     core.demand = process.need
-    parts = core.parts(world.now, {"w": process.follows}, {"w": process.need}, TERMS.term_s, False)
+    parts = core.allocate(world.now, {"w": process.follows}, {"w": process.need}, TERMS.term_s, False)
     waits = process.waits
     if "w" in parts:
         part = parts["w"]
--- a/tests/limits/test_explored.py
+++ b/tests/limits/test_explored.py
@@ -39,7 +39,7 @@
     Split.deal,
     LeaseHolder.accept_lease,
     LeaseHolder.request,
-    LeaseHolder.parts,
+    LeaseHolder.allocate,
 )
 step = Lessor.step
 
@@ -113,12 +113,12 @@
     "a new keeper deals at once": lambda m: m.setattr(Lessor, "step", settled),
     "a carried grant counts whole": lambda m: m.setattr(LeaseHolder, "accept_lease", not_carried),
     "it says too early that it has come down": lambda m: m.setattr(LeaseHolder, "request", has_come_down),
-    "a part outlasts its grant": lambda m: m.setattr(LeaseHolder, "parts", outlasts),
+    "a part outlasts its grant": lambda m: m.setattr(LeaseHolder, "allocate", outlasts),
     "each gets all": lambda m: m.setattr(split_module, "fair", all_to_each),
     "what is out does not count": lambda m: m.setattr(Split, "out", without_what_is_out),
     "an answer to another keeper counts": lambda m: m.setattr(Lessor, "step", any_keepers_mark),
     "an instance is held to follow what it has not heard": lambda m: m.setattr(
-        LeaseHolder, "parts", instance_follows_at_once
+        LeaseHolder, "allocate", instance_follows_at_once
     ),
     "one process of a fleet is taken for another": lambda m: m.setattr(explored, "NEXT_LIFE", 0),
 }
