--- a/flintlatch/limits/holder.py
+++ b/flintlatch/limits/holder.py
@@ -40,7 +40,7 @@
         self.lessor = ""
         self.amount = 0.0
         self.expires_at = 0.0
-        self.split = Split()  # over our instances
+        self.ledger = Split()  # over our instances
         self.place = 0
         self.demand = 0.0
 
@@ -68,7 +68,7 @@
     def request(self, now: float, keeper: str) -> LeaseRequest:
         """What to say. `keeper`: whom we hold for it. A strict limit's is asked for as long as its grant
         holds."""
-        out = self.split.out(now)
+        out = self.ledger.out(now)
         came_down = out <= self.leased(now) + self.own(now) + EPS
         need = self.demand * AHEAD + FLOOR_PART * self.limit.leasable_per_s() / self.terms.fleets
         held = now < self.expires_at
@@ -88,22 +88,22 @@
     ) -> dict[str, Part]:
         """What to tell our instances now. `follows`: what each says it follows. None outlasts the grant."""
         for name, version in follows.items():
-            self.split.ack(name, version)
+            self.ledger.ack(name, version)
         lent = self.leased(now) + self.own(now)
         if self.limit.when_cut is PartitionPolicy.OPEN and now >= self.expires_at:
             lent = max(
                 lent, self.limit.fallback_per_s(self.terms)
             )  # nobody grants: as a part with nobody else
-        told = self.split.deal(now, lent, needs)
+        told = self.ledger.deal(now, lent, needs)
         until = min(self.expires_at, now + term_s) if self.leased(now) else now + term_s
         if not lent:
             return {}
         parts = {}
         for name, amount in sorted(told.items()):
-            if not due and self.split.slight(now, name, amount, lent):
+            if not due and self.ledger.slight(now, name, amount, lent):
                 continue
             self.place += 1
             version = LeaseVersion(1, self.place)
-            self.split.give(name, version, amount, until)
+            self.ledger.give(name, version, amount, until)
             parts[name] = Part(amount, self.limit.burst * amount / self.limit.per_s, version, until)
         return parts
--- a/flintlatch/limits/keeper.py
+++ b/flintlatch/limits/keeper.py
@@ -21,7 +21,7 @@
 class Lessor:
     def __init__(self, limit: Limit, terms: LeaseSettings) -> None:
         self.limit, self.terms = limit, terms
-        self.split = Split()
+        self.ledger = Split()
         self.term = 0
         self.place = 0
 
@@ -47,21 +47,21 @@
         """Grants to say now, each for a term, by holder. `due`: what was said must be said anew. `number`:
         under which we keep; a new one means that we have begun anew."""
         if term != self.term:
-            self.term, self.place, self.split = term, 0, Split()
+            self.term, self.place, self.ledger = term, 0, Split()
         for holder, ask in asks.items():
             if ask.lease_lessor == me and ask.version.term == term:
-                self.split.ack(holder, ask.version)
+                self.ledger.ack(holder, ask.version)
         needs = {name: ask.demand for name, ask in asks.items()}
         if not settled:
             needs = {name: ask.in_use for name, ask in asks.items()}
-        told = self.split.deal(now, capacity, needs, spread=settled)
+        told = self.ledger.deal(now, capacity, needs, spread=settled)
         over = now + term_validity_s(self.terms)
         grants = {}
         for holder, amount in sorted(told.items()):
-            if not due and self.split.slight(now, holder, amount, capacity):
+            if not due and self.ledger.slight(now, holder, amount, capacity):
                 continue
             self.place += 1
             version = LeaseVersion(term, self.place)
-            self.split.give(holder, version, amount, over)
+            self.ledger.give(holder, version, amount, over)
             grants[holder] = Lease(amount, version, not settled)
         return grants
--- a/tests/limits/explored.py
+++ b/tests/limits/explored.py
@@ -79,9 +79,9 @@
 def clone(core: Any) -> Any:
     """Keeper or Holder: the limit and the terms shared."""
     made = deepcopy(
-        core, {id(core.limit): core.limit, id(core.terms): core.terms, id(core.split): core.split}
+        core, {id(core.limit): core.limit, id(core.terms): core.terms, id(core.ledger): core.ledger}
     )
-    made.split = clone_split(core.split)
+    made.ledger = clone_split(core.ledger)
     return made
 
 
@@ -246,14 +246,14 @@
             c.amount,
             max(c.expires_at - now, 0.0),
             c.place,
-            split_shape(c.split, now),
+            split_shape(c.ledger, now),
         )
         live = (p.amount, p.until - now) if p.until > now else ()
         return core, p.life, p.need, p.follows, live, p.waits, p.paused
 
     return (
         now,
-        tuple((k.term, k.place, split_shape(k.split, now)) for k in world.keepers),
+        tuple((k.term, k.place, split_shape(k.ledger, now)) for k in world.keepers),
         (world.seat, world.since, world.numbers, world.faults, world.orphans),
         tuple(process(p) for p in world.holders),
         tuple(said_shape(said, now) for said in world.asks),
