--- a/bench/scale/limits.py
+++ b/bench/scale/limits.py
@@ -150,7 +150,7 @@
         self.epoch += 1
         words, me = list[Entry](), self.record
         for name, row in self.lessor.rows.items():
-            out = row.keeper.ledger.outs.get(holder_id(me.name, me.life))
+            out = row.keeper.ledger.by_holder.get(holder_id(me.name, me.life))
             given = out.given[-1] if out is not None and out.given else None
             mark, used = (given.version, given.amount) if given is not None else (LeaseVersion(0, 0), 0.0)
             ask = LeaseRequest(self.share, "f0", "f0" if given else "", mark, used, PER_S, me.life)
@@ -189,7 +189,7 @@
         posted, at, members.meter.spent = members.network.sent, members.engine.now, 0.0
         members.run(WINDOW_S)
         took = members.engine.now - at
-        granted = sum(len(row.keeper.ledger.outs) for row in made.rows.values())
+        granted = sum(len(row.keeper.ledger.by_holder) for row in made.rows.values())
     return {
         "look": 1e3 * (look.spent - spent) / (look.calls - looks),
         "core": (look.spent - spent) / took,
--- a/flintlatch/limits/split.py
+++ b/flintlatch/limits/split.py
@@ -47,17 +47,17 @@
 
 class Split:
     def __init__(self) -> None:
-        self.outs: dict[str, Out] = {}
+        self.by_holder: dict[str, Out] = {}
 
     def out(self, now: float) -> float:
-        return sum(out.held(now) for out in self.outs.values())
+        return sum(out.held(now) for out in self.by_holder.values())
 
     def give(self, holder: str, version: LeaseVersion, amount: float, over: float) -> None:
-        self.outs.setdefault(holder, Out()).given.append(Given(version, amount, over))
+        self.by_holder.setdefault(holder, Out()).given.append(Given(version, amount, over))
 
     def ack(self, holder: str, version: LeaseVersion) -> None:
         """It follows that grant, and uses nothing of what was larger before."""
-        out = self.outs.get(holder)
+        out = self.by_holder.get(holder)
         if out is not None and version > out.acked and any(one.version == version for one in out.given):
             out.acked = version
 
@@ -65,16 +65,16 @@
         self, now: float, capacity: float, needs: Mapping[str, float], spread: bool = True
     ) -> dict[str, float]:
         """What to tell each holder now, of those that ask. Within `capacity` with all that is out."""
-        for holder, out in list(self.outs.items()):
+        for holder, out in list(self.by_holder.items()):
             out.tidy(now)
             if not out.given and holder not in needs:
-                del self.outs[holder]
+                del self.by_holder[holder]
         aims = fair(capacity, needs, spread)
         free = max(0.0, capacity - self.out(now))
         lacks: dict[str, float] = {}
         told: dict[str, float] = {}
         for holder, aim in aims.items():
-            held = self.outs[holder].held(now) if holder in self.outs else 0.0
+            held = self.by_holder[holder].held(now) if holder in self.by_holder else 0.0
             told[holder] = min(aim, held)
             if aim > held:
                 lacks[holder] = aim - held
@@ -85,7 +85,7 @@
 
     def slight(self, now: float, holder: str, amount: float, capacity: float) -> bool:
         """Whether that differs too little from what it was told to be worth a word before it is due."""
-        out = self.outs.get(holder)
+        out = self.by_holder.get(holder)
         return out is not None and abs(out.last(now) - amount) <= SLIGHT * capacity
 
 
--- a/tests/limits/explored.py
+++ b/tests/limits/explored.py
@@ -72,7 +72,7 @@
 
 def clone_split(split: Split) -> Split:
     made = Split()
-    made.outs = {name: Out(list(out.given), out.acked) for name, out in split.outs.items()}
+    made.by_holder = {name: Out(list(out.given), out.acked) for name, out in split.by_holder.items()}
     return made
 
 
@@ -226,7 +226,7 @@
     return tuple(
         sorted(
             (name, out.acked, tuple(given(one) for one in out.given if one.over > now))
-            for name, out in split.outs.items()
+            for name, out in split.by_holder.items()
         )
     )
 
--- a/tests/limits/test_explored.py
+++ b/tests/limits/test_explored.py
@@ -51,7 +51,7 @@
 def acked_unheard(
     self: Split, now: float, capacity: float, needs: Mapping[str, float], spread: bool = True
 ) -> Any:
-    for out in self.outs.values():
+    for out in self.by_holder.values():
         if out.given:
             out.acked = out.given[-1].version
     return deal(self, now, capacity, needs, spread)
@@ -95,13 +95,13 @@
 def any_keepers_mark(
     self: Lessor, now: float, me: str, number: int, s: bool, c: float, asks: Any, due: bool
 ) -> Any:
-    last = {h: out.given[-1].version for h, out in self.ledger.outs.items() if out.given}
+    last = {h: out.given[-1].version for h, out in self.ledger.by_holder.items() if out.given}
     heard = {h: a._replace(lease_lessor=me, version=last.get(h, a.version)) for h, a in asks.items()}
     return step(self, now, me, number, s, c, heard, due)
 
 
 def instance_follows_at_once(self: LeaseHolder, now: float, follows: Any, *more: Any) -> Any:
-    last = {n: out.given[-1].version for n, out in self.ledger.outs.items() if out.given}
+    last = {n: out.given[-1].version for n, out in self.ledger.by_holder.items() if out.given}
     return parts(self, now, last, *more)
 
 
