--- a/flintlatch/fleet/limiting.py
+++ b/flintlatch/fleet/limiting.py
@@ -307,7 +307,7 @@
         rows = []
         for row in self.rows.values():
             limit, holder = row.limit, row.holder
-            keeps = row.keeper.ledger.out(now)
+            keeps = row.keeper.ledger.outstanding(now)
             instances = shell.member.peers.instances() if shell is not None else 0
             rows.append(
                 {
--- a/flintlatch/limits/holder.py
+++ b/flintlatch/limits/holder.py
@@ -68,7 +68,7 @@
     def request(self, now: float, keeper: str) -> LeaseRequest:
         """What to say. `keeper`: whom we hold for it. A strict limit's is asked for as long as its grant
         holds."""
-        out = self.ledger.out(now)
+        out = self.ledger.outstanding(now)
         came_down = out <= self.leased(now) + self.own(now) + EPS
         need = self.demand * AHEAD + FLOOR_PART * self.limit.leasable_per_s() / self.terms.fleets
         held = now < self.expires_at
--- a/flintlatch/limits/split.py
+++ b/flintlatch/limits/split.py
@@ -49,7 +49,7 @@
     def __init__(self) -> None:
         self.by_holder: dict[str, Out] = {}
 
-    def out(self, now: float) -> float:
+    def outstanding(self, now: float) -> float:
         return sum(out.held(now) for out in self.by_holder.values())
 
     def give(self, holder: str, version: LeaseVersion, amount: float, over: float) -> None:
@@ -70,7 +70,7 @@
             if not out.given and holder not in needs:
                 del self.by_holder[holder]
         aims = fair(capacity, needs, spread)
-        free = max(0.0, capacity - self.out(now))
+        free = max(0.0, capacity - self.outstanding(now))
         lacks: dict[str, float] = {}
         told: dict[str, float] = {}
         for holder, aim in aims.items():
--- a/tests/limits/test_explored.py
+++ b/tests/limits/test_explored.py
@@ -115,7 +115,7 @@
     "it says too early that it has come down": lambda m: m.setattr(LeaseHolder, "request", has_come_down),
     "a part outlasts its grant": lambda m: m.setattr(LeaseHolder, "allocate", outlasts),
     "each gets all": lambda m: m.setattr(split_module, "fair", all_to_each),
-    "what is out does not count": lambda m: m.setattr(Split, "out", without_what_is_out),
+    "what is out does not count": lambda m: m.setattr(Split, "outstanding", without_what_is_out),
     "an answer to another keeper counts": lambda m: m.setattr(Lessor, "step", any_keepers_mark),
     "an instance is held to follow what it has not heard": lambda m: m.setattr(
         LeaseHolder, "allocate", instance_follows_at_once
