--- a/bench/scale/limits.py
+++ b/bench/scale/limits.py
@@ -151,7 +151,7 @@
         words, me = list[Entry](), self.record
         for name, row in self.lessor.rows.items():
             out = row.keeper.ledger.by_holder.get(holder_id(me.name, me.life))
-            given = out.given[-1] if out is not None and out.given else None
+            given = out.grants[-1] if out is not None and out.grants else None
             mark, used = (given.version, given.amount) if given is not None else (LeaseVersion(0, 0), 0.0)
             ask = LeaseRequest(self.share, "f0", "f0" if given else "", mark, used, PER_S, me.life)
             words.append(Entry("ask", me.name, name, self.epoch, write_lease_request(ask), TERM_S))
--- a/flintlatch/limits/split.py
+++ b/flintlatch/limits/split.py
@@ -29,20 +29,20 @@
 class Out:
     """What is out at one holder."""
 
-    given: list[Given] = field(default_factory=list)  # oldest first
+    grants: list[Given] = field(default_factory=list)  # oldest first
     acked: LeaseVersion = NO_MARK
 
     def held(self, now: float) -> float:
         return max(
-            (one.amount for one in self.given if one.version >= self.acked and one.over > now), default=0.0
+            (one.amount for one in self.grants if one.version >= self.acked and one.over > now), default=0.0
         )
 
     def last(self, now: float) -> float:
         """What it was told last, if that is not over."""
-        return self.given[-1].amount if self.given and self.given[-1].over > now else 0.0
+        return self.grants[-1].amount if self.grants and self.grants[-1].over > now else 0.0
 
     def tidy(self, now: float) -> None:
-        self.given = [one for one in self.given if one.over > now and one.version >= self.acked]
+        self.grants = [one for one in self.grants if one.over > now and one.version >= self.acked]
 
 
 class Split:
@@ -53,12 +53,12 @@
         return sum(out.held(now) for out in self.by_holder.values())
 
     def give(self, holder: str, version: LeaseVersion, amount: float, over: float) -> None:
-        self.by_holder.setdefault(holder, Out()).given.append(Given(version, amount, over))
+        self.by_holder.setdefault(holder, Out()).grants.append(Given(version, amount, over))
 
     def ack(self, holder: str, version: LeaseVersion) -> None:
         """It follows that grant, and uses nothing of what was larger before."""
         out = self.by_holder.get(holder)
-        if out is not None and version > out.acked and any(one.version == version for one in out.given):
+        if out is not None and version > out.acked and any(one.version == version for one in out.grants):
             out.acked = version
 
     def deal(
@@ -67,7 +67,7 @@
         """What to tell each holder now, of those that ask. Within `capacity` with all that is out."""
         for holder, out in list(self.by_holder.items()):
             out.tidy(now)
-            if not out.given and holder not in needs:
+            if not out.grants and holder not in needs:
                 del self.by_holder[holder]
         aims = fair(capacity, needs, spread)
         free = max(0.0, capacity - self.outstanding(now))
--- a/tests/limits/explored.py
+++ b/tests/limits/explored.py
@@ -72,7 +72,7 @@
 
 def clone_split(split: Split) -> Split:
     made = Split()
-    made.by_holder = {name: Out(list(out.given), out.acked) for name, out in split.by_holder.items()}
+    made.by_holder = {name: Out(list(out.grants), out.acked) for name, out in split.by_holder.items()}
     return made
 
 
@@ -220,12 +220,12 @@
 
 
 def split_shape(split: Split, now: float) -> Hashable:
-    def given(one: Given) -> Hashable:
+    def grants(one: Given) -> Hashable:
         return one.version, one.amount, one.over - now
 
     return tuple(
         sorted(
-            (name, out.acked, tuple(given(one) for one in out.given if one.over > now))
+            (name, out.acked, tuple(given(one) for one in out.grants if one.over > now))
             for name, out in split.by_holder.items()
         )
     )
--- a/tests/limits/test_explored.py
+++ b/tests/limits/test_explored.py
@@ -52,8 +52,8 @@
     self: Split, now: float, capacity: float, needs: Mapping[str, float], spread: bool = True
 ) -> Any:
     for out in self.by_holder.values():
-        if out.given:
-            out.acked = out.given[-1].version
+        if out.grants:
+            out.acked = out.grants[-1].version
     return deal(self, now, capacity, needs, spread)
 
 
@@ -62,7 +62,7 @@
 
 
 def over_at_once(self: Out, now: float) -> float:
-    return max((g.amount for g in self.given if g.version >= self.acked and g.over > now + 1.1), default=0.0)
+    return max((g.amount for g in self.grants if g.version >= self.acked and g.over > now + 1.1), default=0.0)
 
 
 def settled(self: Lessor, now: float, me: str, number: int, _: bool, *more: Any) -> Any:
@@ -95,13 +95,13 @@
 def any_keepers_mark(
     self: Lessor, now: float, me: str, number: int, s: bool, c: float, asks: Any, due: bool
 ) -> Any:
-    last = {h: out.given[-1].version for h, out in self.ledger.by_holder.items() if out.given}
+    last = {h: out.grants[-1].version for h, out in self.ledger.by_holder.items() if out.grants}
     heard = {h: a._replace(lease_lessor=me, version=last.get(h, a.version)) for h, a in asks.items()}
     return step(self, now, me, number, s, c, heard, due)
 
 
 def instance_follows_at_once(self: LeaseHolder, now: float, follows: Any, *more: Any) -> Any:
-    last = {n: out.given[-1].version for n, out in self.ledger.by_holder.items() if out.given}
+    last = {n: out.grants[-1].version for n, out in self.ledger.by_holder.items() if out.grants}
     return parts(self, now, last, *more)
 
 
