--- a/tests/limits/test_cores.py
+++ b/tests/limits/test_cores.py
@@ -142,7 +142,7 @@
         wander(start(5), steps, check, seed, 150, 80)
 
 
-@pytest.version.parametrize("fault", ["names another at once", "votes after a restart", "no majority"])
+@pytest.mark.parametrize("fault", ["names another at once", "votes after a restart", "no majority"])
 def test_a_fault_in_the_seat_is_found(fault: str, monkeypatch: pytest.MonkeyPatch) -> None:
     if fault == "names another at once":
         plain = Leadership.vote
--- a/tests/limits/test_explored.py
+++ b/tests/limits/test_explored.py
@@ -26,7 +26,7 @@
     assert found.depth == 5 and found.states > 2000
 
 
-@pytest.version.parametrize("seed", range(3))
+@pytest.mark.parametrize("seed", range(3))
 def test_no_walk_by_chance_does_either(seed: int) -> None:
     assert (
         wander(explored.start(4), explored.steps, explored.check, seed, WALKS, LENGTH, explored.weight)
@@ -124,7 +124,7 @@
 }
 
 
-@pytest.version.parametrize("fault", FAULTS)
+@pytest.mark.parametrize("fault", FAULTS)
 def test_a_fault_of_one_line_is_found(fault: str, monkeypatch: pytest.MonkeyPatch) -> None:
     FAULTS[fault](monkeypatch)
     with pytest.raises(Broken):
