--- a/bench/scale/limits.py
+++ b/bench/scale/limits.py
@@ -104,8 +104,8 @@
             room -= some[-1].encoded_bytes()
         number += 1
         now, news = members.engine.now, Message(Kind.GOSSIP, 0, "f0")
-        one = Envelope(sender.name, sender.address, sender.life, number, now, 1, news, tuple(some))
-        members.step(members.names["f0"], DatagramReceived(unpack(pack(one), sender.life, number)))
+        one = Envelope(sender.name, sender.address, sender.run_id, number, now, 1, news, tuple(some))
+        members.step(members.names["f0"], DatagramReceived(unpack(pack(one), sender.run_id, number)))
     return number
 
 
@@ -150,10 +150,10 @@
         self.epoch += 1
         words, me = list[Entry](), self.record
         for name, row in self.lessor.rows.items():
-            out = row.keeper.ledger.by_holder.get(holder_id(me.name, me.life))
+            out = row.keeper.ledger.by_holder.get(holder_id(me.name, me.run_id))
             given = out.grants[-1] if out is not None and out.grants else None
             mark, used = (given.version, given.amount) if given is not None else (LeaseVersion(0, 0), 0.0)
-            ask = LeaseRequest(self.share, "f0", "f0" if given else "", mark, used, PER_S, me.life)
+            ask = LeaseRequest(self.share, "f0", "f0" if given else "", mark, used, PER_S, me.run_id)
             words.append(Entry("ask", me.name, name, self.epoch, write_lease_request(ask), TERM_S))
         self.number = arrive(self.members, me, self.number, words)
 
@@ -258,7 +258,7 @@
     for now in (1.0, 1.0 + SAY_S):
         began = time.process_time()
         for row in made:
-            ask = row.holder.request(now, "f0")._replace(life=1)
+            ask = row.holder.request(now, "f0")._replace(run_id=1)
             grants = row.keeper.step(now, "f0", 1, True, row.limit.leasable_per_s(), {"f0/1": ask}, True)
             row.holder.accept_lease(now, "f0", grants["f0/1"], now + TERM_S)
             row.holder.allocate(now, {}, {"0": 1.0}, TERM_S, True)
--- a/bench/scale/peers.py
+++ b/bench/scale/peers.py
@@ -109,9 +109,9 @@
             if record.name not in peers.view:
                 peers.view = peers.view.insert(record.name, record)
                 peers.update_indexes(record)
-            if record.life != member.me.life:
+            if record.run_id != member.me.run_id:
                 asked = now - self.rng.uniform(0, round_s)
-                member.guard.mark_verified(record.life, 0, asked, asked)
+                member.guard.mark_verified(record.run_id, 0, asked, asked)
         peers.queue = {}
         peers.joined, peers.sync_interval_s = True, self.rules.sync_s
         peers.next_probe_at = now + self.rng.uniform(0, self.rules.period_s)
@@ -124,10 +124,10 @@
 
 def sealed(kept: list[Envelope]) -> tuple[float, float]:
     """Microseconds to pack and seal a datagram, and to open and unpack it."""
-    seals = {one.life: Seal((KEY,), one.life) for one in kept}
+    seals = {one.run_id: Seal((KEY,), one.run_id) for one in kept}
     theirs = Seal((KEY,), 1)
     began = time.process_time()
-    datagrams = [seals[one.life].encrypt(one.number, pack(one)) for one in kept]
+    datagrams = [seals[one.run_id].encrypt(one.number, pack(one)) for one in kept]
     closed = time.process_time()
     opened = [theirs.decrypt(data) for data in datagrams]  # each life's key is derived once
     derived = time.process_time()
@@ -207,13 +207,13 @@
             for i in range(n)
         ]
         member = Member(records[0], (records[1].address,), Rules(), (word(TTL_S),), rng, START_S)
-        seal = Seal((KEY,), records[0].life)
+        seal = Seal((KEY,), records[0].run_id)
         for record in records[1:]:
-            head = (record.name, record.address, record.life, 1, START_S, 1, 1)
+            head = (record.name, record.address, record.run_id, 1, START_S, 1, 1)
             told = tuple(records) if record is records[1] else ()
             member.on_last(START_S, SyncMessage(*head, told), START_S - 1.0)
-            member.guard.senders[record.life].accept_number(1000)  # a window in use
-            theirs = Seal((KEY,), record.life)
+            member.guard.senders[record.run_id].accept_number(1000)  # a window in use
+            theirs = Seal((KEY,), record.run_id)
             seal.decrypt(theirs.encrypt(1, b""))
         member.peers.queue = {}
         kept.append((member, seal))
--- a/flintlatch/fleet/limiting.py
+++ b/flintlatch/fleet/limiting.py
@@ -209,7 +209,7 @@
 
     def _hold(self, now: float, shell: Shell, row: Row, told: set[str]) -> None:
         limit, holder, me = row.limit, row.holder, shell.member.me
-        mine = f"{holder_of(me.name, me.life)} {limit.name}"
+        mine = f"{holder_of(me.name, me.run_id)} {limit.name}"
         for said in shell.member.entry_store.read(now, "grant", mine):
             try:
                 holder.accept_lease(now, said.origin, read_lease(said.value), said.expires_at)
@@ -230,7 +230,7 @@
             self.tell(int(worker), word(limit.name, [part.per_s, part.burst, *part.version], part.until))
         if part_due:
             row.part_at = now + self.terms.term_s / RENEW
-        ask = holder.request(now, self._keeper_of(shell, limit))._replace(life=me.life)
+        ask = holder.request(now, self._keeper_of(shell, limit))._replace(run_id=me.run_id)
         if now >= row.ask_at or row.asked is None or moved(row.asked, ask, limit):
             shell.publish("ask", limit.name, write_lease_request(ask), self.terms.term_s, renew=False)
             row.asked, row.ask_at = ask, now + self.terms.term_s / RENEW
@@ -260,7 +260,7 @@
                 ask = read_lease_request(said.value)
             except Malformed:
                 continue
-            asks[holder_of(said.origin, ask.life)] = said.origin, ask
+            asks[holder_of(said.origin, ask.run_id)] = said.origin, ask
             row.number = max(row.number, ask.version.term)
         if limit.when_cut is PartitionPolicy.STRICT:
             if not keeping:
--- a/flintlatch/limits/model.py
+++ b/flintlatch/limits/model.py
@@ -78,7 +78,7 @@
     version: LeaseVersion  # of that grant; all that was larger before it is out of use
     in_use: float  # a second: the most that may still be in use by anybody's grant
     per_s: float = 0.0  # the whole limit, as the holder's configuration has it
-    life: int = 0  # of the process: what one before it left in use is a holder of its own
+    run_id: int = 0  # of the process: what one before it left in use is a holder of its own
 
 
 class Lease(NamedTuple):
@@ -87,9 +87,9 @@
     carried: bool  # by a new keeper: no more of it than the holder may use already
 
 
-def holder_id(name: str, life: int) -> str:
+def holder_id(name: str, run_id: int) -> str:
     """A holder: one process of one fleet."""
-    return f"{name}/{life:x}"
+    return f"{name}/{run_id:x}"
 
 
 class Malformed(Exception):
@@ -110,7 +110,7 @@
 
 def write_lease_request(ask: LeaseRequest) -> bytes:
     return _encoder.encode(
-        (ask.demand, ask.lessor, ask.lease_lessor, *ask.version, ask.in_use, ask.per_s, ask.life)
+        (ask.demand, ask.lessor, ask.lease_lessor, *ask.version, ask.in_use, ask.per_s, ask.run_id)
     )
 
 
@@ -141,10 +141,10 @@
 
 def read_lease_request(value: bytes) -> LeaseRequest:
     try:
-        need, keeper, of, term, place, used, per_s, life = _ask.decode(value)
+        need, keeper, of, term, place, used, per_s, run_id = _ask.decode(value)
     except msgspec.DecodeError as error:
         raise Malformed(str(error)) from None
-    return LeaseRequest(_amount(need), keeper, of, _mark(term, place), _amount(used), _amount(per_s), life)
+    return LeaseRequest(_amount(need), keeper, of, _mark(term, place), _amount(used), _amount(per_s), run_id)
 
 
 def read_lease(value: bytes) -> Lease:
--- a/flintlatch/peers/core.py
+++ b/flintlatch/peers/core.py
@@ -424,7 +424,7 @@
         mine = self.me
         if self.left or not record.beats(mine):
             return
-        if record.life != mine.life and record.state is State.ALIVE:
+        if record.run_id != mine.run_id and record.state is State.ALIVE:
             # Another process under our name, or we ourselves before a restart.
             self.counts.name_conflicts += 1
             if record.address != mine.address and "clash" not in self.told:
@@ -432,7 +432,7 @@
                 self.out.append(Told(f"{mine.name} is claimed by {record.address} too"))
         else:
             self.counts.refuted += 1
-            if record.life == mine.life:
+            if record.run_id == mine.run_id:
                 self.health = min(self.health + 1, self.rules.health_most)
         self.raise_own(now, record.incarnation + 1)
 
--- a/flintlatch/peers/guard.py
+++ b/flintlatch/peers/guard.py
@@ -72,21 +72,21 @@
         while len(self.asked) > ASKED_MOST:
             self.asked.popitem(last=False)
 
-    def mark_verified(self, life: int, number: int, stamp: float, asked: float) -> None:
+    def mark_verified(self, run_id: int, number: int, stamp: float, asked: float) -> None:
         """It answered, on a stream of its own, what we asked at `asked`. Numbers go on from `number`."""
-        known = self.senders.get(life)
+        known = self.senders.get(run_id)
         if known is None:
-            known = self.senders[life] = Life(number, 1)
+            known = self.senders[run_id] = Life(number, 1)
             while len(self.senders) > LIVES_MOST:
                 self.senders.popitem(last=False)
         known.bind(stamp, asked)
-        self.senders.move_to_end(life)
+        self.senders.move_to_end(run_id)
 
-    def hear(self, life: int, number: int, stamp: float, answer: int | None) -> tuple[Trust, float]:
+    def hear(self, run_id: int, number: int, stamp: float, answer: int | None) -> tuple[Trust, float]:
         """A datagram, and a moment of our clock no later than its sending. `answer`: the number of the
         question that it answers, if it does."""
         asked = self.asked.get(answer) if answer is not None else None
-        known = self.senders.get(life)
+        known = self.senders.get(run_id)
         if known is None and asked is None:
             self.unverified += 1
             return Trust.UNKNOWN, 0.0
@@ -94,8 +94,8 @@
             self.replays += 1
             return Trust.REPLAY, 0.0
         if asked is not None:
-            self.mark_verified(life, number, stamp, asked)
-        known = self.senders[life]
+            self.mark_verified(run_id, number, stamp, asked)
+        known = self.senders[run_id]
         return Trust.PROVEN, known.sent(stamp)
 
     def forget(self) -> None:
--- a/flintlatch/peers/member.py
+++ b/flintlatch/peers/member.py
@@ -45,7 +45,7 @@
 
     sender: str  # name
     address: str  # that it advertises: where answers go
-    life: int
+    run_id: int
     number: int  # of this datagram, one more each time
     clock: float  # its sender's, s
     digest: int  # of the view that its sender holds, 0 if it has joined nobody yet
@@ -59,7 +59,7 @@
 
     sender: str
     address: str
-    life: int
+    run_id: int
     number: int
     clock: float
     digest: int
@@ -138,10 +138,10 @@
 
     def _opened(self, now: float, envelope: Envelope) -> list[Action]:
         message, sender = envelope.message, envelope.sender
-        if sender == self.me.name and envelope.life == self.me.life:
+        if sender == self.me.name and envelope.run_id == self.me.run_id:
             return []  # our own, sent back to us
         answer = message.number if message.kind in (Kind.ACK, Kind.NACK) else None
-        trust, sent = self.guard.hear(envelope.life, envelope.number, envelope.clock, answer)
+        trust, sent = self.guard.hear(envelope.run_id, envelope.number, envelope.clock, answer)
         if trust is Trust.REPLAY:
             return []
         if trust is Trust.UNKNOWN:
@@ -156,7 +156,7 @@
         message, address = envelope.message, envelope.address
         actions: list[Action] = []
         known = self.peers.view.get(envelope.sender)
-        if known is not None and known.life == envelope.life:
+        if known is not None and known.run_id == envelope.run_id:
             # That it leaves it says once, and a life that has left stays so: a replay of that is no lie.
             left = tuple(r for r in message.gossip if r == known._replace(state=State.LEFT))
             if left:
@@ -235,7 +235,7 @@
         words = tuple(self.entry_store.fill(now, room)) if self.peers.joined else ()
         me = self.me
         return SendDatagram(
-            address, Envelope(me.name, me.address, me.life, self.number, now, self.digest(), message, words)
+            address, Envelope(me.name, me.address, me.run_id, self.number, now, self.digest(), message, words)
         )
 
     # Whole views, over a stream: the asker's head, the answer, and what the asker has to tell
@@ -243,7 +243,7 @@
     def offer(self, now: float, told: bool = False, mark: int = 0) -> SyncMessage:
         """Our side: the head, and if `told` what the other, which holds `mark`, may lack."""
         me, mine = self.me, self.peers.mark() if self.peers.joined else 0
-        head = (me.name, me.address, me.life, self.number, now, self.digest(), mine)
+        head = (me.name, me.address, me.run_id, self.number, now, self.digest(), mine)
         if not told:
             return SyncMessage(*head)
         # By name: a persistent map has no order, and the same seed must play the same everywhere.
@@ -266,7 +266,7 @@
     def _synced(self, now: float, whole: SyncMessage, asked: float) -> list[Action]:
         if self.peers.left:
             return []
-        self.guard.mark_verified(whole.life, whole.number, whole.clock, asked)
+        self.guard.mark_verified(whole.run_id, whole.number, whole.clock, asked)
         actions = self._carry(now, self.peers.step(now, Synced(whole.records)))
         if whole.sender in self.peers.view and whole.sender != self.me.name:
             contact = self.contacts.setdefault(whole.sender, Contact())
--- a/flintlatch/peers/model.py
+++ b/flintlatch/peers/model.py
@@ -45,7 +45,7 @@
     address: str  # host:port that it advertises
     incarnation: int
     state: State
-    life: int  # drawn anew at each start: two processes under one name differ in it
+    run_id: int  # drawn anew at each start: two processes under one name differ in it
     instances: int = 1
     zone: str = ""
     region: str = ""
@@ -55,7 +55,7 @@
         """Whether it replaces what is known. The same words in any order lead to the same record."""
         if other is None:
             return True
-        return (self.incarnation, self.state, self.life) > (other.incarnation, other.state, other.life)
+        return (self.incarnation, self.state, self.run_id) > (other.incarnation, other.state, other.run_id)
 
     def encoded_bytes(self) -> int:
         """Bytes that it takes in a datagram, at the most."""
--- a/flintlatch/peers/seal.py
+++ b/flintlatch/peers/seal.py
@@ -64,18 +64,18 @@
 
 
 class Seal:
-    def __init__(self, keys: tuple[bytes, ...], life: int) -> None:
-        self.life = life
+    def __init__(self, keys: tuple[bytes, ...], run_id: int) -> None:
+        self.run_id = run_id
         self.change(keys)
 
     def change(self, keys: tuple[bytes, ...]) -> None:
         self.keys = {key_id(key): key for key in keys}
         self.first = key_id(keys[0])
-        self.mine = derive(keys[0], self.life.to_bytes(8, "big"), b"datagram")
+        self.mine = derive(keys[0], self.run_id.to_bytes(8, "big"), b"datagram")
         self.theirs: OrderedDict[tuple[bytes, int], ChaCha20Poly1305] = OrderedDict()
 
     def encrypt(self, number: int, plain: bytes) -> bytes:
-        head = HEAD.pack(VERSION, self.first, self.life, number)
+        head = HEAD.pack(VERSION, self.first, self.run_id, number)
         return head + self.mine.encrypt(number.to_bytes(12, "big"), plain, head)
 
     def decrypt(self, data: bytes) -> tuple[int, int, bytes]:
@@ -83,19 +83,19 @@
         if len(data) < HEAD.size + 16:
             raise AuthenticationFailed("too short")
         head = data[: HEAD.size]
-        version, name, life, number = HEAD.unpack(head)
+        version, name, run_id, number = HEAD.unpack(head)
         key = self.keys.get(name)
         if version != VERSION or key is None:
             raise AuthenticationFailed("another version or key")
-        cipher = self.theirs.get((name, life)) or derive(key, life.to_bytes(8, "big"), b"datagram")
+        cipher = self.theirs.get((name, run_id)) or derive(key, run_id.to_bytes(8, "big"), b"datagram")
         try:
             plain = cipher.decrypt(number.to_bytes(12, "big"), data[HEAD.size :], head)
         except InvalidTag:
             raise AuthenticationFailed("changed on its way, or forged") from None
-        self.theirs[name, life] = cipher
+        self.theirs[name, run_id] = cipher
         if len(self.theirs) > CIPHERS_KEPT:
             self.theirs.popitem(last=False)
-        return life, number, plain
+        return run_id, number, plain
 
 
 class StreamSeal:
--- a/flintlatch/peers/shell.py
+++ b/flintlatch/peers/shell.py
@@ -135,12 +135,19 @@
         datagram, stream = bind_pair(options.bind)
         self.host, self.port = datagram.getsockname()[:2]
         self.address = options.advertise or join_address(self.host, self.port)
-        life = int.from_bytes(os.urandom(6), "big") or 1
+        run_id = int.from_bytes(os.urandom(6), "big") or 1
         me = Record(
-            options.name, self.address, 0, State.ALIVE, life, options.instances, options.zone, options.region
+            options.name,
+            self.address,
+            0,
+            State.ALIVE,
+            run_id,
+            options.instances,
+            options.zone,
+            options.region,
         )
         rng: Any = random.SystemRandom()
-        self.seal = Seal(options.keys, life)
+        self.seal = Seal(options.keys, run_id)
         self.member = Member(me, options.seeds, options.rules, self.topics, rng, clock())
         await self.loop.create_datagram_endpoint(lambda: self, sock=datagram)
         self.server = await asyncio.start_server(self._serve, sock=stream)
@@ -228,8 +235,8 @@
         try:
             if len(data) > DATAGRAM_MOST:
                 raise Unreadable("longer than any of ours")
-            life, number, plain = self.seal.decrypt(data)
-            envelope = unpack(plain, life, number)
+            run_id, number, plain = self.seal.decrypt(data)
+            envelope = unpack(plain, run_id, number)
         except AuthenticationFailed:
             self._foreign(f"a datagram from {addr[0]}")
             return
--- a/flintlatch/peers/wire.py
+++ b/flintlatch/peers/wire.py
@@ -25,7 +25,7 @@
     address: str
     incarnation: int
     state: int
-    life: int
+    run_id: int
     instances: int = 1
     zone: str = ""
     region: str = ""
@@ -56,7 +56,7 @@
 class _Whole(msgspec.Struct, array_like=True):
     sender: str
     address: str
-    life: int
+    run_id: int
     number: int
     clock: float
     digest: int
@@ -90,7 +90,7 @@
             r.address,
             r.incarnation,
             STATES[r.state],
-            r.life,
+            r.run_id,
             r.instances,
             r.zone,
             r.region,
@@ -119,14 +119,16 @@
     )
 
 
-def unpack(data: bytes, life: int, number: int) -> Envelope:
+def unpack(data: bytes, run_id: int, number: int) -> Envelope:
     """Raises Unreadable."""
     try:
         row = _envelopes.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise Unreadable(str(error)) from None
     message = Message(KINDS.get(row.kind, Kind.GOSSIP), row.number, row.target, _records(row.gossip))
-    return Envelope(row.sender, row.address, life, number, row.clock, row.digest, message, _words(row.words))
+    return Envelope(
+        row.sender, row.address, run_id, number, row.clock, row.digest, message, _words(row.words)
+    )
 
 
 def pack_sync(whole: SyncMessage) -> bytes:
@@ -139,5 +141,5 @@
         row = _wholes.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise Unreadable(str(error)) from None
-    head = (row.sender, row.address, row.life, row.number, row.clock, row.digest, row.mark)
+    head = (row.sender, row.address, row.run_id, row.number, row.clock, row.digest, row.mark)
     return SyncMessage(*head, _records(row.records), _words(row.words))
--- a/tests/limits/explored.py
+++ b/tests/limits/explored.py
@@ -44,7 +44,7 @@
     """A holder: its core, one instance, what waits for that, and whether it is paused."""
 
     core: LeaseHolder
-    life: int = 1
+    run_id: int = 1
     need: float = 0.0
     follows: LeaseVersion = LeaseVersion(0, 0)
     amount: float = 0.0  # of the instance
@@ -117,14 +117,14 @@
     for h, said in enumerate(world.heard_asks[k]):
         if said is not None and said.ends > world.now:
             ask: LeaseRequest = said.value
-            asks[holder_id(f"h{h}", ask.life)] = ask
+            asks[holder_id(f"h{h}", ask.run_id)] = ask
     settled = world.now >= world.since + term_validity_s(TERMS)
     told = core.step(world.now, f"k{k}", world.numbers, settled, core.capacity(2, 2), asks, False)
     grants, epochs = world.grants[k], world.epochs
     for name, grant in told.items():
-        h, life = int(name[1]), int(name.partition("/")[2], 16)
+        h, run_id = int(name[1]), int(name.partition("/")[2], 16)
         epochs += 1
-        grants = put(grants, h, Said((life, grant), epochs, world.now + TERMS.term_s))
+        grants = put(grants, h, Said((run_id, grant), epochs, world.now + TERMS.term_s))
     return replace(
         world, keepers=put(world.keepers, k, core), grants=put(world.grants, k, grants), epochs=epochs
     )
@@ -140,7 +140,7 @@
     if "w" in parts:
         part = parts["w"]
         waits = (*waits[-1:], (part.per_s, part.version, part.until))
-    ask = core.request(world.now, f"k{max(world.seat, 0)}")._replace(life=process.life)
+    ask = core.request(world.now, f"k{max(world.seat, 0)}")._replace(run_id=process.run_id)
     epochs = world.epochs + 1
     said = Said(ask, epochs, world.now + TERMS.term_s)
     before = world.asks[h]
@@ -169,9 +169,9 @@
             for k in range(2):
                 said = world.grants[k][h]
                 if said is not None and said.ends > now and said.epoch > world.heard[h][k]:
-                    life, grant = said.value
+                    run_id, grant = said.value
                     core = clone(process.core)
-                    if life == process.life:
+                    if run_id == process.run_id:
                         core.accept_lease(now, f"k{k}", grant, said.ends)
                     heard = put(world.heard, h, put(world.heard[h], k, said.epoch))
                     told = put(world.holders, h, replace(process, core=core))
@@ -207,7 +207,7 @@
     process = world.holders[0]
     if not process.paused:
         yield "h0 is paused", replace(fewer, holders=put(world.holders, 0, replace(process, paused=True)))
-    fresh = Process(LeaseHolder(LIMIT, TERMS), process.life + NEXT_LIFE, process.need)
+    fresh = Process(LeaseHolder(LIMIT, TERMS), process.run_id + NEXT_LIFE, process.need)
     orphans = (
         (*world.orphans, (process.amount, process.until)) if process.until > world.now else world.orphans
     )
@@ -249,7 +249,7 @@
             split_shape(c.ledger, now),
         )
         live = (p.amount, p.until - now) if p.until > now else ()
-        return core, p.life, p.need, p.follows, live, p.waits, p.paused
+        return core, p.run_id, p.need, p.follows, live, p.waits, p.paused
 
     return (
         now,
--- a/tests/peers/explored.py
+++ b/tests/peers/explored.py
@@ -118,8 +118,8 @@
         if known is not None and record.incarnation < known.incarnation:
             wrong = f"{core.me.name}: the incarnation of {name} goes back"
         if record.state is State.LEFT:
-            gone.add((core.me.name, name, record.life))
-        elif (core.me.name, name, record.life) in gone:
+            gone.add((core.me.name, name, record.run_id))
+        elif (core.me.name, name, record.run_id) in gone:
             wrong = f"{core.me.name}: {name} left and is back by hearsay"
     return replace(
         world,
@@ -160,13 +160,13 @@
 def faults(world: World) -> Iterator[tuple[str, World]]:
     core = world.cores[2]
     if core is None:
-        life = world.lives[2] + 10
-        fresh = Peers(Record("c", "c", 0, State.ALIVE, life), ("a",), RULES, First(), world.now)
+        run_id = world.lives[2] + 10
+        fresh = Peers(Record("c", "c", 0, State.ALIVE, run_id), ("a",), RULES, First(), world.now)
         fresh.number = 0
         gone = frozenset(pair for pair in world.gone if pair[0] != "c")
         yield (
             "c starts",
-            replace(world, cores=put(world.cores, 2, fresh), lives=put(world.lives, 2, life), gone=gone),
+            replace(world, cores=put(world.cores, 2, fresh), lives=put(world.lives, 2, run_id), gone=gone),
         )
     elif world.paused[2]:
         yield "c wakes", replace(world, paused=(False, False, False))
--- a/tests/peers/test_core.py
+++ b/tests/peers/test_core.py
@@ -29,11 +29,11 @@
 
 
 def record(name: str, incarnation: int = 0, state: State = State.ALIVE, **more: Any) -> Record:
-    return Record(name, f"{name}:7946", incarnation, state, more.pop("life", 7), **more)
+    return Record(name, f"{name}:7946", incarnation, state, more.pop("run_id", 7), **more)
 
 
 def member(*others: str, seeds: tuple[str, ...] = (), rules: Rules = RULES) -> Peers:
-    core = Peers(record("me", life=1), seeds, rules, Random(1), 0.0)
+    core = Peers(record("me", run_id=1), seeds, rules, Random(1), 0.0)
     if others:
         core.step(0.0, Synced(tuple(record(name) for name in others)))
     return core
@@ -90,7 +90,7 @@
 @pytest.mark.parametrize("state", [State.SUSPECT, State.DEAD, State.LEFT])
 def test_a_member_that_hears_ill_of_itself_refutes_it(state: State) -> None:
     core = member("a")
-    hear(core, 1.0, record("me", 4, state, life=1))
+    hear(core, 1.0, record("me", 4, state, run_id=1))
     assert core.view["me"].incarnation == 5 and core.view["me"].state is State.ALIVE
     told = sends(core.step(1.0, Received("a:7946", Message(Kind.PING, 9, "me"))), Kind.ACK)
     assert core.me in told[0].message.gossip
@@ -151,14 +151,14 @@
 def test_a_rejoin_under_the_same_name_and_another_address() -> None:
     core = member("a")
     hear(core, 0.0, record("a", 0, State.DEAD))
-    moved = record("a", 1, life=8)._replace(address="b:1")
+    moved = record("a", 1, run_id=8)._replace(address="b:1")
     hear(core, 1.0, moved)
     assert core.view["a"] == moved and not core.past
 
 
 def test_a_name_claimed_by_two_is_told_once() -> None:
     core = member("a")
-    other = record("me", 3, life=99)._replace(address="other:1")
+    other = record("me", 3, run_id=99)._replace(address="other:1")
     told = [a for a in hear(core, 0.0, other) if isinstance(a, Told)]
     told += [a for a in hear(core, 0.0, other._replace(incarnation=9)) if isinstance(a, Told)]
     assert len(told) == 1 and "other:1" in told[0].text
--- a/tests/peers/test_fleet.py
+++ b/tests/peers/test_fleet.py
@@ -190,18 +190,18 @@
     highest: dict[tuple[str, int, str], int] = {}
 
     def on_change(name: str, now: float, change: Changed) -> None:
-        life = members.core(name).me.life
-        for known in [k for k in highest if k[:2] == (name, life) and k[2] not in change.view]:
+        run_id = members.core(name).me.run_id
+        for known in [k for k in highest if k[:2] == (name, run_id) and k[2] not in change.view]:
             del highest[known]  # forgotten, as the rules have it
         for record in change.view.values():
-            before = highest.get((name, life, record.name), 0)
+            before = highest.get((name, run_id, record.name), 0)
             assert record.incarnation >= before, f"{name}: the incarnation of {record.name} went back"
-            highest[name, life, record.name] = record.incarnation
-            back = record.life in left and record.state in (State.ALIVE, State.SUSPECT)
-            held = known_left.get((name, life, record.life), False)
+            highest[name, run_id, record.name] = record.incarnation
+            back = record.run_id in left and record.state in (State.ALIVE, State.SUSPECT)
+            held = known_left.get((name, run_id, record.run_id), False)
             assert not (back and held), f"{name}: {record.name} left and is back by hearsay"
             if record.state is State.LEFT:
-                known_left[name, life, record.life] = True
+                known_left[name, run_id, record.run_id] = True
 
     known_left: dict[tuple[str, int, int], bool] = {}
     members.changed = on_change
@@ -218,7 +218,7 @@
             members.wake(name)
         elif what in ("kill", "leave") and name in running and place not in members.network.paused:
             if what == "leave":
-                left.add(members.core(name).me.life)
+                left.add(members.core(name).me.run_id)
                 members.leave(name)
             else:
                 members.kill(name)
--- a/tests/peers/test_guard.py
+++ b/tests/peers/test_guard.py
@@ -74,8 +74,8 @@
     guard = Guard()
     for number in range(3 * ASKED_MOST):
         guard.ask(number, 0.0)
-    for life in range(LIVES_MOST + 100):
-        guard.mark_verified(life, 1, 0.0, 0.0)
+    for run_id in range(LIVES_MOST + 100):
+        guard.mark_verified(run_id, 1, 0.0, 0.0)
     assert len(guard.asked) == ASKED_MOST and len(guard.senders) == LIVES_MOST
 
 
@@ -95,7 +95,7 @@
     again = core.step(1.1, DatagramReceived(said._replace(number=2)))
     assert len(again) == 1  # asked back once a second at most
     for n in range(5000):
-        core.step(1.2, DatagramReceived(said._replace(number=n, address=f"s:{n}", life=n)))
+        core.step(1.2, DatagramReceived(said._replace(number=n, address=f"s:{n}", run_id=n)))
     assert len(core.strangers) <= 256 and not core.contacts
 
 
