--- a/flintlatch/limits/__init__.py
+++ b/flintlatch/limits/__init__.py
@@ -1,4 +1,4 @@
-"""Limits that hold for the whole fleet, with a stated bound when links fail. Cores without I/O.
+"""Fleet-wide rate limits with a stated upper bound during network partitions. The cores do no I/O.
 
-`api.py` says what others may call; `rows.py` is what the configuration needs, without any library.
+`api.py` is the public interface; `rows.py` holds the configuration types and imports no third-party library.
 """
--- a/flintlatch/limits/api.py
+++ b/flintlatch/limits/api.py
@@ -1,10 +1,10 @@
-"""What others may call of limits.
+"""Public interface of the limits package.
 
-A keeper deals out each limit in grants that end; holders (fleets) pass parts on to their instances.
-docs/design/ limits.md has the options, the bounds and their proofs.
+A lessor distributes each limit by leases that expire; lease holders (fleets) allocate their lease to their
+instances. docs/design/limits.md has the alternatives, the bounds and their proofs.
 """
 
-from flintlatch.limits.holder import LeaseHolder, Part
+from flintlatch.limits.holder import InstanceAllocation, LeaseHolder
 from flintlatch.limits.keeper import Lessor
 from flintlatch.limits.model import (
     Lease,
@@ -18,7 +18,7 @@
 )
 from flintlatch.limits.rows import LeaseSettings, Limit, PartitionPolicy
 from flintlatch.limits.seat import Leadership
-from flintlatch.limits.split import Split, fair
+from flintlatch.limits.split import LeaseLedger, max_min_fair
 
 __all__ = [
     "Ask",
@@ -34,7 +34,7 @@
     "Terms",
     "Vote",
     "WhenCut",
-    "fair",
+    "max_min_fair",
     "max_admitted",
     "over_s",
     "limit_topics",
--- a/flintlatch/limits/holder.py
+++ b/flintlatch/limits/holder.py
@@ -1,8 +1,8 @@
-"""A holder's decisions on one limit: which grant it follows, and what its instances get of it. No I/O, no
-clock.
+"""Decisions of a lease holder on one limit: which lease applies and what each local instance may use.
 
-It never goes back to a grant before the one that it has followed. It says that it follows one only when none
-of its instances can use more any longer: each has said that it follows what it was told, or that is over.
+No I/O, no clock. A holder never returns to an older lease while the newer one is valid. It acknowledges a lease
+only when none of its instances can use more any longer: each has acknowledged its allocation, or its larger
+allocation has expired.
 """
 
 from __future__ import annotations
@@ -10,18 +10,20 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from flintlatch.limits.model import NO_MARK, Lease, LeaseRequest, LeaseVersion
+from flintlatch.limits.model import NO_VERSION, Lease, LeaseRequest, LeaseVersion
 from flintlatch.limits.rows import LeaseSettings, Limit, PartitionPolicy
-from flintlatch.limits.split import EPS, Split
+from flintlatch.limits.split import EPSILON, LeaseLedger
 
-NEED_PART = 0.5  # of a new measure in the smoothed need, as it falls; as it rises it counts at once
-AHEAD = 1.15  # of what is asked for now: what may come until the next word
-FLOOR_PART = 0.02  # of the limit that idle holders ask for together: their next request should not wait long
+DEMAND_FALL_WEIGHT = 0.5  # of a new sample in the smoothed demand when it falls; a rise counts at once
+DEMAND_HEADROOM = 1.15  # factor on the demand, for growth until the next request
+IDLE_DEMAND_FRACTION = (
+    0.02  # of the limit, requested by all idle holders together so that a first request is quick
+)
 
 
 @dataclass(frozen=True, slots=True)
-class Part:
-    """What one instance may use: a second, at once, and until when (the holder's clock)."""
+class InstanceAllocation:
+    """What one instance may use: a rate per second, a burst, and an expiry on the holder's clock."""
 
     per_s: float
     burst: float
@@ -31,79 +33,93 @@
 
 class LeaseHolder:
     def __init__(
-        self, limit: Limit, terms: LeaseSettings, reserved: float = 0.0, fixed_from: float = 0.0
+        self, limit: Limit, terms: LeaseSettings, reserved: float = 0.0, reserved_from: float = 0.0
     ) -> None:
-        """`fixed`: what is ours for good, from `fixed_from` on: instances of a process before us may hold it
-        until then."""
-        self.limit, self.terms, self.reserved, self.fixed_from = limit, terms, reserved, fixed_from
-        self.version = NO_MARK
+        """`reserved`: the permanent allocation, usable from `reserved_from` on; until then it may be in use by
+        instances of a predecessor process."""
+        self.limit, self.terms, self.reserved, self.reserved_from = limit, terms, reserved, reserved_from
+        self.version = NO_VERSION
         self.lessor = ""
         self.amount = 0.0
         self.expires_at = 0.0
-        self.ledger = Split()  # over our instances
-        self.place = 0
+        self.ledger = LeaseLedger()  # of the local instances
+        self.sequence = 0
         self.demand = 0.0
 
-    def accept_lease(self, now: float, keeper: str, grant: Lease, ends: float) -> None:
-        """A grant that holds until `ends`. An older one than that we follow is none, while that holds."""
-        if grant.version > self.version or now >= self.expires_at:
-            amount = min(grant.amount, self.leased(now)) if grant.carried else grant.amount
-            self.version, self.lessor, self.amount, self.expires_at = grant.version, keeper, amount, ends
-        elif grant.version == self.version and keeper == self.lessor:
-            self.expires_at = max(self.expires_at, ends)
+    def accept_lease(self, now: float, lessor: str, lease: Lease, expires_at: float) -> None:
+        """Applies a lease that is valid until `expires_at`; ignores an older one while the current one is valid."""
+        if lease.version > self.version or now >= self.expires_at:
+            amount = min(lease.amount, self.leased(now)) if lease.carried_over else lease.amount
+            self.version, self.lessor, self.amount, self.expires_at = (
+                lease.version,
+                lessor,
+                amount,
+                expires_at,
+            )
+        elif lease.version == self.version and lessor == self.lessor:
+            self.expires_at = max(self.expires_at, expires_at)
 
     def leased(self, now: float) -> float:
         return self.amount if now < self.expires_at else 0.0
 
-    def own(self, now: float) -> float:
-        return self.reserved if now >= self.fixed_from else 0.0
+    def reserved_now(self, now: float) -> float:
+        return self.reserved if now >= self.reserved_from else 0.0
 
-    def record_demand(self, asked_per_s: float) -> None:
-        """What came in the last moments, refused ones included."""
-        if asked_per_s >= self.demand:
-            self.demand = asked_per_s
+    def record_demand(self, arrivals_per_s: float) -> None:
+        """Updates the smoothed demand with the recent arrival rate, rejected requests included."""
+        if arrivals_per_s >= self.demand:
+            self.demand = arrivals_per_s
         else:
-            self.demand += (asked_per_s - self.demand) * NEED_PART
-
-    def request(self, now: float, keeper: str) -> LeaseRequest:
-        """What to say. `keeper`: whom we hold for it. A strict limit's is asked for as long as its grant
-        holds."""
-        out = self.ledger.outstanding(now)
-        came_down = out <= self.leased(now) + self.own(now) + EPS
-        need = self.demand * AHEAD + FLOOR_PART * self.limit.leasable_per_s() / self.terms.fleets
-        held = now < self.expires_at
-        version = self.version if came_down and held else NO_MARK
-        used = max(out - self.own(now), self.leased(now))
-        stays = held and self.limit.when_cut is PartitionPolicy.STRICT
-        asked = self.lessor if stays else keeper
-        return LeaseRequest(need, asked, self.lessor if held else "", version, used, self.limit.per_s)
+            self.demand += (arrivals_per_s - self.demand) * DEMAND_FALL_WEIGHT
+
+    def request(self, now: float, lessor: str) -> LeaseRequest:
+        """The request to publish. `lessor`: the presumed lessor. For a strict limit the lessor of the current
+        lease is asked for as long as that lease is valid."""
+        outstanding = self.ledger.outstanding(now)
+        within_lease = outstanding <= self.leased(now) + self.reserved_now(now) + EPSILON
+        demand = (
+            self.demand * DEMAND_HEADROOM
+            + IDLE_DEMAND_FRACTION * self.limit.leasable_per_s() / self.terms.fleets
+        )
+        valid = now < self.expires_at
+        version = self.version if within_lease and valid else NO_VERSION
+        in_use = max(outstanding - self.reserved_now(now), self.leased(now))
+        keeps_lessor = valid and self.limit.when_cut is PartitionPolicy.STRICT
+        requested_from = self.lessor if keeps_lessor else lessor
+        return LeaseRequest(
+            demand, requested_from, self.lessor if valid else "", version, in_use, self.limit.per_s
+        )
 
     def allocate(
         self,
         now: float,
-        follows: Mapping[str, LeaseVersion],
-        needs: Mapping[str, float],
+        acknowledged: Mapping[str, LeaseVersion],
+        demands: Mapping[str, float],
         term_s: float,
         due: bool,
-    ) -> dict[str, Part]:
-        """What to tell our instances now. `follows`: what each says it follows. None outlasts the grant."""
-        for name, version in follows.items():
-            self.ledger.ack(name, version)
-        lent = self.leased(now) + self.own(now)
+    ) -> dict[str, InstanceAllocation]:
+        """The allocations to send to local instances now. None outlasts the lease.
+
+        `acknowledged`: the version that each instance has applied. `due`: unchanged allocations are renewed
+        too."""
+        for name, version in acknowledged.items():
+            self.ledger.acknowledge(name, version)
+        capacity = self.leased(now) + self.reserved_now(now)
         if self.limit.when_cut is PartitionPolicy.OPEN and now >= self.expires_at:
-            lent = max(
-                lent, self.limit.fallback_per_s(self.terms)
-            )  # nobody grants: as a part with nobody else
-        told = self.ledger.deal(now, lent, needs)
+            # No lessor: as if this fleet were alone on its side of a partition.
+            capacity = max(capacity, self.limit.fallback_per_s(self.terms))
+        amounts = self.ledger.distribute(now, capacity, demands)
         until = min(self.expires_at, now + term_s) if self.leased(now) else now + term_s
-        if not lent:
+        if not capacity:
             return {}
-        parts = {}
-        for name, amount in sorted(told.items()):
-            if not due and self.ledger.slight(now, name, amount, lent):
+        allocations = {}
+        for name, amount in sorted(amounts.items()):
+            if not due and self.ledger.is_negligible_change(now, name, amount, capacity):
                 continue
-            self.place += 1
-            version = LeaseVersion(1, self.place)
-            self.ledger.give(name, version, amount, until)
-            parts[name] = Part(amount, self.limit.burst * amount / self.limit.per_s, version, until)
-        return parts
+            self.sequence += 1
+            version = LeaseVersion(1, self.sequence)
+            self.ledger.record_grant(name, version, amount, until)
+            allocations[name] = InstanceAllocation(
+                amount, self.limit.burst * amount / self.limit.per_s, version, until
+            )
+        return allocations
--- a/flintlatch/limits/model.py
+++ b/flintlatch/limits/model.py
@@ -1,10 +1,11 @@
-"""What is limited, and what members tell each other of it. No I/O, no clock. Times are seconds.
+"""Messages about limits that members exchange, and their encoding. No I/O, no clock. Times are in seconds.
 
-Words of three topics, all EACH (one from each member, the later by its epoch):
+The messages are soft-state entries of three topics, all PER_MEMBER (one entry from each member, the one with the
+highest epoch stands):
 
-    vote   subject "seat"            whom I hold for the keeper of the strict limits, with a number
-    ask    subject LIMIT             what I need, and the grant that all of mine have come down to
-    grant  subject HOLDER LIMIT      what you may use, said by a keeper
+    vote   subject "seat"            the member that this voter supports as lessor of the strict limits, and a term
+    ask    subject LIMIT             the demand of a fleet, and the lease that all its instances have applied
+    grant  subject HOLDER LIMIT      the allocation of a holder, published by a lessor
 """
 
 from __future__ import annotations
@@ -17,24 +18,27 @@
 from flintlatch.peers import Merge, Topic
 from flintlatch.peers.words import MAX_CLOCK_DRIFT
 
-GRANTS_MOST = MAX_LIMITS * MAX_HOLDERS  # words of one keeper
+MAX_LEASES = MAX_LIMITS * MAX_HOLDERS  # lease entries of one lessor
 
 
 def term_validity_s(terms: LeaseSettings) -> float:
-    """When nobody believes a word of a term any more, counted on any clock since it was said."""
+    """The time after publication at which a vote or lease has expired everywhere, by any clock."""
     return terms.term_s * (1 + MAX_CLOCK_DRIFT) / (1 - MAX_CLOCK_DRIFT) + 0.01 * terms.term_s
 
 
 def max_admitted(
     limit: Limit, terms: LeaseSettings, window_s: float, instances: int, cut: bool = True
 ) -> float:
-    """The stated bound: requests taken by all fleets in any window. A rate's clock may be fast by DRIFT; each
-    instance may hold one whole request beyond its part of the burst."""
+    """The stated bound on requests that all fleets admit in any window of `window_s`.
+
+    `cut`: whether the network may be partitioned. The clock that a rate is applied by may be fast by
+    MAX_CLOCK_DRIFT, and each instance may admit one whole request beyond its allocation of the burst."""
     factor = terms.cut_factor if cut and limit.when_cut is PartitionPolicy.OPEN else 1.0
     return factor * (limit.per_s * window_s * (1 + MAX_CLOCK_DRIFT) + limit.burst) + instances
 
 
 def limit_topics(term_s: float) -> tuple[Topic, Topic, Topic]:
+    """The topics of votes, lease requests and leases, which expire after `term_s`."""
     return (
         Topic("vote", Merge.PER_MEMBER, term_s, max_per_member=1, max_entries=1024),
         Topic(
@@ -49,21 +53,21 @@
             "grant",
             Merge.PER_MEMBER,
             term_s,
-            max_per_member=GRANTS_MOST,
-            max_entries=4 * GRANTS_MOST,
+            max_per_member=MAX_LEASES,
+            max_entries=4 * MAX_LEASES,
             weight=4.0,
         ),
     )
 
 
 class LeaseVersion(NamedTuple):
-    """Which grant: the keeper's number (higher with each keeper) and, of its own, the place."""
+    """Identifies a lease: the lessor's term (higher for each new lessor) and a sequence number in that term."""
 
     term: int
-    place: int
+    sequence: int
 
 
-NO_MARK = LeaseVersion(0, 0)
+NO_VERSION = LeaseVersion(0, 0)
 
 
 class Vote(NamedTuple):
@@ -72,84 +76,102 @@
 
 
 class LeaseRequest(NamedTuple):
-    demand: float  # a second
-    lessor: str  # who is asked: one at a time
-    lease_lessor: str  # whose grant is followed
-    version: LeaseVersion  # of that grant; all that was larger before it is out of use
-    in_use: float  # a second: the most that may still be in use by anybody's grant
+    demand: float  # per second
+    lessor: str  # to which the request goes; one at a time
+    lease_lessor: str  # that granted the current lease
+    version: LeaseVersion  # of that lease; every larger allocation before it is no longer in use
+    in_use: float  # per second: upper bound on what may still be used under any lease
     per_s: float = 0.0  # the whole limit, as the holder's configuration has it
-    run_id: int = 0  # of the process: what one before it left in use is a holder of its own
+    run_id: int = 0  # of the process: instances left by a predecessor process count as a separate holder
 
 
 class Lease(NamedTuple):
-    amount: float  # a second
+    amount: float  # per second
     version: LeaseVersion
-    carried: bool  # by a new keeper: no more of it than the holder may use already
+    carried_over: bool  # by a new lessor: the holder may use no more than it may use already
 
 
 def holder_id(name: str, run_id: int) -> str:
-    """A holder: one process of one fleet."""
+    """The name of a lease holder: one process of one fleet."""
     return f"{name}/{run_id:x}"
 
 
 class Malformed(Exception):
-    """Bytes that say nothing of the kind."""
+    """Bytes that are not a valid message of the expected kind."""
 
 
 _encoder = msgspec.msgpack.Encoder()
-_vote = msgspec.msgpack.Decoder(tuple[str, int])
-_ask = msgspec.msgpack.Decoder(tuple[float, str, str, int, int, float, float, int])
-_grant = msgspec.msgpack.Decoder(tuple[float, int, int, bool])
-MOST_NUMBER = 2**48  # a number at or beyond it is none: no keeper could come after it
-MOST_AMOUNT = 1e9
+_vote_decoder = msgspec.msgpack.Decoder(tuple[str, int])
+_lease_request_decoder = msgspec.msgpack.Decoder(tuple[float, str, str, int, int, float, float, int])
+_lease_decoder = msgspec.msgpack.Decoder(tuple[float, int, int, bool])
+MAX_TERM = 2**48  # exclusive, also for sequences: no lessor could follow a higher term
+MAX_AMOUNT = 1e9
 
 
 def write_vote(vote: Vote) -> bytes:
     return _encoder.encode(tuple(vote))
 
 
-def write_lease_request(ask: LeaseRequest) -> bytes:
+def write_lease_request(request: LeaseRequest) -> bytes:
     return _encoder.encode(
-        (ask.demand, ask.lessor, ask.lease_lessor, *ask.version, ask.in_use, ask.per_s, ask.run_id)
+        (
+            request.demand,
+            request.lessor,
+            request.lease_lessor,
+            *request.version,
+            request.in_use,
+            request.per_s,
+            request.run_id,
+        )
     )
 
 
-def write_lease(grant: Lease) -> bytes:
-    return _encoder.encode((grant.amount, *grant.version, grant.carried))
+def write_lease(lease: Lease) -> bytes:
+    return _encoder.encode((lease.amount, *lease.version, lease.carried_over))
 
 
-def _amount(value: float) -> float:
-    if not 0 <= value <= MOST_AMOUNT:
-        raise Malformed(f"an amount of {value}, expected 0 to {MOST_AMOUNT:g}")
+def _checked_amount(value: float) -> float:
+    if not 0 <= value <= MAX_AMOUNT:
+        raise Malformed(f"amount is {value}, expected 0 to {MAX_AMOUNT:g}")
     return value
 
 
-def _mark(term: int, place: int) -> LeaseVersion:
-    if not (0 <= term < MOST_NUMBER and 0 <= place < MOST_NUMBER):
-        raise Malformed(f"a mark of {term}, {place}")
-    return LeaseVersion(term, place)
+def _checked_version(term: int, sequence: int) -> LeaseVersion:
+    if not (0 <= term < MAX_TERM and 0 <= sequence < MAX_TERM):
+        raise Malformed(f"lease version is {term}, {sequence}, expected two numbers from 0 to {MAX_TERM - 1}")
+    return LeaseVersion(term, sequence)
 
 
 def read_vote(value: bytes) -> Vote:
-    """Raises Malformed, as the next two do."""
+    """Raises Malformed, as do `read_lease_request` and `read_lease`."""
     try:
-        keeper, term = _vote.decode(value)
+        candidate, term = _vote_decoder.decode(value)
     except msgspec.DecodeError as error:
         raise Malformed(str(error)) from None
-    return Vote(keeper, _mark(term, 0).term)
+    return Vote(candidate, _checked_version(term, 0).term)
 
 
 def read_lease_request(value: bytes) -> LeaseRequest:
     try:
-        need, keeper, of, term, place, used, per_s, run_id = _ask.decode(value)
+        demand, lessor, lease_lessor, term, sequence, in_use, per_s, run_id = _lease_request_decoder.decode(
+            value
+        )
     except msgspec.DecodeError as error:
         raise Malformed(str(error)) from None
-    return LeaseRequest(_amount(need), keeper, of, _mark(term, place), _amount(used), _amount(per_s), run_id)
+    return LeaseRequest(
+        _checked_amount(demand),
+        lessor,
+        lease_lessor,
+        _checked_version(term, sequence),
+        _checked_amount(in_use),
+        _checked_amount(per_s),
+        run_id,
+    )
 
 
 def read_lease(value: bytes) -> Lease:
     try:
-        amount, term, place, carried = _grant.decode(value)
+        amount, term, sequence, carried_over = _lease_decoder.decode(value)
     except msgspec.DecodeError as error:
         raise Malformed(str(error)) from None
-    return Lease(_amount(amount), _mark(term, place), carried)
+    return Lease(_checked_amount(amount), _checked_version(term, sequence), carried_over)
--- a/tests/limits/explored.py
+++ b/tests/limits/explored.py
@@ -22,7 +22,7 @@
     term_validity_s,
 )
 from flintlatch.limits.model import LeaseRequest, holder_id
-from flintlatch.limits.split import Given, Out, Split
+from flintlatch.limits.split import Grant, HolderGrants, LeaseLedger
 
 LIMIT = Limit("l", "", "", 10.0, 0.0, PartitionPolicy.STRICT, reserve=0.0)
 TERMS = LeaseSettings(("k0", "k1", "k2"), 2, term_s=2.0)
@@ -70,9 +70,11 @@
     epochs: int = 0
 
 
-def clone_split(split: Split) -> Split:
-    made = Split()
-    made.by_holder = {name: Out(list(out.grants), out.acked) for name, out in split.by_holder.items()}
+def clone_split(split: LeaseLedger) -> LeaseLedger:
+    made = LeaseLedger()
+    made.by_holder = {
+        name: HolderGrants(list(out.grants), out.acknowledged) for name, out in split.by_holder.items()
+    }
     return made
 
 
@@ -219,13 +221,13 @@
     )
 
 
-def split_shape(split: Split, now: float) -> Hashable:
-    def grants(one: Given) -> Hashable:
-        return one.version, one.amount, one.over - now
+def split_shape(split: LeaseLedger, now: float) -> Hashable:
+    def grants(one: Grant) -> Hashable:
+        return one.version, one.amount, one.expires_at - now
 
     return tuple(
         sorted(
-            (name, out.acked, tuple(given(one) for one in out.grants if one.over > now))
+            (name, out.acknowledged, tuple(given(one) for one in out.grants if one.expires_at > now))
             for name, out in split.by_holder.items()
         )
     )
@@ -245,7 +247,7 @@
             c.lessor,
             c.amount,
             max(c.expires_at - now, 0.0),
-            c.place,
+            c.sequence,
             split_shape(c.ledger, now),
         )
         live = (p.amount, p.until - now) if p.until > now else ()
@@ -253,7 +255,7 @@
 
     return (
         now,
-        tuple((k.term, k.place, split_shape(k.ledger, now)) for k in world.keepers),
+        tuple((k.term, k.sequence, split_shape(k.ledger, now)) for k in world.keepers),
         (world.seat, world.since, world.numbers, world.faults, world.orphans),
         tuple(process(p) for p in world.holders),
         tuple(said_shape(said, now) for said in world.asks),
--- a/tests/limits/test_cores.py
+++ b/tests/limits/test_cores.py
@@ -15,14 +15,14 @@
 from flintlatch.lab.explore import Broken, explore, wander
 from flintlatch.limits.api import (
     Leadership,
+    LeaseLedger,
     LeaseSettings,
     Lessor,
     Limit,
     Malformed,
     PartitionPolicy,
-    Split,
     Vote,
-    fair,
+    max_min_fair,
     term_validity_s,
 )
 from flintlatch.limits.model import (
@@ -75,7 +75,7 @@
         heard = put(heard, n, put(heard[n], n, said[n]))
     votes = {NAMES[m]: one for m, one in enumerate(heard[n]) if one is not None and one[1] > world.now}
     has = seat.update(world.now, votes)
-    held = put(world.held, n, seat.kept_until if has else 0.0)
+    held = put(world.held, n, seat.leader_until if has else 0.0)
     return replace(world, seats=put(world.seats, n, seat), said=said, heard=heard, held=held)
 
 
@@ -113,7 +113,14 @@
 
     def seat(s: Leadership) -> Hashable:
         kept = s.leader_since is not None
-        return s.named, max(s.free_at - now, 0), s.highest_term, s.term, kept, max(s.kept_until - now, 0)
+        return (
+            s.voted_for,
+            max(s.may_switch_at - now, 0),
+            s.highest_term,
+            s.term,
+            kept,
+            max(s.leader_until - now, 0),
+        )
 
     def live(one: tuple[Vote, float] | None) -> Hashable:
         return None if one is None or one[1] <= now else (one[0], one[1] - now)
@@ -148,7 +155,7 @@
         plain = Leadership.vote
 
         def vote(self: Leadership, now: float, there: object) -> Vote | None:
-            self.free_at = 0.0
+            self.may_switch_at = 0.0
             return plain(self, now, there)  # type: ignore[arg-type]
 
         monkeypatch.setattr(Leadership, "vote", vote)
@@ -185,7 +192,7 @@
 def test_the_fair_part_is_the_limit_at_most_and_nobody_lacks_while_another_has_more(
     capacity: float, asked: dict[str, float], spread: bool
 ) -> None:
-    given_ = fair(capacity, asked, spread)
+    given_ = max_min_fair(capacity, asked, spread)
     assert sum(given_.values()) <= capacity + 1e-6
     for name, amount in given_.items():
         if amount < asked[name] - 1e-6:  # who lacks has as much as anybody
@@ -197,7 +204,7 @@
 
 
 def test_one_that_claims_huge_demand_gets_no_more_than_its_fair_part() -> None:
-    given_ = fair(100.0, {"liar": 1e9, "a": 40.0, "b": 40.0})
+    given_ = max_min_fair(100.0, {"liar": 1e9, "a": 40.0, "b": 40.0})
     assert set(map(round, given_.values())) == {33}
 
 
@@ -223,15 +230,15 @@
 
 
 def test_what_is_lowered_is_free_only_once_it_is_answered_or_over() -> None:
-    split = Split()
-    told = split.deal(0.0, 10.0, {"a": 10.0})
-    split.give("a", LeaseVersion(1, 1), told["a"], 2.0)
-    told = split.deal(0.1, 10.0, {"a": 0.0, "b": 10.0})
+    split = LeaseLedger()
+    told = split.distribute(0.0, 10.0, {"a": 10.0})
+    split.record_grant("a", LeaseVersion(1, 1), told["a"], 2.0)
+    told = split.distribute(0.1, 10.0, {"a": 0.0, "b": 10.0})
     assert told == {"a": 0.0, "b": 0.0}
-    split.give("a", LeaseVersion(1, 2), 0.0, 2.1)
-    assert split.deal(0.2, 10.0, {"a": 0.0, "b": 10.0})["b"] == 0.0
-    split.ack("a", LeaseVersion(1, 2))
-    assert split.deal(0.3, 10.0, {"a": 0.0, "b": 10.0})["b"] == pytest.approx(10.0)
+    split.record_grant("a", LeaseVersion(1, 2), 0.0, 2.1)
+    assert split.distribute(0.2, 10.0, {"a": 0.0, "b": 10.0})["b"] == 0.0
+    split.acknowledge("a", LeaseVersion(1, 2))
+    assert split.distribute(0.3, 10.0, {"a": 0.0, "b": 10.0})["b"] == pytest.approx(10.0)
 
 
 LIMIT = Part("l", -1, -1, 5.0, 1.0)
--- a/tests/limits/test_explored.py
+++ b/tests/limits/test_explored.py
@@ -11,10 +11,10 @@
 
 from flintlatch.lab.explore import Broken, explore, wander
 from flintlatch.limits import split as split_module
-from flintlatch.limits.api import Lease, LeaseHolder, LeaseVersion, Lessor, Split
-from flintlatch.limits.holder import Part
+from flintlatch.limits.api import Lease, LeaseHolder, LeaseLedger, LeaseVersion, Lessor
+from flintlatch.limits.holder import InstanceAllocation
 from flintlatch.limits.model import LeaseRequest
-from flintlatch.limits.split import Out
+from flintlatch.limits.split import HolderGrants
 from tests.limits import explored
 
 WALKS, LENGTH = 250, 60
@@ -35,8 +35,8 @@
 
 
 held, deal, hear, ask, parts = (
-    Out.held,
-    Split.deal,
+    HolderGrants.max_in_use,
+    LeaseLedger.distribute,
     LeaseHolder.accept_lease,
     LeaseHolder.request,
     LeaseHolder.allocate,
@@ -44,25 +44,28 @@
 step = Lessor.step
 
 
-def told_last(self: Out, now: float) -> float:
-    return self.last(now)
+def told_last(self: HolderGrants, now: float) -> float:
+    return self.latest(now)
 
 
 def acked_unheard(
-    self: Split, now: float, capacity: float, needs: Mapping[str, float], spread: bool = True
+    self: LeaseLedger, now: float, capacity: float, needs: Mapping[str, float], spread: bool = True
 ) -> Any:
     for out in self.by_holder.values():
         if out.grants:
-            out.acked = out.grants[-1].version
+            out.acknowledged = out.grants[-1].version
     return deal(self, now, capacity, needs, spread)
 
 
-def forgets(self: Split, holder: str, mark: LeaseVersion, amount: float, over: float) -> None:
+def forgets(self: LeaseLedger, holder: str, mark: LeaseVersion, amount: float, over: float) -> None:
     pass
 
 
-def over_at_once(self: Out, now: float) -> float:
-    return max((g.amount for g in self.grants if g.version >= self.acked and g.over > now + 1.1), default=0.0)
+def over_at_once(self: HolderGrants, now: float) -> float:
+    return max(
+        (g.amount for g in self.grants if g.version >= self.acknowledged and g.expires_at > now + 1.1),
+        default=0.0,
+    )
 
 
 def settled(self: Lessor, now: float, me: str, number: int, _: bool, *more: Any) -> Any:
@@ -70,7 +73,7 @@
 
 
 def not_carried(self: LeaseHolder, now: float, keeper: str, grant: Lease, ends: float) -> None:
-    hear(self, now, keeper, grant._replace(carried=False), ends)
+    hear(self, now, keeper, grant._replace(carried_over=False), ends)
 
 
 def has_come_down(self: LeaseHolder, now: float, keeper: str) -> LeaseRequest:
@@ -79,16 +82,16 @@
 
 def outlasts(
     self: LeaseHolder, now: float, follows: Any, needs: Any, term_s: float, due: bool
-) -> dict[str, Part]:
+) -> dict[str, InstanceAllocation]:
     made = parts(self, now, follows, needs, term_s, due)
-    return {name: Part(p.per_s, p.burst, p.version, now + term_s) for name, p in made.items()}
+    return {name: InstanceAllocation(p.per_s, p.burst, p.version, now + term_s) for name, p in made.items()}
 
 
 def all_to_each(capacity: float, needs: Mapping[str, float], spread: bool = True) -> dict[str, float]:
     return dict.fromkeys(needs, capacity)
 
 
-def without_what_is_out(self: Split, now: float) -> float:
+def without_what_is_out(self: LeaseLedger, now: float) -> float:
     return 0.0
 
 
@@ -106,16 +109,16 @@
 
 
 FAULTS: dict[str, Callable[[pytest.MonkeyPatch], None]] = {
-    "what was given before is free at once": lambda m: m.setattr(Out, "held", told_last),
-    "an answer nobody gave counts": lambda m: m.setattr(Split, "deal", acked_unheard),
-    "what is given is forgotten": lambda m: m.setattr(Split, "give", forgets),
-    "a grant counts for less than its life": lambda m: m.setattr(Out, "held", over_at_once),
+    "what was given before is free at once": lambda m: m.setattr(HolderGrants, "max_in_use", told_last),
+    "an answer nobody gave counts": lambda m: m.setattr(LeaseLedger, "distribute", acked_unheard),
+    "what is given is forgotten": lambda m: m.setattr(LeaseLedger, "record_grant", forgets),
+    "a grant counts for less than its life": lambda m: m.setattr(HolderGrants, "max_in_use", over_at_once),
     "a new keeper deals at once": lambda m: m.setattr(Lessor, "step", settled),
     "a carried grant counts whole": lambda m: m.setattr(LeaseHolder, "accept_lease", not_carried),
     "it says too early that it has come down": lambda m: m.setattr(LeaseHolder, "request", has_come_down),
     "a part outlasts its grant": lambda m: m.setattr(LeaseHolder, "allocate", outlasts),
-    "each gets all": lambda m: m.setattr(split_module, "fair", all_to_each),
-    "what is out does not count": lambda m: m.setattr(Split, "outstanding", without_what_is_out),
+    "each gets all": lambda m: m.setattr(split_module, "max_min_fair", all_to_each),
+    "what is out does not count": lambda m: m.setattr(LeaseLedger, "outstanding", without_what_is_out),
     "an answer to another keeper counts": lambda m: m.setattr(Lessor, "step", any_keepers_mark),
     "an instance is held to follow what it has not heard": lambda m: m.setattr(
         LeaseHolder, "allocate", instance_follows_at_once
