--- a/flintlatch/limits/holder.py
+++ b/flintlatch/limits/holder.py
@@ -1,9 +1,8 @@
 """Decisions of a lease holder on one limit: which lease applies and what each local instance may use.
 
-No I/O, no clock. A holder never returns to an older lease while the newer one is valid. It acknowledges a lease
-only when none of its instances can use more any longer: each has acknowledged its allocation, or its larger
-allocation has expired.
-"""
+No I/O, no clock. A holder never returns to an older lease while the newer one is valid. It acknowledges a
+lease only when none of its instances can use more any longer: each has acknowledged its allocation, or its
+larger allocation has expired."""
 
 from __future__ import annotations
 
@@ -35,8 +34,8 @@
     def __init__(
         self, limit: Limit, terms: LeaseSettings, reserved: float = 0.0, reserved_from: float = 0.0
     ) -> None:
-        """`reserved`: the permanent allocation, usable from `reserved_from` on; until then it may be in use by
-        instances of a predecessor process."""
+        """`reserved`: the permanent allocation, usable from `reserved_from` on; until then it may be in use
+        by instances of a predecessor process."""
         self.limit, self.terms, self.reserved, self.reserved_from = limit, terms, reserved, reserved_from
         self.version = NO_VERSION
         self.lessor = ""
@@ -47,7 +46,8 @@
         self.demand = 0.0
 
     def accept_lease(self, now: float, lessor: str, lease: Lease, expires_at: float) -> None:
-        """Applies a lease that is valid until `expires_at`; ignores an older one while the current one is valid."""
+        """Applies a lease that is valid until `expires_at`; ignores an older one while the current one is
+        valid."""
         if lease.version > self.version or now >= self.expires_at:
             amount = min(lease.amount, self.leased(now)) if lease.carried_over else lease.amount
             self.version, self.lessor, self.amount, self.expires_at = (
--- a/flintlatch/limits/keeper.py
+++ b/flintlatch/limits/keeper.py
@@ -1,14 +1,13 @@
 """Decisions of a lessor on one limit: the lease of each holder, also after another lessor. No I/O, no clock.
 
 A new lessor does not know which leases its predecessor has outstanding. Until all of those have expired, its
-leases are *carried over*: a holder uses no more of such a lease than it may use already, so no allocation grows.
-After that the lessor distributes the whole limit.
+leases are *carried over*: a holder uses no more of such a lease than it may use already, so no allocation
+grows. After that the lessor distributes the whole limit.
 
-For an open limit each side of a partition has its own lessor. A lessor distributes the limit times `cut_factor`
-times the fraction of all configured instances that name it as their lessor, and never more than the limit. A
-holder names one lessor at a time, so the sum over all sides is at most `cut_factor` times the limit, however the
-network is partitioned.
-"""
+For an open limit each side of a partition has its own lessor. A lessor distributes the limit times
+`cut_factor` times the fraction of all configured instances that name it as their lessor, and never more than
+the limit. A holder names one lessor at a time, so the sum over all sides is at most `cut_factor` times the
+limit, however the network is partitioned."""
 
 from __future__ import annotations
 
@@ -30,8 +29,8 @@
         """The rate that this lessor may distribute.
 
         `following`: instances whose fleets name this lessor; `configured`: instances of all fleets. If fleets
-        have different rows for the limit, the lowest rate applies: while a reload is rolled out, and permanently
-        if a fleet was left out of it."""
+        have different rows for the limit, the lowest rate applies: while a reload is rolled out, and
+        permanently if a fleet was left out of it."""
         lowest = min([self.limit.per_s, *(request.per_s for request in requests if request.per_s)])
         leasable = self.limit.leasable_per_s() * lowest / self.limit.per_s
         if self.limit.when_cut is PartitionPolicy.STRICT:
@@ -50,8 +49,8 @@
     ) -> dict[str, Lease]:
         """The leases to publish now, by holder; each is valid for `term_s`.
 
-        `term`: the current leadership term; a new one starts with an empty ledger. `due`: unchanged leases are
-        renewed too."""
+        `term`: the current leadership term; a new one starts with an empty ledger. `due`: unchanged leases
+        are renewed too."""
         if term != self.term:
             self.term, self.sequence, self.ledger = term, 0, LeaseLedger()
         for holder, request in requests.items():
--- a/flintlatch/limits/model.py
+++ b/flintlatch/limits/model.py
@@ -1,9 +1,9 @@
 """Messages about limits that members exchange, and their encoding. No I/O, no clock. Times are in seconds.
 
-The messages are soft-state entries of three topics, all PER_MEMBER (one entry from each member, the one with the
-highest epoch stands):
+The messages are soft-state entries of three topics, all PER_MEMBER (one entry from each member, the one with
+the highest epoch stands):
 
-    vote   subject "seat"            the member that this voter supports as lessor of the strict limits, and a term
+    vote   subject "seat"            the candidate for lessor of the strict limits, and a term
     ask    subject LIMIT             the demand of a fleet, and the lease that all its instances have applied
     grant  subject HOLDER LIMIT      the allocation of a holder, published by a lessor
 """
@@ -61,7 +61,8 @@
 
 
 class LeaseVersion(NamedTuple):
-    """Identifies a lease: the lessor's term (higher for each new lessor) and a sequence number in that term."""
+    """Identifies a lease: the lessor's term (higher for each new lessor) and a sequence number in that
+    term."""
 
     term: int
     sequence: int
--- a/flintlatch/limits/rows.py
+++ b/flintlatch/limits/rows.py
@@ -16,8 +16,8 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseSettings:
-    """`voters`: names of the fleets whose majority elects the lessor of the strict limits. `fleets`: number of
-    configured fleets; each of them gets a reserved allocation."""
+    """`voters`: names of the fleets whose majority elects the lessor of the strict limits. `fleets`: number
+    of configured fleets; each of them gets a reserved allocation."""
 
     voters: tuple[str, ...]
     fleets: int
@@ -29,8 +29,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Limit:
-    """A limit on admitted requests by tenant, by class, or both; an empty name matches all. All fleets have the
-    same rows."""
+    """A limit on admitted requests by tenant, by class, or both; an empty name matches all. All fleets have
+    the same rows."""
 
     name: str
     tenant: str
@@ -51,8 +51,8 @@
     def fallback_per_s(self, terms: LeaseSettings) -> float:
         """The rate of a fleet's instances while they receive nothing from their supervisor.
 
-        For an open limit it is the allocation of a fleet that is alone on its side of a partition. For a strict
-        limit it is 0, since another process may allocate the same capacity."""
+        For an open limit it is the allocation of a fleet that is alone on its side of a partition. For a
+        strict limit it is 0, since another process may allocate the same capacity."""
         if self.when_cut is PartitionPolicy.STRICT:
             return 0.0
         return min(self.per_s, self.per_s * terms.cut_factor / max(terms.fleets, 1))
--- a/flintlatch/limits/seat.py
+++ b/flintlatch/limits/seat.py
@@ -1,11 +1,10 @@
 """Leader election for the strict limits: the lessor is the member that a majority of the voters supports.
 
-A vote is a soft-state entry, so it expires: no member counts it past a stated time. A voter supports one member,
-and switches to another only once its last vote for the previous one has expired everywhere. Two members
-therefore never both hold valid votes of a majority, because a voter in both majorities would have voted for two.
-After a start a voter does not vote until every vote of its previous run has expired, so no vote has to be kept on
-disk.
-"""
+A vote is a soft-state entry, so it expires: no member counts it past a stated time. A voter supports one
+member, and switches to another only once its last vote for the previous one has expired everywhere. Two
+members therefore never both hold valid votes of a majority, because a voter in both majorities would have
+voted for two. After a start a voter does not vote until every vote of its previous run has expired, so no
+vote has to be kept on disk."""
 
 from __future__ import annotations
 
@@ -17,7 +16,8 @@
 
 
 def preferred_candidate(voters: Iterable[str], is_alive: Callable[[str], bool]) -> str:
-    """The live voter that ranks first by rendezvous hashing: the same in every view with the same live voters."""
+    """The live voter that ranks first by rendezvous hashing: the same in every view with the same live
+    voters."""
     return max(
         (voter for voter in voters if is_alive(voter)),
         key=lambda voter: (crc32(f"seat {voter}".encode()), voter),
@@ -43,7 +43,8 @@
         return len(self.terms.voters) // 2 + 1
 
     def vote(self, now: float, is_alive: Callable[[str], bool]) -> Vote | None:
-        """The vote to publish now; it is valid for `term_s`. None: publish nothing and let the last vote expire.
+        """The vote to publish now; it is valid for `term_s`. None: publish nothing and let the last vote
+        expire.
 
         The previous candidate is kept while it is alive, since each change of the lessor costs a term."""
         if not self.is_voter:
--- a/flintlatch/limits/split.py
+++ b/flintlatch/limits/split.py
@@ -1,4 +1,5 @@
-"""Distribution of one limit: the rate of each holder, so that the sum never exceeds the limit. No I/O, no clock.
+"""Distribution of one limit: the rate of each holder, so that the sum never exceeds the limit. No I/O, no
+clock.
 
 A holder may use its latest grant until that expires, and any earlier grant for as long as it may not have
 received the newer one. The amount in use by a holder is therefore at most the largest of its unexpired grants
@@ -77,7 +78,8 @@
     def distribute(
         self, now: float, capacity: float, demands: Mapping[str, float], spread: bool = True
     ) -> dict[str, float]:
-        """The new grant of each holder in `demands`. With all that is outstanding they stay within `capacity`."""
+        """The new grant of each holder in `demands`. With all that is outstanding they stay within
+        `capacity`."""
         for holder, holder_grants in list(self.by_holder.items()):
             holder_grants.prune(now)
             if not holder_grants.grants and holder not in demands:
@@ -97,7 +99,8 @@
         return amounts
 
     def is_negligible_change(self, now: float, holder: str, amount: float, capacity: float) -> bool:
-        """Whether `amount` is so close to the holder's latest grant that it can wait until the grant is due."""
+        """Whether `amount` is so close to the holder's latest grant that it can wait until the grant is
+        due."""
         holder_grants = self.by_holder.get(holder)
         return (
             holder_grants is not None
--- a/flintlatch/verdicts/api.py
+++ b/flintlatch/verdicts/api.py
@@ -3,4 +3,10 @@
 from flintlatch.verdicts.core import Ejection, EjectionDecision, decide_ejections, observation_topic
 from flintlatch.verdicts.rows import EjectionRules
 
-__all__ = ["SEEN", "Judgement", "Rules", "Verdict", "judge"]
+__all__ = [
+    "Ejection",
+    "EjectionDecision",
+    "EjectionRules",
+    "decide_ejections",
+    "observation_topic",
+]
--- a/tests/limits/explored.py
+++ b/tests/limits/explored.py
@@ -222,12 +222,12 @@
 
 
 def split_shape(split: LeaseLedger, now: float) -> Hashable:
-    def grants(one: Grant) -> Hashable:
+    def grant_shape(one: Grant) -> Hashable:
         return one.version, one.amount, one.expires_at - now
 
     return tuple(
         sorted(
-            (name, out.acknowledged, tuple(given(one) for one in out.grants if one.expires_at > now))
+            (name, out.acknowledged, tuple(grant_shape(one) for one in out.grants if one.expires_at > now))
             for name, out in split.by_holder.items()
         )
     )
