--- a/flintlatch/verdicts/__init__.py
+++ b/flintlatch/verdicts/__init__.py
@@ -1,4 +1,4 @@
-"""Verdicts that the whole fleet shares, and that no single voice can make. A core without I/O.
+"""Outlier ejection that all fleets share and that no single observer can cause. The core does no I/O.
 
-`api.py` says what others may call; `rows.py` is what the configuration needs, without any library.
+`api.py` is the public interface; `rows.py` holds the configuration type and imports no third-party library.
 """
--- a/flintlatch/verdicts/api.py
+++ b/flintlatch/verdicts/api.py
@@ -1,4 +1,4 @@
-"""What others may call of verdicts."""
+"""Public interface of the verdicts package: shared outlier detection."""
 
 from flintlatch.verdicts.core import Ejection, EjectionDecision, decide_ejections, observation_topic
 from flintlatch.verdicts.rows import EjectionRules
--- a/flintlatch/verdicts/core.py
+++ b/flintlatch/verdicts/core.py
@@ -1,9 +1,9 @@
-"""From what each fleet sees of servers to what all do about it. No I/O, no clock: what holds now goes in.
+"""Decides from the observations of all fleets which servers are ejected everywhere. No I/O, no clock.
 
-Voices are words of the topic `seen` (one of each fleet and server that it finds bad), so each ends by itself,
-and so does every verdict that rests on them. Everybody judges by the same rule on the words that it holds;
-nobody is asked, nobody leads, and a fleet that hears nothing is where it would be alone.
-"""
+Observations are soft-state entries of the topic `seen`, one for each pair of a fleet and a server that failed
+it. They expire, and so does every ejection that is based on them. Each fleet applies the same rule to the
+entries that it holds. There is no leader and no request to other fleets, and a fleet that receives nothing
+behaves as if it were alone."""
 
 from __future__ import annotations
 
@@ -14,103 +14,128 @@
 from flintlatch.peers import Merge, Topic
 from flintlatch.verdicts.rows import EjectionRules
 
-MOST_VOICES = 256  # servers that one fleet may call bad at once
-EACH_MOST = 3  # failures that one voice counts for: after so many it rests the server by itself
-LEAST_SERVERS = 3  # below so many a part says nothing of who is ill
+MAX_OBSERVATIONS = 256  # servers that one fleet may report at the same time
+MAX_COUNTED_FAILURES = (
+    3  # of one observer: after three failures it ejects the server locally and sees no more
+)
+MIN_SERVERS = 3  # with fewer servers, a reported fraction does not show that the observer is at fault
 
 
-def observation_topic(life_s: float) -> Topic:  # noqa: N802
-    """The topic of voices: subject a server, any value."""
+def observation_topic(ttl_s: float) -> Topic:
+    """The topic of observations. The subject is a server; any value is allowed."""
     return Topic(
-        "seen", Merge.PER_MEMBER, life_s, max_per_member=MOST_VOICES, max_entries=32 * MOST_VOICES, weight=2.0
+        "seen",
+        Merge.PER_MEMBER,
+        ttl_s,
+        max_per_member=MAX_OBSERVATIONS,
+        max_entries=32 * MAX_OBSERVATIONS,
+        weight=2.0,
     )
 
 
 @dataclass(frozen=True, slots=True)
 class Ejection:
     server: str
-    reporters: tuple[str, ...]  # fleets that say so, those that count
-    zone: str  # for the fleets of this zone alone: its way there, not the server; empty: for all
-    probers: tuple[str, ...]  # fleets that go on trying it: the rest hear
+    reporters: tuple[str, ...]  # fleets whose reports count
+    zone: str  # empty: for all fleets; otherwise only for this zone, whose path to the server fails
+    probers: tuple[str, ...]  # fleets that keep sending to the server; the others rely on their observations
 
 
 @dataclass(frozen=True, slots=True)
 class EjectionDecision:
     ejected: dict[str, Ejection] = field(default_factory=dict)
-    unreliable: frozenset[str] = frozenset()  # fleets whose own voices count for nothing
-    suppressed: int = 0  # servers that would be out and are all used again, since they are too many
+    unreliable: frozenset[str] = frozenset()  # fleets whose observations are ignored
+    suppressed: int = 0  # servers whose ejection was dropped because there were too many
 
     def ejected_for(self, fleet: str, zone: str) -> list[str]:
-        """Servers that this fleet leaves to others for now."""
+        """The servers that this fleet does not use for now."""
         return [
-            one.server
-            for one in self.ejected.values()
-            if fleet not in one.probers and fleet not in self.unreliable and one.zone in ("", zone)
+            ejection.server
+            for ejection in self.ejected.values()
+            if fleet not in ejection.probers and fleet not in self.unreliable and ejection.zone in ("", zone)
         ]
 
 
 def decide_ejections(
-    voices: Mapping[str, Mapping[str, int]],
-    good: Mapping[str, set[str]],
+    failures: Mapping[str, Mapping[str, int]],
+    successes: Mapping[str, set[str]],
     fleets: Mapping[str, str],
     servers: int,
     rules: EjectionRules,
 ) -> EjectionDecision:
-    """`voices`: by server the fleets that it failed, with how often in a row; `good`: those that it answered
-    a moment ago, of servers that somebody finds bad. Who says nothing does not use it. `fleets`: those that
-    are there, with their zones."""
-    bad: dict[str, int] = dict.fromkeys(fleets, 0)
-    for named in voices.values():
-        for fleet in named.keys() & fleets.keys():
-            bad[fleet] += 1
-    ill = frozenset(_ill(bad, servers, rules))
-    sound = {fleet: zone for fleet, zone in fleets.items() if fleet not in ill}
-    found: dict[str, Ejection] = {}
-    for server, named in sorted(voices.items()):
-        against = {fleet: count for fleet, count in sorted(named.items()) if fleet in sound}
-        verdict = _verdict(server, against, good.get(server, set()) & sound.keys(), sound, rules)
-        if verdict is not None:
-            found[server] = verdict
+    """Applies the rules to all current observations.
+
+    `failures`: consecutive failures by server and reporting fleet. `successes`: by reported server, the
+    fleets that got a response from it recently; a fleet in neither does not use the server. `fleets`: the
+    live fleets with their zones. `servers`: the number of all servers."""
+    reported: dict[str, int] = dict.fromkeys(fleets, 0)
+    for reports in failures.values():
+        for fleet in reports.keys() & fleets.keys():
+            reported[fleet] += 1
+    unreliable = frozenset(_unreliable_fleets(reported, servers, rules))
+    reliable = {fleet: zone for fleet, zone in fleets.items() if fleet not in unreliable}
+    ejected: dict[str, Ejection] = {}
+    for server, reports in sorted(failures.items()):
+        counted = {fleet: count for fleet, count in sorted(reports.items()) if fleet in reliable}
+        ejection = _ejection(server, counted, successes.get(server, set()) & reliable.keys(), reliable, rules)
+        if ejection is not None:
+            ejected[server] = ejection
     most = int(rules.most_out * servers)
-    if len(found) > most:
-        # So many at once are no matter of single servers: it is load, or something that all of us share.
-        return EjectionDecision({}, ill, len(found))
-    return EjectionDecision(found, ill, 0)
+    if len(ejected) > most:
+        # That many failing servers indicate overload or a shared cause, not faults of single servers.
+        return EjectionDecision({}, unreliable, len(ejected))
+    return EjectionDecision(ejected, unreliable, 0)
 
 
-def _ill(bad: Mapping[str, int], servers: int, rules: EjectionRules) -> list[str]:
-    """Those that find most servers bad while most others don't: what they reach is what ails them."""
-    if servers < LEAST_SERVERS:
+def _unreliable_fleets(reported: Mapping[str, int], servers: int, rules: EjectionRules) -> list[str]:
+    """The fleets that report most servers while most fleets do not: their own network path is at fault."""
+    if servers < MIN_SERVERS:
         return []
     most = rules.itself * servers
-    found = [fleet for fleet, count in bad.items() if count > most]
-    return found if 2 * len(found) < len(bad) else []
+    found = [fleet for fleet, count in reported.items() if count > most]
+    return found if 2 * len(found) < len(reported) else []
 
 
-def _verdict(
-    server: str, against: Mapping[str, int], good: set[str], sound: Mapping[str, str], rules: EjectionRules
+def _ejection(
+    server: str,
+    failures: Mapping[str, int],
+    successes: set[str],
+    reliable: Mapping[str, str],
+    rules: EjectionRules,
 ) -> Ejection | None:
-    """For all, if those that it fails are over twice those that it answers; else for the first zone by name
-    of which that holds: their way there."""
-    for zone in ("", *sorted({sound[fleet] for fleet in against})):
-        here = {fleet: n for fleet, n in against.items() if zone in ("", sound[fleet])}
-        fine = {fleet for fleet in good if zone in ("", sound[fleet])}
-        weight = sum(min(count, EACH_MOST) for count in here.values())
-        enough = max(rules.strikes, rules.part * len(sound))
-        if len(here) >= rules.quorum and weight >= enough and 2 * len(fine) < len(here):
-            those = [fleet for fleet, where in sound.items() if zone in ("", where)]
-            return Ejection(server, tuple(here), zone, turns(server, list(here), those, rules.quorum + 1))
+    """Ejects the server for all fleets if more than twice as many fleets report failures as successes.
+
+    Otherwise ejects it for the first zone, by name, of which that is true: the path from that zone fails."""
+    for zone in ("", *sorted({reliable[fleet] for fleet in failures})):
+        zone_failures = {fleet: n for fleet, n in failures.items() if zone in ("", reliable[fleet])}
+        zone_successes = {fleet for fleet in successes if zone in ("", reliable[fleet])}
+        weight = sum(min(count, MAX_COUNTED_FAILURES) for count in zone_failures.values())
+        required = max(rules.strikes, rules.part * len(reliable))
+        if (
+            len(zone_failures) >= rules.quorum
+            and weight >= required
+            and 2 * len(zone_successes) < len(zone_failures)
+        ):
+            candidates = [fleet for fleet, fleet_zone in reliable.items() if zone in ("", fleet_zone)]
+            return Ejection(
+                server,
+                tuple(zone_failures),
+                zone,
+                choose_probers(server, list(zone_failures), candidates, rules.quorum + 1),
+            )
     return None
 
 
-def turns(server: str, users: list[str], those: list[str], most: int) -> tuple[str, ...]:
-    """Who goes on trying it: of those that use it one more than a verdict needs, so that one may die; others
-    fill up where they are fewer. By rendezvous: the same wherever the same is heard, and few change as fleets
-    come and go."""
+def choose_probers(server: str, users: list[str], candidates: list[str], count: int) -> tuple[str, ...]:
+    """The fleets that keep sending requests to an ejected server.
+
+    They are one more than the quorum, so that one may fail: first fleets that use the server, then other
+    candidates. Rendezvous hashing gives the same result in every fleet with the same observations, and few
+    probers change when fleets join or leave."""
 
     def rank(fleet: str) -> tuple[int, str]:
         return crc32(f"{server} {fleet}".encode()), fleet
 
     ranked = sorted(users, key=rank, reverse=True)
-    ranked += sorted(set(those) - set(users), key=rank, reverse=True)
-    return tuple(sorted(ranked[:most]))
+    ranked += sorted(set(candidates) - set(users), key=rank, reverse=True)
+    return tuple(sorted(ranked[:count]))
--- a/tests/verdicts/test_core.py
+++ b/tests/verdicts/test_core.py
@@ -8,7 +8,7 @@
 from flintlatch.api import Proxies, Result, Shun
 from flintlatch.fleet.heard import Heard
 from flintlatch.verdicts.api import EjectionRules, decide_ejections
-from flintlatch.verdicts.core import EACH_MOST
+from flintlatch.verdicts.core import MAX_COUNTED_FAILURES
 from tests.support import Driver, fleet
 from tests.support import settings as module_settings
 
@@ -90,7 +90,7 @@
     for server, verdict in found.ejected.items():
         others = {f: n for f, n in said[server].items() if f != liar}
         assert others, server
-        weight = sum(min(said[server][fleet], EACH_MOST) for fleet in verdict.reporters)
+        weight = sum(min(said[server][fleet], MAX_COUNTED_FAILURES) for fleet in verdict.reporters)
         assert len(verdict.reporters) >= RULES.quorum and weight >= RULES.strikes
     assert len(found.ejected) <= RULES.most_out * 8
 
