--- a/flintlatch/limits/holder.py
+++ b/flintlatch/limits/holder.py
@@ -15,9 +15,7 @@
 
 DEMAND_FALL_WEIGHT = 0.5  # of a new sample in the smoothed demand when it falls; a rise counts at once
 DEMAND_HEADROOM = 1.15  # factor on the demand, for growth until the next request
-IDLE_DEMAND_FRACTION = (
-    0.02  # of the limit, requested by all idle holders together so that a first request is quick
-)
+IDLE_DEMAND_FRACTION = 0.02  # of the limit, for all idle holders together: their next request must not wait
 
 
 @dataclass(frozen=True, slots=True)
--- a/flintlatch/limits/rows.py
+++ b/flintlatch/limits/rows.py
@@ -22,9 +22,7 @@
     voters: tuple[str, ...]
     fleets: int
     term_s: float = 2.0  # validity of a lease and of a vote
-    cut_factor: float = (
-        2.0  # factor by which an open limit may be exceeded, however the network is partitioned
-    )
+    cut_factor: float = 2.0  # by which an open limit may be exceeded, however the network is partitioned
 
 
 @dataclass(frozen=True, slots=True)
--- a/flintlatch/limits/split.py
+++ b/flintlatch/limits/split.py
@@ -15,9 +15,7 @@
 
 from flintlatch.limits.model import NO_VERSION, LeaseVersion
 
-NEGLIGIBLE_FRACTION = (
-    0.02  # of the limit: a smaller change of a grant waits until the grant is due for renewal
-)
+NEGLIGIBLE_FRACTION = 0.02  # of the limit: a smaller change waits until the grant is due for renewal
 EPSILON = 1e-9
 
 
--- a/flintlatch/verdicts/core.py
+++ b/flintlatch/verdicts/core.py
@@ -15,9 +15,7 @@
 from flintlatch.verdicts.rows import EjectionRules
 
 MAX_OBSERVATIONS = 256  # servers that one fleet may report at the same time
-MAX_COUNTED_FAILURES = (
-    3  # of one observer: after three failures it ejects the server locally and sees no more
-)
+MAX_COUNTED_FAILURES = 3  # per observer: after three it ejects the server locally and sends it no more
 MIN_SERVERS = 3  # with fewer servers, a reported fraction does not show that the observer is at fault
 
 
