--- a/flintlatch/lab/members.py
+++ b/flintlatch/lab/members.py
@@ -135,7 +135,7 @@
             elif isinstance(action, Changed):
                 self.changed(name, self.engine.now, action)
             elif isinstance(action, EntriesReceived):
-                self.news(name, self.engine.now, action.words)
+                self.news(name, self.engine.now, action.entries)
 
     def agreed(self, names: list[str]) -> bool:
         """Whether all of these hold the same to be there, and it is these."""
--- a/flintlatch/peers/member.py
+++ b/flintlatch/peers/member.py
@@ -50,7 +50,7 @@
     clock: float  # its sender's, s
     digest: int  # of the view that its sender holds, 0 if it has joined nobody yet
     message: Message
-    words: tuple[Entry, ...] = ()
+    entries: tuple[Entry, ...] = ()
 
 
 class SyncMessage(NamedTuple):
@@ -65,7 +65,7 @@
     digest: int
     mark: int  # of all that its sender holds of those who count; 0 before anybody was met
     records: tuple[Record, ...] = ()
-    words: tuple[Entry, ...] = ()
+    entries: tuple[Entry, ...] = ()
 
 
 class DatagramReceived(NamedTuple):
@@ -84,7 +84,7 @@
 class EntriesReceived(NamedTuple):
     """Words that were not known before, for whoever reads their topics."""
 
-    words: tuple[Entry, ...]
+    entries: tuple[Entry, ...]
 
 
 Event = Tick | DatagramReceived | Leave | Altered
@@ -149,7 +149,7 @@
         self._note(now, envelope, answer)
         address = envelope.address
         actions = self._carry(now, self.peers.step(now, Received(address, message)))
-        return actions + self._hear(now, sent, envelope.words)
+        return actions + self._hear(now, sent, envelope.entries)
 
     def _stranger(self, now: float, envelope: Envelope) -> list[Action]:
         """It is answered, so that it can find out that we live, and asked whether it does."""
@@ -271,7 +271,7 @@
         if whole.sender in self.peers.view and whole.sender != self.me.name:
             contact = self.contacts.setdefault(whole.sender, Contact())
             contact.received_at, contact.digest, contact.clock = now, whole.digest, whole.clock
-        return actions + self._hear(now, asked, whole.words)
+        return actions + self._hear(now, asked, whole.entries)
 
     # What is told
 
--- a/flintlatch/peers/shell.py
+++ b/flintlatch/peers/shell.py
@@ -203,7 +203,7 @@
             elif isinstance(action, Changed):
                 self.on_view(action.view)
             elif isinstance(action, EntriesReceived):
-                self.on_news(action.words)
+                self.on_news(action.entries)
             elif isinstance(action, Told):
                 self.on_told(action.text)
 
--- a/flintlatch/peers/wire.py
+++ b/flintlatch/peers/wire.py
@@ -50,7 +50,7 @@
     number: int
     target: str
     gossip: list[_Record] = []
-    words: list[_Word] = []
+    entries: list[_Word] = []
 
 
 class _Whole(msgspec.Struct, array_like=True):
@@ -62,7 +62,7 @@
     digest: int
     mark: int
     records: list[_Record] = []
-    words: list[_Word] = []
+    entries: list[_Word] = []
 
 
 _encoder = msgspec.msgpack.Encoder()
@@ -114,7 +114,7 @@
             message.number,
             message.target,
             _packed_records(message.gossip),
-            _packed_words(envelope.words),
+            _packed_words(envelope.entries),
         )
     )
 
@@ -127,12 +127,12 @@
         raise Unreadable(str(error)) from None
     message = Message(KINDS.get(row.kind, Kind.GOSSIP), row.number, row.target, _records(row.gossip))
     return Envelope(
-        row.sender, row.address, run_id, number, row.clock, row.digest, message, _words(row.words)
+        row.sender, row.address, run_id, number, row.clock, row.digest, message, _words(row.entries)
     )
 
 
 def pack_sync(whole: SyncMessage) -> bytes:
-    return _encoder.encode(_Whole(*whole[:7], _packed_records(whole.records), _packed_words(whole.words)))
+    return _encoder.encode(_Whole(*whole[:7], _packed_records(whole.records), _packed_words(whole.entries)))
 
 
 def unpack_sync(data: bytes) -> SyncMessage:
@@ -142,4 +142,4 @@
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise Unreadable(str(error)) from None
     head = (row.sender, row.address, row.run_id, row.number, row.clock, row.digest, row.mark)
-    return SyncMessage(*head, _records(row.records), _words(row.words))
+    return SyncMessage(*head, _records(row.records), _words(row.entries))
