--- a/flintlatch/peers/__init__.py
+++ b/flintlatch/peers/__init__.py
@@ -9,17 +9,17 @@
 from flintlatch.peers.census import Census, CensusView, FleetPosition
 from flintlatch.peers.core import (
     Action,
-    Altered,
     Changed,
     Event,
+    InstancesChanged,
     Leave,
+    LogLine,
     Peers,
     Received,
     Send,
     Sync,
     Synced,
     Tick,
-    Told,
 )
 from flintlatch.peers.member import (
     DatagramReceived,
@@ -29,12 +29,11 @@
     SendDatagram,
     SyncMessage,
 )
-from flintlatch.peers.model import Kind, Malformed, Message, Record, Rules, State, View, check
-from flintlatch.peers.words import Entry, EntryStore, Merge, Said, Topic
+from flintlatch.peers.model import Kind, Malformed, Message, Record, Rules, State, View, check_record
+from flintlatch.peers.words import Entry, EntryStore, Merge, PublishedEntry, Topic
 
 __all__ = [
     "Action",
-    "Altered",
     "Census",
     "CensusView",
     "Changed",
@@ -45,17 +44,19 @@
     "Envelope",
     "Event",
     "FleetPosition",
+    "InstancesChanged",
     "Kind",
     "Leave",
+    "LogLine",
     "Malformed",
     "Member",
     "Merge",
     "Message",
     "Peers",
+    "PublishedEntry",
     "Received",
     "Record",
     "Rules",
-    "Said",
     "Send",
     "SendDatagram",
     "State",
@@ -63,8 +64,7 @@
     "SyncMessage",
     "Synced",
     "Tick",
-    "Told",
     "Topic",
     "View",
-    "check",
+    "check_record",
 ]
--- a/flintlatch/peers/census.py
+++ b/flintlatch/peers/census.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-FALL = 0.1  # of the number, each second, once nothing is in doubt: no step that all take together
+FALL_PER_S = 0.1  # of the number, each second, once nothing is in doubt: no step that all take together
 
 
 class FleetPosition(NamedTuple):
@@ -34,32 +34,32 @@
 
     def __init__(self, own: int, configured: int, hold_s: float, now: float) -> None:
         self.own, self.hold_s = own, hold_s
-        self.level = float(max(configured, own))  # believed
-        self.doubt_until = now + hold_s
-        self.at = now
-        self.sights: deque[tuple[float, int]] = deque()  # (when, number), falling: a maximum over hold_s
-        self.sight = CensusView(own, 0, True)
+        self.estimate = float(max(configured, own))  # believed
+        self.hold_until = now + hold_s
+        self.updated_at = now
+        self.history: deque[tuple[float, int]] = deque()  # (when, number), falling: a maximum over hold_s
+        self.view = CensusView(own, 0, True)
 
     def update(self, now: float, sight: CensusView) -> None:
         self.read(now)
-        if sight.uncertain or sight.instances < self.sight.instances:
-            self.doubt_until = now + self.hold_s
-        self.sight = sight
-        while self.sights and self.sights[-1][1] <= sight.instances:
-            self.sights.pop()
-        self.sights.append((now, sight.instances))
-        self.level = max(self.level, float(sight.instances))
+        if sight.uncertain or sight.instances < self.view.instances:
+            self.hold_until = now + self.hold_s
+        self.view = sight
+        while self.history and self.history[-1][1] <= sight.instances:
+            self.history.pop()
+        self.history.append((now, sight.instances))
+        self.estimate = max(self.estimate, float(sight.instances))
 
     def read(self, now: float) -> FleetPosition:
-        while len(self.sights) > 1 and self.sights[1][0] <= now - self.hold_s:
-            self.sights.popleft()
-        target = max([self.sight.instances, self.own, *(n for _, n in self.sights)])
-        calm = now - max(self.at, self.doubt_until)
-        if self.level > target and calm > 0:
-            self.level = max(float(target), self.level * (1 - FALL) ** calm)
-        self.at = now
-        proxies = max(round(self.level), target)
-        return FleetPosition(proxies, min(self.sight.before, proxies - self.own))
+        while len(self.history) > 1 and self.history[1][0] <= now - self.hold_s:
+            self.history.popleft()
+        target = max([self.view.instances, self.own, *(n for _, n in self.history)])
+        calm = now - max(self.updated_at, self.hold_until)
+        if self.estimate > target and calm > 0:
+            self.estimate = max(float(target), self.estimate * (1 - FALL_PER_S) ** calm)
+        self.updated_at = now
+        proxies = max(round(self.estimate), target)
+        return FleetPosition(proxies, min(self.view.before, proxies - self.own))
 
     @staticmethod
     def overcount_bound_s(detection_s: float, hold_s: float) -> float:
--- a/flintlatch/peers/guard.py
+++ b/flintlatch/peers/guard.py
@@ -17,87 +17,91 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from flintlatch.peers.words import SHRINK
+from flintlatch.peers.words import HOP_TTL_FACTOR
 
-WINDOW = 1024  # numbers behind the highest that may still come: reordering on a link, not a replay
-ASKED_MOST = 512  # questions remembered: probes and helpers' probes of some seconds
-LIVES_MOST = 8192  # lives known: twice the most members, restarts included
+REPLAY_WINDOW = 1024  # numbers behind the highest that may still come: reordering on a link, not a replay
+MAX_PROBE_TIMES = 512  # questions remembered: probes and helpers' probes of some seconds
+MAX_SENDERS = 8192  # lives known: twice the most members, restarts included
 
 
 class Trust(Enum):
-    PROVEN = "proven"
-    UNKNOWN = "unknown"  # answered and asked back; what it tells is not believed
+    VERIFIED = "proven"
+    UNVERIFIED = "unknown"  # answered and asked back; what it tells is not believed
     REPLAY = "replay"  # dropped
 
 
 @dataclass(slots=True)
-class Life:
+class SenderState:
     highest: int
-    seen: int  # bit n: highest - n has come
-    theirs: float = 0.0  # a stamp of its clock ...
-    ours: float = 0.0  # ... and a moment of ours no later than that
+    received_bits: int  # bit n: highest - n has come
+    remote_time: float = 0.0  # a stamp of its clock ...
+    local_time: float = 0.0  # ... and a moment of ours no later than that
 
     def accept_number(self, number: int) -> bool:
         """Whether this number comes for the first time, and not from too far back."""
         ahead = number - self.highest
         if ahead > 0:
-            self.seen = ((self.seen << ahead) | 1) & ((1 << WINDOW) - 1) if ahead < WINDOW else 1
+            self.received_bits = (
+                ((self.received_bits << ahead) | 1) & ((1 << REPLAY_WINDOW) - 1)
+                if ahead < REPLAY_WINDOW
+                else 1
+            )
             self.highest = number
             return True
-        if -ahead >= WINDOW or self.seen >> -ahead & 1:
+        if -ahead >= REPLAY_WINDOW or self.received_bits >> -ahead & 1:
             return False
-        self.seen |= 1 << -ahead
+        self.received_bits |= 1 << -ahead
         return True
 
-    def sent(self, stamp: float) -> float:
+    def earliest_send_time(self, stamp: float) -> float:
         """A moment of our clock no later than that of its stamp, for clocks whose rates are within DRIFT."""
-        ahead = stamp - self.theirs
-        return self.ours + (ahead * SHRINK if ahead >= 0 else ahead / SHRINK)
+        ahead = stamp - self.remote_time
+        return self.local_time + (ahead * HOP_TTL_FACTOR if ahead >= 0 else ahead / HOP_TTL_FACTOR)
 
-    def bind(self, stamp: float, asked: float) -> None:
-        if not self.ours or asked > self.sent(stamp):
-            self.theirs, self.ours = stamp, asked
+    def bind_clock(self, stamp: float, asked: float) -> None:
+        if not self.local_time or asked > self.earliest_send_time(stamp):
+            self.remote_time, self.local_time = stamp, asked
 
 
-class Guard:
+class ReplayGuard:
     def __init__(self) -> None:
-        self.senders: OrderedDict[int, Life] = OrderedDict()
-        self.asked: OrderedDict[int, float] = (
+        self.senders: OrderedDict[int, SenderState] = OrderedDict()
+        self.probe_times: OrderedDict[int, float] = (
             OrderedDict()
         )  # numbers of questions: when they were first asked
         self.replays = self.unverified = 0
 
-    def ask(self, number: int, now: float) -> None:
-        self.asked.setdefault(number, now)
-        while len(self.asked) > ASKED_MOST:
-            self.asked.popitem(last=False)
+    def record_probe(self, number: int, now: float) -> None:
+        self.probe_times.setdefault(number, now)
+        while len(self.probe_times) > MAX_PROBE_TIMES:
+            self.probe_times.popitem(last=False)
 
     def mark_verified(self, run_id: int, number: int, stamp: float, asked: float) -> None:
         """It answered, on a stream of its own, what we asked at `asked`. Numbers go on from `number`."""
         known = self.senders.get(run_id)
         if known is None:
-            known = self.senders[run_id] = Life(number, 1)
-            while len(self.senders) > LIVES_MOST:
+            known = self.senders[run_id] = SenderState(number, 1)
+            while len(self.senders) > MAX_SENDERS:
                 self.senders.popitem(last=False)
-        known.bind(stamp, asked)
+        known.bind_clock(stamp, asked)
         self.senders.move_to_end(run_id)
 
-    def hear(self, run_id: int, number: int, stamp: float, answer: int | None) -> tuple[Trust, float]:
+    def verify(self, run_id: int, number: int, stamp: float, answer: int | None) -> tuple[Trust, float]:
         """A datagram, and a moment of our clock no later than its sending. `answer`: the number of the
         question that it answers, if it does."""
-        asked = self.asked.get(answer) if answer is not None else None
+        asked = self.probe_times.get(answer) if answer is not None else None
         known = self.senders.get(run_id)
         if known is None and asked is None:
             self.unverified += 1
-            return Trust.UNKNOWN, 0.0
+            return Trust.UNVERIFIED, 0.0
         if known is not None and not known.accept_number(number):
             self.replays += 1
             return Trust.REPLAY, 0.0
         if asked is not None:
             self.mark_verified(run_id, number, stamp, asked)
         known = self.senders[run_id]
-        return Trust.PROVEN, known.sent(stamp)
+        return Trust.VERIFIED, known.earliest_send_time(stamp)
 
-    def forget(self) -> None:
+    def clear(self) -> None:
         self.senders.clear()
-        self.asked.clear()
+        self.probe_times.clear()
--- a/flintlatch/peers/model.py
+++ b/flintlatch/peers/model.py
@@ -14,9 +14,9 @@
 
 from rpds import HashTrieMap
 
-INCARNATION_MOST = 2**31  # a record at or beyond it is no record: nobody could refute it
-NAME_MOST, ADDRESS_MOST, ZONE_MOST = 64, 64, 32  # characters
-INSTANCES_MOST = 10_000  # of one fleet
+MAX_INCARNATION = 2**31  # a record at or beyond it is no record: nobody could refute it
+MAX_NAME_CHARS, MAX_ADDRESS_CHARS, MAX_ZONE_CHARS = 64, 64, 32  # characters
+MAX_INSTANCES = 10_000  # of one fleet
 
 
 class RandomSource(Protocol):
@@ -49,9 +49,9 @@
     instances: int = 1
     zone: str = ""
     region: str = ""
-    accuser: str = ""  # who suspects it: independent voices shorten the wait
+    reporter: str = ""  # who suspects it: independent voices shorten the wait
 
-    def beats(self, other: Record | None) -> bool:
+    def supersedes(self, other: Record | None) -> bool:
         """Whether it replaces what is known. The same words in any order lead to the same record."""
         if other is None:
             return True
@@ -59,7 +59,7 @@
 
     def encoded_bytes(self) -> int:
         """Bytes that it takes in a datagram, at the most."""
-        texts = (self.name, self.address, self.zone, self.region, self.accuser)
+        texts = (self.name, self.address, self.zone, self.region, self.reporter)
         return 32 + sum(len(text.encode()) + 2 for text in texts)
 
 
@@ -67,22 +67,22 @@
     """A record that nobody can have meant: which field, what came, what was expected."""
 
 
-def check(record: Record) -> None:
+def check_record(record: Record) -> None:
     """Raises Malformed."""
     for field, value, most in (
-        ("name", record.name, NAME_MOST),
-        ("address", record.address, ADDRESS_MOST),
-        ("zone", record.zone, ZONE_MOST),
-        ("region", record.region, ZONE_MOST),
-        ("accuser", record.accuser, NAME_MOST),
+        ("name", record.name, MAX_NAME_CHARS),
+        ("address", record.address, MAX_ADDRESS_CHARS),
+        ("zone", record.zone, MAX_ZONE_CHARS),
+        ("region", record.region, MAX_ZONE_CHARS),
+        ("reporter", record.reporter, MAX_NAME_CHARS),
     ):
         least = 1 if field in ("name", "address") else 0
         if not least <= len(value) <= most:
             raise Malformed(f"{field}: {len(value)} characters, expected {least} to {most}")
-    if not 0 <= record.incarnation < INCARNATION_MOST:
-        raise Malformed(f"incarnation: {record.incarnation}, expected 0 to {INCARNATION_MOST - 1}")
-    if not 0 <= record.instances <= INSTANCES_MOST:
-        raise Malformed(f"instances: {record.instances}, expected 0 to {INSTANCES_MOST}")
+    if not 0 <= record.incarnation < MAX_INCARNATION:
+        raise Malformed(f"incarnation: {record.incarnation}, expected 0 to {MAX_INCARNATION - 1}")
+    if not 0 <= record.instances <= MAX_INSTANCES:
+        raise Malformed(f"instances: {record.instances}, expected 0 to {MAX_INSTANCES}")
 
 
 class Kind(IntEnum):
@@ -100,7 +100,7 @@
     gossip: tuple[Record, ...] = ()
 
 
-def tenfolds(members: int) -> float:
+def log_scale(members: int) -> float:
     """The decimal logarithm of the number of members, at least one: what grows with a fleet grows by it."""
     return max(1.0, log10(max(members, 1)))
 
@@ -116,24 +116,31 @@
     ack_s: float = 0.3  # a direct probe's answer is waited for so long before others are asked
     helpers: int = 3  # members asked to probe for us
     suspicion: float = 4.0  # least time under suspicion, in periods, times the tenfolds of members
-    suspicion_most: float = 6.0  # the longest, with nobody else suspecting, as a multiple of the least
+    suspicion_max_factor: float = 6.0  # the longest, with nobody else suspecting, as a multiple of the least
     confirmations: int = 3  # independent accusers after which the least time holds
     retransmit: int = 4  # each word is passed on so many times, times the tenfolds of members
-    gossip_most: int = 12  # records in one datagram
-    gossip_bytes: int = 800  # that they may take: of 1,400 the rest is for words, head and seal
-    health_most: int = 8  # steps by which a member that doubts itself slows down
+    max_gossip_records: int = 12  # records in one datagram
+    max_gossip_bytes: int = 800  # that they may take: of 1,400 the rest is for words, head and seal
+    max_health: int = 8  # steps by which a member that doubts itself slows down
     sync_s: float = 20.0  # between two whole exchanges with some member
     forget_s: float = 120.0  # the dead and those who left are kept for so long
-    most_members: int = 4096  # names beyond it are not taken up
-    leap: int = 1000  # incarnations by which one word may go beyond what is known
+    max_members: int = 4096  # names beyond it are not taken up
+    max_incarnation_step: int = 1000  # incarnations by which one word may go beyond what is known
 
     def __post_init__(self) -> None:
         if not 0 < self.ack_s < self.period_s:
             raise ValueError(f"ack_s is {self.ack_s}, expected above 0 and below period_s ({self.period_s})")
-        for name in ("helpers", "confirmations", "retransmit", "gossip_most", "most_members", "leap"):
+        for name in (
+            "helpers",
+            "confirmations",
+            "retransmit",
+            "max_gossip_records",
+            "max_members",
+            "max_incarnation_step",
+        ):
             if getattr(self, name) < 1:
                 raise ValueError(f"{name} is {getattr(self, name)}, expected at least 1")
-        if not (self.suspicion > 0 and self.suspicion_most >= 1 and self.sync_s > 0):
+        if not (self.suspicion > 0 and self.suspicion_max_factor >= 1 and self.sync_s > 0):
             raise ValueError("suspicion and sync_s are expected above 0, suspicion_most at least 1")
         if self.forget_s <= 2 * self.sync_s:
             raise ValueError("forget_s is expected above twice sync_s: a late word would bring back the dead")
--- a/flintlatch/peers/seal.py
+++ b/flintlatch/peers/seal.py
@@ -22,12 +22,12 @@
 from cryptography.hazmat.primitives.kdf.hkdf import HKDF
 
 VERSION = 1
-HEAD = struct.Struct(">B4sQQ")
+DATAGRAM_HEADER = struct.Struct(">B4sQQ")
 NONCE_BYTES = 16  # that each side of a stream draws
 HELLO = struct.Struct(f">B4s{NONCE_BYTES}s")
-MOST_KEYS = 2
-CIPHERS_KEPT = 8192  # derived keys of lives that have shown to have the shared one
-KEY = re.compile(r"[0-9a-fA-F]{64}")
+MAX_KEYS = 2
+MAX_CACHED_CIPHERS = 8192  # derived keys of lives that have shown to have the shared one
+KEY_LINE = re.compile(r"[0-9a-fA-F]{64}")
 
 
 class AuthenticationFailed(Exception):
@@ -45,12 +45,12 @@
     for place, line in enumerate(lines, 1):
         if not line or line.startswith("#"):
             continue
-        if not KEY.fullmatch(line):
+        if not KEY_LINE.fullmatch(line):
             raise InvalidKeyFile(f"{path}: line {place}: expected 64 hexadecimal digits")
         keys.append(bytes.fromhex(line))
-    if not 1 <= len(keys) <= MOST_KEYS:
+    if not 1 <= len(keys) <= MAX_KEYS:
         raise InvalidKeyFile(
-            f"{path}: {len(keys)} keys, expected 1, or {MOST_KEYS} while one replaces the other"
+            f"{path}: {len(keys)} keys, expected 1, or {MAX_KEYS} while one replaces the other"
         )
     return tuple(keys)
 
@@ -66,35 +66,37 @@
 class Seal:
     def __init__(self, keys: tuple[bytes, ...], run_id: int) -> None:
         self.run_id = run_id
-        self.change(keys)
+        self.set_keys(keys)
 
-    def change(self, keys: tuple[bytes, ...]) -> None:
+    def set_keys(self, keys: tuple[bytes, ...]) -> None:
         self.keys = {key_id(key): key for key in keys}
-        self.first = key_id(keys[0])
-        self.mine = derive(keys[0], self.run_id.to_bytes(8, "big"), b"datagram")
-        self.theirs: OrderedDict[tuple[bytes, int], ChaCha20Poly1305] = OrderedDict()
+        self.active_key_id = key_id(keys[0])
+        self.send_cipher = derive(keys[0], self.run_id.to_bytes(8, "big"), b"datagram")
+        self.receive_ciphers: OrderedDict[tuple[bytes, int], ChaCha20Poly1305] = OrderedDict()
 
     def encrypt(self, number: int, plain: bytes) -> bytes:
-        head = HEAD.pack(VERSION, self.first, self.run_id, number)
-        return head + self.mine.encrypt(number.to_bytes(12, "big"), plain, head)
+        head = DATAGRAM_HEADER.pack(VERSION, self.active_key_id, self.run_id, number)
+        return head + self.send_cipher.encrypt(number.to_bytes(12, "big"), plain, head)
 
     def decrypt(self, data: bytes) -> tuple[int, int, bytes]:
         """Life, number, what was sealed. Raises AuthenticationFailed."""
-        if len(data) < HEAD.size + 16:
+        if len(data) < DATAGRAM_HEADER.size + 16:
             raise AuthenticationFailed("too short")
-        head = data[: HEAD.size]
-        version, name, run_id, number = HEAD.unpack(head)
+        head = data[: DATAGRAM_HEADER.size]
+        version, name, run_id, number = DATAGRAM_HEADER.unpack(head)
         key = self.keys.get(name)
         if version != VERSION or key is None:
             raise AuthenticationFailed("another version or key")
-        cipher = self.theirs.get((name, run_id)) or derive(key, run_id.to_bytes(8, "big"), b"datagram")
+        cipher = self.receive_ciphers.get((name, run_id)) or derive(
+            key, run_id.to_bytes(8, "big"), b"datagram"
+        )
         try:
-            plain = cipher.decrypt(number.to_bytes(12, "big"), data[HEAD.size :], head)
+            plain = cipher.decrypt(number.to_bytes(12, "big"), data[DATAGRAM_HEADER.size :], head)
         except InvalidTag:
             raise AuthenticationFailed("changed on its way, or forged") from None
-        self.theirs[name, run_id] = cipher
-        if len(self.theirs) > CIPHERS_KEPT:
-            self.theirs.popitem(last=False)
+        self.receive_ciphers[name, run_id] = cipher
+        if len(self.receive_ciphers) > MAX_CACHED_CIPHERS:
+            self.receive_ciphers.popitem(last=False)
         return run_id, number, plain
 
 
@@ -103,17 +105,17 @@
 
     def __init__(self, key: bytes, asker: bytes, asked: bytes, asks: bool) -> None:
         ways = derive(key, asker + asked, b"asker"), derive(key, asker + asked, b"asked")
-        self.mine, self.theirs = ways if asks else ways[::-1]
-        self.sent = self.got = 0
+        self.send_cipher, self.receive_cipher = ways if asks else ways[::-1]
+        self.frames_sent = self.frames_received = 0
 
     def encrypt(self, plain: bytes) -> bytes:
-        self.sent += 1
-        return self.mine.encrypt(self.sent.to_bytes(12, "big"), plain, None)
+        self.frames_sent += 1
+        return self.send_cipher.encrypt(self.frames_sent.to_bytes(12, "big"), plain, None)
 
     def decrypt(self, data: bytes) -> bytes:
         """Raises AuthenticationFailed."""
-        self.got += 1
+        self.frames_received += 1
         try:
-            return self.theirs.decrypt(self.got.to_bytes(12, "big"), data, None)
+            return self.receive_cipher.decrypt(self.frames_received.to_bytes(12, "big"), data, None)
         except InvalidTag:
             raise AuthenticationFailed("changed on its way, or forged") from None
--- a/flintlatch/peers/shell.py
+++ b/flintlatch/peers/shell.py
@@ -16,12 +16,12 @@
 from typing import Any
 
 from flintlatch.peers.clock import clock
-from flintlatch.peers.core import Altered, Changed, Leave, Sync, Tick, Told
+from flintlatch.peers.core import Changed, InstancesChanged, Leave, LogLine, Sync, Tick
 from flintlatch.peers.member import Action, DatagramReceived, EntriesReceived, Event, Member, SendDatagram
 from flintlatch.peers.model import Record, Rules, State, View
 from flintlatch.peers.seal import HELLO, NONCE_BYTES, VERSION, AuthenticationFailed, Seal, StreamSeal
 from flintlatch.peers.wire import (
-    Unreadable,
+    DecodeError,
     pack,
     pack_sync,
     unpack,
@@ -29,14 +29,16 @@
 )
 from flintlatch.peers.words import Entry, Topic
 
-DATAGRAM_MOST = 1400  # bytes: under every usual link's, so that none is cut into fragments
-A_TICK = 1000  # datagrams opened between two ticks: 10,000 a second, some tenths of a core
-STREAM_S = 5.0  # of one exchange of whole views; what lies in buffers for longer is not read
-STREAMS_IN, STREAMS_OUT = 32, 4  # at once
-FRAME_MOST = 8 * 1024 * 1024  # bytes: the most members and all their words
-BUFFER = 1024 * 1024  # bytes that the kernel may keep for us: what comes in a long turn of the loop
-BIND_TRIES = 20  # ports tried for one that is free for both
-LENGTH = struct.Struct(">I")
+MAX_DATAGRAM_BYTES = 1400  # bytes: under every usual link's, so that none is cut into fragments
+MAX_DATAGRAMS_PER_TICK = 1000  # datagrams opened between two ticks: 10,000 a second, some tenths of a core
+STREAM_TIMEOUT_S = 5.0  # of one exchange of whole views; what lies in buffers for longer is not read
+MAX_INBOUND_STREAMS, MAX_OUTBOUND_STREAMS = 32, 4  # at once
+MAX_FRAME_BYTES = 8 * 1024 * 1024  # bytes: the most members and all their words
+RECEIVE_BUFFER_BYTES = (
+    1024 * 1024
+)  # bytes that the kernel may keep for us: what comes in a long turn of the loop
+BIND_ATTEMPTS = 20  # ports tried for one that is free for both
+FRAME_LENGTH = struct.Struct(">I")
 
 
 class BindError(Exception):
@@ -85,13 +87,13 @@
     host, port = split_address(address)
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     error: OSError | None = None
-    for _ in range(1 if port else BIND_TRIES):
+    for _ in range(1 if port else BIND_ATTEMPTS):
         stream, datagram = socket.socket(family), socket.socket(family, socket.SOCK_DGRAM)
         try:
             stream.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             stream.bind((host, port))
             datagram.bind((host, stream.getsockname()[1]))
-            datagram.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, BUFFER)
+            datagram.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
             stream.setblocking(False)
             datagram.setblocking(False)
             return datagram, stream
@@ -110,11 +112,11 @@
         options: Options,
         topics: Iterable[Topic],
         on_view: Callable[[View], None],
-        on_news: Callable[[tuple[Entry, ...]], None],
-        on_told: Callable[[str], None],
+        on_entries: Callable[[tuple[Entry, ...]], None],
+        on_log: Callable[[str], None],
     ) -> None:
         self.options, self.topics = options, tuple(topics)
-        self.on_view, self.on_news, self.on_told = on_view, on_news, on_told
+        self.on_view, self.on_entries, self.on_log = on_view, on_entries, on_log
         self.counts = Counts()
         self.member: Member
         self.seal: Seal
@@ -123,10 +125,10 @@
         self.transport: asyncio.DatagramTransport | None = None
         self.server: asyncio.Server | None = None
         self.timer: asyncio.TimerHandle | None = None
-        self.budget = A_TICK
-        self.streams_in = self.streams_out = 0
+        self.budget = MAX_DATAGRAMS_PER_TICK
+        self.inbound_streams = self.outbound_streams = 0
         self.tasks: set[asyncio.Task[None]] = set()
-        self.told_foreign = self.closed = False
+        self.logged_unauthenticated = self.closed = False
         self.loop = asyncio.get_running_loop()
 
     async def open(self) -> None:
@@ -173,10 +175,10 @@
 
     def set_instances(self, instances: int) -> None:
         if instances != self.member.me.instances:
-            self.step(Altered(instances))
+            self.step(InstancesChanged(instances))
 
     def change_keys(self, keys: tuple[bytes, ...]) -> None:
-        self.seal.change(keys)
+        self.seal.set_keys(keys)
 
     # Words
 
@@ -203,9 +205,9 @@
             elif isinstance(action, Changed):
                 self.on_view(action.view)
             elif isinstance(action, EntriesReceived):
-                self.on_news(action.entries)
-            elif isinstance(action, Told):
-                self.on_told(action.text)
+                self.on_entries(action.entries)
+            elif isinstance(action, LogLine):
+                self.on_log(action.text)
 
     def _task(self, coroutine: Any) -> None:
         task: asyncio.Task[None] = self.loop.create_task(coroutine)
@@ -213,7 +215,7 @@
         task.add_done_callback(self.tasks.discard)
 
     def _tick(self) -> None:
-        self.budget = A_TICK
+        self.budget = MAX_DATAGRAMS_PER_TICK
         self.timer = self.loop.call_later(self.options.rules.period_s / 10, self._tick)
         self.step(Tick())
 
@@ -233,28 +235,28 @@
         self.counts.received += 1
         self.counts.received_bytes += len(data)
         try:
-            if len(data) > DATAGRAM_MOST:
-                raise Unreadable("longer than any of ours")
+            if len(data) > MAX_DATAGRAM_BYTES:
+                raise DecodeError("longer than any of ours")
             run_id, number, plain = self.seal.decrypt(data)
             envelope = unpack(plain, run_id, number)
         except AuthenticationFailed:
-            self._foreign(f"a datagram from {addr[0]}")
+            self._on_unauthenticated(f"a datagram from {addr[0]}")
             return
-        except Unreadable:
+        except DecodeError:
             self.counts.unreadable += 1
             return
         self.step(DatagramReceived(envelope))
 
-    def _foreign(self, what: str) -> None:
+    def _on_unauthenticated(self, what: str) -> None:
         self.counts.unauthenticated += 1
-        if not self.told_foreign:
-            self.told_foreign = True
-            self.on_told(f"peers: {what} is not sealed by a key of ours; told once, then counted")
+        if not self.logged_unauthenticated:
+            self.logged_unauthenticated = True
+            self.on_log(f"peers: {what} is not sealed by a key of ours; told once, then counted")
 
     def _post(self, action: SendDatagram) -> None:
         envelope = action.envelope
         data = self.seal.encrypt(envelope.number, pack(envelope))
-        if self.transport is None or self.transport.is_closing() or len(data) > DATAGRAM_MOST:
+        if self.transport is None or self.transport.is_closing() or len(data) > MAX_DATAGRAM_BYTES:
             return
         try:
             self.transport.sendto(data, split_address(action.address))
@@ -266,21 +268,21 @@
     # Whole views
 
     async def _sync(self, address: str) -> None:
-        if self.streams_out >= STREAMS_OUT:
+        if self.outbound_streams >= MAX_OUTBOUND_STREAMS:
             return
-        self.streams_out += 1
+        self.outbound_streams += 1
         writer: asyncio.StreamWriter | None = None
         try:
-            async with asyncio.timeout(STREAM_S):
+            async with asyncio.timeout(STREAM_TIMEOUT_S):
                 host, port = split_address(address)
                 reader, writer = await asyncio.open_connection(host, port, local_addr=(self.host, 0))
-                nonce, name = os.urandom(NONCE_BYTES), self.seal.first
+                nonce, name = os.urandom(NONCE_BYTES), self.seal.active_key_id
                 writer.write(HELLO.pack(VERSION, name, nonce))
                 seal = StreamSeal(self.seal.keys[name], nonce, await reader.readexactly(NONCE_BYTES), True)
                 asked = clock()
                 self._frame(writer, seal, pack_sync(self.member.offer(asked)))
                 whole = unpack_sync(await self._read(reader, seal))
-                if clock() - asked > STREAM_S:
+                if clock() - asked > STREAM_TIMEOUT_S:
                     raise TimeoutError
                 mine, actions = self.member.on_reply(clock(), whole, asked)
                 self._frame(writer, seal, pack_sync(mine))
@@ -293,24 +295,24 @@
             KeyError,
             asyncio.IncompleteReadError,
             AuthenticationFailed,
-            Unreadable,
+            DecodeError,
         ) as error:
             self._stream_failed(error, f"the answer of {address}")
         finally:
-            self.streams_out -= 1
+            self.outbound_streams -= 1
             if writer is not None:
                 writer.close()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if self.streams_in >= STREAMS_IN or self.closed:
+        if self.inbound_streams >= MAX_INBOUND_STREAMS or self.closed:
             writer.close()
             return
-        self.streams_in += 1
+        self.inbound_streams += 1
         task = asyncio.current_task()
         assert task is not None
         self.tasks.add(task)
         try:
-            async with asyncio.timeout(STREAM_S):
+            async with asyncio.timeout(STREAM_TIMEOUT_S):
                 began = clock()
                 version, name, theirs = HELLO.unpack(await reader.readexactly(HELLO.size))
                 key = self.seal.keys.get(name)
@@ -324,33 +326,33 @@
                 self._frame(writer, seal, pack_sync(self.member.on_offer(asked, whole)))
                 await writer.drain()
                 last = unpack_sync(await self._read(reader, seal))
-                if clock() - began > STREAM_S:
+                if clock() - began > STREAM_TIMEOUT_S:
                     raise TimeoutError
                 self._carry_out(self.member.on_last(clock(), last, asked))
-        except (OSError, asyncio.IncompleteReadError, AuthenticationFailed, Unreadable) as error:
+        except (OSError, asyncio.IncompleteReadError, AuthenticationFailed, DecodeError) as error:
             self._stream_failed(error, "a stream")
         except asyncio.CancelledError:
             pass
         finally:
             self.tasks.discard(task)
-            self.streams_in -= 1
+            self.inbound_streams -= 1
             writer.close()
 
     def _stream_failed(self, error: Exception, what: str) -> None:
         self.counts.failed_streams += 1
         if isinstance(error, AuthenticationFailed):
-            self._foreign(what)
-        elif isinstance(error, Unreadable):
+            self._on_unauthenticated(what)
+        elif isinstance(error, DecodeError):
             self.counts.unreadable += 1
 
     def _frame(self, writer: asyncio.StreamWriter, seal: StreamSeal, plain: bytes) -> None:
         data = seal.encrypt(plain)
-        self.counts.sent_bytes += len(data) + LENGTH.size
-        writer.write(LENGTH.pack(len(data)) + data)
+        self.counts.sent_bytes += len(data) + FRAME_LENGTH.size
+        writer.write(FRAME_LENGTH.pack(len(data)) + data)
 
     async def _read(self, reader: asyncio.StreamReader, seal: StreamSeal) -> bytes:
-        (length,) = LENGTH.unpack(await reader.readexactly(LENGTH.size))
-        if length > FRAME_MOST:
-            raise Unreadable(f"a frame of {length} bytes")
-        self.counts.received_bytes += length + LENGTH.size
+        (length,) = FRAME_LENGTH.unpack(await reader.readexactly(FRAME_LENGTH.size))
+        if length > MAX_FRAME_BYTES:
+            raise DecodeError(f"a frame of {length} bytes")
+        self.counts.received_bytes += length + FRAME_LENGTH.size
         return seal.decrypt(await reader.readexactly(length))
--- a/flintlatch/peers/wire.py
+++ b/flintlatch/peers/wire.py
@@ -16,11 +16,11 @@
 STATES = {int(state): state for state in State}
 
 
-class Unreadable(Exception):
+class DecodeError(Exception):
     """Bytes that are no message: what was found where."""
 
 
-class _Record(msgspec.Struct, array_like=True):
+class _RecordRow(msgspec.Struct, array_like=True):
     name: str
     address: str
     incarnation: int
@@ -29,19 +29,19 @@
     instances: int = 1
     zone: str = ""
     region: str = ""
-    accuser: str = ""
+    reporter: str = ""
 
 
-class _Word(msgspec.Struct, array_like=True):
+class _EntryRow(msgspec.Struct, array_like=True):
     topic: str
     origin: str
     subject: str
     epoch: int
     value: bytes
-    left_ms: int
+    remaining_ms: int
 
 
-class _Envelope(msgspec.Struct, array_like=True):
+class _EnvelopeRow(msgspec.Struct, array_like=True):
     sender: str
     address: str
     clock: float
@@ -49,41 +49,43 @@
     kind: int
     number: int
     target: str
-    gossip: list[_Record] = []
-    entries: list[_Word] = []
+    gossip: list[_RecordRow] = []
+    entries: list[_EntryRow] = []
 
 
-class _Whole(msgspec.Struct, array_like=True):
+class _SyncMessageRow(msgspec.Struct, array_like=True):
     sender: str
     address: str
     run_id: int
     number: int
     clock: float
     digest: int
-    mark: int
-    records: list[_Record] = []
-    entries: list[_Word] = []
+    content_digest: int
+    records: list[_RecordRow] = []
+    entries: list[_EntryRow] = []
 
 
 _encoder = msgspec.msgpack.Encoder()
-_envelopes = msgspec.msgpack.Decoder(_Envelope)
-_wholes = msgspec.msgpack.Decoder(_Whole)
+_envelope_decoder = msgspec.msgpack.Decoder(_EnvelopeRow)
+_sync_decoder = msgspec.msgpack.Decoder(_SyncMessageRow)
 
 
-def _packed_words(words: tuple[Entry, ...]) -> list[_Word]:
+def _entry_rows(words: tuple[Entry, ...]) -> list[_EntryRow]:
     # Rounded down: a word must not gain on its way.
-    return [_Word(w.topic, w.origin, w.subject, w.epoch, w.value, int(w.remaining_s * 1000)) for w in words]
+    return [
+        _EntryRow(w.topic, w.origin, w.subject, w.epoch, w.value, int(w.remaining_s * 1000)) for w in words
+    ]
 
 
-def _words(rows: list[_Word]) -> tuple[Entry, ...]:
-    return tuple(Entry(w.topic, w.origin, w.subject, w.epoch, w.value, w.left_ms / 1000) for w in rows)
+def _entries(rows: list[_EntryRow]) -> tuple[Entry, ...]:
+    return tuple(Entry(w.topic, w.origin, w.subject, w.epoch, w.value, w.remaining_ms / 1000) for w in rows)
 
 
-def _packed_records(records: tuple[Record, ...]) -> list[_Record]:
-    return [_Record(*record) for record in records]
+def _record_rows(records: tuple[Record, ...]) -> list[_RecordRow]:
+    return [_RecordRow(*record) for record in records]
 
 
-def _records(rows: list[_Record]) -> tuple[Record, ...]:
+def _records(rows: list[_RecordRow]) -> tuple[Record, ...]:
     return tuple(
         Record(
             r.name,
@@ -94,7 +96,7 @@
             r.instances,
             r.zone,
             r.region,
-            r.accuser,
+            r.reporter,
         )
         for r in rows
         if r.state in STATES
@@ -105,7 +107,7 @@
     """Without `life` and `number`, which stand before the sealed part."""
     message = envelope.message
     return _encoder.encode(
-        _Envelope(
+        _EnvelopeRow(
             envelope.sender,
             envelope.address,
             envelope.clock,
@@ -113,8 +115,8 @@
             message.kind,
             message.number,
             message.target,
-            _packed_records(message.gossip),
-            _packed_words(envelope.entries),
+            _record_rows(message.gossip),
+            _entry_rows(envelope.entries),
         )
     )
 
@@ -122,24 +124,26 @@
 def unpack(data: bytes, run_id: int, number: int) -> Envelope:
     """Raises Unreadable."""
     try:
-        row = _envelopes.decode(data)
+        row = _envelope_decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise Unreadable(str(error)) from None
+        raise DecodeError(str(error)) from None
     message = Message(KINDS.get(row.kind, Kind.GOSSIP), row.number, row.target, _records(row.gossip))
     return Envelope(
-        row.sender, row.address, run_id, number, row.clock, row.digest, message, _words(row.entries)
+        row.sender, row.address, run_id, number, row.clock, row.digest, message, _entries(row.entries)
     )
 
 
 def pack_sync(whole: SyncMessage) -> bytes:
-    return _encoder.encode(_Whole(*whole[:7], _packed_records(whole.records), _packed_words(whole.entries)))
+    return _encoder.encode(
+        _SyncMessageRow(*whole[:7], _record_rows(whole.records), _entry_rows(whole.entries))
+    )
 
 
 def unpack_sync(data: bytes) -> SyncMessage:
     """Raises Unreadable."""
     try:
-        row = _wholes.decode(data)
+        row = _sync_decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise Unreadable(str(error)) from None
-    head = (row.sender, row.address, row.run_id, row.number, row.clock, row.digest, row.mark)
-    return SyncMessage(*head, _records(row.records), _words(row.entries))
+        raise DecodeError(str(error)) from None
+    head = (row.sender, row.address, row.run_id, row.number, row.clock, row.digest, row.content_digest)
+    return SyncMessage(*head, _records(row.records), _entries(row.entries))
--- a/tests/peers/explored.py
+++ b/tests/peers/explored.py
@@ -11,7 +11,7 @@
 from flintlatch.peers.core import Event, Queued, Suspicion
 
 RULES = Rules(
-    period_s=1.0, ack_s=0.5, helpers=1, suspicion=1.0, suspicion_most=1.0, confirmations=1, retransmit=1,
+    period_s=1.0, ack_s=0.5, helpers=1, suspicion=1.0, suspicion_max_factor=1.0, confirmations=1, retransmit=1,
     sync_s=50.0, forget_s=200.0,
 )  # fmt: skip
 NAMES = ("a", "b", "c")
@@ -42,11 +42,15 @@
     """What it may change, apart; the rest shared."""
     made = copy(core)
     made.suspicions = {n: Suspicion(s.since, set(s.reporters)) for n, s in core.suspicions.items()}
-    made.there, made.names = dict(core.there), list(core.names)
-    made.past, made.order, made.silent = dict(core.past), list(core.order), set(core.silent)
+    made.active, made.active_names = dict(core.active), list(core.active_names)
+    made.departed_at, made.probe_order, made.unresponsive = (
+        dict(core.departed_at),
+        list(core.probe_order),
+        set(core.unresponsive),
+    )
     made.queue = {n: Queued(q.record, q.sent) for n, q in core.queue.items()}
-    made.probe, made.relayed = copy(core.probe), {n: copy(r) for n, r in core.relayed.items()}
-    made.counts, made.told, made.out = copy(core.counts), set(core.told), []
+    made.probe, made.relayed_probes = copy(core.probe), {n: copy(r) for n, r in core.relayed_probes.items()}
+    made.counts, made.logged, made.actions = copy(core.counts), set(core.logged), []
     return made
 
 
@@ -56,9 +60,9 @@
         tuple(sorted(core.view.values())),
         tuple(sorted((n, now - s.since, *sorted(s.reporters)) for n, s in core.suspicions.items())),
         tuple(sorted((q.record, q.sent) for q in core.queue.values())),
-        tuple(core.order),
-        (probe.target, now - probe.started, probe.asked, probe.acked, probe.nacks) if probe else (),
-        tuple(sorted((r.target, r.address) for r in core.relayed.values())),
+        tuple(core.probe_order),
+        (probe.target, now - probe.started, probe.indirect, probe.acked, probe.nacks) if probe else (),
+        tuple(sorted((r.target, r.address) for r in core.relayed_probes.values())),
         round(core.next_probe_at - now, 3),
         core.health,
         core.joined,
@@ -83,7 +87,7 @@
     cores = []
     for place, name in enumerate(NAMES):
         core = Peers(Record(name, name, 0, State.ALIVE, place), (), RULES, First(), 0.0)
-        core.number = 0
+        core.probe_number = 0
         cores.append(core)
     everyone = tuple(core.me for core in cores)
     for core in cores:
@@ -162,7 +166,7 @@
     if core is None:
         run_id = world.lives[2] + 10
         fresh = Peers(Record("c", "c", 0, State.ALIVE, run_id), ("a",), RULES, First(), world.now)
-        fresh.number = 0
+        fresh.probe_number = 0
         gone = frozenset(pair for pair in world.gone if pair[0] != "c")
         yield (
             "c starts",
--- a/tests/peers/test_census.py
+++ b/tests/peers/test_census.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from flintlatch.peers import Census, CensusView, FleetPosition
-from flintlatch.peers.census import FALL
+from flintlatch.peers.census import FALL_PER_S
 
 
 def test_a_fresh_start_believes_the_configuration_until_it_has_met_others_for_a_while() -> None:
@@ -28,7 +28,7 @@
     last = 30
     for tenth in range(500, 1200):
         now = census.read(tenth / 10).proxies
-        assert last * (1 - FALL) - 1 <= now <= last
+        assert last * (1 - FALL_PER_S) - 1 <= now <= last
         last = now
     assert last == 4
 
--- a/tests/peers/test_core.py
+++ b/tests/peers/test_core.py
@@ -10,9 +10,10 @@
 from hypothesis import strategies as st
 
 from flintlatch.peers import (
-    Altered,
+    InstancesChanged,
     Kind,
     Leave,
+    LogLine,
     Message,
     Peers,
     Received,
@@ -22,7 +23,6 @@
     State,
     Synced,
     Tick,
-    Told,
 )
 
 RULES = Rules()
@@ -52,7 +52,7 @@
     st.sampled_from("abc"),
     st.integers(0, 3),
     st.sampled_from(list(State)),
-    accuser=st.sampled_from(["", "x", "y"]),
+    reporter=st.sampled_from(["", "x", "y"]),
 )
 
 
@@ -107,8 +107,8 @@
         core.step(0.9, Received(a.address, Message(Kind.NACK, a.message.number, probed)))
     core.step(1.01, Tick())
     assert core.view[probed].state is State.SUSPECT and core.health == 0
-    wait = core.suspicion_s(1)
-    assert wait > core.suspicion_s(3) == 4.0
+    wait = core.suspicion_timeout_s(1)
+    assert wait > core.suspicion_timeout_s(3) == 4.0
     for now in range(2, int(wait) + 1):
         core.suspicions = {n: s for n, s in core.suspicions.items() if n == probed}
         core.step(float(now), Tick())
@@ -127,12 +127,12 @@
 
 def test_more_independent_voices_shorten_the_wait_and_one_voice_counts_once() -> None:
     core = member("a", "b", "c", "d")
-    hear(core, 0.0, record("a", 0, State.SUSPECT, accuser="b"))
+    hear(core, 0.0, record("a", 0, State.SUSPECT, reporter="b"))
     for _ in range(5):
-        hear(core, 0.0, record("a", 0, State.SUSPECT, accuser="b"))
+        hear(core, 0.0, record("a", 0, State.SUSPECT, reporter="b"))
     assert len(core.suspicions["a"].reporters) == 1
-    hear(core, 0.0, record("a", 0, State.SUSPECT, accuser="c"))
-    hear(core, 0.0, record("a", 0, State.SUSPECT, accuser="d"))
+    hear(core, 0.0, record("a", 0, State.SUSPECT, reporter="c"))
+    hear(core, 0.0, record("a", 0, State.SUSPECT, reporter="d"))
     states = []
     for now in (3.9, 4.1):
         core.step(now, Tick())
@@ -142,9 +142,9 @@
 
 def test_a_suspect_that_refutes_is_alive_again_and_old_accusations_count_for_nothing() -> None:
     core = member("a", "b")
-    hear(core, 0.0, record("a", 0, State.SUSPECT, accuser="b"))
+    hear(core, 0.0, record("a", 0, State.SUSPECT, reporter="b"))
     hear(core, 0.1, record("a", 1))
-    hear(core, 0.2, record("a", 0, State.SUSPECT, accuser="b"), record("a", 0, State.DEAD))
+    hear(core, 0.2, record("a", 0, State.SUSPECT, reporter="b"), record("a", 0, State.DEAD))
     assert core.view["a"].state is State.ALIVE and not core.suspicions
 
 
@@ -153,20 +153,20 @@
     hear(core, 0.0, record("a", 0, State.DEAD))
     moved = record("a", 1, run_id=8)._replace(address="b:1")
     hear(core, 1.0, moved)
-    assert core.view["a"] == moved and not core.past
+    assert core.view["a"] == moved and not core.departed_at
 
 
 def test_a_name_claimed_by_two_is_told_once() -> None:
     core = member("a")
     other = record("me", 3, run_id=99)._replace(address="other:1")
-    told = [a for a in hear(core, 0.0, other) if isinstance(a, Told)]
-    told += [a for a in hear(core, 0.0, other._replace(incarnation=9)) if isinstance(a, Told)]
+    told = [a for a in hear(core, 0.0, other) if isinstance(a, LogLine)]
+    told += [a for a in hear(core, 0.0, other._replace(incarnation=9)) if isinstance(a, LogLine)]
     assert len(told) == 1 and "other:1" in told[0].text
     assert core.view["me"].address == "me:7946" and core.counts.name_conflicts == 2
 
 
 def test_liars_are_bounded_and_told_of_once() -> None:
-    core = member("a", rules=Rules(most_members=50))
+    core = member("a", rules=Rules(max_members=50))
     lies = [
         record("a", 2**31 - 1, State.DEAD),
         record("a", 5000, State.DEAD),
@@ -176,7 +176,7 @@
         *(record(f"ghost{n}") for n in range(500)),
         record("me", 2**31 - 1, State.DEAD),
     ]
-    lines = [a for _ in range(3) for a in hear(core, 0.0, *lies) if isinstance(a, Told)]
+    lines = [a for _ in range(3) for a in hear(core, 0.0, *lies) if isinstance(a, LogLine)]
     assert core.view["a"].state is State.ALIVE and core.me.state is State.ALIVE
     assert len(core.view) <= 50 and core.instances() <= 50 and len(lines) <= 6
     assert core.counts.refused > 1000 and len(core.queue) <= 50
@@ -186,9 +186,9 @@
     core = member("a")
     for number in range(2000):
         core.step(0.0, Received("x:1", Message(Kind.PING_REQ, number, "a")))
-    assert len(core.relayed) <= 64
+    assert len(core.relayed_probes) <= 64
     out = sends(core.step(0.6, Tick()), Kind.NACK)
-    assert len(out) <= 64 and not core.relayed
+    assert len(out) <= 64 and not core.relayed_probes
 
 
 def test_the_dead_are_forgotten_after_the_stated_time_and_not_handed_to_and_fro() -> None:
@@ -229,7 +229,7 @@
 
 def test_a_change_of_instances_reaches_others_as_a_newer_word() -> None:
     core = member("a")
-    core.step(1.0, Altered(6))
+    core.step(1.0, InstancesChanged(6))
     assert core.view["me"].instances == 6 and core.view["me"].incarnation == 1 and core.instances() == 7
 
 
--- a/tests/peers/test_explored.py
+++ b/tests/peers/test_explored.py
@@ -19,17 +19,17 @@
 @pytest.mark.parametrize("fault", ["others raise", "hearsay", "self"])
 def test_a_fault_put_into_the_core_is_found(fault: str, monkeypatch: pytest.MonkeyPatch) -> None:
     if fault == "others raise":
-        accuse = Peers.accuse
+        accuse = Peers.suspect
 
-        def raised(self: Peers, now: float, record: Record, accuser: str) -> None:
-            accuse(self, now, record._replace(incarnation=record.incarnation + 1), accuser)
+        def raised(self: Peers, now: float, record: Record, reporter: str) -> None:
+            accuse(self, now, record._replace(incarnation=record.incarnation + 1), reporter)
 
-        monkeypatch.setattr(Peers, "accuse", raised)
+        monkeypatch.setattr(Peers, "suspect", raised)
     elif fault == "hearsay":
         monkeypatch.setattr(
-            Record, "beats", lambda self, other: other is None or self.incarnation >= other.incarnation
+            Record, "supersedes", lambda self, other: other is None or self.incarnation >= other.incarnation
         )
     else:
-        monkeypatch.setattr(Peers, "hear_of_me", lambda self, now, record: self.put(now, record))
+        monkeypatch.setattr(Peers, "on_own_record", lambda self, now, record: self.set_record(now, record))
     with pytest.raises(Broken):
         explore(explored.start(2), explored.steps, explored.key, explored.check, 12, 40_000)
--- a/tests/peers/test_guard.py
+++ b/tests/peers/test_guard.py
@@ -22,34 +22,34 @@
     State,
     Tick,
 )
-from flintlatch.peers.guard import ASKED_MOST, LIVES_MOST, WINDOW, Guard, Trust
+from flintlatch.peers.guard import MAX_PROBE_TIMES, MAX_SENDERS, REPLAY_WINDOW, ReplayGuard, Trust
 from flintlatch.peers.seal import AuthenticationFailed, InvalidKeyFile, Seal, StreamSeal, read_keys
-from flintlatch.peers.wire import Unreadable, pack, pack_sync, unpack, unpack_sync
+from flintlatch.peers.wire import DecodeError, pack, pack_sync, unpack, unpack_sync
 from flintlatch.peers.words import MAX_CLOCK_DRIFT, Entry
 
 ONE, OTHER = bytes(range(32)), bytes(32)
 
 
 def test_a_life_counts_once_it_has_answered_us_and_each_of_its_numbers_once() -> None:
-    guard = Guard()
-    assert guard.hear(5, 1, 0.0, None)[0] is Trust.UNKNOWN
-    assert guard.hear(5, 2, 0.0, 77)[0] is Trust.UNKNOWN  # an answer to nothing that we asked
-    guard.ask(77, 10.0)
-    assert guard.hear(5, 3, 0.0, 77)[0] is Trust.PROVEN
-    assert guard.hear(5, 3, 0.0, 77)[0] is Trust.REPLAY
-    assert guard.hear(5, 2000, 0.0, None)[0] is Trust.PROVEN
-    assert guard.hear(5, 2000 - WINDOW, 0.0, None)[0] is Trust.REPLAY
-    assert guard.hear(5, 2000 - WINDOW + 1, 0.0, None)[0] is Trust.PROVEN
-    assert guard.hear(6, 1, 0.0, 78)[0] is Trust.UNKNOWN
+    guard = ReplayGuard()
+    assert guard.verify(5, 1, 0.0, None)[0] is Trust.UNVERIFIED
+    assert guard.verify(5, 2, 0.0, 77)[0] is Trust.UNVERIFIED  # an answer to nothing that we asked
+    guard.record_probe(77, 10.0)
+    assert guard.verify(5, 3, 0.0, 77)[0] is Trust.VERIFIED
+    assert guard.verify(5, 3, 0.0, 77)[0] is Trust.REPLAY
+    assert guard.verify(5, 2000, 0.0, None)[0] is Trust.VERIFIED
+    assert guard.verify(5, 2000 - REPLAY_WINDOW, 0.0, None)[0] is Trust.REPLAY
+    assert guard.verify(5, 2000 - REPLAY_WINDOW + 1, 0.0, None)[0] is Trust.VERIFIED
+    assert guard.verify(6, 1, 0.0, 78)[0] is Trust.UNVERIFIED
 
 
 @given(st.lists(st.integers(0, 3000), max_size=60))
 @settings(max_examples=200, deadline=None)
 def test_no_number_is_taken_twice(numbers: list[int]) -> None:
-    guard = Guard()
-    guard.ask(1, 0.0)
-    guard.hear(9, 0, 0.0, 1)
-    taken = [n for n in numbers if guard.hear(9, n, 0.0, None)[0] is Trust.PROVEN]
+    guard = ReplayGuard()
+    guard.record_probe(1, 0.0)
+    guard.verify(9, 0, 0.0, 1)
+    taken = [n for n in numbers if guard.verify(9, n, 0.0, None)[0] is Trust.VERIFIED]
     assert len(taken) == len(set(taken)) and 0 not in taken
 
 
@@ -57,26 +57,26 @@
 @settings(max_examples=200, deadline=None)
 def test_a_sending_is_never_held_to_be_later_than_it_was(seed: int, steps: list[tuple[float, float]]) -> None:
     """Two clocks at rates of their own; some datagrams answer us, all take any time on their way."""
-    rng, guard, true = Random(seed), Guard(), 100.0
+    rng, guard, true = Random(seed), ReplayGuard(), 100.0
     ours, theirs = (1 + rng.uniform(-MAX_CLOCK_DRIFT, MAX_CLOCK_DRIFT) for _ in range(2))
     for number, (wait, way) in enumerate(steps, 1):
         asked = true
-        guard.ask(number, ours * asked)
+        guard.record_probe(number, ours * asked)
         true += wait
         answer = number if rng.random() < 0.5 or number == 1 else None
         sent_at = true
-        _, sent = guard.hear(1, number, theirs * true + 555.0, answer)
+        _, sent = guard.verify(1, number, theirs * true + 555.0, answer)
         assert sent <= ours * sent_at + 1e-6
         true += way
 
 
 def test_what_strangers_can_make_grow_is_bounded() -> None:
-    guard = Guard()
-    for number in range(3 * ASKED_MOST):
-        guard.ask(number, 0.0)
-    for run_id in range(LIVES_MOST + 100):
+    guard = ReplayGuard()
+    for number in range(3 * MAX_PROBE_TIMES):
+        guard.record_probe(number, 0.0)
+    for run_id in range(MAX_SENDERS + 100):
         guard.mark_verified(run_id, 1, 0.0, 0.0)
-    assert len(guard.asked) == ASKED_MOST and len(guard.senders) == LIVES_MOST
+    assert len(guard.probe_times) == MAX_PROBE_TIMES and len(guard.senders) == MAX_SENDERS
 
 
 def member(name: str = "me", seeds: tuple[str, ...] = ()) -> Member:
@@ -96,7 +96,7 @@
     assert len(again) == 1  # asked back once a second at most
     for n in range(5000):
         core.step(1.2, DatagramReceived(said._replace(number=n, address=f"s:{n}", run_id=n)))
-    assert len(core.strangers) <= 256 and not core.contacts
+    assert len(core.probe_back_at) <= 256 and not core.contacts
 
 
 def test_a_whole_fleet_is_proven_to_each_other_and_measures_its_ways() -> None:
@@ -171,7 +171,7 @@
     assert len(data) <= 200 + sum(r.encoded_bytes() for r in gossip) + word.encoded_bytes()
     for broken in (noise, data[: len(noise)], noise + data):
         for read in (lambda b: unpack(b, 1, 1), unpack_sync):
-            with suppress(Unreadable):
+            with suppress(DecodeError):
                 read(broken)
 
 
@@ -192,7 +192,7 @@
     core = member("m" * 62)
     for n in range(200):
         name = f"{n:064}"
-        core.peers.put(
+        core.peers.set_record(
             0.0, Record(name, "a" * 64, 1, State.SUSPECT, 2**48, 9999, "z" * 32, "r" * 32, "x" * 64)
         )
     sizes = [
--- a/tests/peers/test_words.py
+++ b/tests/peers/test_words.py
@@ -11,14 +11,20 @@
 from flintlatch.lab.members import Members
 from flintlatch.lab.network import Link
 from flintlatch.peers import Entry, EntryStore, Merge, Topic
-from flintlatch.peers.words import HEAD, MAX_CLOCK_DRIFT, OTHER_MOST, OTHER_S, SHRINK
+from flintlatch.peers.words import (
+    ENTRY_OVERHEAD_BYTES,
+    HOP_TTL_FACTOR,
+    MAX_CLOCK_DRIFT,
+    UNKNOWN_TOPIC_MAX_ENTRIES,
+    UNKNOWN_TOPIC_TTL_S,
+)
 
 LOAD = Topic("load", Merge.PER_MEMBER, 5.0, max_per_member=4, max_entries=64)
-PLAN = Topic("plan", Merge.LAST, 5.0, max_entries=8)
+PLAN = Topic("plan", Merge.LAST_WRITER, 5.0, max_entries=8)
 SPAN = 60.0  # s that random schedules last
 
 
-def entry_store(me: str = "me", *topics: Topic) -> EntryStore:
+def make_store(me: str = "me", *topics: Topic) -> EntryStore:
     return EntryStore(me, topics or (LOAD, PLAN), 4)
 
 
@@ -27,60 +33,60 @@
 
 
 def test_an_end_is_counted_from_the_sending_and_not_from_the_coming() -> None:
-    core = carrier()
-    core.hear(103.0, 100.0, [word()])
-    end = 100.0 + 5.0 * SHRINK
+    core = make_store()
+    core.receive(103.0, 100.0, [word()])
+    end = 100.0 + 5.0 * HOP_TTL_FACTOR
     assert core.read(end - 0.01, "load") and not core.read(end, "load")
-    assert not core.hear(105.0, 100.0, [word("y")]) and core.counts.expired == 1
+    assert not core.receive(105.0, 100.0, [word("y")]) and core.counts.expired == 1
 
 
 def test_a_word_read_past_its_end_is_none_though_no_timer_ran() -> None:
-    core = carrier()
-    core.hear(0.0, 0.0, [word(left_s=1.0)])
+    core = make_store()
+    core.receive(0.0, 0.0, [word(left_s=1.0)])
     assert core.read(0.9, "load") and not core.read(1.0, "load") and core.entries
 
 
 def test_an_older_word_that_ends_later_does_not_come_back() -> None:
-    core = carrier()
-    core.hear(0.0, 0.0, [word(epoch=2, left_s=1.0)])
-    assert not core.hear(2.0, 2.0, [word(epoch=1, value=b"old", left_s=5.0)])
+    core = make_store()
+    core.receive(0.0, 0.0, [word(epoch=2, left_s=1.0)])
+    assert not core.receive(2.0, 2.0, [word(epoch=1, value=b"old", left_s=5.0)])
     core.tick(2.0, 2)
     assert not core.read(2.0, "load")
 
 
 def test_what_is_taken_back_stays_so_with_those_who_hear_the_older_word_again() -> None:
-    mine, theirs = carrier("a"), carrier("b")
+    mine, theirs = make_store("a"), make_store("b")
     mine.publish(0.0, "load", "s", b"1")
-    old = mine.whole(0.0)
-    theirs.hear(0.0, 0.0, old)
+    old = mine.snapshot(0.0)
+    theirs.receive(0.0, 0.0, old)
     mine.withdraw(1.0, "load", "s")
-    theirs.hear(1.0, 1.0, mine.whole(1.0))
-    theirs.hear(1.1, 1.0, old)
+    theirs.receive(1.0, 1.0, mine.snapshot(1.0))
+    theirs.receive(1.1, 1.0, old)
     assert not theirs.read(1.2, "load") and not mine.read(1.2, "load")
 
 
 def test_one_who_was_away_for_longer_than_its_word_holds_does_not_say_it_anew() -> None:
-    core = carrier()
+    core = make_store()
     core.publish(0.0, "load", "s", b"1")
     core.tick(2.0, 2)
-    assert core.entries["load", "me", "s"].word.epoch == 2  # renewed
+    assert core.entries["load", "me", "s"].entry.epoch == 2  # renewed
     core.tick(9.0, 2)
     assert not core.published and not core.read(9.0, "load")
 
 
 def test_a_restarted_one_outdoes_what_it_said_before() -> None:
-    others = carrier("b")
-    others.hear(0.0, 0.0, [word("me", 500, b"of before")])
-    anew = carrier("me")
+    others = make_store("b")
+    others.receive(0.0, 0.0, [word("me", 500, b"of before")])
+    anew = make_store("me")
     anew.publish(1.0, "load", "s", b"now")
-    assert not others.hear(1.0, 1.0, anew.whole(1.0))  # it counts from one again
-    anew.hear(1.1, 1.1, others.whole(1.1))
-    assert others.hear(1.2, 1.2, anew.whole(1.2))
+    assert not others.receive(1.0, 1.0, anew.snapshot(1.0))  # it counts from one again
+    anew.receive(1.1, 1.1, others.snapshot(1.1))
+    assert others.receive(1.2, 1.2, anew.snapshot(1.2))
     assert [said.value for said in others.read(1.2, "load")] == [b"now"]
-    silent = carrier("me")  # and one that has nothing to say of it takes it back
-    silent.hear(1.1, 1.1, [word("me", 500, b"of before")])
-    late = carrier("c")
-    late.hear(1.2, 1.2, [word("me", 500, b"of before"), *silent.whole(1.2)])
+    silent = make_store("me")  # and one that has nothing to say of it takes it back
+    silent.receive(1.1, 1.1, [word("me", 500, b"of before")])
+    late = make_store("c")
+    late.receive(1.2, 1.2, [word("me", 500, b"of before"), *silent.snapshot(1.2)])
     assert not late.read(1.3, "load")
 
 
@@ -96,53 +102,55 @@
         word(value=b"x" * 513),
         word(subject="x" * 97),
         word(origin=""),
-        word(topic="no", left_s=OTHER_S + 1),
+        word(topic="no", left_s=UNKNOWN_TOPIC_TTL_S + 1),
     ],
 )
 def test_a_word_that_nobody_can_have_meant_is_refused(bad: Entry) -> None:
-    core = carrier()
-    assert not core.hear(0.0, 0.0, [bad]) and core.counts.refused == 1 and not core.entries
+    core = make_store()
+    assert not core.receive(0.0, 0.0, [bad]) and core.counts.refused == 1 and not core.entries
 
 
 def test_one_member_fills_no_topic_and_all_together_no_memory() -> None:
-    core = carrier()
-    core.hear(0.0, 0.0, [word("liar", subject=f"s{n}") for n in range(1000)])
+    core = make_store()
+    core.receive(0.0, 0.0, [word("liar", subject=f"s{n}") for n in range(1000)])
     assert len(core.entries) == LOAD.max_per_member
-    core.hear(0.0, 0.0, [word(f"m{n}") for n in range(1000)])
+    core.receive(0.0, 0.0, [word(f"m{n}") for n in range(1000)])
     assert len(core.entries) == LOAD.max_entries
     unknown = [word(f"m{n}", topic=f"t{n % 600}") for n in range(5000)]
-    core.hear(0.0, 0.0, unknown)
-    assert len([name for name in core.by_topic if name not in core.topics]) <= OTHER_MOST
+    core.receive(0.0, 0.0, unknown)
+    assert len([name for name in core.by_topic if name not in core.topics]) <= UNKNOWN_TOPIC_MAX_ENTRIES
     core.tick(100.0, 2)
     core.tick(200.0, 2)
-    assert not core.entries and not core.number and not any(lane.keys for lane in core.lanes.values())
+    assert not core.entries and not core.entry_counts and not any(lane.keys for lane in core.queues.values())
 
 
 def test_a_topic_that_is_not_known_here_is_passed_on() -> None:
-    core = carrier()
-    core.hear(0.0, 0.0, [word(topic="newer", left_s=3.0)])
-    assert [w.topic for w in core.fill(1.0, 500)] == ["newer"]
+    core = make_store()
+    core.receive(0.0, 0.0, [word(topic="newer", left_s=3.0)])
+    assert [w.topic for w in core.take_for_datagram(1.0, 500)] == ["newer"]
 
 
 def test_a_flood_of_one_topic_does_not_starve_another() -> None:
     flood = Topic("flood", Merge.PER_MEMBER, 60.0, max_per_member=2000, max_entries=2000)
-    core = carrier("me", flood, LOAD)
-    core.hear(0.0, 0.0, [word("liar", subject=f"s{n}", value=b"x" * 60, topic="flood") for n in range(2000)])
-    core.hear(0.0, 0.0, [word("x")])
-    filled = core.fill(0.1, 600)
+    core = make_store("me", flood, LOAD)
+    core.receive(
+        0.0, 0.0, [word("liar", subject=f"s{n}", value=b"x" * 60, topic="flood") for n in range(2000)]
+    )
+    core.receive(0.0, 0.0, [word("x")])
+    filled = core.take_for_datagram(0.1, 600)
     assert "load" in {w.topic for w in filled} and sum(w.encoded_bytes() for w in filled) <= 600
     for n in range(200):  # each new word of the small one is in the next datagram
-        core.hear(1.0 + n, 1.0 + n, [word("x", 2 + n)])
-        assert 2 + n in {w.epoch for w in core.fill(1.0 + n, 600) if w.topic == "load"}
-    assert HEAD < 60
+        core.receive(1.0 + n, 1.0 + n, [word("x", 2 + n)])
+        assert 2 + n in {w.epoch for w in core.take_for_datagram(1.0 + n, 600) if w.topic == "load"}
+    assert ENTRY_OVERHEAD_BYTES < 60
 
 
 def test_of_two_who_say_the_last_word_the_higher_epoch_stands_whatever_the_order() -> None:
     said = [word(name, epoch, name.encode(), topic="plan") for name, epoch in (("a", 3), ("b", 4), ("c", 4))]
     for seed in range(6):
-        core, order = carrier(), said[:]
+        core, order = make_store(), said[:]
         Random(seed).shuffle(order)
-        core.hear(0.0, 0.0, order)
+        core.receive(0.0, 0.0, order)
         assert [(s.origin, s.value) for s in core.read(1.0, "plan")] == [("c", b"c")]
 
 
