--- a/flintlatch/peers/census.py
+++ b/flintlatch/peers/census.py
@@ -1,10 +1,10 @@
-"""How many instances there are in all, and the place of ours among them. No I/O, no clock.
+"""Counts the instances of all fleets and the position of this fleet's instances among them. No I/O, no clock.
 
-What hangs on the number is a part of something that all share: too large a part of one adds up to too much.
-So the number rises at once and falls late: while the view is in doubt it is the largest that was believed of
-late, and then it comes down by steps. A fresh start believes the configuration's number until it has met
-others and `hold_s` have passed: it may be one of those that have not heard of each other yet.
-"""
+Each instance derives its allocation of shared capacity from the count. If the count is too small, the
+allocations add up to more than the whole. The count therefore rises at once and falls late: while the
+membership is uncertain it is the largest count of the last `hold_s`, and after that it falls gradually. After
+a start the configured number counts until other members have been met and `hold_s` has passed, since this
+member may belong to a group whose members have not discovered each other yet."""
 
 from __future__ import annotations
 
@@ -12,58 +12,60 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-FALL_PER_S = 0.1  # of the number, each second, once nothing is in doubt: no step that all take together
+FALL_PER_S = 0.1  # fraction of the count: gradual, because all fleets lower theirs at the same time
 
 
 class FleetPosition(NamedTuple):
-    proxies: int  # instances of all fleets that are believed in
-    first: int  # number of this fleet's first among them
+    proxies: int  # counted instances of all fleets
+    first: int  # index of this fleet's first instance among them
 
 
 @dataclass(frozen=True, slots=True)
 class CensusView:
-    """What the view says at a moment."""
+    """What the membership view says at one moment."""
 
-    instances: int  # of all members that count, ours included
-    before: int  # of those whose names come before ours
-    uncertain: bool  # someone is under suspicion, or nobody has been met yet
+    instances: int  # of all active members, this one included
+    before: int  # of the members whose names sort before this one's
+    uncertain: bool  # a member is suspected, or no other member has been met yet
 
 
 class Census:
-    """Times in seconds. `configured`: instances of all fleets, as the configuration has it."""
+    """Times are in seconds. `configured`: instances of all fleets according to the configuration."""
 
     def __init__(self, own: int, configured: int, hold_s: float, now: float) -> None:
         self.own, self.hold_s = own, hold_s
-        self.estimate = float(max(configured, own))  # believed
+        self.estimate = float(max(configured, own))
         self.hold_until = now + hold_s
         self.updated_at = now
-        self.history: deque[tuple[float, int]] = deque()  # (when, number), falling: a maximum over hold_s
+        self.history: deque[tuple[float, int]] = (
+            deque()
+        )  # (time, count), falling: gives the maximum over hold_s
         self.view = CensusView(own, 0, True)
 
-    def update(self, now: float, sight: CensusView) -> None:
+    def update(self, now: float, view: CensusView) -> None:
         self.read(now)
-        if sight.uncertain or sight.instances < self.view.instances:
+        if view.uncertain or view.instances < self.view.instances:
             self.hold_until = now + self.hold_s
-        self.view = sight
-        while self.history and self.history[-1][1] <= sight.instances:
+        self.view = view
+        while self.history and self.history[-1][1] <= view.instances:
             self.history.pop()
-        self.history.append((now, sight.instances))
-        self.estimate = max(self.estimate, float(sight.instances))
+        self.history.append((now, view.instances))
+        self.estimate = max(self.estimate, float(view.instances))
 
     def read(self, now: float) -> FleetPosition:
         while len(self.history) > 1 and self.history[1][0] <= now - self.hold_s:
             self.history.popleft()
-        target = max([self.view.instances, self.own, *(n for _, n in self.history)])
-        calm = now - max(self.updated_at, self.hold_until)
-        if self.estimate > target and calm > 0:
-            self.estimate = max(float(target), self.estimate * (1 - FALL_PER_S) ** calm)
+        target = max([self.view.instances, self.own, *(instances for _, instances in self.history)])
+        falling_s = now - max(self.updated_at, self.hold_until)
+        if self.estimate > target and falling_s > 0:
+            self.estimate = max(float(target), self.estimate * (1 - FALL_PER_S) ** falling_s)
         self.updated_at = now
         proxies = max(round(self.estimate), target)
         return FleetPosition(proxies, min(self.view.before, proxies - self.own))
 
     @staticmethod
     def overcount_bound_s(detection_s: float, hold_s: float) -> float:
-        """The stated bound on how long a number that is too large may stand before it begins to fall: from a
-        death until it is found, and then the wait. A number that is too small stands for no longer than a
-        member that there is takes to be heard of."""
+        """The stated bound on how long a count that is too large stands before it begins to fall: the time to
+        detect a death, then the hold time. A count that is too small stands only until an existing member is
+        discovered."""
         return detection_s + hold_s
--- a/flintlatch/peers/core.py
+++ b/flintlatch/peers/core.py
@@ -1,9 +1,10 @@
-"""Every decision of a member: whom to probe, whom to suspect, what to pass on. No I/O, no clock, no random of
-its own: it is given the time and a generator. Feed it events, carry out its actions.
+"""Decisions of a member: which members to probe, suspect and gossip about. No I/O, no clock, no random source
+of its own: the time and a generator are passed in. The caller feeds events and carries out the returned
+actions.
 
-One record for each name, ordered by (incarnation, state): whatever order words come in, all who have heard
-the same ones hold the same. A member that hears ill of itself raises its own incarnation; nobody else may.
-"""
+There is one record for each name, ordered by (incarnation, state): members that have received the same
+records, in whatever order, hold the same view. A member that receives a record in which it is suspected or
+dead raises its own incarnation; no other member may."""
 
 from __future__ import annotations
 
@@ -18,6 +19,7 @@
 from rpds import HashTrieMap
 
 from flintlatch.peers.model import (
+    MAX_INCARNATION,
     Kind,
     Malformed,
     Message,
@@ -31,28 +33,25 @@
 )
 
 DEPARTED = (State.DEAD, State.LEFT)
-MAX_LEAVE_MESSAGES = (
-    64  # members that one who leaves tells itself: it has no other datagram to put the word on
-)
-MAX_RELAYED_PROBES = (
-    64  # probes for others under way: more than a fleet of thousands asks of one member at once
-)
+MAX_LEAVE_MESSAGES = 64  # members that a leaving member notifies itself: it sends no datagrams after that
+MAX_LOGGED_REASONS = 16  # each reason to reject a record is logged once
+MAX_RELAYED_PROBES = 64  # concurrent ones: more than a fleet of thousands asks of one member
 
 
 # Events
 
 
 class Tick(NamedTuple):
-    """Some time has passed. Due at least ten times an ack_s for the times to be met."""
+    """Time has passed. Needed at least ten times per `ack_s` for the timeouts to be exact."""
 
 
 class Received(NamedTuple):
-    address: str  # of the sender, as its datagram tells
+    address: str  # of the sender, as stated in its datagram
     message: Message
 
 
 class Synced(NamedTuple):
-    """Another member's whole view has come, asked for by us or by it."""
+    """The whole view of another member was received, in an exchange that either side started."""
 
     records: tuple[Record, ...]
 
@@ -62,7 +61,7 @@
 
 
 class InstancesChanged(NamedTuple):
-    """What this fleet is has changed."""
+    """The number of this fleet's instances has changed."""
 
     instances: int
 
@@ -79,7 +78,7 @@
 
 
 class Sync(NamedTuple):
-    """Exchange whole views with this address, both ways."""
+    """Exchange whole views with this address, in both directions."""
 
     address: str
 
@@ -89,7 +88,7 @@
 
 
 class LogLine(NamedTuple):
-    """One line for the log."""
+    """A line for the log."""
 
     text: str
 
@@ -105,12 +104,12 @@
 
 @dataclass(slots=True)
 class Probe:
-    """The probe of this period."""
+    """The probe of the current period."""
 
     number: int
     target: str
     started: float
-    indirect: bool = False  # others have been asked
+    indirect: bool = False  # other members have been asked to probe
     acked: bool = False
     nacks: int = 0
     helpers: int = 0
@@ -118,7 +117,7 @@
 
 @dataclass(slots=True)
 class RelayedProbe:
-    """A probe made for another member."""
+    """A probe on behalf of another member."""
 
     address: str
     number: int
@@ -128,9 +127,9 @@
 
 @dataclass(slots=True)
 class Counts:
-    refused: int = 0  # records that were malformed, beyond the leap, or beyond the bound on names
+    refused: int = 0  # records: malformed, too high an incarnation, or too many names
     refuted: int = 0
-    name_conflicts: int = 0  # words of another process under our name
+    name_conflicts: int = 0  # records of another process with this member's name
     suspected: int = 0
     died: int = 0
 
@@ -147,50 +146,53 @@
         self.me, self.rules, self.rng = me, rules, rng
         self.seeds = tuple(seed for seed in seeds if seed != me.address)
         self.view: View = HashTrieMap({me.name: me})
-        self.active: dict[str, Record] = {}  # those who count
-        self.active_names: list[str] = []  # of them, in order: the same words must lead to the same acts
+        self.active: dict[str, Record] = {}  # records of members that are neither dead nor gone
+        self.active_names: list[str] = []  # sorted, so that the same events lead to the same actions
         self.membership_hash = self.content_hash = 0
         self.update_indexes(me)
-        self.unresponsive: set[str] = set()  # whose last direct probe got no answer in time
+        self.unresponsive: set[str] = set()  # members whose last direct probe timed out
         self.suspicions: dict[str, Suspicion] = {}
-        self.departed_at: dict[str, float] = {}  # when the dead and those who left were found to be so
+        self.departed_at: dict[str, float] = {}  # by name: when it was found dead or left
         self.queue: dict[str, Queued] = {me.name: Queued(me)}
-        self.probe_order: list[str] = []  # names still to be probed in this round
+        self.probe_order: list[str] = []  # names left to probe in this round
         self.probe: Probe | None = None
         self.relayed_probes: dict[int, RelayedProbe] = {}
-        # Of probes; begun where nobody can guess, so that an answer of yesterday answers nothing of today.
+        # Starts at a random number, so that a response to an earlier run of this member matches no probe.
         self.probe_number = int(rng.random() * 2**40)
-        self.health = 0  # 0: no doubt of ourselves
+        self.health = 0  # Lifeguard's local health; 0: healthy, higher values slow the probes down
         self.next_probe_at, self.next_sync_at = now, now
         self.sync_interval_s = rules.period_s
         self.last_step_at = now
-        self.joined = not self.seeds  # until a whole view has come, what datagrams tell is not believed
+        self.joined = not self.seeds  # until a whole view is received, records in datagrams are ignored
         self.left = False
         self.counts = Counts()
         self.actions: list[Action] = []
         self.logged: set[str] = set()
 
-    # What others ask
+    # Queries
 
     def alive(self) -> list[Record]:
-        """Those who count, by name: also a suspect does until it is found dead."""
+        """The active members sorted by name, including suspected ones."""
         return [self.active[name] for name in self.active_names]
 
     def count(self) -> int:
         return len(self.active_names)
 
     def digest(self) -> int:
-        """Of who counts and how many instances each has; never 0."""
+        """Hash over the active members with their addresses and instances; never 0."""
         return self.membership_hash or 1
 
     def content_digest(self) -> int:
-        """Of all that is held of those who count, to the letter: where two marks are the same, an exchange of
-        whole views has nothing to tell. Never 0."""
+        """Hash over the complete records of the active members; never 0.
+
+        An exchange of whole views between two members with the same digest would change nothing."""
         return self.content_hash or 1
 
     def update_indexes(self, record: Record | None) -> None:
-        """Keep what is asked for often as the view changes, not by walks over all of it: a word of a thousand
-        members must not cost a thousand steps."""
+        """Adds the record to the indexes of active members, or removes it if it is there.
+
+        The indexes are updated incrementally, since a change of one record in a view of thousands must not
+        cost a scan of the view."""
         if record is None or record.state in DEPARTED:
             return
         self.membership_hash ^= crc32(f"{record.name} {record.address} {record.instances}".encode())
@@ -206,18 +208,21 @@
         return sum(record.instances for record in self.active.values())
 
     def suspicion_timeout_s(self, reporters: int) -> float:
-        """How long a suspect has to refute (Lifeguard, section IV-B)."""
-        least = self.rules.suspicion * log_scale(self.count()) * self.rules.period_s
-        most = least * self.rules.suspicion_max_factor
-        part = log(reporters + 1) / log(self.rules.confirmations + 1)
-        return max(least, most - (most - least) * part)
+        """How long a suspected member has to refute (Lifeguard, section IV-B)."""
+        shortest = self.rules.suspicion * log_scale(self.count()) * self.rules.period_s
+        longest = shortest * self.rules.suspicion_max_factor
+        progress = log(reporters + 1) / log(self.rules.confirmations + 1)
+        return max(shortest, longest - (longest - shortest) * progress)
 
     def detection_s(self, members: int) -> float:
-        """A stated bound: from a member's death until whoever probes it first has found it dead, with no
-        datagram lost and nobody doubting itself. Every member probes every other once in a round."""
+        """Upper bound on the time from a member's death until the first member that probes it declares it
+        dead.
+
+        It holds if no datagram is lost and no member has slowed down its probes. Each member probes every
+        other member once per round."""
         rules = self.rules
-        least = rules.suspicion * log_scale(members) * rules.period_s
-        return (2 * members - 1) * rules.period_s + least * rules.suspicion_max_factor
+        shortest = rules.suspicion * log_scale(members) * rules.period_s
+        return (2 * members - 1) * rules.period_s + shortest * rules.suspicion_max_factor
 
     # Events
 
@@ -231,10 +236,10 @@
         elif isinstance(event, Synced):
             self.joined = True
             self.merge_records(now, event.records)
-            # Where views differ, the next exchange is soon; where not, later and later.
-            news = self.view is not before
+            # After an exchange that changed the view the next one is soon, otherwise the interval doubles.
+            changed = self.view is not before
             self.sync_interval_s = (
-                self.rules.period_s if news else min(2 * self.sync_interval_s, self.rules.sync_s)
+                self.rules.period_s if changed else min(2 * self.sync_interval_s, self.rules.sync_s)
             )
             self.next_sync_at = min(self.next_sync_at, now + self.sync_interval_s)
         elif isinstance(event, InstancesChanged):
@@ -252,11 +257,13 @@
         return self.actions
 
     def reset_after_pause(self, now: float) -> None:
-        """It was paused for so long that others may have forgotten who died or left: what it knows, and the
-        old words in its buffers, would bring them back. It keeps addresses to ask, and nothing else."""
-        away = now - self.last_step_at
+        """Discards the view after a long pause, except for addresses to join by.
+
+        Other members may have forgotten meanwhile which members died or left; this member's view, and old
+        records in its socket buffers, would bring them back."""
+        paused_s = now - self.last_step_at
         self.actions.append(
-            LogLine(f"nothing was done for {away:.0f} s: what was known of others is forgotten")
+            LogLine(f"nothing was done for {paused_s:.0f} s: what was known of others is forgotten")
         )
         others = [r.address for r in self.alive() if r.name != self.me.name]
         self.seeds = (*self.seeds, *(a for a in others[: self.rules.helpers] if a not in self.seeds))
@@ -295,21 +302,24 @@
             self.start_sync(now)
 
     def start_sync(self, now: float) -> None:
-        """With some member, or, in one of three, with a seed or one held dead: after a cut longer than
-        `forget_s` the two sides know nothing of each other but their seeds."""
-        alive = [r.address for r in self.alive() if r.name != self.me.name]
-        away = sorted(r.address for r in self.view.values() if r.state is State.DEAD)
-        away += [seed for seed in self.seeds if seed not in alive]
-        choice = away if away and (not alive or self.rng.random() < 1 / 3) else alive
-        if choice:
-            self.actions.append(Sync(self.rng.choice(choice)))
-        every = self.sync_interval_s if self.joined else self.rules.period_s
-        self.next_sync_at = now + every * self.rng.uniform(0.75, 1.25)
+        """Starts an exchange with a random active member or, one time in three, with a seed or a dead member.
+
+        After a partition longer than `forget_s` the two sides know only their seeds of each other."""
+        active = [r.address for r in self.alive() if r.name != self.me.name]
+        unreachable = sorted(r.address for r in self.view.values() if r.state is State.DEAD)
+        unreachable += [seed for seed in self.seeds if seed not in active]
+        addresses = unreachable if unreachable and (not active or self.rng.random() < 1 / 3) else active
+        if addresses:
+            self.actions.append(Sync(self.rng.choice(addresses)))
+        interval_s = self.sync_interval_s if self.joined else self.rules.period_s
+        self.next_sync_at = now + interval_s * self.rng.uniform(0.75, 1.25)
 
     # Probes
 
     def start_probe(self, now: float) -> None:
-        """Round robin in an order drawn anew for each round: bounded, not only likely (SWIM, section 4.3)."""
+        """Probes the next member of a round-robin order that is shuffled for each round.
+
+        This bounds the detection time; random selection only makes it likely (SWIM, section 4.3)."""
         self.next_probe_at = now + self.rules.period_s * (1 + self.health)
         while True:
             if not self.probe_order:
@@ -328,30 +338,31 @@
         probe, rules = self.probe, self.rules
         if probe is None:
             return
-        slow = 1 + self.health
+        slowdown = 1 + self.health
         record = self.view.get(probe.target)
         if probe.acked or record is None or record.state in DEPARTED:
             self.probe = None
             if probe.acked:
                 self.health = max(self.health - 1, 0)
-        elif not probe.indirect and now >= probe.started + rules.ack_s * slow:
+        elif not probe.indirect and now >= probe.started + rules.ack_s * slowdown:
             probe.indirect = True
             self.unresponsive.add(probe.target)
             others = [r for r in self.alive() if r.name not in (self.me.name, probe.target)]
-            # First those that we reach: one that sees all keeps those together that don't see each other.
-            heard = [r for r in others if r.name not in self.unresponsive]
-            helpers = self.sample(heard, rules.helpers)
+            # Responsive members come first: a member that reaches all others keeps alive those that don't
+            # reach each other.
+            responsive = [r for r in others if r.name not in self.unresponsive]
+            helpers = self.sample(responsive, rules.helpers)
             helpers += self.sample(
                 [r for r in others if r.name in self.unresponsive], rules.helpers - len(helpers)
             )
             probe.helpers = len(helpers)
             for helper in helpers:
                 self.send(helper.address, Kind.PING_REQ, probe.number, probe.target)
-        elif now >= probe.started + rules.period_s * slow:
+        elif now >= probe.started + rules.period_s * slowdown:
             self.probe = None
-            # Helpers that answer nothing, not even that they got no answer, speak against ourselves.
-            missed = probe.helpers - probe.nacks
-            self.health = min(self.health + (missed if probe.helpers else 1), rules.max_health)
+            # Helpers that send not even a NACK indicate that this member itself has lost connectivity.
+            missing_nacks = probe.helpers - probe.nacks
+            self.health = min(self.health + (missing_nacks if probe.helpers else 1), rules.max_health)
             self.suspect(now, record, self.me.name)
 
     def suspect(self, now: float, record: Record, reporter: str) -> None:
@@ -362,7 +373,7 @@
             self.confirm_suspicion(record.name, reporter)
 
     def confirm_suspicion(self, name: str, reporter: str) -> None:
-        """One more independent voice is news, and is passed on; a voice counts once."""
+        """Counts an independent reporter once and passes its suspicion on."""
         suspicion = self.suspicions[name]
         if reporter in suspicion.reporters or len(suspicion.reporters) >= self.rules.confirmations:
             return
@@ -381,15 +392,15 @@
         if self.left:
             return
         if message.kind is Kind.PING:
-            if message.target == self.me.name:  # else it is for one who had this address before
+            if message.target == self.me.name:  # otherwise it is for the previous member at this address
                 self.send(address, Kind.ACK, message.number, message.target)
         elif message.kind is Kind.PING_REQ:
             target = self.view.get(message.target)
             if target is not None and len(self.relayed_probes) < MAX_RELAYED_PROBES:
                 self.probe_number += 1
-                within = now + 0.8 * (self.rules.period_s - self.rules.ack_s)
+                nack_at = now + 0.8 * (self.rules.period_s - self.rules.ack_s)
                 self.relayed_probes[self.probe_number] = RelayedProbe(
-                    address, message.number, message.target, within
+                    address, message.number, message.target, nack_at
                 )
                 self.send(target.address, Kind.PING, self.probe_number, message.target)
         elif message.kind is Kind.GOSSIP:
@@ -406,62 +417,62 @@
             else:
                 self.probe.nacks = min(self.probe.nacks + 1, self.probe.helpers)
 
-    # Words
+    # Records
 
     def merge_records(self, now: float, records: Iterable[Record], datagram: bool = False) -> None:
         for record in records:
             try:
                 check_record(record)
-            except Malformed as fault:
-                self.reject(f"a malformed record: {fault}")
+            except Malformed as error:
+                self.reject(f"a malformed record: {error}")
                 continue
             known = self.view.get(record.name)
             if known is None and len(self.view) >= self.rules.max_members:
-                self.reject(f"more than {self.rules.max_members} names: not taken up")
+                self.reject(f"a record of an unknown name, with {self.rules.max_members} names known")
             elif (
                 known is not None and record.incarnation > known.incarnation + self.rules.max_incarnation_step
             ):
-                self.reject("a word far beyond the incarnation that is known")
+                self.reject(f"an incarnation more than {self.rules.max_incarnation_step} above the known one")
             elif record.name == self.me.name:
                 self.on_own_record(now, record)
             elif record.supersedes(known):
-                # Datagrams pass a death on for seconds only; by whole views those whom one has forgotten and
-                # another not yet would be handed to and fro for ever.
+                # Datagrams gossip a death for a few seconds only. Whole views would pass a record that one
+                # member has forgotten and another has not back and forth indefinitely.
                 if known is not None or record.state not in DEPARTED or datagram:
                     self.set_record(now, record)
             elif known is not None and record.reporter and same_suspicion(record, known):
                 self.confirm_suspicion(record.name, record.reporter)
 
-    def reject(self, what: str) -> None:
+    def reject(self, reason: str) -> None:
         self.counts.refused += 1
-        if what not in self.logged and len(self.logged) < 16:
-            self.logged.add(what)
-            self.actions.append(LogLine(f"refused: {what}; told once, then counted"))
+        if reason not in self.logged and len(self.logged) < MAX_LOGGED_REASONS:
+            self.logged.add(reason)
+            self.actions.append(LogLine(f"refused: {reason}; told once, then counted"))
 
     def on_own_record(self, now: float, record: Record) -> None:
-        mine = self.me
-        if self.left or not record.supersedes(mine):
+        me = self.me
+        if self.left or not record.supersedes(me):
             return
-        if record.run_id != mine.run_id and record.state is State.ALIVE:
-            # Another process under our name, or we ourselves before a restart.
+        if record.run_id != me.run_id and record.state is State.ALIVE:
+            # Another process with this name, or this process before a restart.
             self.counts.name_conflicts += 1
-            if record.address != mine.address and "clash" not in self.logged:
+            if record.address != me.address and "clash" not in self.logged:
                 self.logged.add("clash")
-                self.actions.append(LogLine(f"{mine.name} is claimed by {record.address} too"))
+                self.actions.append(LogLine(f"{me.name} is claimed by {record.address} too"))
         else:
             self.counts.refuted += 1
-            if record.run_id == mine.run_id:
+            if record.run_id == me.run_id:
                 self.health = min(self.health + 1, self.rules.max_health)
         self.set_own_incarnation(now, record.incarnation + 1)
 
     def set_own_incarnation(self, now: float, incarnation: int, instances: int | None = None) -> None:
-        if incarnation < 2**31 - 1:
-            count = self.me.instances if instances is None else instances
-            self.me = self.me._replace(incarnation=incarnation, instances=count)
+        if incarnation < MAX_INCARNATION - 1:
+            own_instances = self.me.instances if instances is None else instances
+            self.me = self.me._replace(incarnation=incarnation, instances=own_instances)
             self.set_record(now, self.me)
 
     def set_record(self, now: float, record: Record) -> None:
-        """The one place where the view changes."""
+        """The only place where a record enters the view."""
         name = record.name
         self.update_indexes(self.view.get(name))
         self.view = self.view.insert(name, record)
@@ -480,22 +491,26 @@
         self.actions.append(Send(address, Message(kind, number, target, self.select_gossip(target))))
 
     def select_gossip(self, target: str) -> tuple[Record, ...]:
-        """The words passed on least so far; one who is suspected is told so first (Lifeguard, IV-C)."""
-        most = self.rules.retransmit * ceil(log_scale(len(self.view)))
-        told = self.view.get(target)
-        words = [told] if told is not None and told.state is State.SUSPECT else []
-        room = self.rules.max_gossip_bytes - sum(record.encoded_bytes() for record in words)
+        """The records that were passed on least often so far.
+
+        If `target` is suspected, that record comes first, so that it can refute (Lifeguard, IV-C)."""
+        max_sent = self.rules.retransmit * ceil(log_scale(len(self.view)))
+        target_record = self.view.get(target)
+        records = (
+            [target_record] if target_record is not None and target_record.state is State.SUSPECT else []
+        )
+        room = self.rules.max_gossip_bytes - sum(record.encoded_bytes() for record in records)
         for queued in nsmallest(self.rules.max_gossip_records, self.queue.values(), key=lambda q: q.sent):
-            cost = queued.record.encoded_bytes()
-            if len(words) >= self.rules.max_gossip_records or cost > room:
+            size = queued.record.encoded_bytes()
+            if len(records) >= self.rules.max_gossip_records or size > room:
                 break
-            if queued.record not in words:
-                words.append(queued.record)
-                room -= cost
+            if queued.record not in records:
+                records.append(queued.record)
+                room -= size
             queued.sent += 1
-            if queued.sent >= most:
+            if queued.sent >= max_sent:
                 self.queue.pop(queued.record.name, None)
-        return tuple(words)
+        return tuple(records)
 
     def sample(self, records: list[Record], most: int) -> list[Record]:
         return self.rng.sample(records, min(most, len(records)))
--- a/flintlatch/peers/model.py
+++ b/flintlatch/peers/model.py
@@ -1,7 +1,7 @@
-"""What members say of members: records, their order, messages. No I/O, no clock.
+"""Membership data types: records, their precedence, messages and settings. No I/O, no clock.
 
 After SWIM (Das, Gupta, Motivala: SWIM, DSN 2002, sections 4.2 and 4.3) and Lifeguard (Dadgar, Phillips,
-Currey: Lifeguard, DSN-W 2018). Times are seconds.
+Currey: Lifeguard, DSN-W 2018). Times are in seconds.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 
 from rpds import HashTrieMap
 
-MAX_INCARNATION = 2**31  # a record at or beyond it is no record: nobody could refute it
-MAX_NAME_CHARS, MAX_ADDRESS_CHARS, MAX_ZONE_CHARS = 64, 64, 32  # characters
+MAX_INCARNATION = 2**31  # exclusive: a member could not refute a record with a higher incarnation
+MAX_NAME_CHARS, MAX_ADDRESS_CHARS, MAX_ZONE_CHARS = 64, 64, 32
 MAX_INSTANCES = 10_000  # of one fleet
 
 
 class RandomSource(Protocol):
-    """What a core needs of `random.Random`: it is given one, seeded or not."""
+    """The part of `random.Random` that the cores use; they are given a seeded or an unseeded one."""
 
     def random(self) -> float: ...
     def uniform(self, a: float, b: float) -> float: ...
@@ -30,7 +30,7 @@
 
 
 class State(IntEnum):
-    """Of two words of one incarnation the higher state counts."""
+    """Of two records with the same incarnation the one with the higher state takes precedence."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -39,32 +39,33 @@
 
 
 class Record(NamedTuple):
-    """What is said of one member. Only the member itself raises its incarnation."""
+    """What is known of one member. Only the member itself raises its incarnation."""
 
     name: str
     address: str  # host:port that it advertises
     incarnation: int
     state: State
-    run_id: int  # drawn anew at each start: two processes under one name differ in it
+    run_id: int  # random, drawn at each start: distinguishes two processes with the same name
     instances: int = 1
     zone: str = ""
     region: str = ""
-    reporter: str = ""  # who suspects it: independent voices shorten the wait
+    reporter: str = ""  # the member that suspects it: independent reporters shorten the suspicion timeout
 
     def supersedes(self, other: Record | None) -> bool:
-        """Whether it replaces what is known. The same words in any order lead to the same record."""
+        """Whether this record replaces `other`. The same records in any order leave the same one in place."""
         if other is None:
             return True
         return (self.incarnation, self.state, self.run_id) > (other.incarnation, other.state, other.run_id)
 
     def encoded_bytes(self) -> int:
-        """Bytes that it takes in a datagram, at the most."""
+        """Upper bound on its size in a datagram."""
         texts = (self.name, self.address, self.zone, self.region, self.reporter)
         return 32 + sum(len(text.encode()) + 2 for text in texts)
 
 
 class Malformed(Exception):
-    """A record that nobody can have meant: which field, what came, what was expected."""
+    """A record that no member can have sent intentionally. The text names the field, its value and the
+    expected range."""
 
 
 def check_record(record: Record) -> None:
@@ -88,44 +89,45 @@
 class Kind(IntEnum):
     PING = 0
     ACK = 1
-    PING_REQ = 2  # probe `target` for me
-    NACK = 3  # I have asked, and it has not answered me either
-    GOSSIP = 4  # nothing but words that are new: no answer is due
+    PING_REQ = 2  # asks the receiver to probe `target` on the sender's behalf
+    NACK = 3  # the relayed probe of `target` got no response
+    GOSSIP = 4  # carries only new entries and needs no response
 
 
 class Message(NamedTuple):
     kind: Kind
-    number: int  # of the probe, as its first sender counts
-    target: str  # name of who is probed
+    number: int  # of the probe, as assigned by the member that started it
+    target: str  # name of the probed member
     gossip: tuple[Record, ...] = ()
 
 
 def log_scale(members: int) -> float:
-    """The decimal logarithm of the number of members, at least one: what grows with a fleet grows by it."""
+    """The decimal logarithm of the number of members, at least 1: timeouts and retransmissions grow with
+    it."""
     return max(1.0, log10(max(members, 1)))
 
 
-View: TypeAlias = "HashTrieMap[str, Record]"  # whole and immutable: a reader holds one version of it
+View: TypeAlias = "HashTrieMap[str, Record]"  # immutable: a reader holds one complete version of it
 
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """Times in seconds."""
-
-    period_s: float = 1.0  # between two probes of one member
-    ack_s: float = 0.3  # a direct probe's answer is waited for so long before others are asked
-    helpers: int = 3  # members asked to probe for us
-    suspicion: float = 4.0  # least time under suspicion, in periods, times the tenfolds of members
-    suspicion_max_factor: float = 6.0  # the longest, with nobody else suspecting, as a multiple of the least
-    confirmations: int = 3  # independent accusers after which the least time holds
-    retransmit: int = 4  # each word is passed on so many times, times the tenfolds of members
-    max_gossip_records: int = 12  # records in one datagram
-    max_gossip_bytes: int = 800  # that they may take: of 1,400 the rest is for words, head and seal
-    max_health: int = 8  # steps by which a member that doubts itself slows down
-    sync_s: float = 20.0  # between two whole exchanges with some member
-    forget_s: float = 120.0  # the dead and those who left are kept for so long
-    max_members: int = 4096  # names beyond it are not taken up
-    max_incarnation_step: int = 1000  # incarnations by which one word may go beyond what is known
+    """Times are in seconds."""
+
+    period_s: float = 1.0  # between two probes by one member
+    ack_s: float = 0.3  # wait for the response to a direct probe before other members are asked to probe
+    helpers: int = 3  # members asked for an indirect probe
+    suspicion: float = 4.0  # shortest suspicion timeout, in periods, times the log scale of the members
+    suspicion_max_factor: float = 6.0  # longest timeout, with one reporter, in multiples of the shortest
+    confirmations: int = 3  # independent reporters after which the shortest timeout applies
+    retransmit: int = 4  # times that each record is passed on, times the log scale of the members
+    max_gossip_records: int = 12  # in one datagram
+    max_gossip_bytes: int = 800  # of these records; the rest of 1,400 is for entries, header and seal
+    max_health: int = 8  # steps by which a member slows down its probes when its own connectivity is in doubt
+    sync_s: float = 20.0  # longest interval between two exchanges of whole views
+    forget_s: float = 120.0  # for which records of dead members and of members that left are kept
+    max_members: int = 4096  # records of further names are rejected
+    max_incarnation_step: int = 1000  # by which one record may exceed the known incarnation
 
     def __post_init__(self) -> None:
         if not 0 < self.ack_s < self.period_s:
@@ -141,6 +143,12 @@
             if getattr(self, name) < 1:
                 raise ValueError(f"{name} is {getattr(self, name)}, expected at least 1")
         if not (self.suspicion > 0 and self.suspicion_max_factor >= 1 and self.sync_s > 0):
-            raise ValueError("suspicion and sync_s are expected above 0, suspicion_most at least 1")
+            raise ValueError(
+                f"suspicion is {self.suspicion} and sync_s is {self.sync_s}, expected above 0; "
+                f"suspicion_max_factor is {self.suspicion_max_factor}, expected at least 1"
+            )
         if self.forget_s <= 2 * self.sync_s:
-            raise ValueError("forget_s is expected above twice sync_s: a late word would bring back the dead")
+            raise ValueError(
+                f"forget_s is {self.forget_s}, expected more than twice sync_s ({self.sync_s}): "
+                "otherwise a late record could bring back a dead member"
+            )
