--- a/flintlatch/limits/holder.py
+++ b/flintlatch/limits/holder.py
@@ -2,7 +2,8 @@
 
 No I/O, no clock. A holder never returns to an older lease while the newer one is valid. It acknowledges a
 lease only when none of its instances can use more any longer: each has acknowledged its allocation, or its
-larger allocation has expired."""
+larger allocation has expired.
+"""
 
 from __future__ import annotations
 
--- a/flintlatch/limits/keeper.py
+++ b/flintlatch/limits/keeper.py
@@ -7,7 +7,8 @@
 For an open limit each side of a partition has its own lessor. A lessor distributes the limit times
 `cut_factor` times the fraction of all configured instances that name it as their lessor, and never more than
 the limit. A holder names one lessor at a time, so the sum over all sides is at most `cut_factor` times the
-limit, however the network is partitioned."""
+limit, however the network is partitioned.
+"""
 
 from __future__ import annotations
 
--- a/flintlatch/limits/seat.py
+++ b/flintlatch/limits/seat.py
@@ -4,7 +4,8 @@
 member, and switches to another only once its last vote for the previous one has expired everywhere. Two
 members therefore never both hold valid votes of a majority, because a voter in both majorities would have
 voted for two. After a start a voter does not vote until every vote of its previous run has expired, so no
-vote has to be kept on disk."""
+vote has to be kept on disk.
+"""
 
 from __future__ import annotations
 
--- a/flintlatch/peers/census.py
+++ b/flintlatch/peers/census.py
@@ -4,7 +4,8 @@
 allocations add up to more than the whole. The count therefore rises at once and falls late: while the
 membership is uncertain it is the largest count of the last `hold_s`, and after that it falls gradually. After
 a start the configured number counts until other members have been met and `hold_s` has passed, since this
-member may belong to a group whose members have not discovered each other yet."""
+member may belong to a group whose members have not discovered each other yet.
+"""
 
 from __future__ import annotations
 
--- a/flintlatch/peers/core.py
+++ b/flintlatch/peers/core.py
@@ -4,7 +4,8 @@
 
 There is one record for each name, ordered by (incarnation, state): members that have received the same
 records, in whatever order, hold the same view. A member that receives a record in which it is suspected or
-dead raises its own incarnation; no other member may."""
+dead raises its own incarnation; no other member may.
+"""
 
 from __future__ import annotations
 
@@ -428,7 +429,7 @@
                 continue
             known = self.view.get(record.name)
             if known is None and len(self.view) >= self.rules.max_members:
-                self.reject(f"a record of an unknown name, with {self.rules.max_members} names known")
+                self.reject(f"a new name beyond the limit of {self.rules.max_members} names")
             elif (
                 known is not None and record.incarnation > known.incarnation + self.rules.max_incarnation_step
             ):
--- a/flintlatch/peers/guard.py
+++ b/flintlatch/peers/guard.py
@@ -10,7 +10,8 @@
 The same responses relate the clocks of two members: each datagram carries its sender's clock, and the
 response to a probe sent at time T was sent no earlier than T. The best such pair gives, for each later
 timestamp of that sender, a local time no later than the sending, however long the datagram was buffered on
-its way."""
+its way.
+"""
 
 from __future__ import annotations
 
--- a/flintlatch/peers/seal.py
+++ b/flintlatch/peers/seal.py
@@ -8,7 +8,8 @@
 
 A key file holds one key per line, 64 hexadecimal digits; the first key encrypts, all keys decrypt. To rotate
 the key, the new one is added after the old one in every file, then moved to the first line in every file,
-then the old one is removed."""
+then the old one is removed.
+"""
 
 from __future__ import annotations
 
--- a/flintlatch/verdicts/core.py
+++ b/flintlatch/verdicts/core.py
@@ -3,7 +3,8 @@
 Observations are soft-state entries of the topic `seen`, one for each pair of a fleet and a server that failed
 it. They expire, and so does every ejection that is based on them. Each fleet applies the same rule to the
 entries that it holds. There is no leader and no request to other fleets, and a fleet that receives nothing
-behaves as if it were alone."""
+behaves as if it were alone.
+"""
 
 from __future__ import annotations
 
--- a/tests/limits/test_explored.py
+++ b/tests/limits/test_explored.py
@@ -1,5 +1,6 @@
 """The grants of a strict limit: every order of events to a depth, walks by chance beyond it, and faults put
-in."""
+in.
+"""
 
 from __future__ import annotations
 
