--- a/flintlatch/peers/words.py
+++ b/flintlatch/peers/words.py
@@ -1,16 +1,16 @@
-"""The carrier: what later subsystems spread among members. No I/O, no clock.
+"""Soft-state entries that members publish and spread by gossip. No I/O, no clock.
 
-A word says something of a subject under a topic, and ends. Its end is counted on the receiver's own clock
-from a moment no later than its sending (see `member.py`), less a margin for clocks that run apart; it is
-tested when the word is read, not by a timer. So a cut link, a paused process or a dead sender ends its own
-influence.
+An entry states a value for a subject under a topic, and expires. The expiry is counted on the receiver's own
+clock from a time no later than the sending (see `member.py`), less a margin for clock drift, and is tested
+when the entry is read, not by a timer. A cut link, a paused process or a dead publisher therefore loses its
+influence without any further message.
 
-Each hop shortens what is left by SHRINK, so that nobody believes a word for longer than `stale_s` of true
-time after it was said, whatever way it took. Past the end a word's epoch is kept for one more life, or an
-older word that ends later would come back in its place.
+Each hop reduces the remaining time by HOP_TTL_FACTOR, so that no member uses an entry for longer than
+`staleness_bound_s` of true time after it was published, whatever path it took. After the expiry the epoch of
+an entry is kept for one more TTL; otherwise an older entry with a later expiry could replace it.
 
-Topics share a datagram by deficit round robin (Shreedhar and Varghese 1996): a flood of one can't starve
-another. What one member may say of a topic is bounded, and so is a topic as a whole.
+Topics share a datagram by deficit round robin (Shreedhar and Varghese 1996), so a flood of one topic cannot
+starve another. The entries of each member and of each topic are bounded.
 """
 
 from __future__ import annotations
@@ -24,52 +24,54 @@
 
 from flintlatch.peers.model import MAX_NAME_CHARS, log_scale
 
-MAX_CLOCK_DRIFT = (
-    0.01  # by which a clock's rate may be off: a hundred times what a quartz is, ten what NTP slews
-)
-HOP_TTL_FACTOR = (1 - MAX_CLOCK_DRIFT) / (1 + MAX_CLOCK_DRIFT)  # of what is left, at each hop
-RENEWALS_PER_TTL = 3  # times in its life that a word still held is said anew: two may be lost
-MAX_EPOCH = 2**53  # a word at or beyond it is none: its sayer could not outdo it
-MAX_TOPIC_CHARS, MAX_SUBJECT_CHARS, MAX_VALUE_BYTES = 16, 96, 512  # characters, characters, bytes
-ENTRY_OVERHEAD_BYTES = 24  # bytes of a word as packed, beside its texts and its value, at the most
-QUANTUM_BYTES = 256  # bytes that a topic's turn adds to what it may put into a datagram
+MAX_CLOCK_DRIFT = 0.01  # relative error of a clock's rate: 100 times that of a quartz, 10 times NTP's slew
+HOP_TTL_FACTOR = (1 - MAX_CLOCK_DRIFT) / (1 + MAX_CLOCK_DRIFT)  # of the remaining time, at each hop
+RENEWALS_PER_TTL = 3  # an entry that is kept up is republished so often: two may be lost
+MAX_EPOCH = 2**53  # exclusive: its publisher could not replace an entry with a higher epoch
+MAX_TOPIC_CHARS, MAX_SUBJECT_CHARS, MAX_VALUE_BYTES = 16, 96, 512
+ENTRY_OVERHEAD_BYTES = 24  # of an encoded entry without its texts and value, at most
+QUANTUM_BYTES = 256  # added to a topic's deficit each turn, times its weight
 
 
 class Merge(Enum):
-    """Which of two words on one subject stands."""
+    """Which of two entries on one subject is kept."""
 
-    PER_MEMBER = "each"  # one from each member, the later by its epoch
-    LAST_WRITER = "last"  # one for all members, the highest (epoch, member)
+    PER_MEMBER = "each"  # one from each member, with the highest epoch
+    LAST_WRITER = "last"  # one for all members, with the highest (epoch, member)
 
 
 @dataclass(frozen=True, slots=True)
 class Topic:
-    """`ttl_s`: the longest that a word of it may hold. A join of a lattice is a fold over EACH at its
-    reading."""
+    """`ttl_s`: the longest time that its entries may be valid. To merge values as in a lattice, fold the
+    entries of a PER_MEMBER topic when they are read."""
 
     name: str
     merge: Merge
     ttl_s: float
-    max_per_member: int = 8  # subjects of one member that are held
-    max_entries: int = 4096  # words held in all
-    weight: float = 1.0  # of a datagram's room
+    max_per_member: int = 8  # subjects of one member that are stored
+    max_entries: int = 4096  # stored from all members
+    weight: float = 1.0  # share of a datagram's room, relative to other topics
 
     def __post_init__(self) -> None:
         if not 1 <= len(self.name) <= MAX_TOPIC_CHARS:
             raise ValueError(f"topic {self.name!r}: expected 1 to {MAX_TOPIC_CHARS} characters")
         if not (self.ttl_s > 0 and self.max_per_member >= 1 and self.max_entries >= 1 and self.weight > 0):
-            raise ValueError(f"topic {self.name}: ttl_s, each, most and weight are expected above 0")
+            raise ValueError(
+                f"topic {self.name}: ttl_s is {self.ttl_s}, max_per_member {self.max_per_member}, "
+                f"max_entries {self.max_entries} and weight {self.weight}, all expected above 0"
+            )
 
 
-# What is of no topic known here is passed on within these bounds: a newer version may know it.
+# Entries of unknown topics are passed on within these bounds: a newer version may know the topic.
 UNKNOWN_TOPIC_TTL_S, UNKNOWN_TOPIC_MAX_PER_MEMBER, UNKNOWN_TOPIC_MAX_ENTRIES = 60.0, 4, 256
 
 
 class Entry(NamedTuple):
-    """As it travels. `left_s` is what was left of it when the datagram was sent, by the sender's clock."""
+    """An entry as it is sent. `remaining_s` is the time to its expiry when the datagram was sent, by the
+    sender's clock."""
 
     topic: str
-    origin: str  # name of the member that said it
+    origin: str  # name of the member that published it
     subject: str
     epoch: int
     value: bytes
@@ -86,7 +88,7 @@
 
 
 class PublishedEntry(NamedTuple):
-    """A word that holds, as a subsystem reads it. An empty value says that nothing is said any more."""
+    """A valid entry as subsystems read it."""
 
     origin: str
     subject: str
@@ -105,7 +107,7 @@
 
 @dataclass(slots=True)
 class OwnEntry:
-    """A word of our own that is said anew until it is taken back."""
+    """An entry that this member publishes; it is renewed until it is withdrawn, if `renew` is set."""
 
     topic: str
     subject: str
@@ -116,19 +118,19 @@
     renew: bool
 
 
-Key = tuple[str, str, str]  # topic, origin (empty under LAST), subject
+Key = tuple[str, str, str]  # topic, origin (empty for LAST_WRITER), subject
 
 
 @dataclass(slots=True)
 class Counts:
     accepted: int = 0
-    expired: int = 0  # words that had ended when they came
-    refused: int = 0  # malformed, too long a life, beyond a bound
+    expired: int = 0  # entries that had expired when they were received
+    refused: int = 0  # entries: malformed, too long a TTL, or beyond a bound
 
 
 @dataclass(slots=True)
 class TopicQueue:
-    """What waits to be passed on, of one topic."""
+    """The entries of one topic that are still to be sent."""
 
     keys: deque[Key] = field(default_factory=deque)
     deficit: float = 0.0
@@ -140,22 +142,23 @@
         self.topics = {topic.name: topic for topic in topics}
         self.entries: dict[Key, StoredEntry] = {}
         self.by_topic: dict[str, dict[Key, StoredEntry]] = {}
-        self.entry_counts: dict[tuple[str, str], int] = {}  # words held, by topic and member
+        self.entry_counts: dict[tuple[str, str], int] = {}  # stored entries by topic and member
         self.published: dict[tuple[str, str], OwnEntry] = {}
         self.queues: dict[str, TopicQueue] = {}
         self.rotation: deque[str] = deque()
         self.last_sweep_at = 0.0
         self.counts = Counts()
         self.members = 1
-        self.sync_offset = 0  # words that exchanges have had so far, in turn
+        self.sync_offset = 0  # rotates the entries that go into successive partial snapshots
 
-    # What the program prints
+    # Bounds
 
     @staticmethod
     def staleness_bound_s(ttl_s: float) -> float:
-        """The stated bound: nobody reads a word later than this after it was said, in true time, while every
-        clock's rate is within DRIFT. The sayer's own clock may be slow by DRIFT; each hop takes off more than
-        its two clocks can add."""
+        """Upper bound on the true time after its publication for which any member can read an entry.
+
+        It holds while the rate of every clock is within MAX_CLOCK_DRIFT. The publisher's clock may be slow by
+        that much; each hop takes off more than its two clocks can add."""
         return ttl_s / (1 - MAX_CLOCK_DRIFT)
 
     # Subsystems
@@ -163,244 +166,266 @@
     def publish(
         self, now: float, topic: str, subject: str, value: bytes, ttl_s: float = 0.0, renew: bool = True
     ) -> None:
-        """Say it from now on. With `renew` it is said anew in time until `unsay`; without, it ends by itself.
-        ValueError for what no member would take."""
+        """Publishes an entry from now on. With `renew` it is renewed until `withdraw`; otherwise it expires.
+
+        Raises ValueError for an entry that no member would accept."""
         rules = self.topics[topic]
         ttl_s = ttl_s or rules.ttl_s
         if not 0 < ttl_s <= rules.ttl_s:
-            raise ValueError(f"{topic}: a life of {ttl_s} s, expected above 0 and at most {rules.ttl_s:g}")
+            raise ValueError(f"{topic}: a TTL of {ttl_s} s, expected above 0 and at most {rules.ttl_s:g}")
         if len(subject) > MAX_SUBJECT_CHARS or len(value) > MAX_VALUE_BYTES:
-            raise ValueError(f"{topic}: subject or value too long ({len(subject)}, {len(value)} bytes)")
-        same = self.published.get((topic, subject))
-        if same is None and sum(key[0] == topic for key in self.published) >= rules.max_per_member:
-            raise ValueError(f"{topic}: more than {rules.max_per_member} subjects of one member")
-        held = self.entries.get(self._key(rules.merge, topic, self.me, subject))
-        epoch = 1 + max(held.entry.epoch if held is not None else 0, same.epoch if same is not None else 0)
+            raise ValueError(
+                f"{topic}: subject of {len(subject)} characters and value of {len(value)} bytes, "
+                f"expected at most {MAX_SUBJECT_CHARS} and {MAX_VALUE_BYTES}"
+            )
+        previous = self.published.get((topic, subject))
+        if previous is None and sum(key[0] == topic for key in self.published) >= rules.max_per_member:
+            raise ValueError(
+                f"{topic}: one more subject than the {rules.max_per_member} that a member may publish"
+            )
+        stored_entry = self.entries.get(self._key(rules.merge, topic, self.me, subject))
+        epoch = 1 + max(
+            stored_entry.entry.epoch if stored_entry is not None else 0,
+            previous.epoch if previous is not None else 0,
+        )
         self.published[topic, subject] = OwnEntry(topic, subject, value, ttl_s, now, epoch, renew)
         self._store(now, Entry(topic, self.me, subject, epoch, value, ttl_s), now + ttl_s)
 
     def withdraw(self, now: float, topic: str, subject: str) -> None:
-        """Take it back: an empty value outlasts the word that it ends."""
-        if (mine := self.published.get((topic, subject))) is not None:
-            self.publish(now, topic, subject, b"", mine.ttl_s, renew=False)
+        """Replaces the entry by one with an empty value, which outlasts it."""
+        if (own := self.published.get((topic, subject))) is not None:
+            self.publish(now, topic, subject, b"", own.ttl_s, renew=False)
             del self.published[topic, subject]
 
     def read(self, now: float, topic: str, subject: str | None = None) -> list[PublishedEntry]:
-        """All that holds at this moment, by (subject, member)."""
+        """The valid entries of a topic, sorted by (subject, member), without withdrawn ones."""
         found = [
             PublishedEntry(
-                held.entry.origin, held.entry.subject, held.entry.epoch, held.entry.value, held.expires_at
+                stored_entry.entry.origin,
+                stored_entry.entry.subject,
+                stored_entry.entry.epoch,
+                stored_entry.entry.value,
+                stored_entry.expires_at,
             )
-            for held in self.by_topic.get(topic, {}).values()
-            if held.expires_at > now
-            and held.entry.value
-            and (subject is None or held.entry.subject == subject)
+            for stored_entry in self.by_topic.get(topic, {}).values()
+            if stored_entry.expires_at > now
+            and stored_entry.entry.value
+            and (subject is None or stored_entry.entry.subject == subject)
         ]
-        return sorted(found, key=lambda said: (said.subject, said.origin))
+        return sorted(found, key=lambda entry: (entry.subject, entry.origin))
 
     # Members
 
     def tick(self, now: float, members: int) -> None:
-        """Say anew what is still meant, and forget what nothing can bring back."""
+        """Renews published entries and removes those that expired long ago."""
         self.members = members
-        for mine in list(self.published.values()):
-            if now >= mine.published_at + mine.ttl_s:
-                # Away for longer than it holds (or never renewed): whether it is still so, its subsystem
-                # says.
-                del self.published[mine.topic, mine.subject]
-            elif mine.renew and now >= mine.published_at + mine.ttl_s / RENEWALS_PER_TTL:
-                self.publish(now, mine.topic, mine.subject, mine.value, mine.ttl_s)
+        for own in list(self.published.values()):
+            if now >= own.published_at + own.ttl_s:
+                # Paused for longer than the TTL, or not renewed: the subsystem decides whether it still
+                # holds.
+                del self.published[own.topic, own.subject]
+            elif own.renew and now >= own.published_at + own.ttl_s / RENEWALS_PER_TTL:
+                self.publish(now, own.topic, own.subject, own.value, own.ttl_s)
         if now >= self.last_sweep_at + 1.0:
             self.last_sweep_at = now
-            for key, held in list(self.entries.items()):
-                if now >= held.expires_at + self._max_ttl_s(key[0]):
+            for key, stored_entry in list(self.entries.items()):
+                if now >= stored_entry.expires_at + self._max_ttl_s(key[0]):
                     self._remove(key)
 
-    def receive(self, now: float, sent: float, words: Iterable[Entry]) -> list[Entry]:
-        """`sent`: a moment of our clock no later than their sending. Returns what is news."""
-        news = []
-        for word in words:
-            fault = self._defect(word)
-            if fault:
+    def receive(self, now: float, earliest_send_time: float, entries: Iterable[Entry]) -> list[Entry]:
+        """Stores received entries and returns those that are new or have changed.
+
+        `earliest_send_time`: a local time no later than their sending."""
+        changed = []
+        for entry in entries:
+            defect = self._defect(entry)
+            if defect:
                 self.counts.refused += 1
                 continue
-            expires_at = min(sent, now) + word.remaining_s * HOP_TTL_FACTOR
+            expires_at = min(earliest_send_time, now) + entry.remaining_s * HOP_TTL_FACTOR
             if expires_at <= now:
                 self.counts.expired += 1
                 continue
-            if word.origin == self.me:
-                self._receive_own(now, word)
+            if entry.origin == self.me:
+                self._receive_own(now, entry)
                 continue
-            rules = self.topics.get(word.topic)
-            key = self._key(rules.merge if rules else Merge.PER_MEMBER, word.topic, word.origin, word.subject)
-            held = self.entries.get(key)
-            if held is not None and self._order(word) <= self._order(held.entry):
-                if word[:5] == held.entry[:5]:
-                    held.expires_at = max(
-                        held.expires_at, expires_at
-                    )  # of two bounds from below the better one
+            rules = self.topics.get(entry.topic)
+            key = self._key(
+                rules.merge if rules else Merge.PER_MEMBER, entry.topic, entry.origin, entry.subject
+            )
+            stored_entry = self.entries.get(key)
+            if stored_entry is not None and self._order(entry) <= self._order(stored_entry.entry):
+                if entry[:5] == stored_entry.entry[:5]:
+                    # Both are lower bounds on the true expiry; the later one is closer.
+                    stored_entry.expires_at = max(stored_entry.expires_at, expires_at)
                 continue
-            if held is None and not self._has_capacity(now, word, rules):
+            if stored_entry is None and not self._has_capacity(now, entry, rules):
                 self.counts.refused += 1
                 continue
-            self._store(now, word, expires_at)
+            self._store(now, entry, expires_at)
             self.counts.accepted += 1
-            news.append(word)
-        return news
+            changed.append(entry)
+        return changed
 
     def take_for_datagram(self, now: float, room: int) -> list[Entry]:
-        """Words for a datagram with `room` bytes left, each counted as passed on once."""
-        most = self.retransmit * ceil(log_scale(self.members))
-        words: list[Entry] = []
-        put: set[Key] = set()
-        idle = 0
-        while self.rotation and idle < len(self.rotation) and room > ENTRY_OVERHEAD_BYTES:
+        """Entries for a datagram with `room` bytes left; each counts as sent once more."""
+        max_sent = self.retransmit * ceil(log_scale(self.members))
+        entries: list[Entry] = []
+        taken: set[Key] = set()
+        idle_turns = 0
+        while self.rotation and idle_turns < len(self.rotation) and room > ENTRY_OVERHEAD_BYTES:
             name = self.rotation[0]
-            lane = self.queues[name]
+            queue = self.queues[name]
             rules = self.topics.get(name)
-            lane.deficit += QUANTUM_BYTES * (rules.weight if rules else 0.5)
-            before = len(words)
-            for _ in range(len(lane.keys)):
-                if lane.keys[0] in put:
+            queue.deficit += QUANTUM_BYTES * (rules.weight if rules else 0.5)
+            taken_before = len(entries)
+            for _ in range(len(queue.keys)):
+                if queue.keys[0] in taken:
                     break
-                held = self.entries.get(lane.keys[0])
-                if held is None or held.expires_at <= now or not held.queued:
-                    lane.keys.popleft()
-                    if held is not None:
-                        held.queued = False
+                stored_entry = self.entries.get(queue.keys[0])
+                if stored_entry is None or stored_entry.expires_at <= now or not stored_entry.queued:
+                    queue.keys.popleft()
+                    if stored_entry is not None:
+                        stored_entry.queued = False
                     continue
-                cost = held.entry.encoded_bytes()
-                if cost > lane.deficit or cost > room:
+                cost = stored_entry.entry.encoded_bytes()
+                if cost > queue.deficit or cost > room:
                     break
-                key = lane.keys.popleft()
-                put.add(key)
-                words.append(held.entry._replace(remaining_s=held.expires_at - now))
-                lane.deficit, room = lane.deficit - cost, room - cost
-                held.sent += 1
-                if held.sent < most:
-                    lane.keys.append(key)
+                key = queue.keys.popleft()
+                taken.add(key)
+                entries.append(stored_entry.entry._replace(remaining_s=stored_entry.expires_at - now))
+                queue.deficit, room = queue.deficit - cost, room - cost
+                stored_entry.sent += 1
+                if stored_entry.sent < max_sent:
+                    queue.keys.append(key)
                 else:
-                    held.queued = False
-                if held.sent > 1:
-                    break  # those that nobody has heard yet go first, in every topic
-            idle = 0 if len(words) > before else idle + 1
-            if lane.keys:
+                    stored_entry.queued = False
+                if stored_entry.sent > 1:
+                    break  # entries that were never sent go first, in every topic
+            idle_turns = 0 if len(entries) > taken_before else idle_turns + 1
+            if queue.keys:
                 self.rotation.rotate(-1)
-                # What the datagram had no room for is not saved up, but for one long word.
-                head = self.entries.get(lane.keys[0])
-                lane.deficit = min(lane.deficit, float(head.entry.encoded_bytes() if head is not None else 0))
+                # Unused deficit is not saved up beyond what the next entry needs.
+                first = self.entries.get(queue.keys[0])
+                queue.deficit = min(
+                    queue.deficit, float(first.entry.encoded_bytes() if first is not None else 0)
+                )
             else:
                 self.rotation.popleft()
-                lane.deficit = 0.0
-        return words
+                queue.deficit = 0.0
+        return entries
 
     def has_unsent(self) -> bool:
-        """Whether some word waits that has not been passed on at all."""
+        """Whether an entry is queued that has never been sent."""
         return any(
-            lane.keys
-            and (held := self.entries.get(lane.keys[0])) is not None
-            and held.queued
-            and not held.sent
-            for lane in self.queues.values()
+            queue.keys
+            and (stored_entry := self.entries.get(queue.keys[0])) is not None
+            and stored_entry.queued
+            and not stored_entry.sent
+            for queue in self.queues.values()
         )
 
     def snapshot(self, now: float, most: int | None = None) -> list[Entry]:
-        """All that holds, for a member that may have missed it; or so many of it, others each time."""
-        there = [held for held in self.entries.values() if held.expires_at > now]
-        if most is not None and len(there) > most:
-            self.sync_offset %= len(there)
-            there = (there[self.sync_offset :] + there[: self.sync_offset])[:most]
+        """The valid entries, for a member that may have missed some; with `most`, a different part each
+        time."""
+        valid = [stored_entry for stored_entry in self.entries.values() if stored_entry.expires_at > now]
+        if most is not None and len(valid) > most:
+            self.sync_offset %= len(valid)
+            valid = (valid[self.sync_offset :] + valid[: self.sync_offset])[:most]
             self.sync_offset += most
-        return [held.entry._replace(remaining_s=held.expires_at - now) for held in there]
+        return [
+            stored_entry.entry._replace(remaining_s=stored_entry.expires_at - now) for stored_entry in valid
+        ]
 
-    # One word
+    # Single entries
 
     @staticmethod
     def _key(merge: Merge, topic: str, origin: str, subject: str) -> Key:
         return topic, origin if merge is Merge.PER_MEMBER else "", subject
 
     @staticmethod
-    def _order(word: Entry) -> tuple[int, str, bytes]:
-        return word.epoch, word.origin, word.value
+    def _order(entry: Entry) -> tuple[int, str, bytes]:
+        return entry.epoch, entry.origin, entry.value
 
     def _max_ttl_s(self, topic: str) -> float:
         return self.topics[topic].ttl_s if topic in self.topics else UNKNOWN_TOPIC_TTL_S
 
-    def _defect(self, word: Entry) -> str:
-        if not (1 <= len(word.topic) <= MAX_TOPIC_CHARS and 1 <= len(word.origin) <= MAX_NAME_CHARS):
+    def _defect(self, entry: Entry) -> str:
+        if not (1 <= len(entry.topic) <= MAX_TOPIC_CHARS and 1 <= len(entry.origin) <= MAX_NAME_CHARS):
             return "topic or origin"
-        if len(word.subject) > MAX_SUBJECT_CHARS or len(word.value) > MAX_VALUE_BYTES:
-            return "too long"
-        if not 0 < word.epoch < MAX_EPOCH:
+        if len(entry.subject) > MAX_SUBJECT_CHARS or len(entry.value) > MAX_VALUE_BYTES:
+            return "subject or value"
+        if not 0 < entry.epoch < MAX_EPOCH:
             return "epoch"
-        if not 0 < word.remaining_s <= self._max_ttl_s(word.topic):
-            return "a life that its topic does not allow"  # also one that is no number
+        if not 0 < entry.remaining_s <= self._max_ttl_s(entry.topic):
+            return "remaining time"  # also rejects NaN
         return ""
 
-    def _receive_own(self, now: float, word: Entry) -> None:
-        """What we said before a restart outlives us: it is outdone, or it would stand until its end."""
-        rules = self.topics.get(word.topic)
+    def _receive_own(self, now: float, entry: Entry) -> None:
+        """Replaces an entry that this member published before a restart, which would otherwise stand until
+        its expiry."""
+        rules = self.topics.get(entry.topic)
         if rules is None:
             return
-        mine = self.published.get((word.topic, word.subject))
-        held = self.entries.get(self._key(rules.merge, word.topic, self.me, word.subject))
-        if mine is None:
-            if held is None and word.value and self._has_capacity(now, word, rules):
-                self._store(now, word._replace(epoch=word.epoch + 1, value=b""), now + word.remaining_s)
-        elif (word.epoch, word.value) > (mine.epoch, mine.value):
-            mine.epoch = word.epoch
-            self.publish(now, mine.topic, mine.subject, mine.value, mine.ttl_s, mine.renew)
-
-    def _has_capacity(self, now: float, word: Entry, rules: Topic | None) -> bool:
-        each, most = (
+        own = self.published.get((entry.topic, entry.subject))
+        stored_entry = self.entries.get(self._key(rules.merge, entry.topic, self.me, entry.subject))
+        if own is None:
+            if stored_entry is None and entry.value and self._has_capacity(now, entry, rules):
+                self._store(now, entry._replace(epoch=entry.epoch + 1, value=b""), now + entry.remaining_s)
+        elif (entry.epoch, entry.value) > (own.epoch, own.value):
+            own.epoch = entry.epoch
+            self.publish(now, own.topic, own.subject, own.value, own.ttl_s, own.renew)
+
+    def _has_capacity(self, now: float, entry: Entry, rules: Topic | None) -> bool:
+        max_per_member, max_entries = (
             (rules.max_per_member, rules.max_entries)
             if rules
             else (UNKNOWN_TOPIC_MAX_PER_MEMBER, UNKNOWN_TOPIC_MAX_ENTRIES)
         )
-        if self.entry_counts.get((word.topic, word.origin), 0) >= each:
+        if self.entry_counts.get((entry.topic, entry.origin), 0) >= max_per_member:
             return False
-        there = self.by_topic.get(word.topic, {})
-        if rules is None and word.topic not in self.by_topic:
-            others = [name for name in self.by_topic if name not in self.topics]
-            if len(others) >= UNKNOWN_TOPIC_MAX_ENTRIES:
+        stored = self.by_topic.get(entry.topic, {})
+        if rules is None and entry.topic not in self.by_topic:
+            unknown_topics = [name for name in self.by_topic if name not in self.topics]
+            if len(unknown_topics) >= UNKNOWN_TOPIC_MAX_ENTRIES:
                 return False
-        if len(there) < most:
+        if len(stored) < max_entries:
             return True
-        ended = next((key for key, held in there.items() if held.expires_at <= now), None)
-        if ended is not None:
-            self._remove(ended)
-        return ended is not None
-
-    def _store(self, now: float, word: Entry, expires_at: float) -> None:
-        rules = self.topics.get(word.topic)
-        key = self._key(rules.merge if rules else Merge.PER_MEMBER, word.topic, word.origin, word.subject)
+        expired = next((key for key, stored_entry in stored.items() if stored_entry.expires_at <= now), None)
+        if expired is not None:
+            self._remove(expired)
+        return expired is not None
+
+    def _store(self, now: float, entry: Entry, expires_at: float) -> None:
+        rules = self.topics.get(entry.topic)
+        key = self._key(rules.merge if rules else Merge.PER_MEMBER, entry.topic, entry.origin, entry.subject)
         before = self.entries.get(key)
         if before is not None:
             self._adjust_count(before.entry, -1)
-        lane = self.queues.setdefault(word.topic, TopicQueue())
+        queue = self.queues.setdefault(entry.topic, TopicQueue())
         if before is not None and before.queued:
-            lane.keys.remove(key)
-        held = StoredEntry(word, expires_at, queued=True)
-        self.entries[key] = self.by_topic.setdefault(word.topic, {})[key] = held
-        self._adjust_count(word, 1)
-        if not lane.keys and word.topic not in self.rotation:
-            self.rotation.append(word.topic)
-        lane.keys.appendleft(key)
-
-    def _adjust_count(self, word: Entry, by: int) -> None:
-        who = word.topic, word.origin
-        count = self.entry_counts.get(who, 0) + by
+            queue.keys.remove(key)
+        stored_entry = StoredEntry(entry, expires_at, queued=True)
+        self.entries[key] = self.by_topic.setdefault(entry.topic, {})[key] = stored_entry
+        self._adjust_count(entry, 1)
+        if not queue.keys and entry.topic not in self.rotation:
+            self.rotation.append(entry.topic)
+        queue.keys.appendleft(key)
+
+    def _adjust_count(self, entry: Entry, by: int) -> None:
+        owner = entry.topic, entry.origin
+        count = self.entry_counts.get(owner, 0) + by
         if count:
-            self.entry_counts[who] = count
+            self.entry_counts[owner] = count
         else:
-            self.entry_counts.pop(who, None)
+            self.entry_counts.pop(owner, None)
 
     def _remove(self, key: Key) -> None:
-        held = self.entries.pop(key)
-        there = self.by_topic[key[0]]
-        del there[key]
-        if not there:
+        stored_entry = self.entries.pop(key)
+        same_topic = self.by_topic[key[0]]
+        del same_topic[key]
+        if not same_topic:
             del self.by_topic[key[0]]
-        self._adjust_count(held.entry, -1)
-        if held.queued:
+        self._adjust_count(stored_entry.entry, -1)
+        if stored_entry.queued:
             self.queues[key[0]].keys.remove(key)
