--- a/flintlatch/peers/words.py
+++ b/flintlatch/peers/words.py
@@ -26,10 +26,11 @@
 
 MAX_CLOCK_DRIFT = 0.01  # relative error of a clock's rate: 100 times that of a quartz, 10 times NTP's slew
 HOP_TTL_FACTOR = (1 - MAX_CLOCK_DRIFT) / (1 + MAX_CLOCK_DRIFT)  # of the remaining time, at each hop
-RENEWALS_PER_TTL = 3  # an entry that is kept up is republished so often: two may be lost
-MAX_EPOCH = 2**53  # exclusive: its publisher could not replace an entry with a higher epoch
+RENEWALS_PER_TTL = 3  # publications of a renewed entry: two in a row may be lost
+MAX_EPOCH = 2**53  # exclusive: a publisher could not replace an entry with a higher epoch
 MAX_TOPIC_CHARS, MAX_SUBJECT_CHARS, MAX_VALUE_BYTES = 16, 96, 512
 ENTRY_OVERHEAD_BYTES = 24  # of an encoded entry without its texts and value, at most
+SWEEP_INTERVAL_S = 1.0  # between two removals of long expired entries
 QUANTUM_BYTES = 256  # added to a topic's deficit each turn, times its weight
 
 
@@ -64,11 +65,12 @@
 
 # Entries of unknown topics are passed on within these bounds: a newer version may know the topic.
 UNKNOWN_TOPIC_TTL_S, UNKNOWN_TOPIC_MAX_PER_MEMBER, UNKNOWN_TOPIC_MAX_ENTRIES = 60.0, 4, 256
+UNKNOWN_TOPIC_WEIGHT = 0.5
 
 
 class Entry(NamedTuple):
     """An entry as it is sent. `remaining_s` is the time to its expiry when the datagram was sent, by the
-    sender's clock."""
+    sender's clock. An empty value marks a withdrawn entry."""
 
     topic: str
     origin: str  # name of the member that published it
@@ -180,12 +182,10 @@
             )
         previous = self.published.get((topic, subject))
         if previous is None and sum(key[0] == topic for key in self.published) >= rules.max_per_member:
-            raise ValueError(
-                f"{topic}: one more subject than the {rules.max_per_member} that a member may publish"
-            )
-        stored_entry = self.entries.get(self._key(rules.merge, topic, self.me, subject))
+            raise ValueError(f"{topic}: more than {rules.max_per_member} subjects of one member")
+        stored = self.entries.get(self._key(rules.merge, topic, self.me, subject))
         epoch = 1 + max(
-            stored_entry.entry.epoch if stored_entry is not None else 0,
+            stored.entry.epoch if stored is not None else 0,
             previous.epoch if previous is not None else 0,
         )
         self.published[topic, subject] = OwnEntry(topic, subject, value, ttl_s, now, epoch, renew)
@@ -201,16 +201,16 @@
         """The valid entries of a topic, sorted by (subject, member), without withdrawn ones."""
         found = [
             PublishedEntry(
-                stored_entry.entry.origin,
-                stored_entry.entry.subject,
-                stored_entry.entry.epoch,
-                stored_entry.entry.value,
-                stored_entry.expires_at,
+                stored.entry.origin,
+                stored.entry.subject,
+                stored.entry.epoch,
+                stored.entry.value,
+                stored.expires_at,
             )
-            for stored_entry in self.by_topic.get(topic, {}).values()
-            if stored_entry.expires_at > now
-            and stored_entry.entry.value
-            and (subject is None or stored_entry.entry.subject == subject)
+            for stored in self.by_topic.get(topic, {}).values()
+            if stored.expires_at > now
+            and stored.entry.value
+            and (subject is None or stored.entry.subject == subject)
         ]
         return sorted(found, key=lambda entry: (entry.subject, entry.origin))
 
@@ -221,15 +221,15 @@
         self.members = members
         for own in list(self.published.values()):
             if now >= own.published_at + own.ttl_s:
-                # Paused for longer than the TTL, or not renewed: the subsystem decides whether it still
-                # holds.
+                # Paused for longer than the TTL, or not renewed: the subsystem decides whether to publish
+                # it again.
                 del self.published[own.topic, own.subject]
             elif own.renew and now >= own.published_at + own.ttl_s / RENEWALS_PER_TTL:
                 self.publish(now, own.topic, own.subject, own.value, own.ttl_s)
-        if now >= self.last_sweep_at + 1.0:
+        if now >= self.last_sweep_at + SWEEP_INTERVAL_S:
             self.last_sweep_at = now
-            for key, stored_entry in list(self.entries.items()):
-                if now >= stored_entry.expires_at + self._max_ttl_s(key[0]):
+            for key, stored in list(self.entries.items()):
+                if now >= stored.expires_at + self._max_ttl_s(key[0]):
                     self._remove(key)
 
     def receive(self, now: float, earliest_send_time: float, entries: Iterable[Entry]) -> list[Entry]:
@@ -253,13 +253,13 @@
             key = self._key(
                 rules.merge if rules else Merge.PER_MEMBER, entry.topic, entry.origin, entry.subject
             )
-            stored_entry = self.entries.get(key)
-            if stored_entry is not None and self._order(entry) <= self._order(stored_entry.entry):
-                if entry[:5] == stored_entry.entry[:5]:
+            stored = self.entries.get(key)
+            if stored is not None and self._order(entry) <= self._order(stored.entry):
+                if entry[:5] == stored.entry[:5]:
                     # Both are lower bounds on the true expiry; the later one is closer.
-                    stored_entry.expires_at = max(stored_entry.expires_at, expires_at)
+                    stored.expires_at = max(stored.expires_at, expires_at)
                 continue
-            if stored_entry is None and not self._has_capacity(now, entry, rules):
+            if stored is None and not self._has_capacity(now, entry, rules):
                 self.counts.refused += 1
                 continue
             self._store(now, entry, expires_at)
@@ -277,30 +277,30 @@
             name = self.rotation[0]
             queue = self.queues[name]
             rules = self.topics.get(name)
-            queue.deficit += QUANTUM_BYTES * (rules.weight if rules else 0.5)
+            queue.deficit += QUANTUM_BYTES * (rules.weight if rules else UNKNOWN_TOPIC_WEIGHT)
             taken_before = len(entries)
             for _ in range(len(queue.keys)):
                 if queue.keys[0] in taken:
                     break
-                stored_entry = self.entries.get(queue.keys[0])
-                if stored_entry is None or stored_entry.expires_at <= now or not stored_entry.queued:
+                stored = self.entries.get(queue.keys[0])
+                if stored is None or stored.expires_at <= now or not stored.queued:
                     queue.keys.popleft()
-                    if stored_entry is not None:
-                        stored_entry.queued = False
+                    if stored is not None:
+                        stored.queued = False
                     continue
-                cost = stored_entry.entry.encoded_bytes()
-                if cost > queue.deficit or cost > room:
+                size = stored.entry.encoded_bytes()
+                if size > queue.deficit or size > room:
                     break
                 key = queue.keys.popleft()
                 taken.add(key)
-                entries.append(stored_entry.entry._replace(remaining_s=stored_entry.expires_at - now))
-                queue.deficit, room = queue.deficit - cost, room - cost
-                stored_entry.sent += 1
-                if stored_entry.sent < max_sent:
+                entries.append(stored.entry._replace(remaining_s=stored.expires_at - now))
+                queue.deficit, room = queue.deficit - size, room - size
+                stored.sent += 1
+                if stored.sent < max_sent:
                     queue.keys.append(key)
                 else:
-                    stored_entry.queued = False
-                if stored_entry.sent > 1:
+                    stored.queued = False
+                if stored.sent > 1:
                     break  # entries that were never sent go first, in every topic
             idle_turns = 0 if len(entries) > taken_before else idle_turns + 1
             if queue.keys:
@@ -319,23 +319,20 @@
         """Whether an entry is queued that has never been sent."""
         return any(
             queue.keys
-            and (stored_entry := self.entries.get(queue.keys[0])) is not None
-            and stored_entry.queued
-            and not stored_entry.sent
+            and (stored := self.entries.get(queue.keys[0])) is not None
+            and stored.queued
+            and not stored.sent
             for queue in self.queues.values()
         )
 
     def snapshot(self, now: float, most: int | None = None) -> list[Entry]:
-        """The valid entries, for a member that may have missed some; with `most`, a different part each
-        time."""
-        valid = [stored_entry for stored_entry in self.entries.values() if stored_entry.expires_at > now]
+        """The valid entries, for a member that may have missed some; with `most`, other ones in each call."""
+        valid = [stored for stored in self.entries.values() if stored.expires_at > now]
         if most is not None and len(valid) > most:
             self.sync_offset %= len(valid)
             valid = (valid[self.sync_offset :] + valid[: self.sync_offset])[:most]
             self.sync_offset += most
-        return [
-            stored_entry.entry._replace(remaining_s=stored_entry.expires_at - now) for stored_entry in valid
-        ]
+        return [stored.entry._replace(remaining_s=stored.expires_at - now) for stored in valid]
 
     # Single entries
 
@@ -368,9 +365,9 @@
         if rules is None:
             return
         own = self.published.get((entry.topic, entry.subject))
-        stored_entry = self.entries.get(self._key(rules.merge, entry.topic, self.me, entry.subject))
+        stored = self.entries.get(self._key(rules.merge, entry.topic, self.me, entry.subject))
         if own is None:
-            if stored_entry is None and entry.value and self._has_capacity(now, entry, rules):
+            if stored is None and entry.value and self._has_capacity(now, entry, rules):
                 self._store(now, entry._replace(epoch=entry.epoch + 1, value=b""), now + entry.remaining_s)
         elif (entry.epoch, entry.value) > (own.epoch, own.value):
             own.epoch = entry.epoch
@@ -384,14 +381,14 @@
         )
         if self.entry_counts.get((entry.topic, entry.origin), 0) >= max_per_member:
             return False
-        stored = self.by_topic.get(entry.topic, {})
+        same_topic = self.by_topic.get(entry.topic, {})
         if rules is None and entry.topic not in self.by_topic:
             unknown_topics = [name for name in self.by_topic if name not in self.topics]
             if len(unknown_topics) >= UNKNOWN_TOPIC_MAX_ENTRIES:
                 return False
-        if len(stored) < max_entries:
+        if len(same_topic) < max_entries:
             return True
-        expired = next((key for key, stored_entry in stored.items() if stored_entry.expires_at <= now), None)
+        expired = next((key for key, stored in same_topic.items() if stored.expires_at <= now), None)
         if expired is not None:
             self._remove(expired)
         return expired is not None
@@ -399,14 +396,14 @@
     def _store(self, now: float, entry: Entry, expires_at: float) -> None:
         rules = self.topics.get(entry.topic)
         key = self._key(rules.merge if rules else Merge.PER_MEMBER, entry.topic, entry.origin, entry.subject)
-        before = self.entries.get(key)
-        if before is not None:
-            self._adjust_count(before.entry, -1)
+        replaced = self.entries.get(key)
+        if replaced is not None:
+            self._adjust_count(replaced.entry, -1)
         queue = self.queues.setdefault(entry.topic, TopicQueue())
-        if before is not None and before.queued:
+        if replaced is not None and replaced.queued:
             queue.keys.remove(key)
-        stored_entry = StoredEntry(entry, expires_at, queued=True)
-        self.entries[key] = self.by_topic.setdefault(entry.topic, {})[key] = stored_entry
+        stored = StoredEntry(entry, expires_at, queued=True)
+        self.entries[key] = self.by_topic.setdefault(entry.topic, {})[key] = stored
         self._adjust_count(entry, 1)
         if not queue.keys and entry.topic not in self.rotation:
             self.rotation.append(entry.topic)
@@ -421,11 +418,11 @@
             self.entry_counts.pop(owner, None)
 
     def _remove(self, key: Key) -> None:
-        stored_entry = self.entries.pop(key)
+        stored = self.entries.pop(key)
         same_topic = self.by_topic[key[0]]
         del same_topic[key]
         if not same_topic:
             del self.by_topic[key[0]]
-        self._adjust_count(stored_entry.entry, -1)
-        if stored_entry.queued:
+        self._adjust_count(stored.entry, -1)
+        if stored.queued:
             self.queues[key[0]].keys.remove(key)
