--- a/flintlatch/peers/__init__.py
+++ b/flintlatch/peers/__init__.py
@@ -1,9 +1,9 @@
-"""Which fleets there are: members that know of each other while links fail, and the words that they carry.
+"""Cluster membership of the fleets, and the entries that members publish to each other.
 
-`Member` is fed events (`Opened`, `Tick`, `Leave`, `Altered`) with the time, and returns actions (`Post`,
-`Sync`, `Changed`, `News`, `Told`); `Peers` is the part of it that says who is there, `Carrier` the part that
-carries words. `flintlatch.peers.shell` puts it on sockets. docs/design/peers.md has the reasons and the
-bounds.
+`Member` is fed events (`DatagramReceived`, `Tick`, `Leave`, `InstancesChanged`) with the time, and returns
+actions (`SendDatagram`, `Sync`, `Changed`, `EntriesReceived`, `LogLine`). Its part `Peers` keeps the
+membership, its part `EntryStore` the published entries. `flintlatch.peers.shell` runs a member on sockets.
+docs/design/peers.md has the reasons and the bounds.
 """
 
 from flintlatch.peers.census import Census, CensusView, FleetPosition
--- a/flintlatch/peers/shell.py
+++ b/flintlatch/peers/shell.py
@@ -1,7 +1,8 @@
-"""A member on real sockets: UDP for probes and words, TCP for whole views. It owns sockets and the clock.
+"""Runs a member on real sockets: UDP for probes and gossip, TCP for whole views. Owns the sockets and the
+clock.
 
-Everything that strangers can make grow has a bound: datagrams a tick, streams at once, bytes of a frame,
-time.
+Every resource that unauthenticated senders can use up is bounded: datagrams per tick, concurrent streams,
+frame size and time.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 from flintlatch.peers.model import Record, Rules, State, View
 from flintlatch.peers.seal import HELLO, NONCE_BYTES, VERSION, AuthenticationFailed, Seal, StreamSeal
 from flintlatch.peers.wire import (
-    DecodeError,
+    InvalidMessage,
     pack,
     pack_sync,
     unpack,
@@ -29,25 +30,23 @@
 )
 from flintlatch.peers.words import Entry, Topic
 
-MAX_DATAGRAM_BYTES = 1400  # bytes: under every usual link's, so that none is cut into fragments
-MAX_DATAGRAMS_PER_TICK = 1000  # datagrams opened between two ticks: 10,000 a second, some tenths of a core
-STREAM_TIMEOUT_S = 5.0  # of one exchange of whole views; what lies in buffers for longer is not read
-MAX_INBOUND_STREAMS, MAX_OUTBOUND_STREAMS = 32, 4  # at once
-MAX_FRAME_BYTES = 8 * 1024 * 1024  # bytes: the most members and all their words
-RECEIVE_BUFFER_BYTES = (
-    1024 * 1024
-)  # bytes that the kernel may keep for us: what comes in a long turn of the loop
-BIND_ATTEMPTS = 20  # ports tried for one that is free for both
+MAX_DATAGRAM_BYTES = 1400  # below the MTU of common links, so that no datagram is fragmented
+MAX_DATAGRAMS_PER_TICK = 1000  # 10,000 per second, which takes some tenths of a core
+STREAM_TIMEOUT_S = 5.0  # for one exchange of whole views; content that was buffered for longer is not used
+MAX_INBOUND_STREAMS, MAX_OUTBOUND_STREAMS = 32, 4  # concurrent
+MAX_FRAME_BYTES = 8 * 1024 * 1024  # holds the largest number of members and all their entries
+RECEIVE_BUFFER_BYTES = 1024 * 1024  # in the kernel: holds what arrives during a long turn of the event loop
+BIND_ATTEMPTS = 20  # ports tried to find one that is free for both UDP and TCP
 FRAME_LENGTH = struct.Struct(">I")
 
 
 class BindError(Exception):
-    """The address can't be had; the text says why."""
+    """The address can't be bound; the text gives the reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class Options:
-    """`bind` and `advertise`: host:port; where `advertise` is empty it is what was bound."""
+    """`bind` and `advertise`: host:port. An empty `advertise` stands for the bound address."""
 
     name: str
     bind: str
@@ -66,9 +65,9 @@
     sent: int = 0
     received_bytes: int = 0
     sent_bytes: int = 0
-    unauthenticated: int = 0  # not sealed by a key of ours
+    unauthenticated: int = 0  # datagrams and streams not sealed with a known key
     unreadable: int = 0
-    over_budget: int = 0  # dropped unread: more than a tick allows
+    over_budget: int = 0  # datagrams beyond MAX_DATAGRAMS_PER_TICK, dropped unread
     streams: int = 0
     failed_streams: int = 0
 
@@ -83,7 +82,7 @@
 
 
 def bind_pair(address: str) -> tuple[socket.socket, socket.socket]:
-    """A UDP and a listening TCP socket at one address. Raises BindError."""
+    """Returns a UDP socket and a TCP socket that are bound to the same address. Raises BindError."""
     host, port = split_address(address)
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     error: OSError | None = None
@@ -105,7 +104,8 @@
 
 
 class Shell(asyncio.DatagramProtocol):
-    """`on_view` hears of each new view, `on_news` of new words, `on_told` of lines for the log."""
+    """`on_view` is called with each new view, `on_entries` with new entries, `on_log` with lines for the
+    log."""
 
     def __init__(
         self,
@@ -156,7 +156,7 @@
         self._tick()
 
     def close(self) -> None:
-        """At once, and without a word: as one who died."""
+        """Closes at once and notifies no other member, so that this one counts as dead."""
         self.closed = True
         if self.timer is not None:
             self.timer.cancel()
@@ -168,7 +168,7 @@
             task.cancel()
 
     def leave(self) -> None:
-        """Tell the others, and close."""
+        """Notifies other members and closes."""
         if not self.closed:
             self.step(Leave())
             self.close()
@@ -180,7 +180,7 @@
     def change_keys(self, keys: tuple[bytes, ...]) -> None:
         self.seal.set_keys(keys)
 
-    # Words
+    # Entries
 
     def publish(self, topic: str, subject: str, value: bytes, ttl_s: float = 0.0, renew: bool = True) -> None:
         self.member.entry_store.publish(clock(), topic, subject, value, ttl_s, renew)
@@ -199,9 +199,9 @@
     def _carry_out(self, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, SendDatagram):
-                self._post(action)
+                self._send(action)
             elif isinstance(action, Sync):
-                self._task(self._sync(action.address))
+                self._start_task(self._sync(action.address))
             elif isinstance(action, Changed):
                 self.on_view(action.view)
             elif isinstance(action, EntriesReceived):
@@ -209,7 +209,7 @@
             elif isinstance(action, LogLine):
                 self.on_log(action.text)
 
-    def _task(self, coroutine: Any) -> None:
+    def _start_task(self, coroutine: Any) -> None:
         task: asyncio.Task[None] = self.loop.create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
@@ -225,7 +225,7 @@
         self.transport = transport  # type: ignore[assignment]
 
     def error_received(self, exc: Exception) -> None:
-        """A port that nobody listens on: its member is found silent by itself."""
+        """Ignores ICMP errors such as a closed port: the probes detect that the member does not respond."""
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
         if self.budget <= 0:
@@ -236,24 +236,26 @@
         self.counts.received_bytes += len(data)
         try:
             if len(data) > MAX_DATAGRAM_BYTES:
-                raise DecodeError("longer than any of ours")
-            run_id, number, plain = self.seal.decrypt(data)
-            envelope = unpack(plain, run_id, number)
+                raise InvalidMessage(
+                    f"a datagram of {len(data)} bytes, expected at most {MAX_DATAGRAM_BYTES}"
+                )
+            run_id, number, plaintext = self.seal.decrypt(data)
+            envelope = unpack(plaintext, run_id, number)
         except AuthenticationFailed:
             self._on_unauthenticated(f"a datagram from {addr[0]}")
             return
-        except DecodeError:
+        except InvalidMessage:
             self.counts.unreadable += 1
             return
         self.step(DatagramReceived(envelope))
 
-    def _on_unauthenticated(self, what: str) -> None:
+    def _on_unauthenticated(self, source: str) -> None:
         self.counts.unauthenticated += 1
         if not self.logged_unauthenticated:
             self.logged_unauthenticated = True
-            self.on_log(f"peers: {what} is not sealed by a key of ours; told once, then counted")
+            self.on_log(f"peers: {source} is not sealed by a key of ours; told once, then counted")
 
-    def _post(self, action: SendDatagram) -> None:
+    def _send(self, action: SendDatagram) -> None:
         envelope = action.envelope
         data = self.seal.encrypt(envelope.number, pack(envelope))
         if self.transport is None or self.transport.is_closing() or len(data) > MAX_DATAGRAM_BYTES:
@@ -261,7 +263,7 @@
         try:
             self.transport.sendto(data, split_address(action.address))
         except (OSError, ValueError):
-            return  # an address that can't be sent to is a member that does not answer
+            return  # a member with an unusable address counts as one that does not respond
         self.counts.sent += 1
         self.counts.sent_bytes += len(data)
 
@@ -276,16 +278,18 @@
             async with asyncio.timeout(STREAM_TIMEOUT_S):
                 host, port = split_address(address)
                 reader, writer = await asyncio.open_connection(host, port, local_addr=(self.host, 0))
-                nonce, name = os.urandom(NONCE_BYTES), self.seal.active_key_id
-                writer.write(HELLO.pack(VERSION, name, nonce))
-                seal = StreamSeal(self.seal.keys[name], nonce, await reader.readexactly(NONCE_BYTES), True)
-                asked = clock()
-                self._frame(writer, seal, pack_sync(self.member.offer(asked)))
-                whole = unpack_sync(await self._read(reader, seal))
-                if clock() - asked > STREAM_TIMEOUT_S:
+                nonce, own_key_id = os.urandom(NONCE_BYTES), self.seal.active_key_id
+                writer.write(HELLO.pack(VERSION, own_key_id, nonce))
+                seal = StreamSeal(
+                    self.seal.keys[own_key_id], nonce, await reader.readexactly(NONCE_BYTES), True
+                )
+                offered_at = clock()
+                self._write_frame(writer, seal, pack_sync(self.member.offer(offered_at)))
+                reply = unpack_sync(await self._read_frame(reader, seal))
+                if clock() - offered_at > STREAM_TIMEOUT_S:
                     raise TimeoutError
-                mine, actions = self.member.on_reply(clock(), whole, asked)
-                self._frame(writer, seal, pack_sync(mine))
+                content, actions = self.member.on_reply(clock(), reply, offered_at)
+                self._write_frame(writer, seal, pack_sync(content))
                 await writer.drain()
                 self.counts.streams += 1
                 self._carry_out(actions)
@@ -295,9 +299,9 @@
             KeyError,
             asyncio.IncompleteReadError,
             AuthenticationFailed,
-            DecodeError,
+            InvalidMessage,
         ) as error:
-            self._stream_failed(error, f"the answer of {address}")
+            self._stream_failed(error, f"a reply from {address}")
         finally:
             self.outbound_streams -= 1
             if writer is not None:
@@ -313,23 +317,23 @@
         self.tasks.add(task)
         try:
             async with asyncio.timeout(STREAM_TIMEOUT_S):
-                began = clock()
-                version, name, theirs = HELLO.unpack(await reader.readexactly(HELLO.size))
-                key = self.seal.keys.get(name)
+                started_at = clock()
+                version, peer_key_id, peer_nonce = HELLO.unpack(await reader.readexactly(HELLO.size))
+                key = self.seal.keys.get(peer_key_id)
                 if version != VERSION or key is None:
-                    raise AuthenticationFailed("another version or key")
+                    raise AuthenticationFailed(f"version {version}, expected {VERSION}, or an unknown key")
                 nonce = os.urandom(NONCE_BYTES)
                 writer.write(nonce)
-                seal = StreamSeal(key, theirs, nonce, False)
-                whole = unpack_sync(await self._read(reader, seal))
-                asked = clock()
-                self._frame(writer, seal, pack_sync(self.member.on_offer(asked, whole)))
+                seal = StreamSeal(key, peer_nonce, nonce, False)
+                offer = unpack_sync(await self._read_frame(reader, seal))
+                replied_at = clock()
+                self._write_frame(writer, seal, pack_sync(self.member.on_offer(replied_at, offer)))
                 await writer.drain()
-                last = unpack_sync(await self._read(reader, seal))
-                if clock() - began > STREAM_TIMEOUT_S:
+                content = unpack_sync(await self._read_frame(reader, seal))
+                if clock() - started_at > STREAM_TIMEOUT_S:
                     raise TimeoutError
-                self._carry_out(self.member.on_last(clock(), last, asked))
-        except (OSError, asyncio.IncompleteReadError, AuthenticationFailed, DecodeError) as error:
+                self._carry_out(self.member.on_last(clock(), content, replied_at))
+        except (OSError, asyncio.IncompleteReadError, AuthenticationFailed, InvalidMessage) as error:
             self._stream_failed(error, "a stream")
         except asyncio.CancelledError:
             pass
@@ -338,21 +342,21 @@
             self.inbound_streams -= 1
             writer.close()
 
-    def _stream_failed(self, error: Exception, what: str) -> None:
+    def _stream_failed(self, error: Exception, source: str) -> None:
         self.counts.failed_streams += 1
         if isinstance(error, AuthenticationFailed):
-            self._on_unauthenticated(what)
-        elif isinstance(error, DecodeError):
+            self._on_unauthenticated(source)
+        elif isinstance(error, InvalidMessage):
             self.counts.unreadable += 1
 
-    def _frame(self, writer: asyncio.StreamWriter, seal: StreamSeal, plain: bytes) -> None:
-        data = seal.encrypt(plain)
+    def _write_frame(self, writer: asyncio.StreamWriter, seal: StreamSeal, plaintext: bytes) -> None:
+        data = seal.encrypt(plaintext)
         self.counts.sent_bytes += len(data) + FRAME_LENGTH.size
         writer.write(FRAME_LENGTH.pack(len(data)) + data)
 
-    async def _read(self, reader: asyncio.StreamReader, seal: StreamSeal) -> bytes:
+    async def _read_frame(self, reader: asyncio.StreamReader, seal: StreamSeal) -> bytes:
         (length,) = FRAME_LENGTH.unpack(await reader.readexactly(FRAME_LENGTH.size))
         if length > MAX_FRAME_BYTES:
-            raise DecodeError(f"a frame of {length} bytes")
+            raise InvalidMessage(f"a frame of {length} bytes, expected at most {MAX_FRAME_BYTES}")
         self.counts.received_bytes += length + FRAME_LENGTH.size
         return seal.decrypt(await reader.readexactly(length))
--- a/flintlatch/peers/wire.py
+++ b/flintlatch/peers/wire.py
@@ -1,7 +1,7 @@
-"""Datagrams and whole views as bytes: MessagePack (its 2013 specification), by `msgspec`.
+"""Encodes and decodes datagrams and whole views: MessagePack (its 2013 specification), by `msgspec`.
 
-Fields stand in arrays. A newer version may add fields behind ours, which are left; a kind of message that is
-not known here still brings its records and words; a record whose state is not known is left out alone.
+Fields are encoded as arrays. A newer version may append fields, which are ignored. The records and entries of
+a message of unknown kind are used. Of a list of records, only those with an unknown state are skipped.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 STATES = {int(state): state for state in State}
 
 
-class DecodeError(Exception):
-    """Bytes that are no message: what was found where."""
+class InvalidMessage(Exception):
+    """Bytes that are not a valid message; the text says what is wrong and where."""
 
 
 class _RecordRow(msgspec.Struct, array_like=True):
@@ -70,15 +70,21 @@
 _sync_decoder = msgspec.msgpack.Decoder(_SyncMessageRow)
 
 
-def _entry_rows(words: tuple[Entry, ...]) -> list[_EntryRow]:
-    # Rounded down: a word must not gain on its way.
+def _entry_rows(entries: tuple[Entry, ...]) -> list[_EntryRow]:
+    # Rounded down, so that the remaining time never grows on the way.
     return [
-        _EntryRow(w.topic, w.origin, w.subject, w.epoch, w.value, int(w.remaining_s * 1000)) for w in words
+        _EntryRow(
+            entry.topic, entry.origin, entry.subject, entry.epoch, entry.value, int(entry.remaining_s * 1000)
+        )
+        for entry in entries
     ]
 
 
 def _entries(rows: list[_EntryRow]) -> tuple[Entry, ...]:
-    return tuple(Entry(w.topic, w.origin, w.subject, w.epoch, w.value, w.remaining_ms / 1000) for w in rows)
+    return tuple(
+        Entry(row.topic, row.origin, row.subject, row.epoch, row.value, row.remaining_ms / 1000)
+        for row in rows
+    )
 
 
 def _record_rows(records: tuple[Record, ...]) -> list[_RecordRow]:
@@ -88,23 +94,23 @@
 def _records(rows: list[_RecordRow]) -> tuple[Record, ...]:
     return tuple(
         Record(
-            r.name,
-            r.address,
-            r.incarnation,
-            STATES[r.state],
-            r.run_id,
-            r.instances,
-            r.zone,
-            r.region,
-            r.reporter,
+            row.name,
+            row.address,
+            row.incarnation,
+            STATES[row.state],
+            row.run_id,
+            row.instances,
+            row.zone,
+            row.region,
+            row.reporter,
         )
-        for r in rows
-        if r.state in STATES
+        for row in rows
+        if row.state in STATES
     )
 
 
 def pack(envelope: Envelope) -> bytes:
-    """Without `life` and `number`, which stand before the sealed part."""
+    """Encodes all fields but `run_id` and `number`, which are in the datagram header."""
     message = envelope.message
     return _encoder.encode(
         _EnvelopeRow(
@@ -122,28 +128,28 @@
 
 
 def unpack(data: bytes, run_id: int, number: int) -> Envelope:
-    """Raises Unreadable."""
+    """Raises InvalidMessage."""
     try:
         row = _envelope_decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise DecodeError(str(error)) from None
+        raise InvalidMessage(str(error)) from None
     message = Message(KINDS.get(row.kind, Kind.GOSSIP), row.number, row.target, _records(row.gossip))
     return Envelope(
         row.sender, row.address, run_id, number, row.clock, row.digest, message, _entries(row.entries)
     )
 
 
-def pack_sync(whole: SyncMessage) -> bytes:
+def pack_sync(message: SyncMessage) -> bytes:
     return _encoder.encode(
-        _SyncMessageRow(*whole[:7], _record_rows(whole.records), _entry_rows(whole.entries))
+        _SyncMessageRow(*message[:7], _record_rows(message.records), _entry_rows(message.entries))
     )
 
 
 def unpack_sync(data: bytes) -> SyncMessage:
-    """Raises Unreadable."""
+    """Raises InvalidMessage."""
     try:
         row = _sync_decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise DecodeError(str(error)) from None
-    head = (row.sender, row.address, row.run_id, row.number, row.clock, row.digest, row.content_digest)
-    return SyncMessage(*head, _records(row.records), _entries(row.entries))
+        raise InvalidMessage(str(error)) from None
+    header = (row.sender, row.address, row.run_id, row.number, row.clock, row.digest, row.content_digest)
+    return SyncMessage(*header, _records(row.records), _entries(row.entries))
--- a/tests/peers/test_guard.py
+++ b/tests/peers/test_guard.py
@@ -24,7 +24,7 @@
 )
 from flintlatch.peers.guard import MAX_PROBE_TIMES, MAX_SENDERS, REPLAY_WINDOW, ReplayGuard, Trust
 from flintlatch.peers.seal import AuthenticationFailed, InvalidKeyFile, Seal, StreamSeal, read_keys
-from flintlatch.peers.wire import DecodeError, pack, pack_sync, unpack, unpack_sync
+from flintlatch.peers.wire import InvalidMessage, pack, pack_sync, unpack, unpack_sync
 from flintlatch.peers.words import MAX_CLOCK_DRIFT, Entry
 
 ONE, OTHER = bytes(range(32)), bytes(32)
@@ -171,7 +171,7 @@
     assert len(data) <= 200 + sum(r.encoded_bytes() for r in gossip) + word.encoded_bytes()
     for broken in (noise, data[: len(noise)], noise + data):
         for read in (lambda b: unpack(b, 1, 1), unpack_sync):
-            with suppress(DecodeError):
+            with suppress(InvalidMessage):
                 read(broken)
 
 
