--- a/tests/limits/explored.py
+++ b/tests/limits/explored.py
@@ -13,8 +13,6 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from flintlatch.limits.ledger import Grant, HolderGrants, LeaseLedger
-
 from flintlatch.limits.api import (
     LeaseHolder,
     LeaseSettings,
@@ -25,6 +23,7 @@
     term_validity_s,
 )
 from flintlatch.limits.model import LeaseRequest, holder_id
+from flintlatch.limits.split import Grant, HolderGrants, LeaseLedger
 
 LIMIT = Limit("l", "", "", 10.0, 0.0, PartitionPolicy.STRICT, reserve=0.0)
 TERMS = LeaseSettings(("k0", "k1", "k2"), 2, term_s=2.0)
--- a/tests/limits/test_cores.py
+++ b/tests/limits/test_cores.py
@@ -121,13 +121,13 @@
                     replace(after_fault, alive=replaced_at(world.alive, n, alive)),
                 )
             fresh = Leadership(name, TERMS, world.now)
-            received = replaced_at(world.received, n, (None, None, None))
+            none_received = replaced_at(world.received, n, (None, None, None))
             yield (
                 f"{name} restarts",
                 replace(
                     after_fault,
                     voters=replaced_at(world.voters, n, fresh),
-                    received=received,
+                    received=none_received,
                     leader_until=replaced_at(world.leader_until, n, 0.0),
                 ),
             )
@@ -292,9 +292,8 @@
     assert core.due(1) == [LIMIT] and core.follows == {"l": []}
     now[0] = 3.0
     assert core.due(1) == [Proxies(2, 1)] and len(log) == 1
-    core.on_word(
-        {"about": "limit", "limit": "l", "value": [50.0, 7.0, 1, 5], "until": 2.5}
-    )  # expired in a buffer
+    # Has expired in a buffer.
+    core.on_word({"about": "limit", "limit": "l", "value": [50.0, 7.0, 1, 5], "until": 2.5})
     core.on_word({"about": "limit", "limit": "unknown", "value": [], "until": 9.0})
     core.on_word({"about": "weather", "value": "fine"})
     assert core.due(1) == [] and len(log) == 1
