--- a/tests/verdicts/test_core.py
+++ b/tests/verdicts/test_core.py
@@ -1,4 +1,4 @@
-"""What voices together decide, and what none of them can."""
+"""Shared ejection: what observers decide together, and that no single observer can cause an ejection."""
 
 from __future__ import annotations
 
@@ -16,86 +16,86 @@
 FLEETS = {"a1": "a", "a2": "a", "b1": "b", "b2": "b", "b3": "b"}
 
 
-def test_two_zones_that_find_a_server_bad_leave_it_and_three_go_on_trying_it() -> None:
-    found = decide_ejections({"s": {"a1": 2, "b1": 2}}, {}, FLEETS, 10, RULES)
-    verdict = found.ejected["s"]
-    assert verdict.zone == "" and len(verdict.probers) == RULES.quorum + 1
-    shunning = {f for f, z in FLEETS.items() if "s" in found.ejected_for(f, z)}
-    assert shunning == FLEETS.keys() - set(verdict.probers)
+def test_reports_from_two_zones_eject_a_server_for_all_but_three_probers() -> None:
+    decision = decide_ejections({"s": {"a1": 2, "b1": 2}}, {}, FLEETS, 10, RULES)
+    ejection = decision.ejected["s"]
+    assert ejection.zone == "" and len(ejection.probers) == RULES.quorum + 1
+    avoiding = {f for f, z in FLEETS.items() if "s" in decision.ejected_for(f, z)}
+    assert avoiding == FLEETS.keys() - set(ejection.probers)
 
 
-def test_one_voice_makes_no_verdict_however_loud() -> None:
+def test_one_observer_alone_ejects_no_server_however_many_failures_it_reports() -> None:
     assert not decide_ejections({"s": {"a1": 10**9}}, {}, FLEETS, 10, RULES).ejected
-    assert not decide_ejections(
-        {"s": {"a1": 1, "b1": 1}}, {}, FLEETS, 10, RULES
-    ).ejected  # and two by chance neither
+    # Two single failures by chance are not enough either.
+    assert not decide_ejections({"s": {"a1": 1, "b1": 1}}, {}, FLEETS, 10, RULES).ejected
 
 
-def test_what_one_zone_alone_finds_is_a_verdict_for_that_zone() -> None:
-    found = decide_ejections({"s": {"b1": 3, "b2": 3}}, {"s": {"a1", "a2"}}, FLEETS, 10, RULES)
-    assert found.ejected["s"].zone == "b"
-    assert not any(found.ejected_for(f, "a") for f in ("a1", "a2"))
-    assert (
-        sum("s" in found.ejected_for(f, "b") for f in ("b1", "b2", "b3")) == 0
-    )  # three try, three there are
-    alone = decide_ejections({"s": {"b1": 3, "b2": 3}}, {}, FLEETS, 10, RULES)
-    assert alone.ejected["s"].zone == ""  # that nobody else speaks of it says only that nobody else uses it
+def test_failures_in_one_zone_only_eject_the_server_for_that_zone() -> None:
+    decision = decide_ejections({"s": {"b1": 3, "b2": 3}}, {"s": {"a1", "a2"}}, FLEETS, 10, RULES)
+    assert decision.ejected["s"].zone == "b"
+    assert not any(decision.ejected_for(f, "a") for f in ("a1", "a2"))
+    # All three fleets of the zone are probers.
+    assert sum("s" in decision.ejected_for(f, "b") for f in ("b1", "b2", "b3")) == 0
+    without_successes = decide_ejections({"s": {"b1": 3, "b2": 3}}, {}, FLEETS, 10, RULES)
+    # Without any report from other zones they do not use the server, so it is ejected for all.
+    assert without_successes.ejected["s"].zone == ""
 
 
-def test_one_that_finds_most_bad_is_ill_itself_and_counts_for_nothing() -> None:
-    voices = {f"s{n}": {"a1": 3} for n in range(8)} | {"s0": {"a1": 3, "b1": 1}}
-    found = decide_ejections(voices, {}, FLEETS, 10, RULES)
-    assert found.unreliable == {"a1"} and not found.ejected
-    assert not found.ejected_for("a1", "a")
+def test_a_fleet_that_alone_reports_most_servers_is_unreliable_and_ignored() -> None:
+    failures = {f"s{n}": {"a1": 3} for n in range(8)} | {"s0": {"a1": 3, "b1": 1}}
+    decision = decide_ejections(failures, {}, FLEETS, 10, RULES)
+    assert decision.unreliable == {"a1"} and not decision.ejected
+    assert not decision.ejected_for("a1", "a")
 
 
-def test_too_many_at_once_are_no_verdict_and_are_told() -> None:
-    voices = {f"s{n}": {"a1": 3, "b1": 3} for n in range(4)}
-    assert decide_ejections(voices, {}, FLEETS, 10, RULES).suppressed == 4
-    assert not decide_ejections(voices, {}, FLEETS, 10, RULES).ejected
-    assert len(decide_ejections(dict(list(voices.items())[:3]), {}, FLEETS, 10, RULES).ejected) == 3
+def test_too_many_ejections_at_once_are_suppressed_and_counted() -> None:
+    failures = {f"s{n}": {"a1": 3, "b1": 3} for n in range(4)}
+    assert decide_ejections(failures, {}, FLEETS, 10, RULES).suppressed == 4
+    assert not decide_ejections(failures, {}, FLEETS, 10, RULES).ejected
+    assert len(decide_ejections(dict(list(failures.items())[:3]), {}, FLEETS, 10, RULES).ejected) == 3
 
 
-def test_what_it_answers_weighs_against_what_it_fails() -> None:
-    voices = {"s": {"a1": 3, "b1": 3, "b2": 3}}
-    assert decide_ejections(voices, {"s": {"a2"}}, FLEETS, 10, RULES).ejected["s"].zone == ""
-    assert not decide_ejections(voices, {"s": {"a2", "b3"}}, FLEETS, 10, RULES).ejected
-    # Only those that try it are left to speak then: one of them that it answers lifts it.
+def test_successes_of_other_fleets_prevent_an_ejection() -> None:
+    failures = {"s": {"a1": 3, "b1": 3, "b2": 3}}
+    assert decide_ejections(failures, {"s": {"a2"}}, FLEETS, 10, RULES).ejected["s"].zone == ""
+    assert not decide_ejections(failures, {"s": {"a2", "b3"}}, FLEETS, 10, RULES).ejected
+    # Once only the probers report, a success of one of them lifts the ejection.
     assert not decide_ejections({"s": {"a1": 3, "b2": 3}}, {"s": {"b1"}}, FLEETS, 10, RULES).ejected
 
 
-def test_the_turns_go_on_when_one_of_those_who_try_dies() -> None:
-    voices = {"s": dict.fromkeys(FLEETS, 3)}
-    before = decide_ejections(voices, {}, FLEETS, 10, RULES).ejected["s"].probers
-    rest = {f: z for f, z in FLEETS.items() if f != before[0]}
-    after = decide_ejections(voices, {}, rest, 10, RULES).ejected["s"].probers
+def test_probers_stay_the_same_when_one_of_them_dies() -> None:
+    failures = {"s": dict.fromkeys(FLEETS, 3)}
+    before = decide_ejections(failures, {}, FLEETS, 10, RULES).ejected["s"].probers
+    remaining = {f: z for f, z in FLEETS.items() if f != before[0]}
+    after = decide_ejections(failures, {}, remaining, 10, RULES).ejected["s"].probers
     assert len(after) == 3 and set(before[1:]) <= set(after)
 
 
-counts = st.dictionaries(st.sampled_from(sorted(FLEETS)), st.integers(-5, 10**6))
-voices_of = st.dictionaries(st.sampled_from([f"s{n}" for n in range(8)]), counts)
+failure_counts = st.dictionaries(st.sampled_from(sorted(FLEETS)), st.integers(-5, 10**6))
+failure_maps = st.dictionaries(st.sampled_from([f"s{n}" for n in range(8)]), failure_counts)
 
 
-@given(voices_of, st.sampled_from(sorted(FLEETS)), counts)
-@example({"s0": {"a1": 0, "a2": 1, "b1": -4}}, "a1", {})  # b1 is of another zone than the verdict
+@given(voices_of, st.sampled_from(sorted(FLEETS)), failure_counts)
+@example({"s0": {"a1": 0, "a2": 1, "b1": -4}}, "a1", {})  # b1 is in another zone than the ejection
 @settings(max_examples=300, deadline=None)
-def test_no_single_voice_takes_a_server_from_anybody_else(
-    voices: dict[str, dict[str, int]], liar: str, lies: dict[str, int]
+def test_no_single_fleet_can_eject_a_server_for_others(
+    failures: dict[str, dict[str, int]], liar: str, lies: dict[str, int]
 ) -> None:
-    """Whatever one fleet says of whatever servers: what is out has a quorum without counting on it alone."""
-    said = {server: dict(named) for server, named in voices.items()}
-    for server in said:
-        said[server][liar] = lies.get(liar, 10**9)
-    found = decide_ejections(said, {}, FLEETS, 8, RULES)
-    for server, verdict in found.ejected.items():
-        others = {f: n for f, n in said[server].items() if f != liar}
+    """A fleet with arbitrary false reports: each ejected server still has a quorum with other observers in
+    it."""
+    reported = {server: dict(reports) for server, reports in failures.items()}
+    for server in reported:
+        reported[server][liar] = lies.get(liar, 10**9)
+    decision = decide_ejections(reported, {}, FLEETS, 8, RULES)
+    for server, ejection in decision.ejected.items():
+        others = {f: n for f, n in reported[server].items() if f != liar}
         assert others, server
-        weight = sum(min(said[server][fleet], MAX_COUNTED_FAILURES) for fleet in verdict.reporters)
-        assert len(verdict.reporters) >= RULES.quorum and weight >= RULES.strikes
-    assert len(found.ejected) <= RULES.most_out * 8
+        weight = sum(min(reported[server][fleet], MAX_COUNTED_FAILURES) for fleet in ejection.reporters)
+        assert len(ejection.reporters) >= RULES.quorum and weight >= RULES.strikes
+    assert len(decision.ejected) <= RULES.most_out * 8
 
 
-def test_the_module_leaves_a_shunned_server_unless_it_answered_and_begins_with_one_on_trial() -> None:
+def test_the_module_avoids_an_ejected_server_unless_it_just_answered_and_resumes_with_one_probe() -> None:
     driver = Driver(module_settings(), *fleet(2))
     first, second = "10.0.0.0:80", "10.0.0.1:80"
     driver.step(Shun(first, 2000.0))
@@ -103,38 +103,38 @@
         request = driver.arrive()
         assert driver.sends[request] == [second]
         driver.end(request)
-    driver.step(Shun(second, 60_000.0))  # it has just answered: what we see is more
+    driver.step(Shun(second, 60_000.0))  # ignored, since the server has just answered this instance
     assert driver.sends[driver.arrive()] == [second]
     driver.beats(3000)
-    asked = [driver.arrive() for _ in range(6)]
-    trials = [r for r in asked if driver.sends.get(r) == [first]]
-    assert len(trials) == 1  # one on trial
-    driver.end(trials[0])
+    requests = [driver.arrive() for _ in range(6)]
+    probes = [r for r in requests if driver.sends.get(r) == [first]]
+    assert len(probes) == 1  # a half-open probe
+    driver.end(probes[0])
     assert driver.balancer.servers[first].room(driver.now)
 
 
-def test_what_failed_us_is_evidence_until_it_answers_and_what_others_say_is_none() -> None:
+def test_own_failures_are_reported_until_they_age_and_ejections_by_others_are_not() -> None:
     driver = Driver(module_settings(), *fleet(4))
     driver.step(Shun("10.0.0.3:80", 5000.0))
     assert not driver.balancer.found_bad(driver.now)
     request = driver.arrive()
-    bad = driver.sends[request][0]
+    failed = driver.sends[request][0]
     driver.end(request, Result.ERROR, done=True)
-    assert driver.balancer.found_bad(driver.now) == {bad: 1}
-    assert driver.balancer.found_good(driver.now, [bad, "unknown"]) == []
+    assert driver.balancer.found_bad(driver.now) == {failed: 1}
+    assert driver.balancer.found_good(driver.now, [failed, "unknown"]) == []
     driver.beats(11_000)
-    assert not driver.balancer.found_bad(driver.now)  # old by now
+    assert not driver.balancer.found_bad(driver.now)  # too old by now
 
 
-def test_a_word_to_shun_ends_for_an_instance_whose_supervisor_says_nothing_more() -> None:
+def test_an_ejection_expires_in_an_instance_that_receives_no_renewal() -> None:
     now = [0.0]
     core = Heard(0, Proxies(1, 0), (), lambda: now[0], lambda text: None)
     core.on_word({"about": "shun", "value": ["s1", "s2"], "accused": [], "until": 2.0})
     assert core.due(0) == [Shun("s1", 2000.0), Shun("s2", 2000.0)]
     core.on_word({"about": "shun", "value": ["s2"], "accused": ["s2"], "until": 2.5})
     assert core.due(0) == [Shun("s1", 0.0), Shun("s2", 2500.0)]
-    assert core.due(1) == [Shun("s2", 2500.0)]  # a module that took over
+    assert core.due(1) == [Shun("s2", 2500.0)]  # a module that replaced one after a fault
     now[0] = 3.0
     assert core.due(1) == [] and not core.shunned
-    core.on_word({"about": "shun", "value": ["s1"], "accused": [], "until": 2.9})  # old, from a buffer
+    core.on_word({"about": "shun", "value": ["s1"], "accused": [], "until": 2.9})  # expired in a buffer
     assert core.due(1) == []
