--- a/tests/peers/explored.py
+++ b/tests/peers/explored.py
@@ -1,4 +1,4 @@
-"""A world of three members for the explorer: the real core, every order of its messages, and faults."""
+"""State space of three members for the explorer: the real core, every order of messages, and faults."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from flintlatch.peers.core import Event, Queued, Suspicion
 
 RULES = Rules(
-    period_s=1.0, ack_s=0.5, helpers=1, suspicion=1.0, suspicion_max_factor=1.0, confirmations=1, retransmit=1,
-    sync_s=50.0, forget_s=200.0,
+    period_s=1.0, ack_s=0.5, helpers=1, suspicion=1.0, suspicion_max_factor=1.0, confirmations=1,
+    retransmit=1, sync_s=50.0, forget_s=200.0,
 )  # fmt: skip
 NAMES = ("a", "b", "c")
-FLIGHT_MOST = 4  # messages that have not come: the oldest is lost beyond that
+MAX_IN_FLIGHT = 4  # messages in flight; beyond that the oldest is lost
 STEP_S = 0.5
 
 
-class First:
-    """No chance: what is left to it is always the first."""
+class FirstChoice:
+    """A deterministic random source: always picks the first."""
 
     def random(self) -> float:
         return 0.5
@@ -39,22 +39,25 @@
 
 
 def clone(core: Peers) -> Peers:
-    """What it may change, apart; the rest shared."""
-    made = copy(core)
-    made.suspicions = {n: Suspicion(s.since, set(s.reporters)) for n, s in core.suspicions.items()}
-    made.active, made.active_names = dict(core.active), list(core.active_names)
-    made.departed_at, made.probe_order, made.unresponsive = (
+    """Copies the mutable state; the rest is shared."""
+    copied = copy(core)
+    copied.suspicions = {n: Suspicion(s.since, set(s.reporters)) for n, s in core.suspicions.items()}
+    copied.active, copied.active_names = dict(core.active), list(core.active_names)
+    copied.departed_at, copied.probe_order, copied.unresponsive = (
         dict(core.departed_at),
         list(core.probe_order),
         set(core.unresponsive),
     )
-    made.queue = {n: Queued(q.record, q.sent) for n, q in core.queue.items()}
-    made.probe, made.relayed_probes = copy(core.probe), {n: copy(r) for n, r in core.relayed_probes.items()}
-    made.counts, made.logged, made.actions = copy(core.counts), set(core.logged), []
-    return made
+    copied.queue = {n: Queued(q.record, q.sent) for n, q in core.queue.items()}
+    copied.probe, copied.relayed_probes = (
+        copy(core.probe),
+        {n: copy(r) for n, r in core.relayed_probes.items()},
+    )
+    copied.counts, copied.logged, copied.actions = copy(core.counts), set(core.logged), []
+    return copied
 
 
-def shape(core: Peers, now: float) -> Hashable:
+def core_key(core: Peers, now: float) -> Hashable:
     probe = core.probe
     return (
         tuple(sorted(core.view.values())),
@@ -76,17 +79,17 @@
     cores: tuple[Peers | None, ...]
     paused: tuple[bool, ...]
     flight: tuple[tuple[str, str, Any], ...]  # from, to, message
-    said: tuple[int, ...]  # highest incarnation that each process under the name has given itself
-    gone: frozenset[tuple[str, str, int]]  # who heard that which life of whom has left
-    lives: tuple[int, ...]
-    faults: int  # kills, pauses and leaves still allowed
-    wrong: str = ""
+    incarnations: tuple[int, ...]  # highest one that any process with the name has given itself
+    left: frozenset[tuple[str, str, int]]  # observer, member and run id that left
+    run_ids: tuple[int, ...]
+    faults: int  # kills, pauses and leaves that are left
+    violation: str = ""
 
 
 def start(faults: int) -> World:
     cores = []
-    for place, name in enumerate(NAMES):
-        core = Peers(Record(name, name, 0, State.ALIVE, place), (), RULES, First(), 0.0)
+    for index, name in enumerate(NAMES):
+        core = Peers(Record(name, name, 0, State.ALIVE, index), (), RULES, FirstChoice(), 0.0)
         core.probe_number = 0
         cores.append(core)
     everyone = tuple(core.me for core in cores)
@@ -96,67 +99,70 @@
     return World(0.0, tuple(cores), (False,) * 3, (), (0,) * 3, frozenset(), (0, 1, 2), faults)
 
 
-def put(items: tuple[Any, ...], place: int, item: Any) -> tuple[Any, ...]:
-    return (*items[:place], item, *items[place + 1 :])
+def replaced_at(items: tuple[Any, ...], index: int, item: Any) -> tuple[Any, ...]:
+    return (*items[:index], item, *items[index + 1 :])
 
 
-def act(world: World, place: int, event: Event) -> World:
-    before = world.cores[place]
+def member_step(world: World, index: int, event: Event) -> World:
+    before = world.cores[index]
     assert before is not None
     core = clone(before)
-    flight, wrong, gone = list(world.flight), "", set(world.gone)
+    flight, violation, left = list(world.flight), "", set(world.left)
     for action in core.step(world.now, event):
         if isinstance(action, Send):
             flight.append((core.me.address, action.address, action.message))
         elif isinstance(action, Sync):
-            pass  # whole views are events of their own here
+            pass  # exchanges of whole views are separate events here
     me = core.view[core.me.name]
     if not core.left and me.state is not State.ALIVE:
-        wrong = f"{core.me.name} holds itself {me.state.name}"
-    said = put(world.said, place, max(world.said[place], core.me.incarnation))
+        violation = f"{core.me.name} holds itself {me.state.name}"
+    incarnations = replaced_at(world.incarnations, index, max(world.incarnations[index], core.me.incarnation))
     for name, record in core.view.items():
         other = NAMES.index(name)
-        if record.incarnation > said[other]:
-            wrong = f"{core.me.name} holds {name} at {record.incarnation}, it said at most {said[other]}"
+        if record.incarnation > incarnations[other]:
+            violation = (
+                f"{core.me.name} holds {name} at incarnation {record.incarnation}, "
+                f"the highest that it had is {incarnations[other]}"
+            )
         known = before.view.get(name)
         if known is not None and record.incarnation < known.incarnation:
-            wrong = f"{core.me.name}: the incarnation of {name} goes back"
+            violation = f"{core.me.name}: the incarnation of {name} decreases"
         if record.state is State.LEFT:
-            gone.add((core.me.name, name, record.run_id))
-        elif (core.me.name, name, record.run_id) in gone:
-            wrong = f"{core.me.name}: {name} left and is back by hearsay"
+            left.add((core.me.name, name, record.run_id))
+        elif (core.me.name, name, record.run_id) in left:
+            violation = f"{core.me.name}: {name} left and is back without a new run"
     return replace(
         world,
-        cores=put(world.cores, place, core),
-        flight=tuple(flight[-FLIGHT_MOST:]),
-        said=said,
-        gone=frozenset(gone),
-        wrong=wrong or world.wrong,
+        cores=replaced_at(world.cores, index, core),
+        flight=tuple(flight[-MAX_IN_FLIGHT:]),
+        incarnations=incarnations,
+        left=frozenset(left),
+        violation=violation or world.violation,
     )
 
 
 def steps(world: World) -> Iterator[tuple[str, World]]:
     for number, (source, target, message) in enumerate(world.flight):
-        place = NAMES.index(target)
-        if world.cores[place] is None or world.paused[place]:
+        index = NAMES.index(target)
+        if world.cores[index] is None or world.paused[index]:
             continue
         kind = f"{message.kind.name} {source}>{target}"
-        left = replace(world, flight=world.flight[:number] + world.flight[number + 1 :])
-        yield kind, act(left, place, Received(source, message))
+        delivered = replace(world, flight=world.flight[:number] + world.flight[number + 1 :])
+        yield kind, member_step(delivered, index, Received(source, message))
         if message.gossip:
-            yield f"{kind} twice", act(world, place, Received(source, message))
+            yield f"{kind} twice", member_step(world, index, Received(source, message))
     later = replace(world, now=world.now + STEP_S)
-    for place in range(3):
-        if later.cores[place] is not None and not later.paused[place]:
-            later = act(later, place, Tick())
-    yield "time", later
+    for index in range(3):
+        if later.cores[index] is not None and not later.paused[index]:
+            later = member_step(later, index, Tick())
+    yield "time passes", later
     for one, other in ((0, 1), (1, 2), (2, 0)):
         first, second = world.cores[one], world.cores[other]
         if first and second and first.view != second.view and not (world.paused[one] or world.paused[other]):
             mine, theirs = tuple(first.view.values()), tuple(second.view.values())
             yield (
                 f"views {NAMES[one]}-{NAMES[other]}",
-                act(act(world, other, Synced(mine)), one, Synced(theirs)),
+                member_step(member_step(world, other, Synced(mine)), one, Synced(theirs)),
             )
     yield from faults(world)
 
@@ -164,33 +170,41 @@
 def faults(world: World) -> Iterator[tuple[str, World]]:
     core = world.cores[2]
     if core is None:
-        run_id = world.lives[2] + 10
-        fresh = Peers(Record("c", "c", 0, State.ALIVE, run_id), ("a",), RULES, First(), world.now)
+        run_id = world.run_ids[2] + 10
+        fresh = Peers(Record("c", "c", 0, State.ALIVE, run_id), ("a",), RULES, FirstChoice(), world.now)
         fresh.probe_number = 0
-        gone = frozenset(pair for pair in world.gone if pair[0] != "c")
+        left = frozenset(row for row in world.left if row[0] != "c")
         yield (
             "c starts",
-            replace(world, cores=put(world.cores, 2, fresh), lives=put(world.lives, 2, run_id), gone=gone),
+            replace(
+                world,
+                cores=replaced_at(world.cores, 2, fresh),
+                run_ids=replaced_at(world.run_ids, 2, run_id),
+                left=left,
+            ),
         )
     elif world.paused[2]:
-        yield "c wakes", replace(world, paused=(False, False, False))
+        yield "c resumes", replace(world, paused=(False, False, False))
     elif world.faults:
-        fewer = replace(world, faults=world.faults - 1)
-        yield "c dies", replace(fewer, cores=put(world.cores, 2, None))
-        yield "c is paused", replace(fewer, paused=(False, False, True))
-        left = act(fewer, 2, Leave())
-        yield "c leaves", replace(left, cores=put(left.cores, 2, None), gone=left.gone)
+        after_fault = replace(world, faults=world.faults - 1)
+        yield "c dies", replace(after_fault, cores=replaced_at(world.cores, 2, None))
+        yield "c is paused", replace(after_fault, paused=(False, False, True))
+        after_leave = member_step(after_fault, 2, Leave())
+        yield (
+            "c leaves",
+            replace(after_leave, cores=replaced_at(after_leave.cores, 2, None), left=after_leave.left),
+        )
 
 
 def key(world: World) -> Hashable:
     return (
-        tuple(shape(core, world.now) if core is not None else None for core in world.cores),
+        tuple(core_key(core, world.now) if core is not None else None for core in world.cores),
         world.paused,
         tuple(sorted((s, t, m.kind, m.target, m.gossip) for s, t, m in world.flight)),
         world.faults,
-        world.gone,
+        world.left,
     )
 
 
 def check(world: World) -> str:
-    return world.wrong
+    return world.violation
--- a/tests/peers/test_census.py
+++ b/tests/peers/test_census.py
@@ -1,4 +1,4 @@
-"""How many there are: up at once, down late and by steps, and never below what there is."""
+"""The census: rises at once, falls late and gradually, and is never below the number of active instances."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from flintlatch.peers.census import FALL_PER_S
 
 
-def test_a_fresh_start_believes_the_configuration_until_it_has_met_others_for_a_while() -> None:
+def test_after_a_start_the_configured_number_counts_until_the_hold_time_has_passed() -> None:
     census = Census(2, 20, 30.0, 0.0)
     assert census.read(1.0) == FleetPosition(20, 0)
     census.update(2.0, CensusView(8, 4, False))
@@ -18,7 +18,7 @@
     assert census.read(90.0) == FleetPosition(8, 4)
 
 
-def test_it_rises_at_once_and_falls_late_and_without_a_step() -> None:
+def test_it_rises_at_once_and_falls_late_and_gradually() -> None:
     census = Census(1, 1, 10.0, 0.0)
     census.update(0.0, CensusView(4, 0, False))
     census.update(20.0, CensusView(30, 0, False))
@@ -33,7 +33,7 @@
     assert last == 4
 
 
-def test_while_anybody_is_under_suspicion_it_does_not_fall() -> None:
+def test_it_does_not_fall_while_a_member_is_suspected() -> None:
     census = Census(1, 1, 5.0, 0.0)
     census.update(0.0, CensusView(10, 0, False))
     for second in range(1, 60):
@@ -43,18 +43,18 @@
     assert census.read(120.0).proxies == 6
 
 
-sights = st.lists(st.tuples(st.floats(0.1, 20), st.integers(1, 50), st.integers(0, 60), st.booleans()))
+views = st.lists(st.tuples(st.floats(0.1, 20), st.integers(1, 50), st.integers(0, 60), st.booleans()))
 
 
-@given(sights, st.integers(1, 10), st.integers(1, 100))
+@given(views, st.integers(1, 10), st.integers(1, 100))
 @settings(max_examples=200, deadline=None)
-def test_the_parts_of_all_who_are_seen_never_add_up_to_more_than_one(
-    plan: list[tuple[float, int, int, bool]], own: int, configured: int
+def test_the_count_is_never_below_the_instances_in_the_view(
+    changes: list[tuple[float, int, int, bool]], own: int, configured: int
 ) -> None:
     census, now = Census(own, configured, 8.0, 0.0), 0.0
-    for wait, more, before, uncertain in plan:
-        seen = own + more
+    for wait, others, before, uncertain in changes:
+        instances = own + others
         now += wait
-        census.update(now, CensusView(seen, before, uncertain))
-        place = census.read(now)
-        assert place.proxies >= seen and 0 <= place.first <= place.proxies - own
+        census.update(now, CensusView(instances, before, uncertain))
+        position = census.read(now)
+        assert position.proxies >= instances and 0 <= position.first <= position.proxies - own
--- a/tests/peers/test_explored.py
+++ b/tests/peers/test_explored.py
@@ -1,4 +1,5 @@
-"""Three members, every order of messages, losses, copies, a death, a pause, a leave: to a stated depth."""
+"""Explores three members to a stated depth: every order of messages, losses, duplicates, death, pause and
+leave."""
 
 from __future__ import annotations
 
@@ -10,22 +11,24 @@
 from tests.peers import explored
 
 
-def test_every_order_of_three_members_events_keeps_their_promises() -> None:
+def test_no_order_of_events_of_three_members_violates_an_invariant() -> None:
     found = explore(explored.start(2), explored.steps, explored.key, explored.check, 6)
     print(found)
     assert found.depth == 6 and found.states > 2000
 
 
-@pytest.mark.parametrize("fault", ["others raise", "hearsay", "self"])
-def test_a_fault_put_into_the_core_is_found(fault: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    if fault == "others raise":
-        accuse = Peers.suspect
+@pytest.mark.parametrize(
+    "mutation", ["another member raises the incarnation", "states are not ordered", "no refutation"]
+)
+def test_a_mutation_of_the_core_is_found(mutation: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    if mutation == "another member raises the incarnation":
+        suspect = Peers.suspect
 
         def raised(self: Peers, now: float, record: Record, reporter: str) -> None:
-            accuse(self, now, record._replace(incarnation=record.incarnation + 1), reporter)
+            suspect(self, now, record._replace(incarnation=record.incarnation + 1), reporter)
 
         monkeypatch.setattr(Peers, "suspect", raised)
-    elif fault == "hearsay":
+    elif mutation == "states are not ordered":
         monkeypatch.setattr(
             Record, "supersedes", lambda self, other: other is None or self.incarnation >= other.incarnation
         )
