--- a/tests/peers/test_fleet.py
+++ b/tests/peers/test_fleet.py
@@ -1,4 +1,5 @@
-"""Many members in virtual time, with faults between them: views come together once the network is whole."""
+"""Many members in virtual time with network and process faults: views converge once the network works
+again."""
 
 from __future__ import annotations
 
@@ -11,28 +12,28 @@
 from flintlatch.peers import Changed, State
 
 
-def joined(n: int, seed: int = 1) -> tuple[Members, list[str]]:
+def joined_fleet(n: int, seed: int = 1) -> tuple[Members, list[str]]:
     members = Members(seed)
     names = members.fleet(n)
     members.until(lambda: members.agreed(names), 60)
     return members, names
 
 
-def places(members: Members, names: list[str]) -> list[str]:
+def addresses(members: Members, names: list[str]) -> list[str]:
     return [members.names[name] for name in names]
 
 
 @pytest.mark.parametrize("n", [2, 3, 20])
-def test_all_who_start_at_once_find_each_other(n: int) -> None:
-    members, names = joined(n)
+def test_members_that_start_at_the_same_time_discover_each_other(n: int) -> None:
+    members, names = joined_fleet(n)
     members.run(30)
     assert members.agreed(names)
     assert sum(one.peers.counts.suspected for one in members.members.values()) == 0
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_a_death_is_known_to_all_within_the_bound(seed: int) -> None:
-    members, names = joined(10, seed)
+def test_a_death_is_detected_by_all_within_the_bound(seed: int) -> None:
+    members, names = joined_fleet(10, seed)
     bound = members.core("f0").detection_s(10)
     members.kill("f7")
     rest = [name for name in names if name != "f7"]
@@ -40,14 +41,14 @@
 
 
 @pytest.mark.parametrize("cut_s", [1.0, 30.0, 3600.0])
-@pytest.mark.parametrize("parts", [2, 3])
-def test_parts_that_were_cut_off_come_together_again(cut_s: float, parts: int) -> None:
-    members, names = joined(9)
-    groups = [names[part::parts] for part in range(parts)]
+@pytest.mark.parametrize("sides", [2, 3])
+def test_partitions_merge_after_they_heal(cut_s: float, sides: int) -> None:
+    members, names = joined_fleet(9)
+    groups = [names[side::sides] for side in range(sides)]
     for one in groups:
         for other in groups:
             if one is not other:
-                members.network.cut(places(members, one), places(members, other))
+                members.network.cut(addresses(members, one), addresses(members, other))
     members.run(cut_s)
     if cut_s > 60:
         assert all(members.agreed(group) for group in groups)
@@ -55,34 +56,34 @@
     members.until(lambda: members.agreed(names), 90)
 
 
-def test_a_way_that_is_cut_in_one_direction_kills_nobody() -> None:
-    """Others still reach it: they are asked, and tell."""
-    members, names = joined(8)
-    members.network.cut(places(members, ["f0"]), places(members, ["f1"]), both=False)
+def test_a_link_that_fails_in_one_direction_causes_no_death() -> None:
+    """Indirect probes by other members still reach the target."""
+    members, names = joined_fleet(8)
+    members.network.cut(addresses(members, ["f0"]), addresses(members, ["f1"]), both=False)
     members.run(120)
     assert members.agreed(names)
     assert sum(one.peers.counts.died for one in members.members.values()) == 0
 
 
-def test_leaves_that_see_only_the_star_stay_members() -> None:
-    members, names = joined(6)
-    leaves = places(members, names[1:])
+def test_members_that_reach_only_one_common_member_stay_alive() -> None:
+    members, names = joined_fleet(6)
+    leaves = addresses(members, names[1:])
     members.network.cut(leaves, leaves)
-    lost = 0
+    missing = 0
     for _ in range(1200):
         members.run(0.1)
-        lost += len(members.core("f0").alive()) < 6
-    assert lost == 0  # the one that sees all never doubts any
+        missing += len(members.core("f0").alive()) < 6
+    assert missing == 0  # the member that reaches all others never declares one dead
     members.until(lambda: members.agreed(names), 60)
     died = sum(one.peers.counts.died for one in members.members.values())
     members.run(120)
     assert members.agreed(names) and sum(one.peers.counts.died for one in members.members.values()) == died
 
 
-def test_links_that_flap_each_second_end_in_agreement() -> None:
-    members, names = joined(8)
+def test_views_agree_after_links_flapped_every_second() -> None:
+    members, names = joined_fleet(8)
     for _ in range(30):
-        members.network.cut(places(members, names[:4]), places(members, names[4:]))
+        members.network.cut(addresses(members, names[:4]), addresses(members, names[4:]))
         members.run(1)
         members.network.heal()
         members.run(1)
@@ -90,7 +91,7 @@
 
 
 @pytest.mark.parametrize("loss", [0.05, 0.2])
-def test_loss_copies_and_reordering_kill_nobody(loss: float) -> None:
+def test_loss_duplicates_and_reordering_cause_no_death(loss: float) -> None:
     members = Members(5)
     members.network.usual = Link(0.0005, 0.1, loss, copies=0.1)
     names = members.fleet(12)
@@ -99,8 +100,8 @@
     assert sum(one.peers.counts.died for one in members.members.values()) == 0
 
 
-def test_one_paused_for_five_seconds_refutes_what_was_said_of_it() -> None:
-    members, names = joined(8)
+def test_a_member_paused_for_five_seconds_refutes_its_suspicion() -> None:
+    members, names = joined_fleet(8)
     members.pause("f3")
     members.run(5)
     members.wake("f3")
@@ -109,8 +110,8 @@
     assert members.agreed(names)
 
 
-def test_one_paused_for_an_hour_brings_nobody_back() -> None:
-    members, names = joined(8)
+def test_a_member_paused_for_an_hour_brings_no_departed_member_back() -> None:
+    members, names = joined_fleet(8)
     members.pause("f3")
     members.leave("f5")
     members.kill("f6")
@@ -124,19 +125,19 @@
     assert members.agreed(rest) and not seen & {"f5", "f6"}
 
 
-def test_four_become_thirty_within_a_second_and_go_back() -> None:
-    members, names = joined(4)
+def test_a_fleet_grows_from_four_to_thirty_at_once_and_shrinks_back() -> None:
+    members, names = joined_fleet(4)
     more = [f"n{i}" for i in range(26)]
     for name in more:
         members.start(name, ("f0:7946", "f1:7946"))
     members.until(lambda: members.agreed(names + more), 30)
     for name in more:
         members.leave(name)
-    assert members.until(lambda: members.agreed(names), 60) < 1  # told, not found out
+    assert members.until(lambda: members.agreed(names), 60) < 1  # announced, not detected
     assert sum(one.peers.counts.died for one in members.members.values()) == 0
 
 
-def test_all_seeds_dead_at_the_start() -> None:
+def test_a_member_joins_once_a_seed_starts() -> None:
     members = Members(2)
     core = members.start("late", ("f0:7946", "f1:7946"))
     members.run(30)
@@ -145,8 +146,8 @@
     members.until(lambda: members.agreed(["late", "f0"]), 30)
 
 
-def test_all_restart_at_once_under_their_names() -> None:
-    members, names = joined(12)
+def test_all_members_restart_at_once_with_the_same_names() -> None:
+    members, names = joined_fleet(12)
     for name in names:
         members.kill(name)
         members.start(name, tuple(f"f{i}:7946" for i in range(3)))
@@ -155,8 +156,8 @@
     assert members.agreed(names)
 
 
-def test_killed_and_back_within_a_probe_s_time() -> None:
-    members, names = joined(8)
+def test_a_member_restarts_within_a_probe_period_at_another_address() -> None:
+    members, names = joined_fleet(8)
     members.kill("f4")
     members.run(0.4)
     members.start("f4", ("f0:7946",), address="elsewhere:1")
@@ -165,21 +166,33 @@
     assert members.core("f2").view["f4"].address == "elsewhere:1"
 
 
-def test_the_same_seed_plays_the_same_to_the_last_event() -> None:
-    (one, _), (other, _) = joined(10, 3), joined(10, 3)
+def test_a_simulation_with_the_same_seed_is_identical() -> None:
+    (one, _), (other, _) = joined_fleet(10, 3), joined_fleet(10, 3)
     assert (one.engine.events, one.bytes) == (other.engine.events, other.bytes)
 
 
-TROUBLES = ("cut", "one way", "heal", "pause", "wake", "kill", "start", "leave", "lossy", "slow", "wait")
+EVENTS = (
+    "cut",
+    "cut one direction",
+    "heal",
+    "pause",
+    "resume",
+    "kill",
+    "start",
+    "leave",
+    "lossy",
+    "slow",
+    "wait",
+)
 plans = st.lists(
-    st.tuples(st.sampled_from(TROUBLES), st.integers(0, 4), st.integers(0, 4), st.floats(0.1, 20.0)),
+    st.tuples(st.sampled_from(EVENTS), st.integers(0, 4), st.integers(0, 4), st.floats(0.1, 20.0)),
     max_size=25,
 )
 
 
 @given(plans, st.integers(0, 1000))
 @settings(max_examples=50, deadline=None)
-def test_any_schedule_ends_in_one_view_and_nothing_goes_back_meanwhile(
+def test_any_schedule_ends_in_one_view_and_no_incarnation_decreases(
     plan: list[tuple[str, int, int, float]], seed: int
 ) -> None:
     members = Members(seed)
@@ -191,43 +204,47 @@
 
     def on_change(name: str, now: float, change: Changed) -> None:
         run_id = members.core(name).me.run_id
-        for known in [k for k in highest if k[:2] == (name, run_id) and k[2] not in change.view]:
-            del highest[known]  # forgotten, as the rules have it
+        for forgotten in [k for k in highest if k[:2] == (name, run_id) and k[2] not in change.view]:
+            del highest[forgotten]  # forgotten after `forget_s`
         for record in change.view.values():
             before = highest.get((name, run_id, record.name), 0)
-            assert record.incarnation >= before, f"{name}: the incarnation of {record.name} went back"
+            assert record.incarnation >= before, f"{name}: the incarnation of {record.name} decreased"
             highest[name, run_id, record.name] = record.incarnation
-            back = record.run_id in left and record.state in (State.ALIVE, State.SUSPECT)
-            held = known_left.get((name, run_id, record.run_id), False)
-            assert not (back and held), f"{name}: {record.name} left and is back by hearsay"
+            returned = record.run_id in left and record.state in (State.ALIVE, State.SUSPECT)
+            seen_leaving = known_left.get((name, run_id, record.run_id), False)
+            assert not (returned and seen_leaving), (
+                f"{name}: {record.name} left and is back without a new run"
+            )
             if record.state is State.LEFT:
                 known_left[name, run_id, record.run_id] = True
 
     known_left: dict[tuple[str, int, int], bool] = {}
     members.changed = on_change
-    for what, one, other, seconds in plan:
-        name, place = names[one], f"{names[one]}:7946"
-        if what in ("cut", "one way"):
-            members.network.cut([place], [f"{names[other]}:7946"], both=what == "cut")
-        elif what == "heal":
+    for event, one, other, seconds in plan:
+        name, address = names[one], f"{names[one]}:7946"
+        if event in ("cut", "cut one direction"):
+            members.network.cut([address], [f"{names[other]}:7946"], both=event == "cut")
+        elif event == "heal":
             members.network.heal()
             members.network.usual = Link()
-        elif what == "pause" and name in running:
+        elif event == "pause" and name in running:
             members.pause(name)
-        elif what == "wake" and name in running:
+        elif event == "resume" and name in running:
             members.wake(name)
-        elif what in ("kill", "leave") and name in running and place not in members.network.paused:
-            if what == "leave":
+        elif event in ("kill", "leave") and name in running and address not in members.network.paused:
+            if event == "leave":
                 left.add(members.core(name).me.run_id)
                 members.leave(name)
             else:
                 members.kill(name)
             running.discard(name)
-        elif what == "start" and name not in running:
+        elif event == "start" and name not in running:
             members.start(name, seeds)
             running.add(name)
-        elif what in ("lossy", "slow"):
-            members.network.usual = Link(0.0, 0.05 if what == "lossy" else 2.0, 0.2 * (what == "lossy"), 0.1)
+        elif event in ("lossy", "slow"):
+            members.network.usual = Link(
+                0.0, 0.05 if event == "lossy" else 2.0, 0.2 * (event == "lossy"), 0.1
+            )
         members.run(seconds)
     members.network.heal()
     members.network.usual = Link()
--- a/tests/peers/test_words.py
+++ b/tests/peers/test_words.py
@@ -1,4 +1,4 @@
-"""The carrier: no word is believed past its end, whatever way it took, and no topic starves another."""
+"""The entry store: no entry is used after its expiry, whatever path it took, and no topic starves another."""
 
 from __future__ import annotations
 
@@ -21,51 +21,53 @@
 
 LOAD = Topic("load", Merge.PER_MEMBER, 5.0, max_per_member=4, max_entries=64)
 PLAN = Topic("plan", Merge.LAST_WRITER, 5.0, max_entries=8)
-SPAN = 60.0  # s that random schedules last
+SPAN = 60.0  # seconds that random schedules last
 
 
 def make_store(me: str = "me", *topics: Topic) -> EntryStore:
     return EntryStore(me, topics or (LOAD, PLAN), 4)
 
 
-def word(origin: str = "x", epoch: int = 1, value: bytes = b"v", left_s: float = 5.0, **more: str) -> Entry:
-    return Entry(more.get("topic", "load"), origin, more.get("subject", "s"), epoch, value, left_s)
+def entry(
+    origin: str = "x", epoch: int = 1, value: bytes = b"v", remaining_s: float = 5.0, **more: str
+) -> Entry:
+    return Entry(more.get("topic", "load"), origin, more.get("subject", "s"), epoch, value, remaining_s)
 
 
-def test_an_end_is_counted_from_the_sending_and_not_from_the_coming() -> None:
+def test_the_expiry_is_counted_from_the_sending_not_from_the_receipt() -> None:
     core = make_store()
-    core.receive(103.0, 100.0, [word()])
-    end = 100.0 + 5.0 * HOP_TTL_FACTOR
-    assert core.read(end - 0.01, "load") and not core.read(end, "load")
-    assert not core.receive(105.0, 100.0, [word("y")]) and core.counts.expired == 1
+    core.receive(103.0, 100.0, [entry()])
+    expires_at = 100.0 + 5.0 * HOP_TTL_FACTOR
+    assert core.read(expires_at - 0.01, "load") and not core.read(expires_at, "load")
+    assert not core.receive(105.0, 100.0, [entry("y")]) and core.counts.expired == 1
 
 
-def test_a_word_read_past_its_end_is_none_though_no_timer_ran() -> None:
+def test_an_expired_entry_is_not_read_even_before_it_is_removed() -> None:
     core = make_store()
-    core.receive(0.0, 0.0, [word(left_s=1.0)])
+    core.receive(0.0, 0.0, [entry(remaining_s=1.0)])
     assert core.read(0.9, "load") and not core.read(1.0, "load") and core.entries
 
 
-def test_an_older_word_that_ends_later_does_not_come_back() -> None:
+def test_an_older_entry_with_a_later_expiry_does_not_return() -> None:
     core = make_store()
-    core.receive(0.0, 0.0, [word(epoch=2, left_s=1.0)])
-    assert not core.receive(2.0, 2.0, [word(epoch=1, value=b"old", left_s=5.0)])
+    core.receive(0.0, 0.0, [entry(epoch=2, remaining_s=1.0)])
+    assert not core.receive(2.0, 2.0, [entry(epoch=1, value=b"old", remaining_s=5.0)])
     core.tick(2.0, 2)
     assert not core.read(2.0, "load")
 
 
-def test_what_is_taken_back_stays_so_with_those_who_hear_the_older_word_again() -> None:
-    mine, theirs = make_store("a"), make_store("b")
-    mine.publish(0.0, "load", "s", b"1")
-    old = mine.snapshot(0.0)
-    theirs.receive(0.0, 0.0, old)
-    mine.withdraw(1.0, "load", "s")
-    theirs.receive(1.0, 1.0, mine.snapshot(1.0))
-    theirs.receive(1.1, 1.0, old)
-    assert not theirs.read(1.2, "load") and not mine.read(1.2, "load")
+def test_a_withdrawn_entry_stays_withdrawn_when_the_old_one_is_received_again() -> None:
+    publisher, receiver = make_store("a"), make_store("b")
+    publisher.publish(0.0, "load", "s", b"1")
+    old = publisher.snapshot(0.0)
+    receiver.receive(0.0, 0.0, old)
+    publisher.withdraw(1.0, "load", "s")
+    receiver.receive(1.0, 1.0, publisher.snapshot(1.0))
+    receiver.receive(1.1, 1.0, old)
+    assert not receiver.read(1.2, "load") and not publisher.read(1.2, "load")
 
 
-def test_one_who_was_away_for_longer_than_its_word_holds_does_not_say_it_anew() -> None:
+def test_a_member_paused_for_longer_than_the_ttl_does_not_renew_its_entry() -> None:
     core = make_store()
     core.publish(0.0, "load", "s", b"1")
     core.tick(2.0, 2)
@@ -74,49 +76,49 @@
     assert not core.published and not core.read(9.0, "load")
 
 
-def test_a_restarted_one_outdoes_what_it_said_before() -> None:
+def test_a_restarted_member_replaces_the_entries_of_its_previous_run() -> None:
     others = make_store("b")
-    others.receive(0.0, 0.0, [word("me", 500, b"of before")])
-    anew = make_store("me")
-    anew.publish(1.0, "load", "s", b"now")
-    assert not others.receive(1.0, 1.0, anew.snapshot(1.0))  # it counts from one again
-    anew.receive(1.1, 1.1, others.snapshot(1.1))
-    assert others.receive(1.2, 1.2, anew.snapshot(1.2))
-    assert [said.value for said in others.read(1.2, "load")] == [b"now"]
-    silent = make_store("me")  # and one that has nothing to say of it takes it back
-    silent.receive(1.1, 1.1, [word("me", 500, b"of before")])
+    others.receive(0.0, 0.0, [entry("me", 500, b"of before")])
+    restarted = make_store("me")
+    restarted.publish(1.0, "load", "s", b"now")
+    assert not others.receive(1.0, 1.0, restarted.snapshot(1.0))  # its epochs start from one again
+    restarted.receive(1.1, 1.1, others.snapshot(1.1))
+    assert others.receive(1.2, 1.2, restarted.snapshot(1.2))
+    assert [read.value for read in others.read(1.2, "load")] == [b"now"]
+    silent = make_store("me")  # a restarted member that does not publish it withdraws it
+    silent.receive(1.1, 1.1, [entry("me", 500, b"of before")])
     late = make_store("c")
-    late.receive(1.2, 1.2, [word("me", 500, b"of before"), *silent.snapshot(1.2)])
+    late.receive(1.2, 1.2, [entry("me", 500, b"of before"), *silent.snapshot(1.2)])
     assert not late.read(1.3, "load")
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "invalid",
     [
-        word(left_s=5.01),  # holds for longer than its topic allows
-        word(left_s=float("inf")),
-        word(left_s=float("nan")),
-        word(left_s=-1.0),
-        word(epoch=2**53),
-        word(epoch=0),
-        word(value=b"x" * 513),
-        word(subject="x" * 97),
-        word(origin=""),
-        word(topic="no", left_s=UNKNOWN_TOPIC_TTL_S + 1),
+        entry(remaining_s=5.01),  # a longer TTL than its topic allows
+        entry(remaining_s=float("inf")),
+        entry(remaining_s=float("nan")),
+        entry(remaining_s=-1.0),
+        entry(epoch=2**53),
+        entry(epoch=0),
+        entry(value=b"x" * 513),
+        entry(subject="x" * 97),
+        entry(origin=""),
+        entry(topic="no", remaining_s=UNKNOWN_TOPIC_TTL_S + 1),
     ],
 )
-def test_a_word_that_nobody_can_have_meant_is_refused(bad: Entry) -> None:
+def test_an_invalid_entry_is_rejected(invalid: Entry) -> None:
     core = make_store()
-    assert not core.receive(0.0, 0.0, [bad]) and core.counts.refused == 1 and not core.entries
+    assert not core.receive(0.0, 0.0, [invalid]) and core.counts.refused == 1 and not core.entries
 
 
-def test_one_member_fills_no_topic_and_all_together_no_memory() -> None:
+def test_entries_are_bounded_per_member_per_topic_and_in_total() -> None:
     core = make_store()
-    core.receive(0.0, 0.0, [word("liar", subject=f"s{n}") for n in range(1000)])
+    core.receive(0.0, 0.0, [entry("liar", subject=f"s{n}") for n in range(1000)])
     assert len(core.entries) == LOAD.max_per_member
-    core.receive(0.0, 0.0, [word(f"m{n}") for n in range(1000)])
+    core.receive(0.0, 0.0, [entry(f"m{n}") for n in range(1000)])
     assert len(core.entries) == LOAD.max_entries
-    unknown = [word(f"m{n}", topic=f"t{n % 600}") for n in range(5000)]
+    unknown = [entry(f"m{n}", topic=f"t{n % 600}") for n in range(5000)]
     core.receive(0.0, 0.0, unknown)
     assert len([name for name in core.by_topic if name not in core.topics]) <= UNKNOWN_TOPIC_MAX_ENTRIES
     core.tick(100.0, 2)
@@ -124,40 +126,53 @@
     assert not core.entries and not core.entry_counts and not any(lane.keys for lane in core.queues.values())
 
 
-def test_a_topic_that_is_not_known_here_is_passed_on() -> None:
+def test_entries_of_an_unknown_topic_are_passed_on() -> None:
     core = make_store()
-    core.receive(0.0, 0.0, [word(topic="newer", left_s=3.0)])
+    core.receive(0.0, 0.0, [entry(topic="newer", remaining_s=3.0)])
     assert [w.topic for w in core.take_for_datagram(1.0, 500)] == ["newer"]
 
 
-def test_a_flood_of_one_topic_does_not_starve_another() -> None:
+def test_a_flood_of_one_topic_does_not_starve_another_topic() -> None:
     flood = Topic("flood", Merge.PER_MEMBER, 60.0, max_per_member=2000, max_entries=2000)
     core = make_store("me", flood, LOAD)
     core.receive(
-        0.0, 0.0, [word("liar", subject=f"s{n}", value=b"x" * 60, topic="flood") for n in range(2000)]
+        0.0, 0.0, [entry("liar", subject=f"s{n}", value=b"x" * 60, topic="flood") for n in range(2000)]
     )
-    core.receive(0.0, 0.0, [word("x")])
+    core.receive(0.0, 0.0, [entry("x")])
     filled = core.take_for_datagram(0.1, 600)
     assert "load" in {w.topic for w in filled} and sum(w.encoded_bytes() for w in filled) <= 600
-    for n in range(200):  # each new word of the small one is in the next datagram
-        core.receive(1.0 + n, 1.0 + n, [word("x", 2 + n)])
+    for n in range(200):  # each new entry of the small topic is in the next datagram
+        core.receive(1.0 + n, 1.0 + n, [entry("x", 2 + n)])
         assert 2 + n in {w.epoch for w in core.take_for_datagram(1.0 + n, 600) if w.topic == "load"}
     assert ENTRY_OVERHEAD_BYTES < 60
 
 
-def test_of_two_who_say_the_last_word_the_higher_epoch_stands_whatever_the_order() -> None:
-    said = [word(name, epoch, name.encode(), topic="plan") for name, epoch in (("a", 3), ("b", 4), ("c", 4))]
+def test_of_two_publishers_of_a_last_writer_topic_the_higher_epoch_wins_in_any_order() -> None:
+    published = [
+        entry(name, epoch, name.encode(), topic="plan") for name, epoch in (("a", 3), ("b", 4), ("c", 4))
+    ]
     for seed in range(6):
-        core, order = make_store(), said[:]
+        core, order = make_store(), published[:]
         Random(seed).shuffle(order)
         core.receive(0.0, 0.0, order)
-        assert [(s.origin, s.value) for s in core.read(1.0, "plan")] == [("c", b"c")]
+        assert [(read.origin, read.value) for read in core.read(1.0, "plan")] == [("c", b"c")]
 
 
 actions = st.lists(
     st.tuples(
         st.sampled_from(
-            ["say", "unsay", "cut", "one way", "heal", "pause", "wake", "restart", "slow", "lossy"]
+            [
+                "publish",
+                "withdraw",
+                "cut",
+                "cut one direction",
+                "heal",
+                "pause",
+                "resume",
+                "restart",
+                "slow",
+                "lossy",
+            ]
         ),
         st.integers(0, 3),
         st.integers(0, 3),
@@ -169,14 +184,14 @@
 
 @given(actions, st.integers(0, 1000))
 @settings(max_examples=60, deadline=None)
-def test_nothing_is_believed_past_its_end_in_any_schedule(
+def test_no_entry_is_used_beyond_the_staleness_bound_in_any_schedule(
     plan: list[tuple[str, int, int, float]], seed: int
 ) -> None:
-    """An auditor with the true time: what any member reads was said no longer ago than the stated bound."""
+    """By true time, no entry that any member reads was last published longer ago than the stated bound."""
     members = Members(seed, topics=(LOAD,), drift=MAX_CLOCK_DRIFT)
     names = members.fleet(4)
     members.run(3.0)
-    said: dict[tuple[str, bytes], float] = {}  # the last moment at which its sayer stood to it
+    last_published: dict[tuple[str, bytes], float] = {}  # true time at which the publisher last kept it up
     count = 0
 
     def audit() -> None:
@@ -185,49 +200,49 @@
             if members.names[name] in members.network.paused:
                 continue
             for (origin, _), value in members.read(name, "load").items():
-                age = now - said[origin, value]
+                age = now - last_published[origin, value]
                 assert age <= EntryStore.staleness_bound_s(LOAD.ttl_s), (name, origin, value, age)
 
-    meant: dict[str, bytes] = {}
-    for what, one, other, seconds in [*plan, ("heal", 0, 1, 8.0)]:
+    current: dict[str, bytes] = {}
+    for action, one, other, seconds in [*plan, ("heal", 0, 1, 8.0)]:
         name, address = names[one], members.names[names[one]]
-        if what == "say":
+        if action == "publish":
             count += 1
-            meant[name] = b"%d" % count
-            said[name, meant[name]] = members.engine.now
-            members.say(name, "load", "s", meant[name])
-        elif what == "unsay":
+            current[name] = b"%d" % count
+            last_published[name, current[name]] = members.engine.now
+            members.say(name, "load", "s", current[name])
+        elif action == "withdraw":
             members.member(name).entry_store.withdraw(members.now(address), "load", "s")
-            meant.pop(name, None)
-        elif what in ("cut", "one way") and one != other:
-            members.network.cut([address], [members.names[names[other]]], both=what == "cut")
-        elif what == "heal":
+            current.pop(name, None)
+        elif action in ("cut", "cut one direction") and one != other:
+            members.network.cut([address], [members.names[names[other]]], both=action == "cut")
+        elif action == "heal":
             members.network.heal()
             members.network.usual = Link()
-        elif what == "pause":
+        elif action == "pause":
             members.pause(name)
-        elif what == "wake":
+        elif action == "resume":
             members.wake(name)
-        elif what == "restart":
+        elif action == "restart":
             members.network.paused.pop(address, None)
             members.kill(name)
             members.start(name, ("f0:7946", "f1:7946", "f2:7946"))
-            meant.pop(name, None)
-        elif what in ("slow", "lossy"):
+            current.pop(name, None)
+        elif action in ("slow", "lossy"):
             members.network.usual = Link(
-                0.0, seconds if what == "slow" else 0.1, 0.3 * (what == "lossy"), 0.2
+                0.0, seconds if action == "slow" else 0.1, 0.3 * (action == "lossy"), 0.2
             )
         for _ in range(max(1, int(seconds / 0.25))):
             members.run(0.25)
-            for name in names:  # one who runs and still says it stands to it
-                mine = members.member(name).entry_store.published.get(("load", "s"))
-                if mine is not None and members.names[name] not in members.network.paused:
-                    said[name, mine.value] = members.engine.now
+            for name in names:  # a running member that still publishes an entry keeps it up
+                own = members.member(name).entry_store.published.get(("load", "s"))
+                if own is not None and members.names[name] not in members.network.paused:
+                    last_published[name, own.value] = members.engine.now
             audit()
 
 
 @pytest.mark.parametrize("n", [3, 30])
-def test_a_word_reaches_all_within_seconds_also_through_loss(n: int) -> None:
+def test_an_entry_reaches_all_members_within_seconds_despite_loss(n: int) -> None:
     members = Members(7, topics=(LOAD,))
     members.network.usual = Link(0.0005, 0.05, 0.2, copies=0.1)
     names = members.fleet(n)
