--- a/tests/peers/test_core.py
+++ b/tests/peers/test_core.py
@@ -222,8 +222,9 @@
     core = member("a", "b")
     actions = core.step(1.0, Leave())
     messages = [a for a in actions if isinstance(a, Send)]
-    assert messages
-    assert all(any(r.name == "me" and r.state is State.LEFT for r in a.message.gossip) for a in messages)
+    assert messages and all(
+        any(r.name == "me" and r.state is State.LEFT for r in a.message.gossip) for a in messages
+    )
     other = member("me")
     receive(other, 1.0, core.me)
     other.step(1.1, Tick())
--- a/tests/peers/test_fleet.py
+++ b/tests/peers/test_fleet.py
@@ -205,7 +205,7 @@
     def on_change(name: str, now: float, change: Changed) -> None:
         run_id = members.core(name).me.run_id
         for forgotten in [k for k in highest if k[:2] == (name, run_id) and k[2] not in change.view]:
-            del highest[forgotten]  # forgotten after `forget_s`
+            del highest[forgotten]  # members forget a departed member after `forget_s`
         for record in change.view.values():
             before = highest.get((name, run_id, record.name), 0)
             assert record.incarnation >= before, f"{name}: the incarnation of {record.name} decreased"
