--- a/flintlatch/limits/holder.py
+++ b/flintlatch/limits/holder.py
@@ -45,8 +45,7 @@
         self.demand = 0.0
 
     def accept_lease(self, now: float, lessor: str, lease: Lease, expires_at: float) -> None:
-        """Applies a lease that is valid until `expires_at`; ignores an older one while the current one is
-        valid."""
+        """Applies a lease unless it is older than the current one and that is still valid."""
         if lease.version > self.version or now >= self.expires_at:
             amount = min(lease.amount, self.leased(now)) if lease.carried_over else lease.amount
             self.version, self.lessor, self.amount, self.expires_at = (
--- a/flintlatch/peers/core.py
+++ b/flintlatch/peers/core.py
@@ -186,7 +186,7 @@
     def content_digest(self) -> int:
         """Hash over the complete records of the active members; never 0.
 
-        An exchange of whole views between two members with the same digest would change nothing."""
+        Two members with the same digest have no records to exchange."""
         return self.content_hash or 1
 
     def update_indexes(self, record: Record | None) -> None:
@@ -216,8 +216,7 @@
         return max(shortest, longest - (longest - shortest) * progress)
 
     def detection_s(self, members: int) -> float:
-        """Upper bound on the time from a member's death until the first member that probes it declares it
-        dead.
+        """Upper bound on the time from a member's death until the first member that probes it finds it dead.
 
         It holds if no datagram is lost and no member has slowed down its probes. Each member probes every
         other member once per round."""
