--- a/flintlatch/config/__init__.py
+++ b/flintlatch/config/__init__.py
@@ -47,7 +47,7 @@
 from flintlatch.verdicts.rows import EjectionRules
 
 if TYPE_CHECKING:
-    from flintlatch.delivery.model import EjectionRules as DeliveryRules
+    from flintlatch.delivery.model import Rules as DeliveryRules
 
 __all__ = ["Config", "Problem", "Unusable", "beside", "find_control", "load", "parse", "read_file"]
 
--- a/flintlatch/config/tables.py
+++ b/flintlatch/config/tables.py
@@ -14,7 +14,7 @@
 from flintlatch.verdicts.rows import EjectionRules
 
 if TYPE_CHECKING:
-    from flintlatch.delivery.model import EjectionRules as DeliveryRules
+    from flintlatch.delivery.model import Rules as DeliveryRules
 
 MOST_INSTANCES = 256  # processes on one machine: far beyond its cores, and far below its process table
 CONTROL_PATH_MOST = 100  # bytes: a Unix socket's path holds 108, less the suffix it is first made under
