--- a/bench/scale/limits.py
+++ b/bench/scale/limits.py
@@ -228,7 +228,7 @@
 def whole(rows: int, n: int, seed: int) -> dict[str, float]:
     """Every member is real: the part of all (holder, limit) that have a grant, and bytes a second of the
     member that sends most and of all on average."""
-    members = Hollow(seed, limit_topics=wide(rows, n))
+    members = Hollow(seed, topics=wide(rows, n))
     names = members.settled(n)
     terms = LeaseSettings(tuple(names[:3]), n, TERM_S)
     with virtual(members):
