--- a/tests/limits/test_cores.py
+++ b/tests/limits/test_cores.py
@@ -312,10 +312,9 @@
         driver.beat(after=10.0)
     span = (driver.now - started_at) / 1000
     assert 10 * span - 2 <= admitted <= 10 * span + 2
-    assert len(waits) + admitted == 500 and all(
-        0 < wait <= 100.0 for wait in waits
-    )  # until the next whole token
-    assert driver.balancer.buckets["l"].demands == 500
+    # Each wait lasts until the next whole token.
+    assert len(waits) + admitted == 500 and all(0 < wait <= 100.0 for wait in waits)
+    assert driver.balancer.buckets["l"].asked == 500
     driver.step(Part("l", 0, -1, 0.0, 0.0))
     driver.beats(5000)
     assert driver.arrive() not in driver.sends  # no tokens are kept beyond the new burst
