--- a/tests/capacity/test_agreed.py
+++ b/tests/capacity/test_agreed.py
@@ -118,7 +118,7 @@
 def test_a_look_at_limits_reads_each_ask_once(
     monkeypatch: pytest.MonkeyPatch, rows: int, holders: int
 ) -> None:
-    asks = counted(monkeypatch, limiting, "read_ask", lambda ask: 1)
+    asks = counted(monkeypatch, limiting, "read_lease_request", lambda ask: 1)
     looks = counted(monkeypatch, limiting.Limiting, "look", lambda _: 1)
     limits.lessor(rows, holders, 1, False)
     assert sum(looks) > 10
