--- a/flintlatch/limits/holder.py
+++ b/flintlatch/limits/holder.py
@@ -31,11 +31,16 @@
 
 class LeaseHolder:
     def __init__(
-        self, limit: Limit, terms: LeaseSettings, reserved: float = 0.0, reserved_from: float = 0.0
+        self, limit: Limit, settings: LeaseSettings, reserved: float = 0.0, reserved_from: float = 0.0
     ) -> None:
         """`reserved`: the permanent allocation, usable from `reserved_from` on; until then it may be in use
         by instances of a predecessor process."""
-        self.limit, self.terms, self.reserved, self.reserved_from = limit, terms, reserved, reserved_from
+        self.limit, self.settings, self.reserved, self.reserved_from = (
+            limit,
+            settings,
+            reserved,
+            reserved_from,
+        )
         self.version = NO_VERSION
         self.lessor = ""
         self.amount = 0.0
@@ -77,7 +82,7 @@
         within_lease = outstanding <= self.leased(now) + self.reserved_now(now) + EPSILON
         demand = (
             self.demand * DEMAND_HEADROOM
-            + IDLE_DEMAND_FRACTION * self.limit.leasable_per_s() / self.terms.fleets
+            + IDLE_DEMAND_FRACTION * self.limit.leasable_per_s() / self.settings.fleets
         )
         valid = now < self.expires_at
         version = self.version if within_lease and valid else NO_VERSION
@@ -105,7 +110,7 @@
         capacity = self.leased(now) + self.reserved_now(now)
         if self.limit.when_cut is PartitionPolicy.OPEN and now >= self.expires_at:
             # No lessor: as if this fleet were alone on its side of a partition.
-            capacity = max(capacity, self.limit.fallback_per_s(self.terms))
+            capacity = max(capacity, self.limit.fallback_per_s(self.settings))
         amounts = self.ledger.distribute(now, capacity, demands)
         until = min(self.expires_at, now + term_s) if self.leased(now) else now + term_s
         if not capacity:
--- a/flintlatch/limits/keeper.py
+++ b/flintlatch/limits/keeper.py
@@ -20,8 +20,8 @@
 
 
 class Lessor:
-    def __init__(self, limit: Limit, terms: LeaseSettings) -> None:
-        self.limit, self.terms = limit, terms
+    def __init__(self, limit: Limit, settings: LeaseSettings) -> None:
+        self.limit, self.settings = limit, settings
         self.ledger = LeaseLedger()
         self.term = 0
         self.sequence = 0
@@ -36,7 +36,7 @@
         leasable = self.limit.leasable_per_s() * lowest / self.limit.per_s
         if self.limit.when_cut is PartitionPolicy.STRICT:
             return leasable
-        return leasable * min(1.0, self.terms.cut_factor * following / max(configured, following, 1))
+        return leasable * min(1.0, self.settings.cut_factor * following / max(configured, following, 1))
 
     def step(
         self,
@@ -61,7 +61,7 @@
         if not predecessors_expired:
             demands = {name: request.in_use for name, request in requests.items()}
         amounts = self.ledger.distribute(now, capacity, demands, spread=predecessors_expired)
-        expires_at = now + term_validity_s(self.terms)
+        expires_at = now + term_validity_s(self.settings)
         leases = {}
         for holder, amount in sorted(amounts.items()):
             if not due and self.ledger.is_negligible_change(now, holder, amount, capacity):
--- a/flintlatch/limits/model.py
+++ b/flintlatch/limits/model.py
@@ -21,19 +21,19 @@
 MAX_LEASES = MAX_LIMITS * MAX_HOLDERS  # lease entries of one lessor
 
 
-def term_validity_s(terms: LeaseSettings) -> float:
+def term_validity_s(settings: LeaseSettings) -> float:
     """The time after publication at which a vote or lease has expired everywhere, by any clock."""
-    return terms.term_s * (1 + MAX_CLOCK_DRIFT) / (1 - MAX_CLOCK_DRIFT) + 0.01 * terms.term_s
+    return settings.term_s * (1 + MAX_CLOCK_DRIFT) / (1 - MAX_CLOCK_DRIFT) + 0.01 * settings.term_s
 
 
 def max_admitted(
-    limit: Limit, terms: LeaseSettings, window_s: float, instances: int, cut: bool = True
+    limit: Limit, settings: LeaseSettings, window_s: float, instances: int, cut: bool = True
 ) -> float:
     """The stated bound on requests that all fleets admit in any window of `window_s`.
 
     `cut`: whether the network may be partitioned. The clock that a rate is applied by may be fast by
     MAX_CLOCK_DRIFT, and each instance may admit one whole request beyond its allocation of the burst."""
-    factor = terms.cut_factor if cut and limit.when_cut is PartitionPolicy.OPEN else 1.0
+    factor = settings.cut_factor if cut and limit.when_cut is PartitionPolicy.OPEN else 1.0
     return factor * (limit.per_s * window_s * (1 + MAX_CLOCK_DRIFT) + limit.burst) + instances
 
 
--- a/flintlatch/limits/rows.py
+++ b/flintlatch/limits/rows.py
@@ -46,11 +46,11 @@
         """The permanent allocation of each of `fleets` configured fleets, in addition to its lease."""
         return self.per_s * self.reserve / max(fleets, 1)
 
-    def fallback_per_s(self, terms: LeaseSettings) -> float:
+    def fallback_per_s(self, settings: LeaseSettings) -> float:
         """The rate of a fleet's instances while they receive nothing from their supervisor.
 
         For an open limit it is the allocation of a fleet that is alone on its side of a partition. For a
         strict limit it is 0, since another process may allocate the same capacity."""
         if self.when_cut is PartitionPolicy.STRICT:
             return 0.0
-        return min(self.per_s, self.per_s * terms.cut_factor / max(terms.fleets, 1))
+        return min(self.per_s, self.per_s * settings.cut_factor / max(settings.fleets, 1))
--- a/flintlatch/limits/seat.py
+++ b/flintlatch/limits/seat.py
@@ -27,10 +27,10 @@
 
 
 class Leadership:
-    def __init__(self, me: str, terms: LeaseSettings, now: float) -> None:
-        self.me, self.terms = me, terms
+    def __init__(self, me: str, settings: LeaseSettings, now: float) -> None:
+        self.me, self.settings = me, settings
         self.voted_for = ""  # candidate of the last vote
-        self.may_switch_at = now + term_validity_s(terms)  # earliest time to vote for another candidate
+        self.may_switch_at = now + term_validity_s(settings)  # earliest time to vote for another candidate
         self.highest_term = 0  # received so far
         self.leader_since: float | None = None  # start of the current uninterrupted leadership
         self.leader_until = 0.0  # by the votes of the last update
@@ -38,10 +38,10 @@
 
     @property
     def is_voter(self) -> bool:
-        return self.me in self.terms.voters
+        return self.me in self.settings.voters
 
     def majority(self) -> int:
-        return len(self.terms.voters) // 2 + 1
+        return len(self.settings.voters) // 2 + 1
 
     def vote(self, now: float, is_alive: Callable[[str], bool]) -> Vote | None:
         """The vote to publish now; it is valid for `term_s`. None: publish nothing and let the last vote
@@ -53,7 +53,7 @@
         candidate = (
             self.voted_for
             if self.voted_for and is_alive(self.voted_for)
-            else preferred_candidate(self.terms.voters, is_alive)
+            else preferred_candidate(self.settings.voters, is_alive)
         )
         if not candidate:
             return None
@@ -62,7 +62,7 @@
                 return None
             self.voted_for = candidate
             self.highest_term += 1
-        self.may_switch_at = now + term_validity_s(self.terms)
+        self.may_switch_at = now + term_validity_s(self.settings)
         return Vote(candidate, self.highest_term)
 
     def observe(self, vote: Vote) -> None:
@@ -78,7 +78,7 @@
             (
                 expires_at
                 for voter, (vote, expires_at) in votes.items()
-                if voter in self.terms.voters and vote.candidate == self.me
+                if voter in self.settings.voters and vote.candidate == self.me
             ),
             reverse=True,
         )
@@ -96,4 +96,4 @@
 
     def predecessors_expired(self, now: float) -> bool:
         """Whether every lease of a previous lessor has expired."""
-        return self.leader_since is not None and now >= self.leader_since + term_validity_s(self.terms)
+        return self.leader_since is not None and now >= self.leader_since + term_validity_s(self.settings)
--- a/flintlatch/peers/member.py
+++ b/flintlatch/peers/member.py
@@ -35,8 +35,8 @@
 PAYLOAD_BYTES = 1100  # of records and entries: 1,400 less the seal (37) and the envelope's fields (up to 250)
 FLUSH_INTERVAL_S = 0.2  # shortest interval between two pushes of unsent entries
 PUSH_FANOUT = 3  # members that receive one push
-MAX_UNVERIFIED = 256  # unverified addresses that are remembered ...
-PROBE_BACK_INTERVAL_S = 1.0  # ... and probed, each at most once per interval
+MAX_UNVERIFIED = 256  # remembered unverified addresses; also the number of own probes remembered
+PROBE_BACK_INTERVAL_S = 1.0  # between two probes of an unverified address
 MAX_SYNC_ENTRIES = 200  # per exchange with a joined member, a few kilobytes; successive exchanges rotate
 RTT_WEIGHT = 0.2  # of a new sample in the smoothed round-trip time
 
--- a/tests/limits/explored.py
+++ b/tests/limits/explored.py
@@ -2,7 +2,7 @@
 
 The real cores run with every order of entries that are lost, delayed or repeated, and with pauses and
 crashes. An entry may be received at any time before its expiry, or never; one that is older than what the
-receiver has of the same subject is ignored, as the entry store does it. Time advances by half terms.
+receiver has of the same subject is ignored, as the entry store does it. Time advances by half a lease term.
 Leadership is assigned by an oracle that guarantees what `Leadership` guarantees: never two leaders at once.
 """
 
@@ -26,7 +26,7 @@
 from flintlatch.limits.split import Grant, HolderGrants, LeaseLedger
 
 LIMIT = Limit("l", "", "", 10.0, 0.0, PartitionPolicy.STRICT, reserve=0.0)
-TERMS = LeaseSettings(("k0", "k1", "k2"), 2, term_s=2.0)
+SETTINGS = LeaseSettings(("k0", "k1", "k2"), 2, term_s=2.0)
 STEP_S = 1.0
 CAPACITY = LIMIT.leasable_per_s()
 LATEST_S = 9.0  # no time step beyond it
@@ -84,7 +84,7 @@
 def clone(core: Any) -> Any:
     """Copies a Lessor or LeaseHolder; the limit and the settings are shared."""
     copied = deepcopy(
-        core, {id(core.limit): core.limit, id(core.terms): core.terms, id(core.ledger): core.ledger}
+        core, {id(core.limit): core.limit, id(core.settings): core.settings, id(core.ledger): core.ledger}
     )
     copied.ledger = clone_ledger(core.ledger)
     return copied
@@ -95,9 +95,9 @@
 
 
 def start(faults: int) -> World:
-    holders = Process(LeaseHolder(LIMIT, TERMS), demand=10.0), Process(LeaseHolder(LIMIT, TERMS))
+    holders = Process(LeaseHolder(LIMIT, SETTINGS), demand=10.0), Process(LeaseHolder(LIMIT, SETTINGS))
     none = (None, None)
-    lessors = Lessor(LIMIT, TERMS), Lessor(LIMIT, TERMS)
+    lessors = Lessor(LIMIT, SETTINGS), Lessor(LIMIT, SETTINGS)
     return World(
         0.0, lessors, 0, -10.0, 1, holders, (), none, (none, none), (none, none), ((0, 0), (0, 0)), faults
     )
@@ -123,7 +123,7 @@
         if published is not None and published.expires_at > world.now:
             request: LeaseRequest = published.value
             requests[holder_id(f"h{h}", request.run_id)] = request
-    predecessors_expired = world.now >= world.leader_since + term_validity_s(TERMS)
+    predecessors_expired = world.now >= world.leader_since + term_validity_s(SETTINGS)
     granted = core.step(
         world.now, f"k{k}", world.term, predecessors_expired, core.capacity(2, 2), requests, False
     )
@@ -131,7 +131,7 @@
     for name, lease in granted.items():
         h, run_id = int(name[1]), int(name.partition("/")[2], 16)
         epochs += 1
-        leases = replaced_at(leases, h, Published((run_id, lease), epochs, world.now + TERMS.term_s))
+        leases = replaced_at(leases, h, Published((run_id, lease), epochs, world.now + SETTINGS.term_s))
     return replace(
         world,
         lessors=replaced_at(world.lessors, k, core),
@@ -145,16 +145,18 @@
     process = world.holders[h]
     core = clone(process.core)
     core.demand = process.demand
-    allocations = core.allocate(world.now, {"w": process.applied}, {"w": process.demand}, TERMS.term_s, False)
+    allocations = core.allocate(
+        world.now, {"w": process.applied}, {"w": process.demand}, SETTINGS.term_s, False
+    )
     pending = process.pending
     if "w" in allocations:
         allocation = allocations["w"]
         pending = (*pending[-1:], (allocation.per_s, allocation.version, allocation.until))
     request = core.request(world.now, f"k{max(world.leader, 0)}")._replace(run_id=process.run_id)
     epochs = world.epochs + 1
-    published = Published(request, epochs, world.now + TERMS.term_s)
+    published = Published(request, epochs, world.now + SETTINGS.term_s)
     before = world.requests[h]
-    if before is not None and before.value == request and before.expires_at > world.now + TERMS.term_s / 2:
+    if before is not None and before.value == request and before.expires_at > world.now + SETTINGS.term_s / 2:
         published, epochs = before, world.epochs
     process = replace(process, core=core, pending=pending)
     return replace(
@@ -249,7 +251,7 @@
             "h0 is paused",
             replace(after_fault, holders=replaced_at(world.holders, 0, replace(process, paused=True))),
         )
-    fresh = Process(LeaseHolder(LIMIT, TERMS), process.run_id + RUN_ID_STEP, process.demand)
+    fresh = Process(LeaseHolder(LIMIT, SETTINGS), process.run_id + RUN_ID_STEP, process.demand)
     orphans = (
         (*world.orphans, (process.amount, process.until)) if process.until > world.now else world.orphans
     )
--- a/tests/limits/test_cores.py
+++ b/tests/limits/test_cores.py
@@ -38,8 +38,8 @@
 from tests.support import Driver, fleet, of
 from tests.support import settings as module_settings
 
-TERMS = LeaseSettings(("a", "b", "c"), 3, term_s=2.0)
-NAMES = TERMS.voters
+SETTINGS = LeaseSettings(("a", "b", "c"), 3, term_s=2.0)
+NAMES = SETTINGS.voters
 
 
 @dataclass(frozen=True)
@@ -61,7 +61,7 @@
 
 
 def start(faults: int) -> World:
-    voters = tuple(Leadership(name, TERMS, -10.0) for name in NAMES)
+    voters = tuple(Leadership(name, SETTINGS, -10.0) for name in NAMES)
     none = (None, None, None)
     return World(0.0, voters, none, (none,) * 3, (frozenset(NAMES),) * 3, (0.0,) * 3, faults)
 
@@ -71,7 +71,7 @@
     vote = leadership.vote(world.now, world.alive[n].__contains__)
     published, received = world.votes, world.received
     if vote is not None:
-        published = replaced_at(published, n, (vote, world.now + TERMS.term_s))
+        published = replaced_at(published, n, (vote, world.now + SETTINGS.term_s))
         received = replaced_at(received, n, replaced_at(received[n], n, published[n]))
     votes = {
         NAMES[m]: vote_entry
@@ -120,7 +120,7 @@
                     f"{name} changes its view of {other}",
                     replace(after_fault, alive=replaced_at(world.alive, n, alive)),
                 )
-            fresh = Leadership(name, TERMS, world.now)
+            fresh = Leadership(name, SETTINGS, world.now)
             none_received = replaced_at(world.received, n, (None, None, None))
             yield (
                 f"{name} restarts",
@@ -187,7 +187,7 @@
     elif mutation == "votes after a restart":
         original_init = Leadership.__init__
         monkeypatch.setattr(
-            Leadership, "__init__", lambda self, me, terms, now: original_init(self, me, terms, -10.0)
+            Leadership, "__init__", lambda self, me, settings, now: original_init(self, me, settings, -10.0)
         )
     else:
         monkeypatch.setattr(Leadership, "majority", lambda self: 1)
@@ -197,12 +197,12 @@
 
 
 def test_a_gap_in_the_votes_during_a_pause_ends_the_leadership() -> None:
-    leadership = Leadership("a", TERMS, -10.0)
+    leadership = Leadership("a", SETTINGS, -10.0)
     votes = {name: (Vote("a", 1), 2.0) for name in NAMES}
     assert (
         leadership.update(0.0, votes)
         and not leadership.predecessors_expired(1.0)
-        and leadership.predecessors_expired(term_validity_s(TERMS))
+        and leadership.predecessors_expired(term_validity_s(SETTINGS))
     )
     first_term = leadership.term
     # After a pause of 50 s it receives the new votes before anything else.
