--- a/flintlatch/limits/model.py
+++ b/flintlatch/limits/model.py
@@ -22,7 +22,7 @@
 
 
 def term_validity_s(settings: LeaseSettings) -> float:
-    """The time after publication at which a vote or lease has expired everywhere, by any clock."""
+    """The time after publication at which a vote or lease has expired by any clock, with a margin of 1 %."""
     return settings.term_s * (1 + MAX_CLOCK_DRIFT) / (1 - MAX_CLOCK_DRIFT) + 0.01 * settings.term_s
 
 
--- a/flintlatch/limits/split.py
+++ b/flintlatch/limits/split.py
@@ -1,11 +1,10 @@
-"""Distribution of one limit: the rate of each holder, so that the sum never exceeds the limit. No I/O, no
-clock.
-
-A holder may use its latest grant until that expires, and any earlier grant for as long as it may not have
-received the newer one. The amount in use by a holder is therefore at most the largest of its unexpired grants
-since the one that it acknowledged. A smaller grant is sent at once but frees nothing; the difference can be
-granted to others once the holder acknowledges the smaller grant or the larger one expires. The sum of these
-upper bounds never exceeds the limit.
+"""Distributes one limit over its holders so that the sum never exceeds the limit.
+
+No I/O, no clock. A holder may use its latest grant until that expires, and any earlier grant for as long as
+it may not have received the newer one. The amount in use by a holder is therefore at most the largest of its
+unexpired grants since the one that it acknowledged. A smaller grant is sent at once but frees nothing; the
+difference can be granted to others once the holder acknowledges the smaller grant or the larger one expires.
+The sum of these upper bounds never exceeds the limit.
 """
 
 from __future__ import annotations
--- a/flintlatch/peers/core.py
+++ b/flintlatch/peers/core.py
@@ -1,10 +1,9 @@
-"""Decisions of a member: which members to probe, suspect and gossip about. No I/O, no clock, no random source
-of its own: the time and a generator are passed in. The caller feeds events and carries out the returned
-actions.
+"""Decides which members to probe, suspect and gossip about.
 
-There is one record for each name, ordered by (incarnation, state): members that have received the same
-records, in whatever order, hold the same view. A member that receives a record in which it is suspected or
-dead raises its own incarnation; no other member may.
+No I/O, no clock, no random source of its own: the time and a generator are passed in. The caller feeds events
+and carries out the returned actions. There is one record for each name, ordered by (incarnation, state):
+members that have received the same records, in whatever order, hold the same view. A member that receives a
+record in which it is suspected or dead raises its own incarnation; no other member may.
 """
 
 from __future__ import annotations
--- a/flintlatch/peers/guard.py
+++ b/flintlatch/peers/guard.py
@@ -1,11 +1,10 @@
-"""Replay protection: accepts datagrams only from senders that have proven to be running now. No I/O, no
-clock.
-
-A datagram is sealed with the fleet's key, so its sender had the key at some time, but the datagram may be a
-replay of any age. Each start of a member draws a random `run_id` and numbers its datagrams. A run is trusted
-once it has echoed a number that this member drew itself, in the response to a probe or in an exchange of
-whole views. From then on each of its datagram numbers is accepted once, by a sliding window like that of
-IPsec (RFC 4303, section 3.4.3).
+"""Replay protection: accepts datagrams only from senders that have proven to be running now.
+
+No I/O, no clock. A datagram is sealed with the fleet's key, so its sender had the key at some time, but the
+datagram may be a replay of any age. Each start of a member draws a random `run_id` and numbers its datagrams.
+A run is trusted once it has echoed a number that this member drew itself, in the response to a probe or in an
+exchange of whole views. From then on each of its datagram numbers is accepted once, by a sliding window like
+that of IPsec (RFC 4303, section 3.4.3).
 
 The same responses relate the clocks of two members: each datagram carries its sender's clock, and the
 response to a probe sent at time T was sent no earlier than T. The best such pair gives, for each later
--- a/flintlatch/peers/seal.py
+++ b/flintlatch/peers/seal.py
@@ -1,10 +1,10 @@
-"""Authenticated encryption of peer traffic with a shared key: ChaCha20-Poly1305 (RFC 8439), keys derived by
-HKDF (RFC 5869).
+"""Authenticated encryption of peer traffic with a shared key.
 
-A datagram consists of the version, the first bytes of the key's SHA-256, the sender's run id and a number,
-followed by the encrypted part; the header is authenticated too. Each run of a member has its own key, derived
-from the shared one, and uses the numbers as nonces, so no nonce is used twice. The keys of a stream are
-derived from a nonce of each side, one key for each direction.
+The cipher is ChaCha20-Poly1305 (RFC 8439); keys are derived by HKDF (RFC 5869). A datagram consists of the
+version, the first bytes of the key's SHA-256, the sender's run id and a number, followed by the encrypted
+part; the header is authenticated too. Each run of a member has its own key, derived from the shared one, and
+uses the numbers as nonces, so no nonce is used twice. The keys of a stream are derived from a nonce of each
+side, one key for each direction.
 
 A key file holds one key per line, 64 hexadecimal digits; the first key encrypts, all keys decrypt. To rotate
 the key, the new one is added after the old one in every file, then moved to the first line in every file,
--- a/flintlatch/peers/shell.py
+++ b/flintlatch/peers/shell.py
@@ -1,8 +1,7 @@
-"""Runs a member on real sockets: UDP for probes and gossip, TCP for whole views. Owns the sockets and the
-clock.
+"""Runs a member on real sockets: UDP for probes and gossip, TCP for whole views.
 
-Every resource that unauthenticated senders can use up is bounded: datagrams per tick, concurrent streams,
-frame size and time.
+This module owns the sockets and the clock. Every resource that unauthenticated senders can use up is bounded:
+datagrams per tick, concurrent streams, frame size and time.
 """
 
 from __future__ import annotations
--- a/tests/limits/test_explored.py
+++ b/tests/limits/test_explored.py
@@ -1,5 +1,4 @@
-"""Explores the leases of a strict limit: every order of events to a depth, random walks beyond it, and
-mutations.
+"""Explores the leases of a strict limit: every order of events to a depth, then random walks.
 
 A mutation breaks one line of the protocol; the explorer has to find a state in which the limit is exceeded.
 """
--- a/tests/peers/test_explored.py
+++ b/tests/peers/test_explored.py
@@ -1,5 +1,4 @@
-"""Explores three members to a stated depth: every order of messages, losses, duplicates, death, pause and
-leave."""
+"""Explores three members: every order of messages, losses, duplicates and faults to a stated depth."""
 
 from __future__ import annotations
 
--- a/tests/peers/test_fleet.py
+++ b/tests/peers/test_fleet.py
@@ -1,5 +1,4 @@
-"""Many members in virtual time with network and process faults: views converge once the network works
-again."""
+"""Many members in virtual time: views converge once network and process faults have ended."""
 
 from __future__ import annotations
 
