--- a/flintlatch/fleet/agreed.py
+++ b/flintlatch/fleet/agreed.py
@@ -171,7 +171,7 @@
         if shell is None:
             return
         peers = shell.member.peers
-        there = peers.alive()
+        there = peers.active_records()
         before = sum(record.instances for record in there if record.name < peers.me.name)
         doubted = not peers.joined or any(record.state is State.SUSPECT for record in there)
         self.census.update(clock(), CensusView(peers.instances(), before, doubted))
@@ -277,7 +277,7 @@
                     "accusers": sorted(suspicion.reporters) if suspicion is not None else [],
                 }
             )
-        alive = len(peers.alive())
+        alive = len(peers.active_records())
         return told | {
             "name": peers.me.name,
             "address": shell.address,
--- a/flintlatch/fleet/judging.py
+++ b/flintlatch/fleet/judging.py
@@ -75,7 +75,7 @@
                 good.setdefault(said.subject, set()).add(said.origin)
             else:
                 voices.setdefault(said.subject, {})[said.origin] = int(said.value[:4])
-        there = {record.name: record.zone for record in shell.member.peers.alive()}
+        there = {record.name: record.zone for record in shell.member.peers.active_records()}
         before, self.found = self.found, decide_ejections(voices, good, there, len(servers), self.rules)
         me = shell.member.me
         self._report(before, me.name)
--- a/flintlatch/fleet/limiting.py
+++ b/flintlatch/fleet/limiting.py
@@ -248,7 +248,7 @@
         if limit.when_cut is PartitionPolicy.STRICT:
             votes = [read_vote(s.value).candidate for s in shell.member.entry_store.read(clock(), "vote")]
             return max(set(votes), key=lambda name: (votes.count(name), name), default="")
-        there = [record.name for record in shell.member.peers.alive()]
+        there = [record.name for record in shell.member.peers.active_records()]
         return max(there, key=lambda name: (crc32(f"{limit.name} {name}".encode()), name))
 
     def _keep(self, now: float, shell: Shell, row: Row, keeping: bool, told: set[str]) -> None:
--- a/flintlatch/lab/members.py
+++ b/flintlatch/lab/members.py
@@ -141,7 +141,7 @@
         """Whether all of these hold the same to be there, and it is these."""
         cores = [self.core(name) for name in names]
         same = len({core.digest() for core in cores}) == 1
-        return same and {record.name for record in cores[0].alive()} == set(names)
+        return same and {record.name for record in cores[0].active_records()} == set(names)
 
     def until(self, what: Callable[[], bool], most_s: float) -> float:
         """Seconds until it holds; raises AssertionError past `most_s`."""
--- a/flintlatch/peers/core.py
+++ b/flintlatch/peers/core.py
@@ -171,7 +171,7 @@
 
     # Queries
 
-    def alive(self) -> list[Record]:
+    def active_records(self) -> list[Record]:
         """The active members sorted by name, including suspected ones."""
         return [self.active[name] for name in self.active_names]
 
@@ -247,7 +247,7 @@
             self.left = True
             self.me = self.me._replace(state=State.LEFT)
             self.set_record(now, self.me)
-            for record in self.sample(self.alive(), MAX_LEAVE_MESSAGES):
+            for record in self.sample(self.active_records(), MAX_LEAVE_MESSAGES):
                 self.actions.append(Send(record.address, Message(Kind.PING, 0, record.name, (self.me,))))
         if not self.left:
             self.on_tick(now)
@@ -264,7 +264,7 @@
         self.actions.append(
             LogLine(f"nothing was done for {paused_s:.0f} s: what was known of others is forgotten")
         )
-        others = [r.address for r in self.alive() if r.name != self.me.name]
+        others = [r.address for r in self.active_records() if r.name != self.me.name]
         self.seeds = (*self.seeds, *(a for a in others[: self.rules.helpers] if a not in self.seeds))
         self.view = HashTrieMap({self.me.name: self.me})
         self.active, self.active_names, self.membership_hash, self.content_hash = {}, [], 0, 0
@@ -304,7 +304,7 @@
         """Starts an exchange with a random active member or, one time in three, with a seed or a dead member.
 
         After a partition longer than `forget_s` the two sides know only their seeds of each other."""
-        active = [r.address for r in self.alive() if r.name != self.me.name]
+        active = [r.address for r in self.active_records() if r.name != self.me.name]
         unreachable = sorted(r.address for r in self.view.values() if r.state is State.DEAD)
         unreachable += [seed for seed in self.seeds if seed not in active]
         addresses = unreachable if unreachable and (not active or self.rng.random() < 1 / 3) else active
@@ -322,7 +322,7 @@
         self.next_probe_at = now + self.rules.period_s * (1 + self.health)
         while True:
             if not self.probe_order:
-                self.probe_order = [r.name for r in self.alive() if r.name != self.me.name]
+                self.probe_order = [r.name for r in self.active_records() if r.name != self.me.name]
                 self.rng.shuffle(self.probe_order)
                 if not self.probe_order:
                     return
@@ -346,7 +346,7 @@
         elif not probe.indirect and now >= probe.started + rules.ack_s * slowdown:
             probe.indirect = True
             self.unresponsive.add(probe.target)
-            others = [r for r in self.alive() if r.name not in (self.me.name, probe.target)]
+            others = [r for r in self.active_records() if r.name not in (self.me.name, probe.target)]
             # Responsive members come first: a member that reaches all others keeps alive those that don't
             # reach each other.
             responsive = [r for r in others if r.name not in self.unresponsive]
--- a/flintlatch/peers/member.py
+++ b/flintlatch/peers/member.py
@@ -204,7 +204,7 @@
         if now < self.last_flush_at + FLUSH_INTERVAL_S or not self.entry_store.has_unsent():
             return []
         self.last_flush_at = now
-        others = [r for r in self.peers.alive() if r.name != self.me.name and r.state is State.ALIVE]
+        others = [r for r in self.peers.active_records() if r.name != self.me.name and r.state is State.ALIVE]
         return [
             self._datagram(now, record.address, Message(Kind.GOSSIP, 0, record.name))
             for record in self.peers.sample(others, PUSH_FANOUT)
--- a/tests/peers/test_fleet.py
+++ b/tests/peers/test_fleet.py
@@ -71,7 +71,7 @@
     missing = 0
     for _ in range(1200):
         members.run(0.1)
-        missing += len(members.core("f0").alive()) < 6
+        missing += len(members.core("f0").active_records()) < 6
     assert missing == 0  # the member that reaches all others never declares one dead
     members.until(lambda: members.agreed(names), 60)
     died = sum(one.peers.counts.died for one in members.members.values())
@@ -140,7 +140,7 @@
     members = Members(2)
     core = members.start("late", ("f0:7946", "f1:7946"))
     members.run(30)
-    assert len(core.alive()) == 1
+    assert len(core.active_records()) == 1
     members.start("f0", ("f1:7946",))
     members.until(lambda: members.agreed(["late", "f0"]), 30)
 
