--- a/bench/scale/peers.py
+++ b/bench/scale/peers.py
@@ -33,7 +33,7 @@
 RECORDS, RECORDS_SMALL = 20_000, 2000  # held together where memory is measured
 LONGEST_S = 600.0  # of virtual time, that a word, a death or a spreading is waited for
 CPU_S = 330.0  # of one size; past it no further death is played
-METERED = ("step", "offer", "on_offer", "on_reply", "on_last")
+METERED = ("step", "offer", "on_offer", "on_reply", "on_content")
 
 Got = TypeVar("Got")
 Row = dict[str, Any]
@@ -211,7 +211,7 @@
         for record in records[1:]:
             head = (record.name, record.address, record.run_id, 1, START_S, 1, 1)
             told = tuple(records) if record is records[1] else ()
-            member.on_last(START_S, SyncMessage(*head, told), START_S - 1.0)
+            member.on_content(START_S, SyncMessage(*head, told), START_S - 1.0)
             member.guard.senders[record.run_id].accept_number(1000)  # a window in use
             theirs = Seal((KEY,), record.run_id)
             seal.decrypt(theirs.encrypt(1, b""))
--- a/flintlatch/lab/members.py
+++ b/flintlatch/lab/members.py
@@ -192,7 +192,7 @@
 
         def last(mine: SyncMessage, replied: float) -> None:
             if alive():
-                self._carry_out(target, asked.on_last(self.now(target), mine, replied))
+                self._carry_out(target, asked.on_content(self.now(target), mine, replied))
 
         self.engine.after(TRIP_S, arrive)
 
--- a/flintlatch/peers/member.py
+++ b/flintlatch/peers/member.py
@@ -276,7 +276,7 @@
         applied."""
         return self.offer(now, True, reply.content_digest), self._synced(now, reply, sent_at)
 
-    def on_last(self, now: float, content: SyncMessage, sent_at: float) -> list[Action]:
+    def on_content(self, now: float, content: SyncMessage, sent_at: float) -> list[Action]:
         """Handles the initiator's content, which it sent after the reply of `sent_at`."""
         return self._synced(now, content, sent_at)
 
--- a/flintlatch/peers/shell.py
+++ b/flintlatch/peers/shell.py
@@ -331,7 +331,7 @@
                 content = unpack_sync(await self._read_frame(reader, seal))
                 if clock() - started_at > STREAM_TIMEOUT_S:
                     raise TimeoutError
-                self._carry_out(self.member.on_last(clock(), content, replied_at))
+                self._carry_out(self.member.on_content(clock(), content, replied_at))
         except (OSError, asyncio.IncompleteReadError, AuthenticationFailed, InvalidMessage) as error:
             self._stream_failed(error, "a stream")
         except asyncio.CancelledError:
