--- a/bench/peers.py
+++ b/bench/peers.py
@@ -206,7 +206,7 @@
         f"virtual: {n} members: agreed {agreed:.1f} s after a common start; at rest {rate:.0f} bytes/s and"
         f" {datagrams:.1f} datagrams/s a member, {1e3 * cpu / span / n:.2f} ms of this core a member-second;"
         f" a word known to all after {heard:.1f} s; deaths known to all after"
-        f" {', '.join(f'{d:.1f}' for d in deaths)} s (bound {members.core(rest[0]).detection_bound_s(n):.0f});"
+        f" {', '.join(f'{d:.1f}' for d in deaths)} s (bound {members.core(rest[0]).death_bound_s(n):.0f});"
         f" a join {join:.1f} s; each half agrees {cut:.1f} s after a cut, all {heal:.1f} s after the heal;"
         f" {time.process_time() - started:.0f} s of processor"
     )
--- a/flintlatch/fleet/agreed.py
+++ b/flintlatch/fleet/agreed.py
@@ -287,9 +287,9 @@
             "health": peers.health,
             "members": rows,
             "bounds": {
-                "found_dead_s": round(peers.detection_bound_s(alive), 1),
+                "found_dead_s": round(peers.death_bound_s(alive), 1),
                 "number_falls_s": round(
-                    Census.overcount_bound_s(peers.detection_bound_s(alive), self.table.hold_s), 1
+                    Census.overcount_bound_s(peers.death_bound_s(alive), self.table.hold_s), 1
                 ),
                 "instances_alone_s": self.table.word_s,
                 "words": {t.name: round(EntryStore.staleness_bound_s(t.ttl_s), 1) for t in shell.topics},
--- a/flintlatch/peers/core.py
+++ b/flintlatch/peers/core.py
@@ -214,7 +214,7 @@
         progress = log(reporters + 1) / log(self.rules.confirmations + 1)
         return max(shortest, longest - (longest - shortest) * progress)
 
-    def detection_bound_s(self, members: int) -> float:
+    def death_bound_s(self, members: int) -> float:
         """Upper bound on the time from a member's death until the first member that probes it finds it dead.
 
         It holds if no datagram is lost and no member has slowed down its probes. Each member probes every
--- a/tests/peers/test_fleet.py
+++ b/tests/peers/test_fleet.py
@@ -33,7 +33,7 @@
 @pytest.mark.parametrize("seed", range(3))
 def test_a_death_is_detected_by_all_within_the_bound(seed: int) -> None:
     members, names = joined_fleet(10, seed)
-    bound = members.core("f0").detection_bound_s(10)
+    bound = members.core("f0").death_bound_s(10)
     members.kill("f7")
     rest = [name for name in names if name != "f7"]
     assert members.until(lambda: members.agreed(rest), bound) <= bound
