--- a/flintlatch/peers/census.py
+++ b/flintlatch/peers/census.py
@@ -65,8 +65,8 @@
         return FleetPosition(proxies, min(self.view.before, proxies - self.own))
 
     @staticmethod
-    def overcount_bound_s(detection_s: float, hold_s: float) -> float:
+    def overcount_bound_s(death_bound_s: float, hold_s: float) -> float:
         """The stated bound on how long a count that is too large stands before it begins to fall: the time to
         detect a death, then the hold time. A count that is too small stands only until an existing member is
         discovered."""
-        return detection_s + hold_s
+        return death_bound_s + hold_s
