--- a/bench/peers.py
+++ b/bench/peers.py
@@ -30,7 +30,7 @@
 from flintlatch.fleet.control import Taken, ask
 from flintlatch.lab.members import Members
 from flintlatch.lab.network import Link
-from flintlatch.peers import Carrier, Merge, Rules, Topic
+from flintlatch.peers import EntryStore, Merge, Rules, Topic
 from flintlatch.peers.clock import clock
 from flintlatch.standin.fleets import Fleets, fleets
 from flintlatch.standin.links import draw, written
@@ -39,7 +39,7 @@
 SAY_S, READ_S = 0.4, 0.05  # between two notes of one fleet, two readings of one
 AGREE_S = 60.0
 TICKS = os.sysconf("SC_CLK_TCK")
-WORD = Topic("word", Merge.EACH, 10.0)
+WORD = Topic("word", Merge.PER_MEMBER, 10.0)
 
 
 def quantile(values: list[float], part: float) -> float:
@@ -98,9 +98,9 @@
                 age = began - self.done.get(key, began)
                 self.seen += 1
                 self.ways.setdefault((key, name), began - at)
-                self.loose = max(self.loose, (began - at) / Carrier.stale_s(for_s))
-                if age / Carrier.stale_s(for_s) > self.worst:
-                    self.worst = age / Carrier.stale_s(for_s)
+                self.loose = max(self.loose, (began - at) / EntryStore.staleness_bound_s(for_s))
+                if age / EntryStore.staleness_bound_s(for_s) > self.worst:
+                    self.worst = age / EntryStore.staleness_bound_s(for_s)
                     self.worst_line = (
                         f"{name} believed a note of {note['by']} {age:.3f} s after, for {for_s} s"
                     )
@@ -206,7 +206,7 @@
         f"virtual: {n} members: agreed {agreed:.1f} s after a common start; at rest {rate:.0f} bytes/s and"
         f" {datagrams:.1f} datagrams/s a member, {1e3 * cpu / span / n:.2f} ms of this core a member-second;"
         f" a word known to all after {heard:.1f} s; deaths known to all after"
-        f" {', '.join(f'{d:.1f}' for d in deaths)} s (bound {members.core(rest[0]).detection_s(n):.0f});"
+        f" {', '.join(f'{d:.1f}' for d in deaths)} s (bound {members.core(rest[0]).death_bound_s(n):.0f});"
         f" a join {join:.1f} s; each half agrees {cut:.1f} s after a cut, all {heal:.1f} s after the heal;"
         f" {time.process_time() - started:.0f} s of processor"
     )
--- a/bench/scale/limits.py
+++ b/bench/scale/limits.py
@@ -21,10 +21,17 @@
 from flintlatch.fleet import judging, limiting
 from flintlatch.fleet.limiting import Limiting
 from flintlatch.lab.engine import Engine
-from flintlatch.limits.api import Ask, Limit, Mark, Terms, WhenCut, topics
-from flintlatch.limits.model import holder, write_ask
-from flintlatch.peers import Kind, Message, Opened, Record, Rules, State, Topic, Word
-from flintlatch.peers.member import ROOM, Envelope
+from flintlatch.limits.api import (
+    LeaseRequest,
+    LeaseSettings,
+    LeaseVersion,
+    Limit,
+    PartitionPolicy,
+    limit_topics,
+)
+from flintlatch.limits.model import holder_id, write_lease_request
+from flintlatch.peers import DatagramReceived, Entry, Kind, Message, Record, Rules, State, Topic
+from flintlatch.peers.member import PAYLOAD_BYTES, Envelope
 from flintlatch.peers.wire import pack, unpack
 
 ROWS, ROWS_SMALL = (1, 10, 64, 256), (1, 10)
@@ -57,8 +64,10 @@
     def __init__(self, members: Hollow, name: str) -> None:
         self.members, self.name, self.member = members, name, members.member(name)
 
-    def say(self, topic: str, subject: str, value: bytes, life_s: float = 0.0, renew: bool = True) -> None:
-        self.member.carrier.say(self.members.engine.now, topic, subject, value, life_s, renew)
+    def publish(
+        self, topic: str, subject: str, value: bytes, life_s: float = 0.0, renew: bool = True
+    ) -> None:
+        self.member.entry_store.publish(self.members.engine.now, topic, subject, value, life_s, renew)
 
     def push(self, name: str) -> None:
         self.members.push(self.name, name)
@@ -86,32 +95,46 @@
     return members, others
 
 
-def arrive(members: Hollow, sender: Record, number: int, words: list[Word]) -> int:
+def arrive(members: Hollow, sender: Record, number: int, words: list[Entry]) -> int:
     """Entries come to f0 in as many datagrams as they need. Returns the last one's number."""
     while words:
-        room, some = ROOM, list[Word]()
-        while words and words[-1].cost() <= room:
+        room, some = PAYLOAD_BYTES, list[Entry]()
+        while words and words[-1].encoded_bytes() <= room:
             some.append(words.pop())
-            room -= some[-1].cost()
+            room -= some[-1].encoded_bytes()
         number += 1
-        now, news = members.engine.now, Message(Kind.NEWS, 0, "f0")
-        one = Envelope(sender.name, sender.address, sender.life, number, now, 1, news, tuple(some))
-        members.step(members.names["f0"], Opened(unpack(pack(one), sender.life, number)))
+        now, news = members.engine.now, Message(Kind.GOSSIP, 0, "f0")
+        one = Envelope(sender.name, sender.address, sender.run_id, number, now, 1, news, tuple(some))
+        members.step(members.names["f0"], DatagramReceived(unpack(pack(one), sender.run_id, number)))
     return number
 
 
 def rows_of(count: int) -> tuple[Limit, ...]:
-    return tuple(Limit(f"limit-{i:05d}", "", "", PER_S, 10.0, WhenCut.STRICT) for i in range(count))
+    return tuple(Limit(f"limit-{i:05d}", "", "", PER_S, 10.0, PartitionPolicy.STRICT) for i in range(count))
 
 
 def wide(rows: int, holders: int) -> tuple[Topic, ...]:
     """Today's topics, with room for so many."""
-    vote, ask, grant = topics(TERM_S)
-    most = max(rows * (holders + 1), ask.most)
+    vote, ask, grant = limit_topics(TERM_S)
+    most = max(rows * (holders + 1), ask.max_entries)
     return (
         vote,
-        Topic("ask", ask.merge, TERM_S, each=max(rows, ask.each), most=most, weight=ask.weight),
-        Topic("grant", grant.merge, TERM_S, each=max(most, grant.each), most=2 * most, weight=grant.weight),
+        Topic(
+            "ask",
+            ask.merge,
+            TERM_S,
+            max_per_member=max(rows, ask.max_per_member),
+            max_entries=most,
+            weight=ask.weight,
+        ),
+        Topic(
+            "grant",
+            grant.merge,
+            TERM_S,
+            max_per_member=max(most, grant.max_per_member),
+            max_entries=2 * most,
+            weight=grant.weight,
+        ),
     )
 
 
@@ -125,13 +148,13 @@
     def start(self) -> None:
         self.members.engine.after(SAY_S, self.start)
         self.epoch += 1
-        words, me = list[Word](), self.record
+        words, me = list[Entry](), self.record
         for name, row in self.lessor.rows.items():
-            out = row.keeper.split.outs.get(holder(me.name, me.life))
-            given = out.given[-1] if out is not None and out.given else None
-            mark, used = (given.mark, given.amount) if given is not None else (Mark(0, 0), 0.0)
-            ask = Ask(self.share, "f0", "f0" if given else "", mark, used, PER_S, me.life)
-            words.append(Word("ask", me.name, name, self.epoch, write_ask(ask), TERM_S))
+            out = row.keeper.ledger.by_holder.get(holder_id(me.name, me.run_id))
+            given = out.grants[-1] if out is not None and out.grants else None
+            mark, used = (given.version, given.amount) if given is not None else (LeaseVersion(0, 0), 0.0)
+            ask = LeaseRequest(self.share, "f0", "f0" if given else "", mark, used, PER_S, me.run_id)
+            words.append(Entry("ask", me.name, name, self.epoch, write_lease_request(ask), TERM_S))
         self.number = arrive(self.members, me, self.number, words)
 
 
@@ -143,7 +166,7 @@
         tracemalloc.start()
     with virtual(members):
         station: Any = Station(members, "f0")
-        terms = Terms(("f0",), holders, TERM_S)
+        terms = LeaseSettings(("f0",), holders, TERM_S)
         made = Limiting(rows_of(rows), terms, lambda: station, lambda worker, told: None, lambda *line: None)
         look = Meter()
         for record in others:
@@ -166,7 +189,7 @@
         posted, at, members.meter.spent = members.network.sent, members.engine.now, 0.0
         members.run(WINDOW_S)
         took = members.engine.now - at
-        granted = sum(len(row.keeper.split.outs) for row in made.rows.values())
+        granted = sum(len(row.keeper.ledger.by_holder) for row in made.rows.values())
     return {
         "look": 1e3 * (look.spent - spent) / (look.calls - looks),
         "core": (look.spent - spent) / took,
@@ -181,7 +204,7 @@
 class Proxy:
     """A member with its limits and one instance that is asked for its part of each, no more."""
 
-    def __init__(self, members: Hollow, name: str, rows: int, terms: Terms) -> None:
+    def __init__(self, members: Hollow, name: str, rows: int, terms: LeaseSettings) -> None:
         self.members, self.share = members, PER_S / terms.fleets
         station: Any = Station(members, name)
         self.made = Limiting(rows_of(rows), terms, lambda: station, self.tell, lambda *line: None)
@@ -207,7 +230,7 @@
     member that sends most and of all on average."""
     members = Hollow(seed, topics=wide(rows, n))
     names = members.settled(n)
-    terms = Terms(tuple(names[:3]), n, TERM_S)
+    terms = LeaseSettings(tuple(names[:3]), n, TERM_S)
     with virtual(members):
         proxies = {name: Proxy(members, name, rows, terms) for name in names}
         members.news = lambda name, now, words: proxies[name].made.on_news()
@@ -220,7 +243,7 @@
             members.run(0.1)
             looks += 1
             for proxy in proxies.values():
-                granted += sum(members.engine.now < row.holder.ends for row in proxy.made.rows.values())
+                granted += sum(members.engine.now < row.holder.expires_at for row in proxy.made.rows.values())
         took = members.engine.now - at
     sent = sorted((members.sent_by[one] - before.get(one, 0)) / took for one in members.sent_by)
     return {"granted": max(granted / looks / rows / n, 1e-6), "most": sent[-1], "mean": sum(sent) / n}
@@ -228,17 +251,17 @@
 
 def table(rows: int, traced: bool) -> float:
     """Each row as the supervisor makes it, asked for and granted once: milliseconds for all, or bytes."""
-    terms, limits = Terms(("f0",), 1, TERM_S), rows_of(rows)
+    terms, limits = LeaseSettings(("f0",), 1, TERM_S), rows_of(rows)
     if traced:
         tracemalloc.start()
     made, took = [limiting.Row(limit, terms, 0.0) for limit in limits], 0.0
     for now in (1.0, 1.0 + SAY_S):
         began = time.process_time()
         for row in made:
-            ask = row.holder.ask(now, "f0")._replace(life=1)
-            grants = row.keeper.step(now, "f0", 1, True, row.limit.lent(), {"f0/1": ask}, True)
-            row.holder.hear(now, "f0", grants["f0/1"], now + TERM_S)
-            row.holder.parts(now, {}, {"0": 1.0}, TERM_S, True)
+            ask = row.holder.request(now, "f0")._replace(run_id=1)
+            grants = row.keeper.step(now, "f0", 1, True, row.limit.leasable_per_s(), {"f0/1": ask}, True)
+            row.holder.accept_lease(now, "f0", grants["f0/1"], now + TERM_S)
+            row.holder.allocate(now, {}, {"0": 1.0}, TERM_S, True)
         took = time.process_time() - began
     if traced:
         held = tracemalloc.get_traced_memory()[0]
--- a/bench/scale/peers.py
+++ b/bench/scale/peers.py
@@ -18,8 +18,8 @@
 
 from bench.scale.data import Series, load
 from flintlatch.lab.members import Members
-from flintlatch.peers import Member, Merge, Post, Record, Rules, State, Topic
-from flintlatch.peers.member import Action, Envelope, Whole
+from flintlatch.peers import Member, Merge, Record, Rules, SendDatagram, State, Topic
+from flintlatch.peers.member import Action, Envelope, SyncMessage
 from flintlatch.peers.seal import Seal
 from flintlatch.peers.wire import pack, unpack
 
@@ -33,7 +33,7 @@
 RECORDS, RECORDS_SMALL = 20_000, 2000  # held together where memory is measured
 LONGEST_S = 600.0  # of virtual time, that a word, a death or a spreading is waited for
 CPU_S = 330.0  # of one size; past it no further death is played
-METERED = ("step", "offer", "on_offer", "on_reply", "on_last")
+METERED = ("step", "offer", "on_offer", "on_reply", "on_content")
 
 Got = TypeVar("Got")
 Row = dict[str, Any]
@@ -82,7 +82,7 @@
         super()._carry_out(address, actions)
         self.sent_by[address] = self.sent_by.get(address, 0) + self.bytes - before
         if len(self.kept) < self.keeps:
-            self.kept += [action.envelope for action in actions if isinstance(action, Post)]
+            self.kept += [action.envelope for action in actions if isinstance(action, SendDatagram)]
 
     def push(self, name: str, target: str) -> None:
         """As the shell's: what is new goes to one member at once."""
@@ -108,31 +108,31 @@
         for record in records:
             if record.name not in peers.view:
                 peers.view = peers.view.insert(record.name, record)
-                peers.tally(record)
-            if record.life != member.me.life:
+                peers.update_indexes(record)
+            if record.run_id != member.me.run_id:
                 asked = now - self.rng.uniform(0, round_s)
-                member.guard.met(record.life, 0, asked, asked)
+                member.guard.mark_verified(record.run_id, 0, asked, asked)
         peers.queue = {}
-        peers.joined, peers.sync_every = True, self.rules.sync_s
-        peers.probe_at = now + self.rng.uniform(0, self.rules.period_s)
-        peers.sync_at = now + self.rng.uniform(0, self.rules.sync_s)
+        peers.joined, peers.sync_interval_s = True, self.rules.sync_s
+        peers.next_probe_at = now + self.rng.uniform(0, self.rules.period_s)
+        peers.next_sync_at = now + self.rng.uniform(0, self.rules.sync_s)
 
 
 def word(life_s: float, most: int = 4096) -> Topic:
-    return Topic("word", Merge.EACH, life_s, each=most, most=most)
+    return Topic("word", Merge.PER_MEMBER, life_s, max_per_member=most, max_entries=most)
 
 
 def sealed(kept: list[Envelope]) -> tuple[float, float]:
     """Microseconds to pack and seal a datagram, and to open and unpack it."""
-    seals = {one.life: Seal((KEY,), one.life) for one in kept}
+    seals = {one.run_id: Seal((KEY,), one.run_id) for one in kept}
     theirs = Seal((KEY,), 1)
     began = time.process_time()
-    datagrams = [seals[one.life].close(one.number, pack(one)) for one in kept]
+    datagrams = [seals[one.run_id].encrypt(one.number, pack(one)) for one in kept]
     closed = time.process_time()
-    opened = [theirs.open(data) for data in datagrams]  # each life's key is derived once
+    opened = [theirs.decrypt(data) for data in datagrams]  # each life's key is derived once
     derived = time.process_time()
     for data in datagrams:
-        theirs.open(data)
+        theirs.decrypt(data)
     for life, number, plain in opened:
         unpack(plain, life, number)
     ended = time.process_time()
@@ -186,7 +186,9 @@
         if not gone and members.agreed(names):
             gone = took
         for subject, missing in list(waits.items()):
-            missing -= {n for n in missing if ("word", subject, subject) in members.member(n).carrier.held}
+            missing -= {
+                n for n in missing if ("word", subject, subject) in members.member(n).entry_store.entries
+            }
             if not missing:
                 del waits[subject]
                 known.append(took)
@@ -205,14 +207,14 @@
             for i in range(n)
         ]
         member = Member(records[0], (records[1].address,), Rules(), (word(TTL_S),), rng, START_S)
-        seal = Seal((KEY,), records[0].life)
+        seal = Seal((KEY,), records[0].run_id)
         for record in records[1:]:
-            head = (record.name, record.address, record.life, 1, START_S, 1, 1)
+            head = (record.name, record.address, record.run_id, 1, START_S, 1, 1)
             told = tuple(records) if record is records[1] else ()
-            member.on_last(START_S, Whole(*head, told), START_S - 1.0)
-            member.guard.lives[record.life].once(1000)  # a window in use
-            theirs = Seal((KEY,), record.life)
-            seal.open(theirs.close(1, b""))
+            member.on_content(START_S, SyncMessage(*head, told), START_S - 1.0)
+            member.guard.senders[record.run_id].accept_number(1000)  # a window in use
+            theirs = Seal((KEY,), record.run_id)
+            seal.decrypt(theirs.encrypt(1, b""))
         member.peers.queue = {}
         kept.append((member, seal))
 
@@ -245,7 +247,7 @@
         members.run(members.tick_s)
         if members.engine.now - at > LONGEST_S:
             raise AssertionError(f"{len(missing)} of {n} lack some of {k} after {LONGEST_S} s")
-        missing -= {name for name in missing if len(members.member(name).carrier.held) >= k}
+        missing -= {name for name in missing if len(members.member(name).entry_store.entries) >= k}
     took, sent = members.engine.now - at, members.bytes - before
     return took, (sent - rest * took) / n / k, sent / n / took
 
--- a/bench/scale/verdicts.py
+++ b/bench/scale/verdicts.py
@@ -15,8 +15,8 @@
 from bench.scale.limits import LONG, Station, alone, arrive, virtual
 from bench.scale.peers import Got, Hollow, Meter, child
 from flintlatch.fleet.judging import RENEW, Judging
-from flintlatch.peers import Record, Topic, Word
-from flintlatch.verdicts.api import SEEN, Rules
+from flintlatch.peers import Entry, Record, Topic
+from flintlatch.verdicts.api import EjectionRules, observation_topic
 
 ROWS, ROWS_SMALL = (10, 50, 200, 1000, 2000), (10, 50)
 OBSERVERS, OBSERVERS_SMALL = (20, 100, 500, 2200), (10, 20)
@@ -25,7 +25,7 @@
 VOICES, FEW, FEW_ROWS = 4, 40, 3  # observers of one server; of all where rows vary; rows where observers do
 SERVERS = 20_000  # of the own list: what is reported on is a part of it
 LISTED, LISTED_SMALL = (200, 2000, 20_000, 200_000), (20, 200)
-RULES = Rules()
+RULES = EjectionRules()
 SAY_S = RULES.life_s / RENEW
 SAID, LOOK_S = 5, 0.37  # entries said; between two looks at who believes them: no part of a renewal
 
@@ -41,14 +41,16 @@
         self.members.engine.after(SAY_S, self.start)
         self.epoch += 1
         name, life = self.record.name, RULES.life_s
-        words = [Word("seen", name, server, self.epoch, b"3", life) for server in self.servers]
+        words = [Entry("seen", name, server, self.epoch, b"3", life) for server in self.servers]
         self.number = arrive(self.members, self.record, self.number, words)
 
 
 def wide(words: int) -> Topic:
     """Today's topic, with room for so many."""
-    seen = SEEN(RULES.life_s)
-    return Topic("seen", seen.merge, seen.life_s, seen.each, max(words, seen.most), seen.weight)
+    seen = observation_topic(RULES.life_s)
+    return Topic(
+        "seen", seen.merge, seen.ttl_s, seen.max_per_member, max(words, seen.max_entries), seen.weight
+    )
 
 
 def judging(members: Hollow, name: str, targets: dict[str, None]) -> Judging:
@@ -90,7 +92,7 @@
     return {
         "fold": 1e3 * look.spent / look.calls,
         "bytes": (members.sent_by["f0:7946"] - sent) / took,
-        "out": float(len(made.found.out)),
+        "out": float(len(made.found.ejected)),
     }
 
 
@@ -114,7 +116,7 @@
         while looks < 4:
             members.run(LOOK_S)
             looks += 1
-            found += sum(len(one.found.out) for one in made.values())
+            found += sum(len(one.found.ejected) for one in made.values())
     took = looks * LOOK_S
     return {
         "core": (look.spent - spent) / took / n,
--- a/flintlatch/config/__init__.py
+++ b/flintlatch/config/__init__.py
@@ -42,9 +42,9 @@
     read_verdicts,
     unique,
 )
-from flintlatch.limits.rows import MOST_LIMITS, Limit, Terms, WhenCut
+from flintlatch.limits.rows import MAX_LIMITS, LeaseSettings, Limit, PartitionPolicy
 from flintlatch.settings import SocketSettings
-from flintlatch.verdicts.rows import Rules
+from flintlatch.verdicts.rows import EjectionRules
 
 if TYPE_CHECKING:
     from flintlatch.delivery.model import Rules as DeliveryRules
@@ -72,9 +72,9 @@
     access_log: AccessLogTable | None
     peers: PeersTable | None  # None: this fleet knows of no other
     delivery: DeliveryTable | None  # None: nothing is followed
-    verdicts: Rules | None  # None: each judges servers by itself
+    verdicts: EjectionRules | None  # None: each judges servers by itself
     shared: tuple[Limit, ...]  # limits of all fleets together
-    terms: Terms
+    terms: LeaseSettings
 
     @property
     def control_path(self) -> str:
@@ -109,7 +109,7 @@
         tenants = [row.name for row in self.tenants]
         parts = []
         for row in self.shared:
-            part = row.alone(self.terms) / self.fleet.instances
+            part = row.fallback_per_s(self.terms) / self.fleet.instances
             cls = classes.index(row.cls) if row.cls else -1
             tenant = tenants.index(row.tenant) if row.tenant else -1
             parts.append(LimitAllocation(row.name, cls, tenant, part, row.burst * part / row.per_s))
@@ -194,11 +194,11 @@
     config = replace(config, shared=shared)
     if config.verdicts is not None and "peers" not in raw:
         top.problem("verdicts", "a table", "a [peers] table: they are shared with other fleets")
-    if len(shared) > MOST_LIMITS:
-        top.problem("limit", f"{len(shared)} rows", f"at most {MOST_LIMITS}")
+    if len(shared) > MAX_LIMITS:
+        top.problem("limit", f"{len(shared)} rows", f"at most {MAX_LIMITS}")
     if shared and "peers" not in raw:
         top.problem("limit", f"{len(shared)} rows", "a [peers] table: they hold for several fleets")
-    if any(row.when_cut is WhenCut.STRICT for row in shared) and not config.terms.voters:
+    if any(row.when_cut is PartitionPolicy.STRICT for row in shared) and not config.terms.voters:
         top.problem("keepers.voters", "", 'the fleets that vote, where a limit is "strict"')
     if "peers" in raw:
         config = replace(config, peers=read_peers(top.sub("peers"), config.fleet.name))
--- a/flintlatch/config/tables.py
+++ b/flintlatch/config/tables.py
@@ -10,8 +10,8 @@
 
 from flintlatch.api import Effect, RequestClass, Scope
 from flintlatch.config.reader import Reader, address, shown
-from flintlatch.limits.rows import MOST_HOLDERS, Limit, Terms, WhenCut
-from flintlatch.verdicts.rows import Rules
+from flintlatch.limits.rows import MAX_HOLDERS, LeaseSettings, Limit, PartitionPolicy
+from flintlatch.verdicts.rows import EjectionRules
 
 if TYPE_CHECKING:
     from flintlatch.delivery.model import Rules as DeliveryRules
@@ -554,21 +554,21 @@
         cls=reader.choice("class", ("", *classes), ""),
         per_s=reader.number("per_s", 0.01, 1e9),
         burst=reader.number("burst", 0, 1e9, 0),
-        when_cut=WhenCut(reader.choice("when_cut", ("strict", "open"))),
+        when_cut=PartitionPolicy(reader.choice("when_cut", ("strict", "open"))),
         reserve=reader.number("reserve", 0, 1, 0.02),
     )
     reader.done()
     return limit
 
 
-def read_keepers(reader: Reader) -> Terms:
+def read_keepers(reader: Reader) -> LeaseSettings:
     voters = reader.items("voters", 'names of fleets such as ["a", "b", "c"]')
     for place, name in enumerate(voters):
         if not isinstance(name, str) or not name or voters.count(name) > 1:
             reader.problem(f"voters[{place}]", shown(name), "the name of a fleet, each once")
-    terms = Terms(
+    terms = LeaseSettings(
         voters=tuple(name for name in voters if isinstance(name, str)),
-        fleets=reader.whole("fleets", 1, MOST_HOLDERS, max(len(voters), 1)),
+        fleets=reader.whole("fleets", 1, MAX_HOLDERS, max(len(voters), 1)),
         term_s=reader.number("term_s", 0.2, 60, 2),
         cut_factor=reader.number("cut_factor", 1, 100, 2),
     )
@@ -578,8 +578,8 @@
     return terms
 
 
-def read_verdicts(reader: Reader) -> Rules:
-    rules = Rules(
+def read_verdicts(reader: Reader) -> EjectionRules:
+    rules = EjectionRules(
         quorum=reader.whole("quorum", 2, 100, 2),
         strikes=reader.whole("strikes", 2, 1000, 4),
         part=reader.number("part", 0, 1, 0.05),
--- a/flintlatch/delivery/shell_below.py
+++ b/flintlatch/delivery/shell_below.py
@@ -13,7 +13,7 @@
 from flintlatch.delivery import relay
 from flintlatch.delivery.stream import Counts, Stream
 from flintlatch.delivery.wire import from_subscriber
-from flintlatch.peers.shell import NotBound, joined, split
+from flintlatch.peers.shell import BindError, join_address, split_address
 
 HALF_OPEN_S = 2.0  # until the first frame: twice the time in which a subscriber gives a relay up
 HALF_OPEN_MOST = 256  # at once: half of all that a relay serves, come anew; the oldest makes room
@@ -33,8 +33,8 @@
         self.closed = False
 
     async def open(self) -> None:
-        """Raises NotBound."""
-        host, port = split(self.bind)
+        """Raises BindError."""
+        host, port = split_address(self.bind)
         loop = asyncio.get_running_loop()
         sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET)
         try:
@@ -44,8 +44,8 @@
             self.server = await loop.create_server(self._accept, sock=sock, backlog=BACKLOG)
         except OSError as error:
             sock.close()
-            raise NotBound(f"delivery {self.bind}: {error.strerror or error}") from None
-        self.address = joined(*sock.getsockname()[:2])
+            raise BindError(f"delivery {self.bind}: {error.strerror or error}") from None
+        self.address = join_address(*sock.getsockname()[:2])
 
     def close(self) -> None:
         self.closed = True
--- a/flintlatch/delivery/stream.py
+++ b/flintlatch/delivery/stream.py
@@ -16,7 +16,7 @@
 
 from flintlatch.delivery.model import Message
 from flintlatch.delivery.wire import FRAME_MOST, Unreadable, encode
-from flintlatch.peers.seal import HELLO, NONCE_BYTES, VERSION, Foreign, StreamSeal, named
+from flintlatch.peers.seal import HELLO, NONCE_BYTES, VERSION, AuthenticationFailed, StreamSeal, key_id
 
 LENGTH = struct.Struct(">I")
 HIGH_WATER = 64 * 1024  # bytes unsent with which a socket is paused, as one window is
@@ -70,7 +70,7 @@
         if sock is not None:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         if self.asks:
-            self._write(HELLO.pack(VERSION, named(self.keys[0]), self.nonce))
+            self._write(HELLO.pack(VERSION, key_id(self.keys[0]), self.nonce))
 
     def _write(self, data: bytes) -> None:
         assert self.transport is not None
@@ -84,7 +84,7 @@
         self.buffer += data
         try:
             self._take()
-        except Foreign:
+        except AuthenticationFailed:
             self.counts.foreign += 1
             self._lose(FOREIGN)
         except Unreadable as error:
@@ -93,7 +93,7 @@
             self._lose(UNREADABLE)
 
     def _take(self) -> None:
-        """Raises Foreign, Unreadable."""
+        """Raises AuthenticationFailed, Unreadable."""
         if self.seal is None and not self._greeted():
             return
         assert self.seal is not None
@@ -105,7 +105,7 @@
             end = at + LENGTH.size + length
             if len(buffer) < end:
                 break
-            plain = self.seal.open(bytes(buffer[at + LENGTH.size : end]))
+            plain = self.seal.decrypt(bytes(buffer[at + LENGTH.size : end]))
             at = end
             self.counts.frames_in += 1
             self.on_frame(plain)
@@ -114,7 +114,7 @@
         del buffer[:at]
 
     def _greeted(self) -> bool:
-        """Whether both numbers are here. Raises Foreign."""
+        """Whether both numbers are here. Raises AuthenticationFailed."""
         size = NONCE_BYTES if self.asks else HELLO.size
         if len(self.buffer) < size:
             return False
@@ -124,9 +124,9 @@
             self.seal = StreamSeal(self.keys[0], self.nonce, theirs, True)
         else:
             version, name, theirs = HELLO.unpack(theirs)
-            key = next((key for key in self.keys if named(key) == name), None)
+            key = next((key for key in self.keys if key_id(key) == name), None)
             if version != VERSION or key is None:
-                raise Foreign("another version or key")
+                raise AuthenticationFailed("another version or key")
             self._write(self.nonce)
             self.seal = StreamSeal(key, theirs, self.nonce, False)
         self.on_open()
@@ -141,7 +141,7 @@
             self.counts.unsendable += 1
             self._lose(UNSENDABLE)
             return
-        sealed = self.seal.close(plain)
+        sealed = self.seal.encrypt(plain)
         self.counts.frames_out += 1
         self._write(LENGTH.pack(len(sealed)) + sealed)
         if self.transport.get_write_buffer_size() > UNSENT_MOST:
--- a/flintlatch/fleet/agreed.py
+++ b/flintlatch/fleet/agreed.py
@@ -13,17 +13,17 @@
 from flintlatch.fleet.channel import Message
 from flintlatch.fleet.judging import Judging
 from flintlatch.fleet.limiting import Limiting
-from flintlatch.limits.api import topics
-from flintlatch.peers import Census, Merge, Place, Rules, Sight, State, Topic, View, Word
+from flintlatch.limits.api import limit_topics
+from flintlatch.peers import Census, CensusView, Entry, FleetPosition, Merge, Rules, State, Topic, View
 from flintlatch.peers.clock import clock
-from flintlatch.peers.seal import BadKeys, read_keys
-from flintlatch.peers.shell import NotBound, Options, Shell
-from flintlatch.peers.words import SUBJECT_MOST, VALUE_MOST, Carrier
-from flintlatch.verdicts.api import SEEN
+from flintlatch.peers.seal import InvalidKeyFile, read_keys
+from flintlatch.peers.shell import BindError, Options, Shell
+from flintlatch.peers.words import MAX_SUBJECT_CHARS, MAX_VALUE_BYTES, EntryStore
+from flintlatch.verdicts.api import observation_topic
 
 OPEN_AGAIN_S = 0.5  # until an address that a predecessor may still hold is tried again
 RENEW = 3  # times in its life that a word to the instances is said anew
-NOTES = Topic("notes", Merge.EACH, life_s=3600.0, each=16)  # what people tell all fleets
+NOTES = Topic("notes", Merge.PER_MEMBER, ttl_s=3600.0, max_per_member=16)  # what people tell all fleets
 NOTE_LEAST_S = 1.0
 
 
@@ -42,7 +42,7 @@
         self.config, self.table, self.tell, self.log = config, table, tell, log
         self.loop = asyncio.get_running_loop()
         self.census = Census(config.fleet.instances, config.fleet.proxies, table.hold_s, clock())
-        self.place: Place | None = None
+        self.place: FleetPosition | None = None
         self.shell: Shell | None = None
         self.complaint = ""
         self.timer: asyncio.TimerHandle | None = None
@@ -64,8 +64,8 @@
             self.judging.start()
 
     def topics(self) -> tuple[Topic, ...]:
-        limits = topics(self.config.terms.term_s) if self.limiting is not None else ()
-        seen = (SEEN(self.config.verdicts.life_s),) if self.config.verdicts is not None else ()
+        limits = limit_topics(self.config.terms.term_s) if self.limiting is not None else ()
+        seen = (observation_topic(self.config.verdicts.life_s),) if self.config.verdicts is not None else ()
         return (NOTES, *limits, *seen)
 
     def gone(self, worker: int) -> None:
@@ -80,7 +80,7 @@
             try:
                 shell = Shell(self._options(), self.topics(), self._on_view, self._on_news, self._on_told)
                 await shell.open()
-            except (NotBound, BadKeys, OSError) as error:
+            except (BindError, InvalidKeyFile, OSError) as error:
                 self._complain(str(error))
                 await asyncio.sleep(OPEN_AGAIN_S)
                 continue
@@ -94,7 +94,7 @@
             self.log("error", f"peers: {text}; serving alone, tried again each {OPEN_AGAIN_S:g} s")
 
     def _keys(self) -> tuple[bytes, ...]:
-        """Raises BadKeys or OSError."""
+        """Raises InvalidKeyFile or OSError."""
         path = beside(self.config.path, self.table.key_file)
         with open(path, encoding="ascii", errors="replace") as file:
             return read_keys(file.read(65536), path)
@@ -141,9 +141,9 @@
         if self.shell is not None:
             try:
                 self.shell.change_keys(self._keys())
-            except (BadKeys, OSError) as error:
+            except (InvalidKeyFile, OSError) as error:
                 self.log("error", f"peers: {error}; going on with the keys of before")
-            self.shell.alter(config.fleet.instances)
+            self.shell.set_instances(config.fleet.instances)
 
     def close(self) -> None:
         self.ended = True
@@ -171,13 +171,13 @@
         if shell is None:
             return
         peers = shell.member.peers
-        there = peers.alive()
+        there = peers.active_records()
         before = sum(record.instances for record in there if record.name < peers.me.name)
         doubted = not peers.joined or any(record.state is State.SUSPECT for record in there)
-        self.census.see(clock(), Sight(peers.instances(), before, doubted))
+        self.census.update(clock(), CensusView(peers.instances(), before, doubted))
         self._say()
 
-    def _on_news(self, words: tuple[Word, ...]) -> None:
+    def _on_news(self, words: tuple[Entry, ...]) -> None:
         if self.limiting is not None:
             self.limiting.on_news()
         if self.judging is not None and any(word.topic == "seen" for word in words):
@@ -185,7 +185,7 @@
         for word in words:
             if word.topic == NOTES.name and word.value:
                 text = word.value.decode("utf-8", "replace")
-                self.log("info", f"note of {word.origin}, for {word.left_s:.0f} s: {text}")
+                self.log("info", f"note of {word.origin}, for {word.remaining_s:.0f} s: {text}")
 
     def _on_told(self, text: str) -> None:
         self.log("warning", text)
@@ -215,15 +215,15 @@
     def note(self, subject: str, text: str, for_s: float) -> Message:
         if self.shell is None:
             return {"ok": False, "reason": self.complaint or "not a member yet"}
-        if not 1 <= len(text.encode()) <= VALUE_MOST or not 1 <= len(subject) <= SUBJECT_MOST:
-            return {"ok": False, "reason": f"expected a text of 1 to {VALUE_MOST} bytes"}
-        if not NOTE_LEAST_S <= for_s <= NOTES.life_s:
-            return {"ok": False, "reason": f"expected {NOTE_LEAST_S:g} to {NOTES.life_s:g} s"}
+        if not 1 <= len(text.encode()) <= MAX_VALUE_BYTES or not 1 <= len(subject) <= MAX_SUBJECT_CHARS:
+            return {"ok": False, "reason": f"expected a text of 1 to {MAX_VALUE_BYTES} bytes"}
+        if not NOTE_LEAST_S <= for_s <= NOTES.ttl_s:
+            return {"ok": False, "reason": f"expected {NOTE_LEAST_S:g} to {NOTES.ttl_s:g} s"}
         try:
-            self.shell.say(NOTES.name, subject, text.encode(), for_s, renew=False)
+            self.shell.publish(NOTES.name, subject, text.encode(), for_s, renew=False)
         except ValueError as error:
             return {"ok": False, "reason": str(error)}
-        return {"ok": True, "until_at_most_s": round(Carrier.stale_s(for_s), 3)}
+        return {"ok": True, "until_at_most_s": round(EntryStore.staleness_bound_s(for_s), 3)}
 
     def notes(self) -> list[dict[str, Any]]:
         if self.shell is None:
@@ -234,9 +234,9 @@
                 "by": said.origin,
                 "subject": said.subject,
                 "text": said.value.decode("utf-8", "replace"),
-                "left_s": round(said.ends - now, 3),
+                "left_s": round(said.expires_at - now, 3),
             }
-            for said in self.shell.member.carrier.read(now, NOTES.name)
+            for said in self.shell.member.entry_store.read(now, NOTES.name)
         ]
 
     def report(self) -> Message:
@@ -271,13 +271,13 @@
                     "zone": record.zone,
                     "region": record.region,
                     "me": me,
-                    "heard_s": round(now - contact.heard, 2) if contact is not None else None,
+                    "heard_s": round(now - contact.received_at, 2) if contact is not None else None,
                     "rtt_ms": round(contact.rtt * 1000, 2) if contact is not None and contact.rtt else None,
                     "agrees": True if me else contact.digest == mine if known and contact else None,
-                    "accusers": sorted(suspicion.accusers) if suspicion is not None else [],
+                    "accusers": sorted(suspicion.reporters) if suspicion is not None else [],
                 }
             )
-        alive = len(peers.alive())
+        alive = len(peers.active_records())
         return told | {
             "name": peers.me.name,
             "address": shell.address,
@@ -287,10 +287,12 @@
             "health": peers.health,
             "members": rows,
             "bounds": {
-                "found_dead_s": round(peers.detection_s(alive), 1),
-                "number_falls_s": round(Census.late_s(peers.detection_s(alive), self.table.hold_s), 1),
+                "found_dead_s": round(peers.death_bound_s(alive), 1),
+                "number_falls_s": round(
+                    Census.overcount_bound_s(peers.death_bound_s(alive), self.table.hold_s), 1
+                ),
                 "instances_alone_s": self.table.word_s,
-                "words": {t.name: round(Carrier.stale_s(t.life_s), 1) for t in shell.topics},
+                "words": {t.name: round(EntryStore.staleness_bound_s(t.ttl_s), 1) for t in shell.topics},
             },
             "counts": self.counts(),
         }
@@ -306,25 +308,25 @@
         if self.shell is None:
             return {}
         shell, member = self.shell, self.shell.member
-        of_peers, of_words = member.peers.counts, member.carrier.counts
+        of_peers, of_words = member.peers.counts, member.entry_store.counts
         return {
             "datagrams_in": shell.counts.received,
             "datagrams_out": shell.counts.sent,
             "bytes_in": shell.counts.received_bytes,
             "bytes_out": shell.counts.sent_bytes,
-            "foreign": shell.counts.foreign,
+            "foreign": shell.counts.unauthenticated,
             "unreadable": shell.counts.unreadable,
-            "flooded": shell.counts.flooded,
+            "flooded": shell.counts.over_budget,
             "streams": shell.counts.streams,
             "failed_streams": shell.counts.failed_streams,
             "replays": member.guard.replays,
-            "strangers": member.guard.strangers,
+            "strangers": member.guard.unverified,
             "records_refused": of_peers.refused,
             "refuted": of_peers.refuted,
-            "clashes": of_peers.clashes,
+            "clashes": of_peers.name_conflicts,
             "suspected": of_peers.suspected,
             "died": of_peers.died,
-            "words_taken": of_words.taken,
-            "words_late": of_words.late,
+            "words_taken": of_words.accepted,
+            "words_late": of_words.expired,
             "words_refused": of_words.refused,
         }
--- a/flintlatch/fleet/judging.py
+++ b/flintlatch/fleet/judging.py
@@ -10,8 +10,8 @@
 from flintlatch.fleet.channel import Message
 from flintlatch.peers.clock import clock
 from flintlatch.peers.shell import Shell
-from flintlatch.peers.words import Carrier
-from flintlatch.verdicts.api import Judgement, Rules, judge
+from flintlatch.peers.words import EntryStore
+from flintlatch.verdicts.api import EjectionDecision, EjectionRules, decide_ejections
 
 RENEW = 4  # times in a life that voices and words to the instances are said anew
 GOOD = b"0"  # a voice is how often it failed in a row; nothing of that any more
@@ -23,7 +23,7 @@
 
     def __init__(
         self,
-        rules: Rules,
+        rules: EjectionRules,
         shell: Callable[[], Shell | None],
         tell: Callable[[Message], None],
         servers: Callable[[], set[str]],
@@ -34,7 +34,7 @@
         self.answered: dict[int, set[str]] = {}  # what failed it and has answered it since
         # By server, what we say of it and when it is said anew.
         self.said: dict[str, tuple[bytes, float]] = {}
-        self.found = Judgement()
+        self.found = EjectionDecision()
         self.shunned: list[str] = []
         self.accused: list[str] = []
         self.tell_at = 0.0
@@ -68,18 +68,18 @@
         self._speak(now, shell, servers)
         voices: dict[str, dict[str, int]] = {}
         good: dict[str, set[str]] = {}
-        for said in shell.member.carrier.read(now, "seen"):
+        for said in shell.member.entry_store.read(now, "seen"):
             if said.subject not in servers or not said.value.isdigit():
                 continue
             if said.value == GOOD:
                 good.setdefault(said.subject, set()).add(said.origin)
             else:
                 voices.setdefault(said.subject, {})[said.origin] = int(said.value[:4])
-        there = {record.name: record.zone for record in shell.member.peers.alive()}
-        before, self.found = self.found, judge(voices, good, there, len(servers), self.rules)
+        there = {record.name: record.zone for record in shell.member.peers.active_records()}
+        before, self.found = self.found, decide_ejections(voices, good, there, len(servers), self.rules)
         me = shell.member.me
         self._report(before, me.name)
-        shunned, accused = sorted(self.found.shuns(me.name, me.zone)), sorted(voices)
+        shunned, accused = sorted(self.found.ejected_for(me.name, me.zone)), sorted(voices)
         if (shunned, accused) != (self.shunned, self.accused) or (shunned and now >= self.tell_at):
             self.shunned, self.accused = shunned, accused
             self.tell_at = now + self.rules.life_s / RENEW
@@ -101,47 +101,51 @@
             if wanted == what and now < again:
                 continue
             with suppress(ValueError):  # more than one fleet may speak of
-                shell.say("seen", server, wanted, self.rules.life_s, renew=False)
+                shell.publish("seen", server, wanted, self.rules.life_s, renew=False)
                 self.said[server] = wanted, now + self.rules.life_s / RENEW
 
-    def _report(self, before: Judgement, me: str) -> None:
+    def _report(self, before: EjectionDecision, me: str) -> None:
         """Each change is one line."""
-        for server, one in self.found.out.items():
-            if server not in before.out:
+        for server, one in self.found.ejected.items():
+            if server not in before.ejected:
                 where = f"for zone {one.zone}" if one.zone else "for all"
-                told = f"found bad {where} by {', '.join(one.voices)}; tried on by {', '.join(one.tries)}"
+                told = (
+                    f"found bad {where} by {', '.join(one.reporters)}; tried on by {', '.join(one.probers)}"
+                )
                 self.log("info", f"{server}: {told}")
-        for server in before.out.keys() - self.found.out.keys():
+        for server in before.ejected.keys() - self.found.ejected.keys():
             self.log("info", f"{server}: no longer found bad together")
-        if me in self.found.ill - before.ill:
+        if me in self.found.unreliable - before.unreliable:
             self.log("warning", "most servers fail here and not elsewhere: our voice counts for nothing")
-        if self.found.many and not before.many:
-            text = f"{self.found.many} servers found bad together are more than may be out: all are used"
+        if self.found.suppressed and not before.suppressed:
+            text = (
+                f"{self.found.suppressed} servers found bad together are more than may be out: all are used"
+            )
             self.log("warning", text)
 
     def report(self) -> dict[str, Any]:
         shell, now = self.shell(), clock()
         voices: dict[str, list[str]] = {}
         if shell is not None:
-            for said in shell.member.carrier.read(now, "seen"):
+            for said in shell.member.entry_store.read(now, "seen"):
                 if said.value != GOOD:
                     voices.setdefault(said.subject, []).append(said.origin)
         rows = []
         for server, named in sorted(voices.items()):
-            one = self.found.out.get(server)
+            one = self.found.ejected.get(server)
             rows.append(
                 {
                     "server": server,
                     "out": one is not None,
                     "zone": one.zone if one is not None else "",
                     "voices": sorted(named),
-                    "tries": list(one.tries) if one is not None else [],
+                    "tries": list(one.probers) if one is not None else [],
                     "shunned_here": server in self.shunned,
                 }
             )
         return {
             "servers": rows,
-            "ill": sorted(self.found.ill),
-            "many": self.found.many,
-            "alone_within_s": round(2 * Carrier.stale_s(self.rules.life_s), 2),
+            "ill": sorted(self.found.unreliable),
+            "many": self.found.suppressed,
+            "alone_within_s": round(2 * EntryStore.staleness_bound_s(self.rules.life_s), 2),
         }
--- a/flintlatch/fleet/limiting.py
+++ b/flintlatch/fleet/limiting.py
@@ -11,27 +11,27 @@
 
 from flintlatch.fleet.channel import Message
 from flintlatch.limits.api import (
-    Ask,
-    Holder,
-    Keeper,
+    Leadership,
+    LeaseHolder,
+    LeaseRequest,
+    LeaseSettings,
+    LeaseVersion,
+    Lessor,
     Limit,
     Malformed,
-    Mark,
-    Seat,
-    Terms,
+    PartitionPolicy,
     Vote,
-    WhenCut,
-    most,
-    over_s,
-    topics,
+    limit_topics,
+    max_admitted,
+    term_validity_s,
 )
-from flintlatch.limits.model import holder as holder_of
+from flintlatch.limits.model import holder_id as holder_of
 from flintlatch.limits.model import (
-    read_ask,
-    read_grant,
+    read_lease,
+    read_lease_request,
     read_vote,
-    write_ask,
-    write_grant,
+    write_lease,
+    write_lease_request,
     write_vote,
 )
 from flintlatch.peers import State
@@ -65,20 +65,23 @@
 
 class Instance:
     def __init__(self) -> None:
-        self.follows: dict[str, Mark] = {}
+        self.follows: dict[str, LeaseVersion] = {}
         self.needs: dict[str, Need] = {}
 
 
 class Row:
     """One limit, here."""
 
-    def __init__(self, limit: Limit, terms: Terms, now: float) -> None:
+    def __init__(self, limit: Limit, terms: LeaseSettings, now: float) -> None:
         self.limit = limit
-        fixed = limit.fixed(terms.fleets)
-        self.holder, self.keeper = Holder(limit, terms, fixed, now + over_s(terms)), Keeper(limit, terms)
+        fixed = limit.reserved_per_s(terms.fleets)
+        self.holder, self.keeper = (
+            LeaseHolder(limit, terms, fixed, now + term_validity_s(terms)),
+            Lessor(limit, terms),
+        )
         self.keeps_since: float | None = None  # as the keeper of an open one
         self.number = 0
-        self.asked: Ask | None = None
+        self.asked: LeaseRequest | None = None
         self.ask_at = self.deal_at = self.part_at = 0.0
         self.others: list[str] = []  # whose rows are not ours
         self.over = False  # more is asked for than there is
@@ -90,7 +93,7 @@
     def __init__(
         self,
         limits: tuple[Limit, ...],
-        terms: Terms,
+        terms: LeaseSettings,
         shell: Callable[[], Shell | None],
         tell: Callable[[int, Message], None],
         log: Callable[[str, str], None],
@@ -98,23 +101,23 @@
         self.terms, self.shell, self.tell, self.log = terms, shell, tell, log
         self.rows = {limit.name: Row(limit, terms, clock()) for limit in limits}
         self.instances: dict[int, Instance] = {}
-        self.seat: Seat | None = None
+        self.seat: Leadership | None = None
         self.vote_at = 0.0
         self.voted: Vote | None = None
         self.loop = asyncio.get_running_loop()
         self.timer: asyncio.TimerHandle | None = None
         self.soon: asyncio.TimerHandle | None = None
 
-    topics = staticmethod(topics)
+    topics = staticmethod(limit_topics)
 
-    def reconfigure(self, limits: tuple[Limit, ...], terms: Terms) -> None:
+    def reconfigure(self, limits: tuple[Limit, ...], terms: LeaseSettings) -> None:
         """A reload. What is lent stays lent: the new figure holds once that has come down or is over."""
         if terms != self.terms:
             self.log("warning", "keepers: a change of voters or terms takes a restart of all fleets")
         for limit in limits:
             row = self.rows.setdefault(limit.name, Row(limit, self.terms, clock()))
             row.limit = row.holder.limit = row.keeper.limit = limit
-            row.holder.fixed = limit.fixed(self.terms.fleets)
+            row.holder.reserved = limit.reserved_per_s(self.terms.fleets)
         for name in [name for name in self.rows if name not in {limit.name for limit in limits}]:
             del self.rows[name]
 
@@ -144,7 +147,7 @@
             instance.needs.setdefault(name, Need()).told(now, int(asked))
         for name, mark in message["follows"].items():
             if mark:
-                instance.follows[name] = Mark(int(mark[0]), int(mark[1]))
+                instance.follows[name] = LeaseVersion(int(mark[0]), int(mark[1]))
         self.on_news()
 
     def gone(self, worker: int) -> None:
@@ -158,7 +161,7 @@
             return
         now = clock()
         if self.seat is None:
-            self.seat = Seat(shell.member.me.name, self.terms, now)
+            self.seat = Leadership(shell.member.me.name, self.terms, now)
         keeping = self._seat(now, shell, self.seat)
         told: set[str] = set()
         for row in self.rows.values():
@@ -176,40 +179,40 @@
 
         return there
 
-    def _seat(self, now: float, shell: Shell, seat: Seat) -> bool:
+    def _seat(self, now: float, shell: Shell, seat: Leadership) -> bool:
         votes: dict[str, tuple[Vote, float]] = {}
-        for said in shell.member.carrier.read(now, "vote"):
+        for said in shell.member.entry_store.read(now, "vote"):
             try:
                 vote = read_vote(said.value)
             except Malformed:
                 continue
-            votes[said.origin] = vote, said.ends
-            seat.hear(vote)
+            votes[said.origin] = vote, said.expires_at
+            seat.observe(vote)
         vote_now = (
             seat.vote(now, self._there(shell)) if now >= self.vote_at or self.voted is None else self.voted
         )
         if vote_now is not None and (vote_now != self.voted or now >= self.vote_at):
-            shell.say("vote", "seat", write_vote(vote_now), self.terms.term_s, renew=False)
+            shell.publish("vote", "seat", write_vote(vote_now), self.terms.term_s, renew=False)
             self.voted, self.vote_at = vote_now, now + self.terms.term_s / RENEW
             # Our own counts from its saying, as everybody's: the carrier holds it.
-            own = shell.member.carrier.read(now, "vote")
-            votes |= {s.origin: (vote_now, s.ends) for s in own if s.origin == shell.member.me.name}
+            own = shell.member.entry_store.read(now, "vote")
+            votes |= {s.origin: (vote_now, s.expires_at) for s in own if s.origin == shell.member.me.name}
         elif vote_now is None:
             self.voted = None
-        before = seat.kept_since
-        keeping = seat.look(now, votes)
+        before = seat.leader_since
+        keeping = seat.update(now, votes)
         if keeping and before is None:
-            self.log("info", f"limits: keeper of the strict ones, number {seat.mine}")
+            self.log("info", f"limits: keeper of the strict ones, number {seat.term}")
         elif before is not None and not keeping:
             self.log("info", "limits: no longer keeper of the strict ones")
         return keeping
 
     def _hold(self, now: float, shell: Shell, row: Row, told: set[str]) -> None:
         limit, holder, me = row.limit, row.holder, shell.member.me
-        mine = f"{holder_of(me.name, me.life)} {limit.name}"
-        for said in shell.member.carrier.read(now, "grant", mine):
+        mine = f"{holder_of(me.name, me.run_id)} {limit.name}"
+        for said in shell.member.entry_store.read(now, "grant", mine):
             try:
-                holder.hear(now, said.origin, read_grant(said.value), said.ends)
+                holder.accept_lease(now, said.origin, read_lease(said.value), said.expires_at)
             except Malformed:
                 continue
         needs = {
@@ -221,19 +224,19 @@
             for worker, instance in self.instances.items()
             if limit.name in instance.follows
         }
-        holder.measure(sum(needs.values()))
+        holder.record_demand(sum(needs.values()))
         part_due = now >= row.part_at
-        for worker, part in holder.parts(now, follows, needs, self.terms.term_s, part_due).items():
-            self.tell(int(worker), word(limit.name, [part.per_s, part.burst, *part.mark], part.until))
+        for worker, part in holder.allocate(now, follows, needs, self.terms.term_s, part_due).items():
+            self.tell(int(worker), word(limit.name, [part.per_s, part.burst, *part.version], part.until))
         if part_due:
             row.part_at = now + self.terms.term_s / RENEW
-        ask = holder.ask(now, self._keeper_of(shell, limit))._replace(life=me.life)
+        ask = holder.request(now, self._keeper_of(shell, limit))._replace(run_id=me.run_id)
         if now >= row.ask_at or row.asked is None or moved(row.asked, ask, limit):
-            shell.say("ask", limit.name, write_ask(ask), self.terms.term_s, renew=False)
+            shell.publish("ask", limit.name, write_lease_request(ask), self.terms.term_s, renew=False)
             row.asked, row.ask_at = ask, now + self.terms.term_s / RENEW
-            if ask.keeper and ask.keeper != me.name:
-                told.add(ask.keeper)
-        over = holder.need > holder.lent(now) + limit.fixed(self.terms.fleets) + 1e-9
+            if ask.lessor and ask.lessor != me.name:
+                told.add(ask.lessor)
+        over = holder.demand > holder.leased(now) + limit.reserved_per_s(self.terms.fleets) + 1e-9
         if over != row.over:
             row.over = over
             text = "more is asked for here than its part" if over else "its part is enough again"
@@ -242,40 +245,40 @@
     def _keeper_of(self, shell: Shell, limit: Limit) -> str:
         """By rendezvous over those that are there, for the open ones; the strict ones' is whoever has the
         seat."""
-        if limit.when_cut is WhenCut.STRICT:
-            votes = [read_vote(s.value).keeper for s in shell.member.carrier.read(clock(), "vote")]
+        if limit.when_cut is PartitionPolicy.STRICT:
+            votes = [read_vote(s.value).candidate for s in shell.member.entry_store.read(clock(), "vote")]
             return max(set(votes), key=lambda name: (votes.count(name), name), default="")
-        there = [record.name for record in shell.member.peers.alive()]
+        there = [record.name for record in shell.member.peers.active_records()]
         return max(there, key=lambda name: (crc32(f"{limit.name} {name}".encode()), name))
 
     def _keep(self, now: float, shell: Shell, row: Row, keeping: bool, told: set[str]) -> None:
         limit, me, seat = row.limit, shell.member.me, self.seat
         assert seat is not None
-        asks: dict[str, tuple[str, Ask]] = {}
-        for said in shell.member.carrier.read(now, "ask", limit.name):
+        asks: dict[str, tuple[str, LeaseRequest]] = {}
+        for said in shell.member.entry_store.read(now, "ask", limit.name):
             try:
-                ask = read_ask(said.value)
+                ask = read_lease_request(said.value)
             except Malformed:
                 continue
-            asks[holder_of(said.origin, ask.life)] = said.origin, ask
-            row.number = max(row.number, ask.mark.number)
-        if limit.when_cut is WhenCut.STRICT:
+            asks[holder_of(said.origin, ask.run_id)] = said.origin, ask
+            row.number = max(row.number, ask.version.term)
+        if limit.when_cut is PartitionPolicy.STRICT:
             if not keeping:
                 return
-            number, settled = seat.mine, seat.settled(now)
-            seat.number = max(seat.number, row.number)
+            number, settled = seat.term, seat.predecessors_expired(now)
+            seat.highest_term = max(seat.highest_term, row.number)
             mine = asks
         else:
-            mine = {name: pair for name, pair in asks.items() if pair[1].keeper == me.name}
+            mine = {name: pair for name, pair in asks.items() if pair[1].lessor == me.name}
             if not mine:
                 row.keeps_since = None
                 return
             if row.keeps_since is None:
                 row.keeps_since, row.number = now, row.number + 1
-                row.keeper.number = 0
-            number, settled = row.number, now >= row.keeps_since + over_s(self.terms)
-            if row.keeper.number:
-                number = row.keeper.number
+                row.keeper.term = 0
+            number, settled = row.number, now >= row.keeps_since + term_validity_s(self.terms)
+            if row.keeper.term:
+                number = row.keeper.term
         view = shell.member.peers.view
         following = sum(view[origin].instances if origin in view else 1 for origin, _ in mine.values())
         configured = max(self.terms.fleets * max(me.instances, 1), 1)
@@ -289,7 +292,7 @@
         due = now >= row.deal_at
         heard = {name: ask for name, (_, ask) in mine.items()}
         for name, grant in row.keeper.step(now, me.name, number, settled, capacity, heard, due).items():
-            shell.say("grant", f"{name} {limit.name}", write_grant(grant), self.terms.term_s, renew=False)
+            shell.publish("grant", f"{name} {limit.name}", write_lease(grant), self.terms.term_s, renew=False)
             if mine[name][0] != me.name:
                 told.add(mine[name][0])
             else:
@@ -304,7 +307,7 @@
         rows = []
         for row in self.rows.values():
             limit, holder = row.limit, row.holder
-            keeps = row.keeper.split.out(now)
+            keeps = row.keeper.ledger.outstanding(now)
             instances = shell.member.peers.instances() if shell is not None else 0
             rows.append(
                 {
@@ -314,15 +317,15 @@
                     "per_s": limit.per_s,
                     "burst": limit.burst,
                     "when_cut": limit.when_cut.value,
-                    "keeper": holder.keeper if now < holder.ends else "",
-                    "asked_here": round(holder.need, 2),
-                    "lent_here": round(holder.lent(now), 2),
-                    "fixed_here": round(limit.fixed(self.terms.fleets), 2),
-                    "alone_here": round(limit.alone(self.terms), 2),
+                    "keeper": holder.lessor if now < holder.expires_at else "",
+                    "asked_here": round(holder.demand, 2),
+                    "lent_here": round(holder.leased(now), 2),
+                    "fixed_here": round(limit.reserved_per_s(self.terms.fleets), 2),
+                    "alone_here": round(limit.fallback_per_s(self.terms), 2),
                     "granted": round(keeps, 2) if keeps else None,
-                    "most_in_a_second": round(most(limit, self.terms, 1.0, instances), 2),
-                    "most_without_cuts": round(most(limit, self.terms, 1.0, instances, cut=False), 2),
-                    "follows_a_change_s": over_s(self.terms),
+                    "most_in_a_second": round(max_admitted(limit, self.terms, 1.0, instances), 2),
+                    "most_without_cuts": round(max_admitted(limit, self.terms, 1.0, instances, cut=False), 2),
+                    "follows_a_change_s": term_validity_s(self.terms),
                 }
             )
         return rows
@@ -332,8 +335,8 @@
     return {"kind": "word", "about": "limit", "limit": limit, "value": value, "until": until}
 
 
-def moved(before: Ask, ask: Ask, limit: Limit) -> bool:
+def moved(before: LeaseRequest, ask: LeaseRequest, limit: Limit) -> bool:
     """Whether what is said differs enough to be said at once."""
-    if (before.mark, before.keeper, before.of) != (ask.mark, ask.keeper, ask.of):
+    if (before.version, before.lessor, before.lease_lessor) != (ask.version, ask.lessor, ask.lease_lessor):
         return True
-    return abs(before.need - ask.need) > CHANGED * limit.per_s
+    return abs(before.demand - ask.demand) > CHANGED * limit.per_s
--- a/flintlatch/lab/members.py
+++ b/flintlatch/lab/members.py
@@ -14,23 +14,23 @@
 from flintlatch.lab.network import Network
 from flintlatch.peers import (
     Changed,
+    DatagramReceived,
+    EntriesReceived,
+    Entry,
     Leave,
     Member,
-    News,
-    Opened,
     Peers,
-    Post,
     Record,
     Rules,
+    SendDatagram,
     State,
     Sync,
+    SyncMessage,
     Tick,
     Topic,
-    Whole,
-    Word,
 )
 from flintlatch.peers.member import Action, Event
-from flintlatch.peers.wire import pack, pack_whole
+from flintlatch.peers.wire import pack, pack_sync
 
 TICK_S = 0.1
 HEAD_BYTES, STREAM_BYTES = 37 + 28, 400  # seal, UDP and IP of a datagram; handshakes and seals of a stream
@@ -58,7 +58,7 @@
         self.names: dict[str, str] = {}  # addresses by name
         self.runs: dict[str, int] = {}  # starts of each address: what an earlier one asked for is void
         self.bytes = 0
-        self.news: Callable[[str, float, tuple[Word, ...]], None] = lambda name, now, words: None
+        self.news: Callable[[str, float, tuple[Entry, ...]], None] = lambda name, now, words: None
         self.changed: Callable[[str, float, Changed], None] = lambda name, now, change: None
 
     def start(self, name: str, seeds: tuple[str, ...] = (), address: str = "", zone: str = "") -> Peers:
@@ -95,12 +95,12 @@
 
     def say(self, name: str, topic: str, subject: str, value: bytes, life_s: float = 0.0) -> None:
         address = self.names[name]
-        self.members[address].carrier.say(self.now(address), topic, subject, value, life_s)
+        self.members[address].entry_store.publish(self.now(address), topic, subject, value, life_s)
 
     def read(self, name: str, topic: str) -> dict[tuple[str, str], bytes]:
         """What it believes at this moment: values by (member, subject)."""
         address = self.names[name]
-        found = self.members[address].carrier.read(self.now(address), topic)
+        found = self.members[address].entry_store.read(self.now(address), topic)
         return {(said.origin, said.subject): said.value for said in found}
 
     def kill(self, name: str) -> None:
@@ -127,21 +127,21 @@
     def _carry_out(self, address: str, actions: list[Action]) -> None:
         name = self.members[address].me.name
         for action in actions:
-            if isinstance(action, Post):
+            if isinstance(action, SendDatagram):
                 self.bytes += HEAD_BYTES + len(pack(action.envelope))
                 self.network.send(address, action.address, action.envelope)
             elif isinstance(action, Sync):
                 self._sync(address, action.address)
             elif isinstance(action, Changed):
                 self.changed(name, self.engine.now, action)
-            elif isinstance(action, News):
-                self.news(name, self.engine.now, action.words)
+            elif isinstance(action, EntriesReceived):
+                self.news(name, self.engine.now, action.entries)
 
     def agreed(self, names: list[str]) -> bool:
         """Whether all of these hold the same to be there, and it is these."""
         cores = [self.core(name) for name in names]
         same = len({core.digest() for core in cores}) == 1
-        return same and {record.name for record in cores[0].alive()} == set(names)
+        return same and {record.name for record in cores[0].active_records()} == set(names)
 
     def until(self, what: Callable[[], bool], most_s: float) -> float:
         """Seconds until it holds; raises AssertionError past `most_s`."""
@@ -161,7 +161,7 @@
 
     def _deliver(self, source: str, target: str, what: Any) -> None:
         if target in self.members:
-            self.step(target, Opened(what))
+            self.step(target, DatagramReceived(what))
 
     def _sync(self, source: str, target: str) -> None:
         """Over TCP: both ways or not at all, and a place that is cut off is not connected to."""
@@ -169,7 +169,7 @@
         if asker is None or asked is None or not self._connected(source, target):
             return
         offered, at = asker.offer(self.now(source)), self.now(source)
-        self.bytes += STREAM_BYTES + len(pack_whole(offered))
+        self.bytes += STREAM_BYTES + len(pack_sync(offered))
 
         def alive() -> bool:
             """Both still run, as the same processes, and reach each other."""
@@ -180,19 +180,19 @@
             if alive():
                 replied = self.now(target)
                 reply = asked.on_offer(replied, offered)
-                self.bytes += len(pack_whole(reply))
+                self.bytes += len(pack_sync(reply))
                 self.engine.after(TRIP_S, lambda: answer(reply, replied))
 
-        def answer(reply: Whole, replied: float) -> None:
+        def answer(reply: SyncMessage, replied: float) -> None:
             if alive():
                 mine, actions = asker.on_reply(self.now(source), reply, at)
-                self.bytes += len(pack_whole(mine))
+                self.bytes += len(pack_sync(mine))
                 self._carry_out(source, actions)
                 self.engine.after(TRIP_S, lambda: last(mine, replied))
 
-        def last(mine: Whole, replied: float) -> None:
+        def last(mine: SyncMessage, replied: float) -> None:
             if alive():
-                self._carry_out(target, asked.on_last(self.now(target), mine, replied))
+                self._carry_out(target, asked.on_content(self.now(target), mine, replied))
 
         self.engine.after(TRIP_S, arrive)
 
--- a/flintlatch/limits/api.py
+++ b/flintlatch/limits/api.py
@@ -1,32 +1,41 @@
-"""What others may call of limits.
+"""Public interface of the limits package.
 
-A keeper deals out each limit in grants that end; holders (fleets) pass parts on to their instances.
-docs/design/ limits.md has the options, the bounds and their proofs.
+A lessor distributes each limit by leases that expire; lease holders (fleets) allocate their lease to their
+instances. docs/design/limits.md has the alternatives, the bounds and their proofs.
 """
 
-from flintlatch.limits.holder import Holder, Part
-from flintlatch.limits.keeper import Keeper
-from flintlatch.limits.model import Ask, Grant, Malformed, Mark, Vote, most, over_s, topics
-from flintlatch.limits.rows import Limit, Terms, WhenCut
-from flintlatch.limits.seat import Seat
-from flintlatch.limits.split import Split, fair
+from flintlatch.limits.holder import InstanceAllocation, LeaseHolder
+from flintlatch.limits.keeper import Lessor
+from flintlatch.limits.model import (
+    Lease,
+    LeaseRequest,
+    LeaseVersion,
+    Malformed,
+    Vote,
+    limit_topics,
+    max_admitted,
+    term_validity_s,
+)
+from flintlatch.limits.rows import LeaseSettings, Limit, PartitionPolicy
+from flintlatch.limits.seat import Leadership
+from flintlatch.limits.split import LeaseLedger, max_min_fair
 
 __all__ = [
-    "Ask",
-    "Grant",
-    "Holder",
-    "Keeper",
+    "InstanceAllocation",
+    "Leadership",
+    "Lease",
+    "LeaseHolder",
+    "LeaseLedger",
+    "LeaseRequest",
+    "LeaseSettings",
+    "LeaseVersion",
+    "Lessor",
     "Limit",
     "Malformed",
-    "Mark",
-    "Part",
-    "Seat",
-    "Split",
-    "Terms",
+    "PartitionPolicy",
     "Vote",
-    "WhenCut",
-    "fair",
-    "most",
-    "over_s",
-    "topics",
+    "limit_topics",
+    "max_admitted",
+    "max_min_fair",
+    "term_validity_s",
 ]
--- a/flintlatch/peers/__init__.py
+++ b/flintlatch/peers/__init__.py
@@ -1,63 +1,70 @@
-"""Which fleets there are: members that know of each other while links fail, and the words that they carry.
+"""Cluster membership of the fleets, and the entries that members publish to each other.
 
-`Member` is fed events (`Opened`, `Tick`, `Leave`, `Altered`) with the time, and returns actions (`Post`,
-`Sync`, `Changed`, `News`, `Told`); `Peers` is the part of it that says who is there, `Carrier` the part that
-carries words. `flintlatch.peers.shell` puts it on sockets. docs/design/peers.md has the reasons and the
-bounds.
+`Member` is fed events (`DatagramReceived`, `Tick`, `Leave`, `InstancesChanged`) with the time, and returns
+actions (`SendDatagram`, `Sync`, `Changed`, `EntriesReceived`, `LogLine`). Its part `Peers` keeps the
+membership, its part `EntryStore` the published entries. `flintlatch.peers.shell` runs a member on sockets.
+docs/design/peers.md has the reasons and the bounds.
 """
 
-from flintlatch.peers.census import Census, Place, Sight
+from flintlatch.peers.census import Census, CensusView, FleetPosition
 from flintlatch.peers.core import (
     Action,
-    Altered,
     Changed,
     Event,
+    InstancesChanged,
     Leave,
+    LogLine,
     Peers,
     Received,
     Send,
     Sync,
     Synced,
     Tick,
-    Told,
 )
-from flintlatch.peers.member import Envelope, Member, News, Opened, Post, Whole
-from flintlatch.peers.model import Kind, Malformed, Message, Record, Rules, State, View, check
-from flintlatch.peers.words import Carrier, Merge, Said, Topic, Word
+from flintlatch.peers.member import (
+    DatagramReceived,
+    EntriesReceived,
+    Envelope,
+    Member,
+    SendDatagram,
+    SyncMessage,
+)
+from flintlatch.peers.model import Kind, Malformed, Message, Record, Rules, State, View, check_record
+from flintlatch.peers.words import Entry, EntryStore, Merge, PublishedEntry, Topic
 
 __all__ = [
     "Action",
-    "Altered",
-    "Carrier",
     "Census",
+    "CensusView",
     "Changed",
+    "DatagramReceived",
+    "EntriesReceived",
+    "Entry",
+    "EntryStore",
     "Envelope",
     "Event",
+    "FleetPosition",
+    "InstancesChanged",
     "Kind",
     "Leave",
+    "LogLine",
     "Malformed",
     "Member",
     "Merge",
     "Message",
-    "News",
-    "Opened",
     "Peers",
-    "Place",
-    "Post",
+    "PublishedEntry",
     "Received",
     "Record",
     "Rules",
-    "Said",
     "Send",
-    "Sight",
+    "SendDatagram",
     "State",
     "Sync",
+    "SyncMessage",
     "Synced",
     "Tick",
-    "Told",
     "Topic",
     "View",
-    "Whole",
-    "Word",
-    "check",
+    "check_record",
 ]
--- a/flintlatch/peers/wire.py
+++ b/flintlatch/peers/wire.py
@@ -1,47 +1,47 @@
-"""Datagrams and whole views as bytes: MessagePack (its 2013 specification), by `msgspec`.
+"""Encodes and decodes datagrams and whole views: MessagePack (its 2013 specification), by `msgspec`.
 
-Fields stand in arrays. A newer version may add fields behind ours, which are left; a kind of message that is
-not known here still brings its records and words; a record whose state is not known is left out alone.
+Fields are encoded as arrays. A newer version may append fields, which are ignored. The records and entries of
+a message of unknown kind are used. Of a list of records, only those with an unknown state are skipped.
 """
 
 from __future__ import annotations
 
 import msgspec
 
-from flintlatch.peers.member import Envelope, Whole
+from flintlatch.peers.member import Envelope, SyncMessage
 from flintlatch.peers.model import Kind, Message, Record, State
-from flintlatch.peers.words import Word
+from flintlatch.peers.words import Entry
 
 KINDS = {int(kind): kind for kind in Kind}
 STATES = {int(state): state for state in State}
 
 
-class Unreadable(Exception):
-    """Bytes that are no message: what was found where."""
+class InvalidMessage(Exception):
+    """Bytes that are not a valid message; the text says what is wrong and where."""
 
 
-class _Record(msgspec.Struct, array_like=True):
+class _RecordRow(msgspec.Struct, array_like=True):
     name: str
     address: str
     incarnation: int
     state: int
-    life: int
+    run_id: int
     instances: int = 1
     zone: str = ""
     region: str = ""
-    accuser: str = ""
+    reporter: str = ""
 
 
-class _Word(msgspec.Struct, array_like=True):
+class _EntryRow(msgspec.Struct, array_like=True):
     topic: str
     origin: str
     subject: str
     epoch: int
     value: bytes
-    left_ms: int
+    remaining_ms: int
 
 
-class _Envelope(msgspec.Struct, array_like=True):
+class _EnvelopeRow(msgspec.Struct, array_like=True):
     sender: str
     address: str
     clock: float
@@ -49,63 +49,71 @@
     kind: int
     number: int
     target: str
-    gossip: list[_Record] = []
-    words: list[_Word] = []
+    gossip: list[_RecordRow] = []
+    entries: list[_EntryRow] = []
 
 
-class _Whole(msgspec.Struct, array_like=True):
+class _SyncMessageRow(msgspec.Struct, array_like=True):
     sender: str
     address: str
-    life: int
+    run_id: int
     number: int
     clock: float
     digest: int
-    mark: int
-    records: list[_Record] = []
-    words: list[_Word] = []
+    content_digest: int
+    records: list[_RecordRow] = []
+    entries: list[_EntryRow] = []
 
 
 _encoder = msgspec.msgpack.Encoder()
-_envelopes = msgspec.msgpack.Decoder(_Envelope)
-_wholes = msgspec.msgpack.Decoder(_Whole)
+_envelope_decoder = msgspec.msgpack.Decoder(_EnvelopeRow)
+_sync_decoder = msgspec.msgpack.Decoder(_SyncMessageRow)
 
 
-def _packed_words(words: tuple[Word, ...]) -> list[_Word]:
-    # Rounded down: a word must not gain on its way.
-    return [_Word(w.topic, w.origin, w.subject, w.epoch, w.value, int(w.left_s * 1000)) for w in words]
+def _entry_rows(entries: tuple[Entry, ...]) -> list[_EntryRow]:
+    # Rounded down, so that the remaining time never grows on the way.
+    return [
+        _EntryRow(
+            entry.topic, entry.origin, entry.subject, entry.epoch, entry.value, int(entry.remaining_s * 1000)
+        )
+        for entry in entries
+    ]
 
 
-def _words(rows: list[_Word]) -> tuple[Word, ...]:
-    return tuple(Word(w.topic, w.origin, w.subject, w.epoch, w.value, w.left_ms / 1000) for w in rows)
+def _entries(rows: list[_EntryRow]) -> tuple[Entry, ...]:
+    return tuple(
+        Entry(row.topic, row.origin, row.subject, row.epoch, row.value, row.remaining_ms / 1000)
+        for row in rows
+    )
 
 
-def _packed_records(records: tuple[Record, ...]) -> list[_Record]:
-    return [_Record(*record) for record in records]
+def _record_rows(records: tuple[Record, ...]) -> list[_RecordRow]:
+    return [_RecordRow(*record) for record in records]
 
 
-def _records(rows: list[_Record]) -> tuple[Record, ...]:
+def _records(rows: list[_RecordRow]) -> tuple[Record, ...]:
     return tuple(
         Record(
-            r.name,
-            r.address,
-            r.incarnation,
-            STATES[r.state],
-            r.life,
-            r.instances,
-            r.zone,
-            r.region,
-            r.accuser,
+            row.name,
+            row.address,
+            row.incarnation,
+            STATES[row.state],
+            row.run_id,
+            row.instances,
+            row.zone,
+            row.region,
+            row.reporter,
         )
-        for r in rows
-        if r.state in STATES
+        for row in rows
+        if row.state in STATES
     )
 
 
 def pack(envelope: Envelope) -> bytes:
-    """Without `life` and `number`, which stand before the sealed part."""
+    """Encodes all fields but `run_id` and `number`, which are in the datagram header."""
     message = envelope.message
     return _encoder.encode(
-        _Envelope(
+        _EnvelopeRow(
             envelope.sender,
             envelope.address,
             envelope.clock,
@@ -113,31 +121,35 @@
             message.kind,
             message.number,
             message.target,
-            _packed_records(message.gossip),
-            _packed_words(envelope.words),
+            _record_rows(message.gossip),
+            _entry_rows(envelope.entries),
         )
     )
 
 
-def unpack(data: bytes, life: int, number: int) -> Envelope:
-    """Raises Unreadable."""
+def unpack(data: bytes, run_id: int, number: int) -> Envelope:
+    """Raises InvalidMessage."""
     try:
-        row = _envelopes.decode(data)
+        row = _envelope_decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise Unreadable(str(error)) from None
-    message = Message(KINDS.get(row.kind, Kind.NEWS), row.number, row.target, _records(row.gossip))
-    return Envelope(row.sender, row.address, life, number, row.clock, row.digest, message, _words(row.words))
+        raise InvalidMessage(str(error)) from None
+    message = Message(KINDS.get(row.kind, Kind.GOSSIP), row.number, row.target, _records(row.gossip))
+    return Envelope(
+        row.sender, row.address, run_id, number, row.clock, row.digest, message, _entries(row.entries)
+    )
 
 
-def pack_whole(whole: Whole) -> bytes:
-    return _encoder.encode(_Whole(*whole[:7], _packed_records(whole.records), _packed_words(whole.words)))
+def pack_sync(message: SyncMessage) -> bytes:
+    return _encoder.encode(
+        _SyncMessageRow(*message[:7], _record_rows(message.records), _entry_rows(message.entries))
+    )
 
 
-def unpack_whole(data: bytes) -> Whole:
-    """Raises Unreadable."""
+def unpack_sync(data: bytes) -> SyncMessage:
+    """Raises InvalidMessage."""
     try:
-        row = _wholes.decode(data)
+        row = _sync_decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise Unreadable(str(error)) from None
-    head = (row.sender, row.address, row.life, row.number, row.clock, row.digest, row.mark)
-    return Whole(*head, _records(row.records), _words(row.words))
+        raise InvalidMessage(str(error)) from None
+    header = (row.sender, row.address, row.run_id, row.number, row.clock, row.digest, row.content_digest)
+    return SyncMessage(*header, _records(row.records), _entries(row.entries))
--- a/flintlatch/peers/words.py
+++ b/flintlatch/peers/words.py
@@ -1,16 +1,16 @@
-"""The carrier: what later subsystems spread among members. No I/O, no clock.
+"""Soft-state entries that members publish and spread by gossip. No I/O, no clock.
 
-A word says something of a subject under a topic, and ends. Its end is counted on the receiver's own clock
-from a moment no later than its sending (see `member.py`), less a margin for clocks that run apart; it is
-tested when the word is read, not by a timer. So a cut link, a paused process or a dead sender ends its own
-influence.
+An entry states a value for a subject under a topic, and expires. The expiry is counted on the receiver's own
+clock from a time no later than the sending (see `member.py`), less a margin for clock drift, and is tested
+when the entry is read, not by a timer. A cut link, a paused process or a dead publisher therefore loses its
+influence without any further message.
 
-Each hop shortens what is left by SHRINK, so that nobody believes a word for longer than `stale_s` of true
-time after it was said, whatever way it took. Past the end a word's epoch is kept for one more life, or an
-older word that ends later would come back in its place.
+Each hop reduces the remaining time by HOP_TTL_FACTOR, so that no member uses an entry for longer than
+`staleness_bound_s` of true time after it was published, whatever path it took. After the expiry the epoch of
+an entry is kept for one more TTL; otherwise an older entry with a later expiry could replace it.
 
-Topics share a datagram by deficit round robin (Shreedhar and Varghese 1996): a flood of one can't starve
-another. What one member may say of a topic is bounded, and so is a topic as a whole.
+Topics share a datagram by deficit round robin (Shreedhar and Varghese 1996), so a flood of one topic cannot
+starve another. The entries of each member and of each topic are bounded.
 """
 
 from __future__ import annotations
@@ -22,364 +22,407 @@
 from math import ceil
 from typing import NamedTuple
 
-from flintlatch.peers.model import NAME_MOST, tenfolds
+from flintlatch.peers.model import MAX_NAME_CHARS, log_scale
 
-DRIFT = 0.01  # by which a clock's rate may be off: a hundred times what a quartz is, ten what NTP slews
-SHRINK = (1 - DRIFT) / (1 + DRIFT)  # of what is left, at each hop
-RENEW = 3  # times in its life that a word still held is said anew: two may be lost
-EPOCH_MOST = 2**53  # a word at or beyond it is none: its sayer could not outdo it
-TOPIC_MOST, SUBJECT_MOST, VALUE_MOST = 16, 96, 512  # characters, characters, bytes
-HEAD = 24  # bytes of a word as packed, beside its texts and its value, at the most
-QUANTUM = 256  # bytes that a topic's turn adds to what it may put into a datagram
+MAX_CLOCK_DRIFT = 0.01  # relative error of a clock's rate: 100 times that of a quartz, 10 times NTP's slew
+HOP_TTL_FACTOR = (1 - MAX_CLOCK_DRIFT) / (1 + MAX_CLOCK_DRIFT)  # of the remaining time, at each hop
+RENEWALS_PER_TTL = 3  # publications of a renewed entry: two in a row may be lost
+MAX_EPOCH = 2**53  # exclusive: a publisher could not replace an entry with a higher epoch
+MAX_TOPIC_CHARS, MAX_SUBJECT_CHARS, MAX_VALUE_BYTES = 16, 96, 512
+ENTRY_OVERHEAD_BYTES = 24  # of an encoded entry without its texts and value, at most
+SWEEP_INTERVAL_S = 1.0  # between two removals of long expired entries
+QUANTUM_BYTES = 256  # added to a topic's deficit each turn, times its weight
 
 
 class Merge(Enum):
-    """Which of two words on one subject stands."""
+    """Which of two entries on one subject is kept."""
 
-    EACH = "each"  # one from each member, the later by its epoch
-    LAST = "last"  # one for all members, the highest (epoch, member)
+    PER_MEMBER = "each"  # one from each member, with the highest epoch
+    LAST_WRITER = "last"  # one for all members, with the highest (epoch, member)
 
 
 @dataclass(frozen=True, slots=True)
 class Topic:
-    """`life_s`: the longest that a word of it may hold. A join of a lattice is a fold over EACH at its
-    reading."""
+    """`ttl_s`: the longest time that its entries may be valid. To merge values as in a lattice, fold the
+    entries of a PER_MEMBER topic when they are read."""
 
     name: str
     merge: Merge
-    life_s: float
-    each: int = 8  # subjects of one member that are held
-    most: int = 4096  # words held in all
-    weight: float = 1.0  # of a datagram's room
+    ttl_s: float
+    max_per_member: int = 8  # subjects of one member that are stored
+    max_entries: int = 4096  # stored from all members
+    weight: float = 1.0  # share of a datagram's room, relative to other topics
 
     def __post_init__(self) -> None:
-        if not 1 <= len(self.name) <= TOPIC_MOST:
-            raise ValueError(f"topic {self.name!r}: expected 1 to {TOPIC_MOST} characters")
-        if not (self.life_s > 0 and self.each >= 1 and self.most >= 1 and self.weight > 0):
-            raise ValueError(f"topic {self.name}: life_s, each, most and weight are expected above 0")
+        if not 1 <= len(self.name) <= MAX_TOPIC_CHARS:
+            raise ValueError(f"topic {self.name!r}: expected 1 to {MAX_TOPIC_CHARS} characters")
+        if not (self.ttl_s > 0 and self.max_per_member >= 1 and self.max_entries >= 1 and self.weight > 0):
+            raise ValueError(
+                f"topic {self.name}: ttl_s is {self.ttl_s}, max_per_member {self.max_per_member}, "
+                f"max_entries {self.max_entries} and weight {self.weight}, all expected above 0"
+            )
 
 
-# What is of no topic known here is passed on within these bounds: a newer version may know it.
-OTHER_S, OTHER_EACH, OTHER_MOST = 60.0, 4, 256
+# Entries of unknown topics are passed on within these bounds: a newer version may know the topic.
+UNKNOWN_TOPIC_TTL_S, UNKNOWN_TOPIC_MAX_PER_MEMBER, UNKNOWN_TOPIC_MAX_ENTRIES = 60.0, 4, 256
+UNKNOWN_TOPIC_WEIGHT = 0.5
 
 
-class Word(NamedTuple):
-    """As it travels. `left_s` is what was left of it when the datagram was sent, by the sender's clock."""
+class Entry(NamedTuple):
+    """An entry as it is sent. `remaining_s` is the time to its expiry when the datagram was sent, by the
+    sender's clock. An empty value marks a withdrawn entry."""
 
     topic: str
-    origin: str  # name of the member that said it
+    origin: str  # name of the member that published it
     subject: str
     epoch: int
     value: bytes
-    left_s: float
-
-    def cost(self) -> int:
-        return HEAD + len(self.topic) + len(self.origin) + len(self.subject.encode()) + len(self.value)
+    remaining_s: float
+
+    def encoded_bytes(self) -> int:
+        return (
+            ENTRY_OVERHEAD_BYTES
+            + len(self.topic)
+            + len(self.origin)
+            + len(self.subject.encode())
+            + len(self.value)
+        )
 
 
-class Said(NamedTuple):
-    """A word that holds, as a subsystem reads it. An empty value says that nothing is said any more."""
+class PublishedEntry(NamedTuple):
+    """A valid entry as subsystems read it."""
 
     origin: str
     subject: str
     epoch: int
     value: bytes
-    ends: float  # on this member's clock
+    expires_at: float  # on this member's clock
 
 
 @dataclass(slots=True)
-class Held:
-    word: Word
-    ends: float
+class StoredEntry:
+    entry: Entry
+    expires_at: float
     sent: int = 0
     queued: bool = False
 
 
 @dataclass(slots=True)
-class Mine:
-    """A word of our own that is said anew until it is taken back."""
+class OwnEntry:
+    """An entry that this member publishes; it is renewed until it is withdrawn, if `renew` is set."""
 
     topic: str
     subject: str
     value: bytes
-    life_s: float
-    said: float
+    ttl_s: float
+    published_at: float
     epoch: int
     renew: bool
 
 
-Key = tuple[str, str, str]  # topic, origin (empty under LAST), subject
+Key = tuple[str, str, str]  # topic, origin (empty for LAST_WRITER), subject
 
 
 @dataclass(slots=True)
 class Counts:
-    taken: int = 0
-    late: int = 0  # words that had ended when they came
-    refused: int = 0  # malformed, too long a life, beyond a bound
+    accepted: int = 0
+    expired: int = 0  # entries that had expired when they were received
+    refused: int = 0  # entries: malformed, too long a TTL, or beyond a bound
 
 
 @dataclass(slots=True)
-class Lane:
-    """What waits to be passed on, of one topic."""
+class TopicQueue:
+    """The entries of one topic that are still to be sent."""
 
     keys: deque[Key] = field(default_factory=deque)
     deficit: float = 0.0
 
 
-class Carrier:
+class EntryStore:
     def __init__(self, me: str, topics: Iterable[Topic], retransmit: int) -> None:
         self.me, self.retransmit = me, retransmit
         self.topics = {topic.name: topic for topic in topics}
-        self.held: dict[Key, Held] = {}
-        self.by_topic: dict[str, dict[Key, Held]] = {}
-        self.number: dict[tuple[str, str], int] = {}  # words held, by topic and member
-        self.mine: dict[tuple[str, str], Mine] = {}
-        self.lanes: dict[str, Lane] = {}
-        self.turn: deque[str] = deque()
-        self.looked = 0.0
+        self.entries: dict[Key, StoredEntry] = {}
+        self.by_topic: dict[str, dict[Key, StoredEntry]] = {}
+        self.entry_counts: dict[tuple[str, str], int] = {}  # stored entries by topic and member
+        self.published: dict[tuple[str, str], OwnEntry] = {}
+        self.queues: dict[str, TopicQueue] = {}
+        self.rotation: deque[str] = deque()
+        self.last_sweep_at = 0.0
         self.counts = Counts()
         self.members = 1
-        self.shown = 0  # words that exchanges have had so far, in turn
+        self.sync_offset = 0  # rotates the entries that go into successive partial snapshots
 
-    # What the program prints
+    # Bounds
 
     @staticmethod
-    def stale_s(life_s: float) -> float:
-        """The stated bound: nobody reads a word later than this after it was said, in true time, while every
-        clock's rate is within DRIFT. The sayer's own clock may be slow by DRIFT; each hop takes off more than
-        its two clocks can add."""
-        return life_s / (1 - DRIFT)
+    def staleness_bound_s(ttl_s: float) -> float:
+        """Upper bound on the true time after its publication for which any member can read an entry.
+
+        It holds while the rate of every clock is within MAX_CLOCK_DRIFT. The publisher's clock may be slow by
+        that much; each hop takes off more than its two clocks can add."""
+        return ttl_s / (1 - MAX_CLOCK_DRIFT)
 
     # Subsystems
 
-    def say(
-        self, now: float, topic: str, subject: str, value: bytes, life_s: float = 0.0, renew: bool = True
+    def publish(
+        self, now: float, topic: str, subject: str, value: bytes, ttl_s: float = 0.0, renew: bool = True
     ) -> None:
-        """Say it from now on. With `renew` it is said anew in time until `unsay`; without, it ends by itself.
-        ValueError for what no member would take."""
+        """Publishes an entry from now on. With `renew` it is renewed until `withdraw`; otherwise it expires.
+
+        Raises ValueError for an entry that no member would accept."""
         rules = self.topics[topic]
-        life_s = life_s or rules.life_s
-        if not 0 < life_s <= rules.life_s:
-            raise ValueError(f"{topic}: a life of {life_s} s, expected above 0 and at most {rules.life_s:g}")
-        if len(subject) > SUBJECT_MOST or len(value) > VALUE_MOST:
-            raise ValueError(f"{topic}: subject or value too long ({len(subject)}, {len(value)} bytes)")
-        same = self.mine.get((topic, subject))
-        if same is None and sum(key[0] == topic for key in self.mine) >= rules.each:
-            raise ValueError(f"{topic}: more than {rules.each} subjects of one member")
-        held = self.held.get(self._key(rules.merge, topic, self.me, subject))
-        epoch = 1 + max(held.word.epoch if held is not None else 0, same.epoch if same is not None else 0)
-        self.mine[topic, subject] = Mine(topic, subject, value, life_s, now, epoch, renew)
-        self._put(now, Word(topic, self.me, subject, epoch, value, life_s), now + life_s)
-
-    def unsay(self, now: float, topic: str, subject: str) -> None:
-        """Take it back: an empty value outlasts the word that it ends."""
-        if (mine := self.mine.get((topic, subject))) is not None:
-            self.say(now, topic, subject, b"", mine.life_s, renew=False)
-            del self.mine[topic, subject]
-
-    def read(self, now: float, topic: str, subject: str | None = None) -> list[Said]:
-        """All that holds at this moment, by (subject, member)."""
+        ttl_s = ttl_s or rules.ttl_s
+        if not 0 < ttl_s <= rules.ttl_s:
+            raise ValueError(f"{topic}: a TTL of {ttl_s} s, expected above 0 and at most {rules.ttl_s:g}")
+        if len(subject) > MAX_SUBJECT_CHARS or len(value) > MAX_VALUE_BYTES:
+            raise ValueError(
+                f"{topic}: subject of {len(subject)} characters and value of {len(value)} bytes, "
+                f"expected at most {MAX_SUBJECT_CHARS} and {MAX_VALUE_BYTES}"
+            )
+        previous = self.published.get((topic, subject))
+        if previous is None and sum(key[0] == topic for key in self.published) >= rules.max_per_member:
+            raise ValueError(f"{topic}: more than {rules.max_per_member} subjects of one member")
+        stored = self.entries.get(self._key(rules.merge, topic, self.me, subject))
+        epoch = 1 + max(
+            stored.entry.epoch if stored is not None else 0,
+            previous.epoch if previous is not None else 0,
+        )
+        self.published[topic, subject] = OwnEntry(topic, subject, value, ttl_s, now, epoch, renew)
+        self._store(now, Entry(topic, self.me, subject, epoch, value, ttl_s), now + ttl_s)
+
+    def withdraw(self, now: float, topic: str, subject: str) -> None:
+        """Replaces the entry by one with an empty value, which outlasts it."""
+        if (own := self.published.get((topic, subject))) is not None:
+            self.publish(now, topic, subject, b"", own.ttl_s, renew=False)
+            del self.published[topic, subject]
+
+    def read(self, now: float, topic: str, subject: str | None = None) -> list[PublishedEntry]:
+        """The valid entries of a topic, sorted by (subject, member), without withdrawn ones."""
         found = [
-            Said(held.word.origin, held.word.subject, held.word.epoch, held.word.value, held.ends)
-            for held in self.by_topic.get(topic, {}).values()
-            if held.ends > now and held.word.value and (subject is None or held.word.subject == subject)
+            PublishedEntry(
+                stored.entry.origin,
+                stored.entry.subject,
+                stored.entry.epoch,
+                stored.entry.value,
+                stored.expires_at,
+            )
+            for stored in self.by_topic.get(topic, {}).values()
+            if stored.expires_at > now
+            and stored.entry.value
+            and (subject is None or stored.entry.subject == subject)
         ]
-        return sorted(found, key=lambda said: (said.subject, said.origin))
+        return sorted(found, key=lambda entry: (entry.subject, entry.origin))
 
     # Members
 
     def tick(self, now: float, members: int) -> None:
-        """Say anew what is still meant, and forget what nothing can bring back."""
+        """Renews published entries and removes those that expired long ago."""
         self.members = members
-        for mine in list(self.mine.values()):
-            if now >= mine.said + mine.life_s:
-                # Away for longer than it holds (or never renewed): whether it is still so, its subsystem
-                # says.
-                del self.mine[mine.topic, mine.subject]
-            elif mine.renew and now >= mine.said + mine.life_s / RENEW:
-                self.say(now, mine.topic, mine.subject, mine.value, mine.life_s)
-        if now >= self.looked + 1.0:
-            self.looked = now
-            for key, held in list(self.held.items()):
-                if now >= held.ends + self._life(key[0]):
-                    self._drop(key)
-
-    def hear(self, now: float, sent: float, words: Iterable[Word]) -> list[Word]:
-        """`sent`: a moment of our clock no later than their sending. Returns what is news."""
-        news = []
-        for word in words:
-            fault = self._fault(word)
-            if fault:
+        for own in list(self.published.values()):
+            if now >= own.published_at + own.ttl_s:
+                # Paused for longer than the TTL, or not renewed: the subsystem decides whether to publish
+                # it again.
+                del self.published[own.topic, own.subject]
+            elif own.renew and now >= own.published_at + own.ttl_s / RENEWALS_PER_TTL:
+                self.publish(now, own.topic, own.subject, own.value, own.ttl_s)
+        if now >= self.last_sweep_at + SWEEP_INTERVAL_S:
+            self.last_sweep_at = now
+            for key, stored in list(self.entries.items()):
+                if now >= stored.expires_at + self._max_ttl_s(key[0]):
+                    self._remove(key)
+
+    def receive(self, now: float, earliest_send_time: float, entries: Iterable[Entry]) -> list[Entry]:
+        """Stores received entries and returns those that are new or have changed.
+
+        `earliest_send_time`: a local time no later than their sending."""
+        changed = []
+        for entry in entries:
+            defect = self._defect(entry)
+            if defect:
                 self.counts.refused += 1
                 continue
-            ends = min(sent, now) + word.left_s * SHRINK
-            if ends <= now:
-                self.counts.late += 1
+            expires_at = min(earliest_send_time, now) + entry.remaining_s * HOP_TTL_FACTOR
+            if expires_at <= now:
+                self.counts.expired += 1
                 continue
-            if word.origin == self.me:
-                self._hear_own(now, word)
+            if entry.origin == self.me:
+                self._receive_own(now, entry)
                 continue
-            rules = self.topics.get(word.topic)
-            key = self._key(rules.merge if rules else Merge.EACH, word.topic, word.origin, word.subject)
-            held = self.held.get(key)
-            if held is not None and self._order(word) <= self._order(held.word):
-                if word[:5] == held.word[:5]:
-                    held.ends = max(held.ends, ends)  # of two bounds from below the better one
+            rules = self.topics.get(entry.topic)
+            key = self._key(
+                rules.merge if rules else Merge.PER_MEMBER, entry.topic, entry.origin, entry.subject
+            )
+            stored = self.entries.get(key)
+            if stored is not None and self._order(entry) <= self._order(stored.entry):
+                if entry[:5] == stored.entry[:5]:
+                    # Both are lower bounds on the true expiry; the later one is closer.
+                    stored.expires_at = max(stored.expires_at, expires_at)
                 continue
-            if held is None and not self._room(now, word, rules):
+            if stored is None and not self._has_capacity(now, entry, rules):
                 self.counts.refused += 1
                 continue
-            self._put(now, word, ends)
-            self.counts.taken += 1
-            news.append(word)
-        return news
-
-    def fill(self, now: float, room: int) -> list[Word]:
-        """Words for a datagram with `room` bytes left, each counted as passed on once."""
-        most = self.retransmit * ceil(tenfolds(self.members))
-        words: list[Word] = []
-        put: set[Key] = set()
-        idle = 0
-        while self.turn and idle < len(self.turn) and room > HEAD:
-            name = self.turn[0]
-            lane = self.lanes[name]
+            self._store(now, entry, expires_at)
+            self.counts.accepted += 1
+            changed.append(entry)
+        return changed
+
+    def take_for_datagram(self, now: float, room: int) -> list[Entry]:
+        """Entries for a datagram with `room` bytes left; each counts as sent once more."""
+        max_sent = self.retransmit * ceil(log_scale(self.members))
+        entries: list[Entry] = []
+        taken: set[Key] = set()
+        idle_turns = 0
+        while self.rotation and idle_turns < len(self.rotation) and room > ENTRY_OVERHEAD_BYTES:
+            name = self.rotation[0]
+            queue = self.queues[name]
             rules = self.topics.get(name)
-            lane.deficit += QUANTUM * (rules.weight if rules else 0.5)
-            before = len(words)
-            for _ in range(len(lane.keys)):
-                if lane.keys[0] in put:
+            queue.deficit += QUANTUM_BYTES * (rules.weight if rules else UNKNOWN_TOPIC_WEIGHT)
+            taken_before = len(entries)
+            for _ in range(len(queue.keys)):
+                if queue.keys[0] in taken:
                     break
-                held = self.held.get(lane.keys[0])
-                if held is None or held.ends <= now or not held.queued:
-                    lane.keys.popleft()
-                    if held is not None:
-                        held.queued = False
+                stored = self.entries.get(queue.keys[0])
+                if stored is None or stored.expires_at <= now or not stored.queued:
+                    queue.keys.popleft()
+                    if stored is not None:
+                        stored.queued = False
                     continue
-                cost = held.word.cost()
-                if cost > lane.deficit or cost > room:
+                size = stored.entry.encoded_bytes()
+                if size > queue.deficit or size > room:
                     break
-                key = lane.keys.popleft()
-                put.add(key)
-                words.append(held.word._replace(left_s=held.ends - now))
-                lane.deficit, room = lane.deficit - cost, room - cost
-                held.sent += 1
-                if held.sent < most:
-                    lane.keys.append(key)
+                key = queue.keys.popleft()
+                taken.add(key)
+                entries.append(stored.entry._replace(remaining_s=stored.expires_at - now))
+                queue.deficit, room = queue.deficit - size, room - size
+                stored.sent += 1
+                if stored.sent < max_sent:
+                    queue.keys.append(key)
                 else:
-                    held.queued = False
-                if held.sent > 1:
-                    break  # those that nobody has heard yet go first, in every topic
-            idle = 0 if len(words) > before else idle + 1
-            if lane.keys:
-                self.turn.rotate(-1)
-                # What the datagram had no room for is not saved up, but for one long word.
-                head = self.held.get(lane.keys[0])
-                lane.deficit = min(lane.deficit, float(head.word.cost() if head is not None else 0))
+                    stored.queued = False
+                if stored.sent > 1:
+                    break  # entries that were never sent go first, in every topic
+            idle_turns = 0 if len(entries) > taken_before else idle_turns + 1
+            if queue.keys:
+                self.rotation.rotate(-1)
+                # Unused deficit is not saved up beyond what the next entry needs.
+                first = self.entries.get(queue.keys[0])
+                queue.deficit = min(
+                    queue.deficit, float(first.entry.encoded_bytes() if first is not None else 0)
+                )
             else:
-                self.turn.popleft()
-                lane.deficit = 0.0
-        return words
+                self.rotation.popleft()
+                queue.deficit = 0.0
+        return entries
 
-    def fresh(self) -> bool:
-        """Whether some word waits that has not been passed on at all."""
+    def has_unsent(self) -> bool:
+        """Whether an entry is queued that has never been sent."""
         return any(
-            lane.keys and (held := self.held.get(lane.keys[0])) is not None and held.queued and not held.sent
-            for lane in self.lanes.values()
+            queue.keys
+            and (stored := self.entries.get(queue.keys[0])) is not None
+            and stored.queued
+            and not stored.sent
+            for queue in self.queues.values()
         )
 
-    def whole(self, now: float, most: int | None = None) -> list[Word]:
-        """All that holds, for a member that may have missed it; or so many of it, others each time."""
-        there = [held for held in self.held.values() if held.ends > now]
-        if most is not None and len(there) > most:
-            self.shown %= len(there)
-            there = (there[self.shown :] + there[: self.shown])[:most]
-            self.shown += most
-        return [held.word._replace(left_s=held.ends - now) for held in there]
+    def snapshot(self, now: float, most: int | None = None) -> list[Entry]:
+        """The valid entries, for a member that may have missed some; with `most`, other ones in each call."""
+        valid = [stored for stored in self.entries.values() if stored.expires_at > now]
+        if most is not None and len(valid) > most:
+            self.sync_offset %= len(valid)
+            valid = (valid[self.sync_offset :] + valid[: self.sync_offset])[:most]
+            self.sync_offset += most
+        return [stored.entry._replace(remaining_s=stored.expires_at - now) for stored in valid]
 
-    # One word
+    # Single entries
 
     @staticmethod
     def _key(merge: Merge, topic: str, origin: str, subject: str) -> Key:
-        return topic, origin if merge is Merge.EACH else "", subject
+        return topic, origin if merge is Merge.PER_MEMBER else "", subject
 
     @staticmethod
-    def _order(word: Word) -> tuple[int, str, bytes]:
-        return word.epoch, word.origin, word.value
+    def _order(entry: Entry) -> tuple[int, str, bytes]:
+        return entry.epoch, entry.origin, entry.value
 
-    def _life(self, topic: str) -> float:
-        return self.topics[topic].life_s if topic in self.topics else OTHER_S
+    def _max_ttl_s(self, topic: str) -> float:
+        return self.topics[topic].ttl_s if topic in self.topics else UNKNOWN_TOPIC_TTL_S
 
-    def _fault(self, word: Word) -> str:
-        if not (1 <= len(word.topic) <= TOPIC_MOST and 1 <= len(word.origin) <= NAME_MOST):
+    def _defect(self, entry: Entry) -> str:
+        if not (1 <= len(entry.topic) <= MAX_TOPIC_CHARS and 1 <= len(entry.origin) <= MAX_NAME_CHARS):
             return "topic or origin"
-        if len(word.subject) > SUBJECT_MOST or len(word.value) > VALUE_MOST:
-            return "too long"
-        if not 0 < word.epoch < EPOCH_MOST:
+        if len(entry.subject) > MAX_SUBJECT_CHARS or len(entry.value) > MAX_VALUE_BYTES:
+            return "subject or value"
+        if not 0 < entry.epoch < MAX_EPOCH:
             return "epoch"
-        if not 0 < word.left_s <= self._life(word.topic):
-            return "a life that its topic does not allow"  # also one that is no number
+        if not 0 < entry.remaining_s <= self._max_ttl_s(entry.topic):
+            return "remaining time"  # also rejects NaN
         return ""
 
-    def _hear_own(self, now: float, word: Word) -> None:
-        """What we said before a restart outlives us: it is outdone, or it would stand until its end."""
-        rules = self.topics.get(word.topic)
+    def _receive_own(self, now: float, entry: Entry) -> None:
+        """Replaces an entry that this member published before a restart, which would otherwise stand until
+        its expiry."""
+        rules = self.topics.get(entry.topic)
         if rules is None:
             return
-        mine = self.mine.get((word.topic, word.subject))
-        held = self.held.get(self._key(rules.merge, word.topic, self.me, word.subject))
-        if mine is None:
-            if held is None and word.value and self._room(now, word, rules):
-                self._put(now, word._replace(epoch=word.epoch + 1, value=b""), now + word.left_s)
-        elif (word.epoch, word.value) > (mine.epoch, mine.value):
-            mine.epoch = word.epoch
-            self.say(now, mine.topic, mine.subject, mine.value, mine.life_s, mine.renew)
-
-    def _room(self, now: float, word: Word, rules: Topic | None) -> bool:
-        each, most = (rules.each, rules.most) if rules else (OTHER_EACH, OTHER_MOST)
-        if self.number.get((word.topic, word.origin), 0) >= each:
+        own = self.published.get((entry.topic, entry.subject))
+        stored = self.entries.get(self._key(rules.merge, entry.topic, self.me, entry.subject))
+        if own is None:
+            if stored is None and entry.value and self._has_capacity(now, entry, rules):
+                self._store(now, entry._replace(epoch=entry.epoch + 1, value=b""), now + entry.remaining_s)
+        elif (entry.epoch, entry.value) > (own.epoch, own.value):
+            own.epoch = entry.epoch
+            self.publish(now, own.topic, own.subject, own.value, own.ttl_s, own.renew)
+
+    def _has_capacity(self, now: float, entry: Entry, rules: Topic | None) -> bool:
+        max_per_member, max_entries = (
+            (rules.max_per_member, rules.max_entries)
+            if rules
+            else (UNKNOWN_TOPIC_MAX_PER_MEMBER, UNKNOWN_TOPIC_MAX_ENTRIES)
+        )
+        if self.entry_counts.get((entry.topic, entry.origin), 0) >= max_per_member:
             return False
-        there = self.by_topic.get(word.topic, {})
-        if rules is None and word.topic not in self.by_topic:
-            others = [name for name in self.by_topic if name not in self.topics]
-            if len(others) >= OTHER_MOST:
+        same_topic = self.by_topic.get(entry.topic, {})
+        if rules is None and entry.topic not in self.by_topic:
+            unknown_topics = [name for name in self.by_topic if name not in self.topics]
+            if len(unknown_topics) >= UNKNOWN_TOPIC_MAX_ENTRIES:
                 return False
-        if len(there) < most:
+        if len(same_topic) < max_entries:
             return True
-        ended = next((key for key, held in there.items() if held.ends <= now), None)
-        if ended is not None:
-            self._drop(ended)
-        return ended is not None
-
-    def _put(self, now: float, word: Word, ends: float) -> None:
-        rules = self.topics.get(word.topic)
-        key = self._key(rules.merge if rules else Merge.EACH, word.topic, word.origin, word.subject)
-        before = self.held.get(key)
-        if before is not None:
-            self._count(before.word, -1)
-        lane = self.lanes.setdefault(word.topic, Lane())
-        if before is not None and before.queued:
-            lane.keys.remove(key)
-        held = Held(word, ends, queued=True)
-        self.held[key] = self.by_topic.setdefault(word.topic, {})[key] = held
-        self._count(word, 1)
-        if not lane.keys and word.topic not in self.turn:
-            self.turn.append(word.topic)
-        lane.keys.appendleft(key)
-
-    def _count(self, word: Word, by: int) -> None:
-        who = word.topic, word.origin
-        count = self.number.get(who, 0) + by
+        expired = next((key for key, stored in same_topic.items() if stored.expires_at <= now), None)
+        if expired is not None:
+            self._remove(expired)
+        return expired is not None
+
+    def _store(self, now: float, entry: Entry, expires_at: float) -> None:
+        rules = self.topics.get(entry.topic)
+        key = self._key(rules.merge if rules else Merge.PER_MEMBER, entry.topic, entry.origin, entry.subject)
+        replaced = self.entries.get(key)
+        if replaced is not None:
+            self._adjust_count(replaced.entry, -1)
+        queue = self.queues.setdefault(entry.topic, TopicQueue())
+        if replaced is not None and replaced.queued:
+            queue.keys.remove(key)
+        stored = StoredEntry(entry, expires_at, queued=True)
+        self.entries[key] = self.by_topic.setdefault(entry.topic, {})[key] = stored
+        self._adjust_count(entry, 1)
+        if not queue.keys and entry.topic not in self.rotation:
+            self.rotation.append(entry.topic)
+        queue.keys.appendleft(key)
+
+    def _adjust_count(self, entry: Entry, by: int) -> None:
+        owner = entry.topic, entry.origin
+        count = self.entry_counts.get(owner, 0) + by
         if count:
-            self.number[who] = count
+            self.entry_counts[owner] = count
         else:
-            self.number.pop(who, None)
+            self.entry_counts.pop(owner, None)
 
-    def _drop(self, key: Key) -> None:
-        held = self.held.pop(key)
-        there = self.by_topic[key[0]]
-        del there[key]
-        if not there:
+    def _remove(self, key: Key) -> None:
+        stored = self.entries.pop(key)
+        same_topic = self.by_topic[key[0]]
+        del same_topic[key]
+        if not same_topic:
             del self.by_topic[key[0]]
-        self._count(held.word, -1)
-        if held.queued:
-            self.lanes[key[0]].keys.remove(key)
+        self._adjust_count(stored.entry, -1)
+        if stored.queued:
+            self.queues[key[0]].keys.remove(key)
--- a/flintlatch/verdicts/api.py
+++ b/flintlatch/verdicts/api.py
@@ -1,6 +1,12 @@
-"""What others may call of verdicts."""
+"""Public interface of the verdicts package: shared outlier detection."""
 
-from flintlatch.verdicts.core import SEEN, Judgement, Verdict, judge
-from flintlatch.verdicts.rows import Rules
+from flintlatch.verdicts.core import Ejection, EjectionDecision, decide_ejections, observation_topic
+from flintlatch.verdicts.rows import EjectionRules
 
-__all__ = ["SEEN", "Judgement", "Rules", "Verdict", "judge"]
+__all__ = [
+    "Ejection",
+    "EjectionDecision",
+    "EjectionRules",
+    "decide_ejections",
+    "observation_topic",
+]
--- a/tests/delivery/loopback.py
+++ b/tests/delivery/loopback.py
@@ -22,8 +22,8 @@
 from flintlatch.delivery.stream import LENGTH
 from flintlatch.delivery.subscriber import Changed
 from flintlatch.delivery.wire import encode, from_relay
-from flintlatch.peers.seal import HELLO, NONCE_BYTES, VERSION, StreamSeal, named
-from flintlatch.peers.shell import split
+from flintlatch.peers.seal import HELLO, NONCE_BYTES, VERSION, StreamSeal, key_id
+from flintlatch.peers.shell import split_address
 
 KEYS = (bytes(range(32)),)
 OTHER = (bytes(32),)
@@ -122,15 +122,15 @@
 
     @classmethod
     async def open(cls, address: str) -> Raw:
-        sock = socket.create_connection(split(address))
+        sock = socket.create_connection(split_address(address))
         raw = cls(*await asyncio.open_connection(sock=sock))
         nonce = os.urandom(NONCE_BYTES)
-        raw.writer.write(HELLO.pack(VERSION, named(KEYS[0]), nonce))
+        raw.writer.write(HELLO.pack(VERSION, key_id(KEYS[0]), nonce))
         raw.seal = StreamSeal(KEYS[0], nonce, await raw.reader.readexactly(NONCE_BYTES), True)
         return raw
 
     def frame(self, plain: bytes) -> bytes:
-        data = self.seal.close(plain)
+        data = self.seal.encrypt(plain)
         return LENGTH.pack(len(data)) + data
 
     def say(self, *messages: Message) -> None:
@@ -139,7 +139,7 @@
 
     async def hear(self) -> Message:
         (length,) = LENGTH.unpack(await self.reader.readexactly(LENGTH.size))
-        return from_relay(self.seal.open(await self.reader.readexactly(length)))
+        return from_relay(self.seal.decrypt(await self.reader.readexactly(length)))
 
     async def ended(self) -> None:
         """Everything up to the end is read and left."""
