--- a/flintlatch/net/discovery.py
+++ b/flintlatch/net/discovery.py
@@ -26,7 +26,7 @@
 # A change counts as known to the proxy PROPAGATION_LIMIT_MS after the service had it, whether or not it
 # arrived; what a silent long poll misses counts as known that long after its silence began. The response to
 # the next poll must therefore arrive within this limit, whatever becomes of one poll. With the decision
-# module's retry delay after a failure (`WATCH_RETRY_MS_RANGE` there, at most 800 ms), the longest sequences are
+# module's retry delay after a failure (`WATCH_RETRY_MS_RANGE`, at most 800 ms), the longest sequences are
 #   a long poll becomes silent: LONG_POLL_MS + RESPONSE_GRACE_MS + 800 + FIRST_RESPONSE_GRACE_MS = 5500
 #   a request gets no response: FIRST_RESPONSE_GRACE_MS + 800 + FIRST_RESPONSE_GRACE_MS = 5200
 PROPAGATION_LIMIT_MS = 6000
