--- a/bench/limits.py
+++ b/bench/limits.py
@@ -23,7 +23,7 @@
 
 import uvloop
 
-from flintlatch.fleet.control import Taken
+from flintlatch.fleet.control import ControlError
 from flintlatch.limits.api import Limit, Terms, WhenCut, most
 from flintlatch.net.clock import now_ms
 from flintlatch.standin.client import Clients
@@ -104,7 +104,7 @@
         for name in names:
             try:
                 after.append((await made.peers(name))["counts"]["datagrams_out"])
-            except (Taken, KeyError):
+            except (ControlError, KeyError):
                 after.append(0)
         audit = Audit(made)
         limit = Limit(
--- a/flintlatch/fleet/control.py
+++ b/flintlatch/fleet/control.py
@@ -18,20 +18,20 @@
 Answer = dict[str, Any]
 
 
-class Taken(Exception):
+class ControlError(Exception):
     """The path can't be had for a control socket; the text says why."""
 
 
 def check_path(path: str) -> None:
-    """Raise Taken if something lives at the path; a socket that nobody listens on may be replaced."""
+    """Raise ControlError if something lives at the path; a socket that nobody listens on may be replaced."""
     try:
         mode = os.lstat(path).st_mode
     except FileNotFoundError:
         return
     except OSError as error:
-        raise Taken(f"control socket {path}: {error.strerror}") from None
+        raise ControlError(f"control socket {path}: {error.strerror}") from None
     if not stat.S_ISSOCK(mode):
-        raise Taken(f"control socket {path}: another file is there")
+        raise ControlError(f"control socket {path}: another file is there")
     with socket.socket(socket.AF_UNIX) as sock:
         sock.settimeout(1.0)
         try:
@@ -39,8 +39,8 @@
         except (ConnectionRefusedError, FileNotFoundError):
             return
         except OSError as error:
-            raise Taken(f"control socket {path}: {error.strerror or error}") from None
-    raise Taken(f"control socket {path}: a fleet runs there already")
+            raise ControlError(f"control socket {path}: {error.strerror or error}") from None
+    raise ControlError(f"control socket {path}: a fleet runs there already")
 
 
 class Control:
@@ -61,7 +61,7 @@
             sock.bind(hidden)
         except OSError as error:
             sock.close()
-            raise Taken(f"control socket {self.path}: {error.strerror or error}") from None
+            raise ControlError(f"control socket {self.path}: {error.strerror or error}") from None
         finally:
             os.umask(old)
         self.inode = os.lstat(hidden).st_ino
@@ -72,7 +72,7 @@
         try:
             os.rename(f"{self.path}.{os.getpid()}", self.path)
         except OSError as error:
-            raise Taken(f"control socket {self.path}: {error.strerror}") from None
+            raise ControlError(f"control socket {self.path}: {error.strerror}") from None
 
     def close(self) -> None:
         """Remove the path if it is still this one's."""
@@ -119,7 +119,7 @@
 
 
 def ask(path: str, request: Answer, timeout_s: float = 30.0) -> Answer:
-    """One request to a running fleet. Raises Taken, with a text for a person, if none answers."""
+    """One request to a running fleet. Raises ControlError, with a text for a person, if none answers."""
     with socket.socket(socket.AF_UNIX) as sock:
         sock.settimeout(timeout_s)
         try:
@@ -129,12 +129,12 @@
             while not data.endswith(b"\n"):
                 piece = sock.recv(65536)
                 if not piece or len(data) > MOST_ANSWER:
-                    raise Taken(f"control socket {path}: the fleet ended the call")
+                    raise ControlError(f"control socket {path}: the fleet ended the call")
                 data += piece
         except (FileNotFoundError, ConnectionRefusedError):
-            raise Taken(f"control socket {path}: no fleet runs there") from None
+            raise ControlError(f"control socket {path}: no fleet runs there") from None
         except OSError as error:
-            raise Taken(f"control socket {path}: {error.strerror or error or 'no answer'}") from None
+            raise ControlError(f"control socket {path}: {error.strerror or error or 'no answer'}") from None
     answer = orjson.loads(data)
     assert isinstance(answer, dict)
     return answer
--- a/flintlatch/fleet/supervisor.py
+++ b/flintlatch/fleet/supervisor.py
@@ -22,7 +22,7 @@
 from flintlatch.config import Config, Unusable, load
 from flintlatch.fleet import core, log, spread
 from flintlatch.fleet.channel import Channel, Message, open_channel
-from flintlatch.fleet.control import Control, Taken, check_path
+from flintlatch.fleet.control import Control, ControlError, check_path
 from flintlatch.fleet.listeners import Listeners, NoListener, bound
 from flintlatch.fleet.nodes import Nodes, described
 from flintlatch.fleet.notify import Notifier, activated
@@ -166,7 +166,7 @@
                 await self.loop.run_in_executor(None, self._inherit)
             await self.control.open()
             await self.listeners.open(config.fleet.listen, config.start.bind_wait_s)
-        except (Taken, NoListener, ValueError) as error:
+        except (ControlError, NoListener, ValueError) as error:
             raise CannotStart(str(error)) from None
         for address in self.addresses():
             self.log("info", f"listens on {address}")
@@ -400,7 +400,7 @@
             self.ready_after_s = (now_ms() - self.started_ms) / 1000
             try:
                 self.control.publish()
-            except Taken as error:
+            except ControlError as error:
                 self.log("error", str(error))
             if self.predecessor is not None:
                 self.predecessor.say({"kind": "serving", "pid": os.getpid()})
--- a/flintlatch/standin/fleets.py
+++ b/flintlatch/standin/fleets.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 from typing import Any
 
-from flintlatch.fleet.control import Taken
+from flintlatch.fleet.control import ControlError
 from flintlatch.net.clock import now_ms
 from flintlatch.standin.client import Clients
 from flintlatch.standin.links import Links, Relay, Trouble, apply
@@ -199,7 +199,7 @@
             try:
                 if await good():
                     return loop.time() - began
-            except Taken:  # one that is just starting or ending
+            except ControlError:  # one that is just starting or ending
                 pass
             if loop.time() - began > START_S:
                 raise AssertionError(f"{what} did not come about: " + self.logs())
--- a/flintlatch/standin/process.py
+++ b/flintlatch/standin/process.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from flintlatch.config import find_control
-from flintlatch.fleet.control import Taken, ask
+from flintlatch.fleet.control import ControlError, ask
 from flintlatch.standin.client import Clients
 
 START_S = 60.0  # generous: a loaded machine starts thirty interpreters at once
@@ -116,7 +116,7 @@
             while True:
                 try:
                     status = await self.status()
-                except Taken:
+                except ControlError:
                     if self.log and self.log[-1] == "(end of the log)":
                         raise AssertionError("it ended:\n" + "\n".join(self.log)) from None
                     await asyncio.sleep(0.02)
