--- a/bench/peers.py
+++ b/bench/peers.py
@@ -27,7 +27,7 @@
 import uvloop
 
 from flintlatch.config import find_control
-from flintlatch.fleet.control import ControlError, ask
+from flintlatch.fleet.control import ControlError, send_control_request
 from flintlatch.lab.members import Members
 from flintlatch.lab.network import Link
 from flintlatch.peers import Carrier, Merge, Rules, Topic
@@ -51,7 +51,7 @@
     if process is None or name in made.paused:
         return None
     try:
-        return await asyncio.to_thread(ask, find_control(str(process.config)), request, 5.0)
+        return await asyncio.to_thread(send_control_request, find_control(str(process.config)), request, 5.0)
     except (ControlError, OSError, ValueError):
         return None  # just killed, or paused meanwhile
 
--- a/flintlatch/cli.py
+++ b/flintlatch/cli.py
@@ -135,7 +135,7 @@
     """The running fleet's answer; None, after a line that says why, if there is none."""
     from flintlatch.config import Unusable, find_control
     from flintlatch.fleet.control import ControlError
-    from flintlatch.fleet.control import ask as ask_fleet
+    from flintlatch.fleet.control import send_control_request as ask_fleet
 
     try:
         return ask_fleet(args.control or find_control(args.config), request, timeout_s)
--- a/flintlatch/fleet/control.py
+++ b/flintlatch/fleet/control.py
@@ -118,7 +118,7 @@
             writer.close()
 
 
-def ask(path: str, request: Answer, timeout_s: float = 30.0) -> Answer:
+def send_control_request(path: str, request: Answer, timeout_s: float = 30.0) -> Answer:
     """One request to a running fleet. Raises ControlError, with a text for a person, if none answers."""
     with socket.socket(socket.AF_UNIX) as sock:
         sock.settimeout(timeout_s)
--- a/flintlatch/standin/process.py
+++ b/flintlatch/standin/process.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from flintlatch.config import find_control
-from flintlatch.fleet.control import ControlError, ask
+from flintlatch.fleet.control import ControlError, send_control_request
 from flintlatch.standin.client import Clients
 
 START_S = 60.0  # generous: a loaded machine starts thirty interpreters at once
@@ -105,7 +105,7 @@
 
     async def ask(self, do: str, timeout_s: float = START_S) -> dict[str, Any]:
         path = find_control(str(self.config))
-        return await asyncio.to_thread(ask, path, {"do": do}, timeout_s)
+        return await asyncio.to_thread(send_control_request, path, {"do": do}, timeout_s)
 
     async def status(self) -> dict[str, Any]:
         return await self.ask("status")
--- a/tests/fleet/test_daemon.py
+++ b/tests/fleet/test_daemon.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from flintlatch.fleet.control import ask
+from flintlatch.fleet.control import send_control_request
 from flintlatch.net.clock import now_ms
 from flintlatch.net.frontend import WHOLE_S
 from flintlatch.standin.client import Prober
@@ -336,7 +336,7 @@
             good = made.rig.config.read_text()
             made.rig.config.write_text("nonsense")
             path = str(made.rig.folder / "c.sock")
-            answer = await asyncio.to_thread(ask, path, {"do": "upgrade"})
+            answer = await asyncio.to_thread(send_control_request, path, {"do": "upgrade"})
             assert not answer["ok"] and "going on as before" in answer["reason"]
             made.rig.config.write_text(good)
             assert await made.pids_now() == before
--- a/tests/fleet/test_peers.py
+++ b/tests/fleet/test_peers.py
@@ -43,11 +43,11 @@
 
 async def say(made: Fleets, name: str, text: str, for_s: float) -> None:
     from flintlatch.config import find_control
-    from flintlatch.fleet.control import ask
+    from flintlatch.fleet.control import send_control_request
 
     request = {"do": "note", "subject": "s", "text": text, "for_s": for_s}
     path = find_control(str(made.processes[name].config))
-    assert (await asyncio.to_thread(ask, path, request, 10.0))["ok"]
+    assert (await asyncio.to_thread(send_control_request, path, request, 10.0))["ok"]
 
 
 async def notes(made: Fleets, name: str) -> list[str]:
--- a/tests/fleet/test_start.py
+++ b/tests/fleet/test_start.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from flintlatch.fleet.control import ask
+from flintlatch.fleet.control import send_control_request
 from flintlatch.fleet.notify import Notifier
 from flintlatch.standin.notify import NotifySocket
 from flintlatch.standin.process import FleetProcess
@@ -126,7 +126,7 @@
             path = str(tmp_path / "c.sock")
             assert stat.S_IMODE(os.lstat(path).st_mode) == 0o600
             assert not list(tmp_path.glob("c.sock.*"))
-            answer = await asyncio.to_thread(ask, path, {"do": "dance"})
+            answer = await asyncio.to_thread(send_control_request, path, {"do": "dance"})
             assert answer == {
                 "ok": False,
                 "reason": "expected 'do' to be one of status, reload, upgrade, stop, nodes, confirm, "
@@ -138,7 +138,7 @@
             writer.write(b"x" * 200_000)  # no line within the bound: the call ends, the fleet goes on
             assert await reader.read() == b""
             writer.close()
-            status = await asyncio.to_thread(ask, path, {"do": "status"})
+            status = await asyncio.to_thread(send_control_request, path, {"do": "status"})
             (one,) = status["instances"]
             assert (one["state"], one["in_flight"], one["number"]) == ("serving", 0, 0)
             assert status["generations"][0]["nodes"]["count"] == 3
