--- a/flintlatch/fleet/heard.py
+++ b/flintlatch/fleet/heard.py
@@ -14,7 +14,7 @@
 from flintlatch.api import Event, Part, Proxies, Shun
 
 
-class Heard:
+class ReceivedEntries:
     def __init__(
         self,
         number: int,
--- a/flintlatch/fleet/worker.py
+++ b/flintlatch/fleet/worker.py
@@ -33,7 +33,7 @@
 from flintlatch.settings import Malformed
 
 if TYPE_CHECKING:
-    from flintlatch.fleet.heard import Heard
+    from flintlatch.fleet.heard import ReceivedEntries
     from flintlatch.fleet.observe import Observer
 
 BEATS = 5  # signs of life within the watchdog's time: one that comes late must not count as silence
@@ -59,7 +59,7 @@
         self.observer: Observer | None = None
         self.spread: Spread | None = None
         self.offer: Offer | None = None
-        self.heard: Heard | None = None
+        self.heard: ReceivedEntries | None = None
         self.seen = False  # whether it has said that some server is bad
         self.config: Config
         self.socks: list[socket.socket] = []
@@ -158,11 +158,11 @@
             self.observer = Observer(self.config, number)
             self.observer.watch(self.engine)
         if self.config.peers is not None:
-            from flintlatch.fleet.heard import Heard  # only where it is wanted
+            from flintlatch.fleet.heard import ReceivedEntries  # only where it is wanted
             from flintlatch.peers.clock import clock
 
             place = Proxies(settings.proxies, settings.me)
-            self.heard = Heard(number, place, self.config.parts_alone(), clock, log)
+            self.heard = ReceivedEntries(number, place, self.config.parts_alone(), clock, log)
             for word in message.get("words", ()):
                 self.heard.on_word(word)
             self.engine.agreed = self.heard.due
--- a/tests/limits/test_cores.py
+++ b/tests/limits/test_cores.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from flintlatch.api import Part, Proxies, Refuse
-from flintlatch.fleet.heard import Heard
+from flintlatch.fleet.heard import ReceivedEntries
 from flintlatch.lab.explore import Broken, explore, wander
 from flintlatch.limits.api import Keeper, Limit, Malformed, Seat, Split, Terms, Vote, WhenCut, fair, over_s
 from flintlatch.limits.model import Ask, Grant, Mark, read_ask, read_grant, read_vote, write_ask, write_grant
@@ -211,8 +211,8 @@
 LIMIT = Part("l", -1, -1, 5.0, 1.0)
 
 
-def heard(now: list[float], said: list[str] | None = None) -> Heard:
-    return Heard(1, Proxies(2, 1), (LIMIT,), lambda: now[0], (said if said is not None else []).append)
+def heard(now: list[float], said: list[str] | None = None) -> ReceivedEntries:
+    return ReceivedEntries(1, Proxies(2, 1), (LIMIT,), lambda: now[0], (said if said is not None else []).append)
 
 
 def test_an_instance_goes_by_a_word_until_its_end_and_then_by_what_it_knows_alone() -> None:
--- a/tests/verdicts/test_core.py
+++ b/tests/verdicts/test_core.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from flintlatch.api import Proxies, Result, Shun
-from flintlatch.fleet.heard import Heard
+from flintlatch.fleet.heard import ReceivedEntries
 from flintlatch.verdicts.api import Rules, judge
 from flintlatch.verdicts.core import EACH_MOST
 from tests.support import Driver, fleet
@@ -124,7 +124,7 @@
 
 def test_a_word_to_shun_ends_for_an_instance_whose_supervisor_says_nothing_more() -> None:
     now = [0.0]
-    core = Heard(0, Proxies(1, 0), (), lambda: now[0], lambda text: None)
+    core = ReceivedEntries(0, Proxies(1, 0), (), lambda: now[0], lambda text: None)
     core.on_word({"about": "shun", "value": ["s1", "s2"], "accused": [], "until": 2.0})
     assert core.due(0) == [Shun("s1", 2000.0), Shun("s2", 2000.0)]
     core.on_word({"about": "shun", "value": ["s2"], "accused": ["s2"], "until": 2.5})
