--- a/flintlatch/fleet/heard.py
+++ b/flintlatch/fleet/heard.py
@@ -39,7 +39,7 @@
         self.accused: set[str] = set()  # servers that somebody finds bad: what we see of them is asked for
         self.shun_news = False
 
-    def on_word(self, word: dict[str, Any]) -> None:
+    def on_entry(self, word: dict[str, Any]) -> None:
         """Raises KeyError, TypeError or ValueError for what is no word. One about something else is left."""
         if word["about"] == "proxies":
             proxies, first = map(int, word["value"])
--- a/flintlatch/fleet/worker.py
+++ b/flintlatch/fleet/worker.py
@@ -82,7 +82,7 @@
             elif kind == "list":
                 self.take_list(message["list"])
             elif kind == "word" and self.heard is not None:
-                self.heard.on_word(message)
+                self.heard.on_entry(message)
                 if message["about"] == "limit" and self.engine is not None:
                     # The module goes by it from its next step on, and only then is it said to be followed.
                     self.engine.wake()
@@ -164,7 +164,7 @@
             place = Proxies(settings.proxies, settings.me)
             self.heard = ReceivedEntries(number, place, self.config.parts_alone(), clock, log)
             for word in message.get("words", ()):
-                self.heard.on_word(word)
+                self.heard.on_entry(word)
             self.engine.agreed = self.heard.due
             if self.config.shared:
                 self.say_limits()
--- a/tests/limits/test_cores.py
+++ b/tests/limits/test_cores.py
@@ -219,8 +219,8 @@
     now, said = [0.0], list[str]()
     core = heard(now, said)
     assert core.due(0) == [LIMIT]
-    core.on_word({"about": "proxies", "value": [9, 4], "until": 3.0})
-    core.on_word({"about": "limit", "limit": "l", "value": [50.0, 7.0, 1, 4], "until": 2.0})
+    core.on_entry({"about": "proxies", "value": [9, 4], "until": 3.0})
+    core.on_entry({"about": "limit", "limit": "l", "value": [50.0, 7.0, 1, 4], "until": 2.0})
     lent = LIMIT._replace(per_s=50.0, burst=7.0)
     assert core.due(0) == [lent, Proxies(9, 5)] and core.follows == {"l": [1, 4]}
     assert core.due(0) == []
@@ -229,11 +229,11 @@
     assert core.due(1) == [LIMIT] and core.follows == {"l": []}
     now[0] = 3.0
     assert core.due(1) == [Proxies(2, 1)] and len(said) == 1
-    core.on_word(
+    core.on_entry(
         {"about": "limit", "limit": "l", "value": [50.0, 7.0, 1, 5], "until": 2.5}
     )  # old, from a buffer
-    core.on_word({"about": "limit", "limit": "unknown", "value": [], "until": 9.0})
-    core.on_word({"about": "weather", "value": "fine"})
+    core.on_entry({"about": "limit", "limit": "unknown", "value": [], "until": 9.0})
+    core.on_entry({"about": "weather", "value": "fine"})
     assert core.due(1) == [] and len(said) == 1
 
 
