--- a/flintlatch/fleet/heard.py
+++ b/flintlatch/fleet/heard.py
@@ -56,7 +56,7 @@
             self.lent[part.limit] = part, float(word["until"]), [int(one) for one in mark]
             self.news = True
 
-    def due(self, life: int) -> list[Event]:
+    def pending_events(self, life: int) -> list[Event]:
         now = self.clock()
         if life != self.life:
             self.life, self.told, self.news = life, {}, True
--- a/flintlatch/fleet/worker.py
+++ b/flintlatch/fleet/worker.py
@@ -165,7 +165,7 @@
             self.heard = ReceivedEntries(number, place, self.config.parts_alone(), clock, log)
             for word in message.get("words", ()):
                 self.heard.on_entry(word)
-            self.engine.agreed = self.heard.due
+            self.engine.agreed = self.heard.pending_events
             if self.config.shared:
                 self.say_limits()
             if self.config.verdicts is not None:
--- a/tests/verdicts/test_core.py
+++ b/tests/verdicts/test_core.py
@@ -126,11 +126,11 @@
     now = [0.0]
     core = ReceivedEntries(0, Proxies(1, 0), (), lambda: now[0], lambda text: None)
     core.on_entry({"about": "shun", "value": ["s1", "s2"], "accused": [], "until": 2.0})
-    assert core.due(0) == [Shun("s1", 2000.0), Shun("s2", 2000.0)]
+    assert core.pending_events(0) == [Shun("s1", 2000.0), Shun("s2", 2000.0)]
     core.on_entry({"about": "shun", "value": ["s2"], "accused": ["s2"], "until": 2.5})
-    assert core.due(0) == [Shun("s1", 0.0), Shun("s2", 2500.0)]
-    assert core.due(1) == [Shun("s2", 2500.0)]  # a module that took over
+    assert core.pending_events(0) == [Shun("s1", 0.0), Shun("s2", 2500.0)]
+    assert core.pending_events(1) == [Shun("s2", 2500.0)]  # a module that took over
     now[0] = 3.0
-    assert core.due(1) == [] and not core.shunned
+    assert core.pending_events(1) == [] and not core.shunned
     core.on_entry({"about": "shun", "value": ["s1"], "accused": [], "until": 2.9})  # old, from a buffer
-    assert core.due(1) == []
+    assert core.pending_events(1) == []
