--- a/flintlatch/fleet/heard.py
+++ b/flintlatch/fleet/heard.py
@@ -32,7 +32,7 @@
         self.fixed = {part.limit: part for part in limits}
         self.lent: dict[str, tuple[Part, float, list[int]]] = {}  # what, until, which grant
         self.told: dict[str, Part] = {}
-        self.follows: dict[str, list[int]] = {}  # grants that the module goes by, by limit
+        self.applied_leases: dict[str, list[int]] = {}  # grants that the module goes by, by limit
         self.next_end, self.news = 0.0, True
         self.shunned: set[str] = set()  # as the module was told
         self.shun: tuple[set[str], float] = set(), 0.0  # as we were, and until when
@@ -101,5 +101,5 @@
             if part != self.told.get(name):
                 self.told[name] = part
                 changed.append(part)
-            self.follows[name] = mark
+            self.applied_leases[name] = mark
         return changed
--- a/flintlatch/fleet/worker.py
+++ b/flintlatch/fleet/worker.py
@@ -279,7 +279,7 @@
         if engine is None or heard is None or self.channel.unread() > MOST_UNREAD:
             return
         asked = {name: bucket.asked for name, bucket in engine.balancer.buckets.items()}
-        self.channel.say({"kind": "limits", "asked": asked, "follows": heard.follows})
+        self.channel.say({"kind": "limits", "asked": asked, "follows": heard.applied_leases})
 
     def _access_log(self) -> dict[str, Any] | None:
         if self.observer is None or self.observer.log is None:
--- a/tests/limits/test_cores.py
+++ b/tests/limits/test_cores.py
@@ -222,11 +222,11 @@
     core.on_entry({"about": "proxies", "value": [9, 4], "until": 3.0})
     core.on_entry({"about": "limit", "limit": "l", "value": [50.0, 7.0, 1, 4], "until": 2.0})
     lent = LIMIT._replace(per_s=50.0, burst=7.0)
-    assert core.pending_events(0) == [lent, Proxies(9, 5)] and core.follows == {"l": [1, 4]}
+    assert core.pending_events(0) == [lent, Proxies(9, 5)] and core.applied_leases == {"l": [1, 4]}
     assert core.pending_events(0) == []
     assert core.pending_events(1) == [lent]  # a module that took over after a fault
     now[0] = 2.0
-    assert core.pending_events(1) == [LIMIT] and core.follows == {"l": []}
+    assert core.pending_events(1) == [LIMIT] and core.applied_leases == {"l": []}
     now[0] = 3.0
     assert core.pending_events(1) == [Proxies(2, 1)] and len(said) == 1
     core.on_entry(
