--- a/flintlatch/fleet/heard.py
+++ b/flintlatch/fleet/heard.py
@@ -34,7 +34,7 @@
         self.told: dict[str, Part] = {}
         self.applied_leases: dict[str, list[int]] = {}  # grants that the module goes by, by limit
         self.next_end, self.news = 0.0, True
-        self.shunned: set[str] = set()  # as the module was told
+        self.ejected: set[str] = set()  # as the module was told
         self.shun: tuple[set[str], float] = set(), 0.0  # as we were, and until when
         self.accused: set[str] = set()  # servers that somebody finds bad: what we see of them is asked for
         self.shun_news = False
@@ -60,11 +60,11 @@
         now = self.clock()
         if life != self.life:
             self.life, self.told, self.news = life, {}, True
-            self.shunned, self.shun_news = set(), True
+            self.ejected, self.shun_news = set(), True
         events: list[Event] = []
         if self.news or now >= self.next_end:
             events += self._parts(now)
-        if self.shun_news or self.shunned:
+        if self.shun_news or self.ejected:
             events += self._shuns(now)
         lone = now >= self.until
         wanted = self.alone if lone else self.place
@@ -80,13 +80,13 @@
         servers, until = self.shun
         if not self.shun_news:
             if now >= until:  # each has its end in the module too
-                self.shunned = set()
+                self.ejected = set()
             return []
         self.shun_news = False
         left = max(until - now, 0.0) * 1000
         wanted = servers if left else set()
-        ended = [Shun(server, 0.0) for server in sorted(self.shunned - wanted)]
-        self.shunned = set(wanted)
+        ended = [Shun(server, 0.0) for server in sorted(self.ejected - wanted)]
+        self.ejected = set(wanted)
         return [*ended, *(Shun(server, left) for server in sorted(wanted))]
 
     def _parts(self, now: float) -> list[Event]:
--- a/tests/verdicts/test_core.py
+++ b/tests/verdicts/test_core.py
@@ -131,6 +131,6 @@
     assert core.pending_events(0) == [Shun("s1", 0.0), Shun("s2", 2500.0)]
     assert core.pending_events(1) == [Shun("s2", 2500.0)]  # a module that took over
     now[0] = 3.0
-    assert core.pending_events(1) == [] and not core.shunned
+    assert core.pending_events(1) == [] and not core.ejected
     core.on_entry({"about": "shun", "value": ["s1"], "accused": [], "until": 2.9})  # old, from a buffer
     assert core.pending_events(1) == []
