--- a/bench/scale/limits.py
+++ b/bench/scale/limits.py
@@ -19,7 +19,7 @@
 from bench.scale.data import Series, load
 from bench.scale.peers import Got, Hollow, Meter, child
 from flintlatch.fleet import judging, limiting
-from flintlatch.fleet.limiting import Limiting
+from flintlatch.fleet.limiting import Limiter
 from flintlatch.lab.engine import Engine
 from flintlatch.limits.api import Ask, Limit, Mark, Terms, WhenCut, topics
 from flintlatch.limits.model import holder, write_ask
@@ -118,7 +118,7 @@
 class Asker:
     """A holder by its asks alone: it follows each grant as soon as it is given."""
 
-    def __init__(self, members: Hollow, record: Record, lessor: Limiting, share: float) -> None:
+    def __init__(self, members: Hollow, record: Record, lessor: Limiter, share: float) -> None:
         self.members, self.record, self.lessor, self.share = members, record, lessor, share
         self.number = self.epoch = 0
 
@@ -144,7 +144,7 @@
     with virtual(members):
         station: Any = Station(members, "f0")
         terms = Terms(("f0",), holders, TERM_S)
-        made = Limiting(rows_of(rows), terms, lambda: station, lambda worker, told: None, lambda *line: None)
+        made = Limiter(rows_of(rows), terms, lambda: station, lambda worker, told: None, lambda *line: None)
         look = Meter()
         for record in others:
             asker = Asker(members, record, made, PER_S / holders)
@@ -184,7 +184,7 @@
     def __init__(self, members: Hollow, name: str, rows: int, terms: Terms) -> None:
         self.members, self.share = members, PER_S / terms.fleets
         station: Any = Station(members, name)
-        self.made = Limiting(rows_of(rows), terms, lambda: station, self.tell, lambda *line: None)
+        self.made = Limiter(rows_of(rows), terms, lambda: station, self.tell, lambda *line: None)
         self.follows: dict[str, list[float]] = {}
         self.began = members.engine.now
 
--- a/flintlatch/fleet/agreed.py
+++ b/flintlatch/fleet/agreed.py
@@ -12,7 +12,7 @@
 from flintlatch.config.tables import PeersTable
 from flintlatch.fleet.channel import Message
 from flintlatch.fleet.judging import Judging
-from flintlatch.fleet.limiting import Limiting
+from flintlatch.fleet.limiting import Limiter
 from flintlatch.limits.api import topics
 from flintlatch.peers import Census, Merge, Place, Rules, Sight, State, Topic, View, Word
 from flintlatch.peers.clock import clock
@@ -48,9 +48,9 @@
         self.timer: asyncio.TimerHandle | None = None
         self.opening: asyncio.Task[None] | None = None
         self.ended = False
-        self.limiting: Limiting | None = None
+        self.limiting: Limiter | None = None
         if config.shared:
-            self.limiting = Limiting(config.shared, config.terms, lambda: self.shell, tell_one, log)
+            self.limiting = Limiter(config.shared, config.terms, lambda: self.shell, tell_one, log)
         self.judging: Judging | None = None
         if config.verdicts is not None:
             self.judging = Judging(config.verdicts, lambda: self.shell, tell, servers, log)
--- a/flintlatch/fleet/limiting.py
+++ b/flintlatch/fleet/limiting.py
@@ -84,7 +84,7 @@
         self.over = False  # more is asked for than there is
 
 
-class Limiting:
+class Limiter:
     """`tell` says a message to one instance."""
 
     def __init__(
