--- a/bench/scale/verdicts.py
+++ b/bench/scale/verdicts.py
@@ -14,7 +14,7 @@
 from bench.scale.data import Series, load
 from bench.scale.limits import LONG, Station, alone, arrive, virtual
 from bench.scale.peers import Got, Hollow, Meter, child
-from flintlatch.fleet.judging import RENEW, Judging
+from flintlatch.fleet.judging import RENEW, OutlierDetector
 from flintlatch.peers import Record, Topic, Word
 from flintlatch.verdicts.api import SEEN, Rules
 
@@ -51,10 +51,10 @@
     return Topic("seen", seen.merge, seen.life_s, seen.each, max(words, seen.most), seen.weight)
 
 
-def judging(members: Hollow, name: str, targets: dict[str, None]) -> Judging:
+def judging(members: Hollow, name: str, targets: dict[str, None]) -> OutlierDetector:
     """Its list is a set made anew for each look, as `fleet/supervisor.py` has it."""
     station: Any = Station(members, name)
-    return Judging(RULES, lambda: station, lambda told: None, lambda: set(targets), lambda *line: None)
+    return OutlierDetector(RULES, lambda: station, lambda told: None, lambda: set(targets), lambda *line: None)
 
 
 def fold(rows: int, observers: int, voices: int, listed: int, seed: int, traced: bool) -> dict[str, float]:
@@ -100,7 +100,7 @@
     members = Hollow(seed, topics=(wide(0),))
     names = members.settled(n)
     targets = dict.fromkeys(f"server-{row:06d}" for row in range(WHOLE_LISTED))
-    look, made = Meter(), dict[str, Judging]()
+    look, made = Meter(), dict[str, OutlierDetector]()
     with virtual(members):
         for name in names:
             one = judging(members, name, targets)
--- a/flintlatch/fleet/judging.py
+++ b/flintlatch/fleet/judging.py
@@ -17,7 +17,7 @@
 GOOD = b"0"  # a voice is how often it failed in a row; nothing of that any more
 
 
-class Judging:
+class OutlierDetector:
     """`tell` says a message to every instance; `servers` are the uids that the own list names: a verdict only
     ever takes away."""
 
