--- a/bench/scale/limits.py
+++ b/bench/scale/limits.py
@@ -231,7 +231,7 @@
     terms, limits = Terms(("f0",), 1, TERM_S), rows_of(rows)
     if traced:
         tracemalloc.start()
-    made, took = [limiting.Row(limit, terms, 0.0) for limit in limits], 0.0
+    made, took = [limiting.LimitState(limit, terms, 0.0) for limit in limits], 0.0
     for now in (1.0, 1.0 + SAY_S):
         began = time.process_time()
         for row in made:
--- a/flintlatch/fleet/limiting.py
+++ b/flintlatch/fleet/limiting.py
@@ -69,7 +69,7 @@
         self.needs: dict[str, Need] = {}
 
 
-class Row:
+class LimitState:
     """One limit, here."""
 
     def __init__(self, limit: Limit, terms: Terms, now: float) -> None:
@@ -96,7 +96,7 @@
         log: Callable[[str, str], None],
     ) -> None:
         self.terms, self.shell, self.tell, self.log = terms, shell, tell, log
-        self.rows = {limit.name: Row(limit, terms, clock()) for limit in limits}
+        self.rows = {limit.name: LimitState(limit, terms, clock()) for limit in limits}
         self.instances: dict[int, Instance] = {}
         self.seat: Seat | None = None
         self.vote_at = 0.0
@@ -112,7 +112,7 @@
         if terms != self.terms:
             self.log("warning", "keepers: a change of voters or terms takes a restart of all fleets")
         for limit in limits:
-            row = self.rows.setdefault(limit.name, Row(limit, self.terms, clock()))
+            row = self.rows.setdefault(limit.name, LimitState(limit, self.terms, clock()))
             row.limit = row.holder.limit = row.keeper.limit = limit
             row.holder.fixed = limit.fixed(self.terms.fleets)
         for name in [name for name in self.rows if name not in {limit.name for limit in limits}]:
@@ -204,7 +204,7 @@
             self.log("info", "limits: no longer keeper of the strict ones")
         return keeping
 
-    def _hold(self, now: float, shell: Shell, row: Row, told: set[str]) -> None:
+    def _hold(self, now: float, shell: Shell, row: LimitState, told: set[str]) -> None:
         limit, holder, me = row.limit, row.holder, shell.member.me
         mine = f"{holder_of(me.name, me.life)} {limit.name}"
         for said in shell.member.carrier.read(now, "grant", mine):
@@ -248,7 +248,7 @@
         there = [record.name for record in shell.member.peers.alive()]
         return max(there, key=lambda name: (crc32(f"{limit.name} {name}".encode()), name))
 
-    def _keep(self, now: float, shell: Shell, row: Row, keeping: bool, told: set[str]) -> None:
+    def _keep(self, now: float, shell: Shell, row: LimitState, keeping: bool, told: set[str]) -> None:
         limit, me, seat = row.limit, shell.member.me, self.seat
         assert seat is not None
         asks: dict[str, tuple[str, Ask]] = {}
