--- a/bench/scale/limits.py
+++ b/bench/scale/limits.py
@@ -34,7 +34,7 @@
 FLEETS, FLEETS_SMALL = (3, 10, 30, 100, 300), (3, 10)
 FEW, FEW_WHOLE, FEW_SMALL = 20, 10, 5  # holders where rows vary
 TERM_S = 2.0
-SAY_S = TERM_S / limiting.RENEW
+SAY_S = TERM_S / limiting.RENEWALS_PER_TERM
 WARM_S, WINDOW_S = 5.0, SAY_S  # until a seat is taken and settled; a window holds each renewal once
 INSTANCE_S, PER_S = 0.1, 100.0  # between two words of an instance; of each limit
 LONG = Rules(period_s=1e9, sync_s=1e9, forget_s=1e12)  # alone: nobody is there to be probed
--- a/flintlatch/fleet/limiting.py
+++ b/flintlatch/fleet/limiting.py
@@ -41,7 +41,7 @@
 TICK_S = 0.1
 AT_ONCE_S = 0.01  # from news to the next look at most so often: words of one turn are answered together
 NEED_S = 0.5  # over which what is asked for is measured
-RENEW = 3  # times in a term that words are said anew
+RENEWALS_PER_TERM = 3  # times in a term that words are said anew
 CHANGED = 0.05  # part of the limit by which a need has to move to be said at once
 
 
@@ -190,7 +190,7 @@
         )
         if vote_now is not None and (vote_now != self.voted or now >= self.vote_at):
             shell.say("vote", "seat", write_vote(vote_now), self.terms.term_s, renew=False)
-            self.voted, self.vote_at = vote_now, now + self.terms.term_s / RENEW
+            self.voted, self.vote_at = vote_now, now + self.terms.term_s / RENEWALS_PER_TERM
             # Our own counts from its saying, as everybody's: the carrier holds it.
             own = shell.member.carrier.read(now, "vote")
             votes |= {s.origin: (vote_now, s.ends) for s in own if s.origin == shell.member.me.name}
@@ -226,11 +226,11 @@
         for worker, part in holder.parts(now, follows, needs, self.terms.term_s, part_due).items():
             self.tell(int(worker), word(limit.name, [part.per_s, part.burst, *part.mark], part.until))
         if part_due:
-            row.part_at = now + self.terms.term_s / RENEW
+            row.part_at = now + self.terms.term_s / RENEWALS_PER_TERM
         ask = holder.ask(now, self._keeper_of(shell, limit))._replace(life=me.life)
         if now >= row.ask_at or row.asked is None or moved(row.asked, ask, limit):
             shell.say("ask", limit.name, write_ask(ask), self.terms.term_s, renew=False)
-            row.asked, row.ask_at = ask, now + self.terms.term_s / RENEW
+            row.asked, row.ask_at = ask, now + self.terms.term_s / RENEWALS_PER_TERM
             if ask.keeper and ask.keeper != me.name:
                 told.add(ask.keeper)
         over = holder.need > holder.lent(now) + limit.fixed(self.terms.fleets) + 1e-9
@@ -295,7 +295,7 @@
             else:
                 self.on_news()
         if due:
-            row.deal_at = now + self.terms.term_s / RENEW
+            row.deal_at = now + self.terms.term_s / RENEWALS_PER_TERM
 
     # What people ask
 
