--- a/bench/scale/verdicts.py
+++ b/bench/scale/verdicts.py
@@ -14,7 +14,7 @@
 from bench.scale.data import Series, load
 from bench.scale.limits import LONG, Station, alone, arrive, virtual
 from bench.scale.peers import Got, Hollow, Meter, child
-from flintlatch.fleet.judging import RENEW, OutlierDetector
+from flintlatch.fleet.judging import RENEWALS_PER_TTL, OutlierDetector
 from flintlatch.peers import Record, Topic, Word
 from flintlatch.verdicts.api import SEEN, Rules
 
@@ -26,7 +26,7 @@
 SERVERS = 20_000  # of the own list: what is reported on is a part of it
 LISTED, LISTED_SMALL = (200, 2000, 20_000, 200_000), (20, 200)
 RULES = Rules()
-SAY_S = RULES.life_s / RENEW
+SAY_S = RULES.life_s / RENEWALS_PER_TTL
 SAID, LOOK_S = 5, 0.37  # entries said; between two looks at who believes them: no part of a renewal
 
 
--- a/flintlatch/fleet/judging.py
+++ b/flintlatch/fleet/judging.py
@@ -13,7 +13,7 @@
 from flintlatch.peers.words import Carrier
 from flintlatch.verdicts.api import Judgement, Rules, judge
 
-RENEW = 4  # times in a life that voices and words to the instances are said anew
+RENEWALS_PER_TTL = 4  # times in a life that voices and words to the instances are said anew
 GOOD = b"0"  # a voice is how often it failed in a row; nothing of that any more
 
 
@@ -42,7 +42,7 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        self.timer = self.loop.call_later(self.rules.life_s / RENEW / 2, self.start)
+        self.timer = self.loop.call_later(self.rules.life_s / RENEWALS_PER_TTL / 2, self.start)
         self.look()
 
     def close(self) -> None:
@@ -82,7 +82,7 @@
         shunned, accused = sorted(self.found.shuns(me.name, me.zone)), sorted(voices)
         if (shunned, accused) != (self.shunned, self.accused) or (shunned and now >= self.tell_at):
             self.shunned, self.accused = shunned, accused
-            self.tell_at = now + self.rules.life_s / RENEW
+            self.tell_at = now + self.rules.life_s / RENEWALS_PER_TTL
             until = now + self.rules.life_s
             self.tell({"kind": "word", "about": "shun", "value": shunned, "accused": accused, "until": until})
 
@@ -102,7 +102,7 @@
                 continue
             with suppress(ValueError):  # more than one fleet may speak of
                 shell.say("seen", server, wanted, self.rules.life_s, renew=False)
-                self.said[server] = wanted, now + self.rules.life_s / RENEW
+                self.said[server] = wanted, now + self.rules.life_s / RENEWALS_PER_TTL
 
     def _report(self, before: Judgement, me: str) -> None:
         """Each change is one line."""
