--- a/bench/scale/limits.py
+++ b/bench/scale/limits.py
@@ -151,13 +151,13 @@
             members.engine.after(members.rng.uniform(0, SAY_S), asker.start)
         began = members.engine.now
         while members.engine.now < began + WARM_S:  # few looks until the seat is settled
-            made.look()
+            made.step()
             members.run(SAY_S)
         if traced:
             held = tracemalloc.get_traced_memory()[0]
             tracemalloc.stop()
             return {"memory": float(held)}
-        setattr(made, "look", look.around(made.look))  # noqa: B010
+        setattr(made, "step", look.around(made.step))  # noqa: B010
         members.metered(["f0"])
         members.news = lambda name, now, words: made.on_news()
         made.start()
--- a/bench/scale/verdicts.py
+++ b/bench/scale/verdicts.py
@@ -76,13 +76,13 @@
                 members.engine.after(members.rng.uniform(0, SAY_S), observer.start)
         made.on_instance(0, {"bad": dict.fromkeys(named[0], 3), "good": []})
         members.run(RULES.life_s)
-        made.look()
+        made.step()
         if traced:
             held = tracemalloc.get_traced_memory()[0]
             tracemalloc.stop()
             return {"memory": float(held)}
         look = Meter()
-        setattr(made, "look", look.around(made.look))  # noqa: B010
+        setattr(made, "step", look.around(made.step))  # noqa: B010
         made.start()
         sent, at = members.sent_by["f0:7946"], members.engine.now
         members.run(SAY_S)
@@ -104,11 +104,11 @@
     with virtual(members):
         for name in names:
             one = judging(members, name, targets)
-            setattr(one, "look", look.around(one.look))  # noqa: B010
+            setattr(one, "step", look.around(one.step))  # noqa: B010
             one.on_instance(0, {"bad": dict.fromkeys(list(targets)[:FEW_ROWS], 3), "good": []})
             made[name] = one
             members.engine.after(members.rng.uniform(0, SAY_S), one.start)
-        members.news = lambda name, now, words: made[name].look()  # each datagram, as fleet/agreed.py has it
+        members.news = lambda name, now, words: made[name].step()  # each datagram, as fleet/agreed.py has it
         members.run(RULES.life_s)
         sent, spent, calls, found, looks = members.bytes, look.spent, look.calls, 0, 0
         while looks < 4:
--- a/flintlatch/fleet/agreed.py
+++ b/flintlatch/fleet/agreed.py
@@ -181,7 +181,7 @@
         if self.limiting is not None:
             self.limiting.on_news()
         if self.judging is not None and any(word.topic == "seen" for word in words):
-            self.judging.look()
+            self.judging.step()
         for word in words:
             if word.topic == NOTES.name and word.value:
                 text = word.value.decode("utf-8", "replace")
--- a/flintlatch/fleet/judging.py
+++ b/flintlatch/fleet/judging.py
@@ -43,7 +43,7 @@
 
     def start(self) -> None:
         self.timer = self.loop.call_later(self.rules.life_s / RENEWALS_PER_TTL / 2, self.start)
-        self.look()
+        self.step()
 
     def close(self) -> None:
         if self.timer is not None:
@@ -54,13 +54,13 @@
         self.instances[worker] = {str(name): int(count) for name, count in message["bad"].items()}
         self.answered[worker] = set(map(str, message["good"]))
         if (self.instances[worker], self.answered[worker]) != before:
-            self.look()
+            self.step()
 
     def gone(self, worker: int) -> None:
         self.instances.pop(worker, None)
         self.answered.pop(worker, None)
 
-    def look(self) -> None:
+    def step(self) -> None:
         shell = self.shell()
         if shell is None:
             return
--- a/flintlatch/fleet/limiting.py
+++ b/flintlatch/fleet/limiting.py
@@ -120,7 +120,7 @@
 
     def start(self) -> None:
         self.timer = self.loop.call_later(TICK_S, self.start)
-        self.look()
+        self.step()
 
     def close(self) -> None:
         for timer in (self.timer, self.soon):
@@ -133,7 +133,7 @@
 
     def _look_soon(self) -> None:
         self.soon = None
-        self.look()
+        self.step()
 
     # Instances
 
@@ -152,7 +152,7 @@
 
     # One look: what has come, what to say
 
-    def look(self) -> None:
+    def step(self) -> None:
         shell = self.shell()
         if shell is None:
             return
--- a/tests/capacity/test_agreed.py
+++ b/tests/capacity/test_agreed.py
@@ -119,7 +119,7 @@
     monkeypatch: pytest.MonkeyPatch, rows: int, holders: int
 ) -> None:
     asks = counted(monkeypatch, limiting, "read_ask", lambda ask: 1)
-    looks = counted(monkeypatch, limiting.Limiter, "look", lambda _: 1)
+    looks = counted(monkeypatch, limiting.Limiter, "step", lambda _: 1)
     limits.lessor(rows, holders, 1, False)
     assert sum(looks) > 10
     assert 0.8 * rows * holders * len(looks) <= len(asks) <= rows * holders * len(looks)
