--- a/bench/scale/limits.py
+++ b/bench/scale/limits.py
@@ -199,7 +199,7 @@
         self.members.engine.after(INSTANCE_S, self.report)
         asked = int(self.share * (self.members.engine.now - self.began))
         told = {"asked": dict.fromkeys(self.made.rows, asked), "follows": dict(self.follows)}
-        self.made.on_instance(0, told)
+        self.made.on_instance_report(0, told)
 
 
 def whole(rows: int, n: int, seed: int) -> dict[str, float]:
--- a/bench/scale/verdicts.py
+++ b/bench/scale/verdicts.py
@@ -74,7 +74,7 @@
             if named[place]:
                 observer = Observer(members, record, named[place])
                 members.engine.after(members.rng.uniform(0, SAY_S), observer.start)
-        made.on_instance(0, {"bad": dict.fromkeys(named[0], 3), "good": []})
+        made.on_instance_report(0, {"bad": dict.fromkeys(named[0], 3), "good": []})
         members.run(RULES.life_s)
         made.step()
         if traced:
@@ -105,7 +105,7 @@
         for name in names:
             one = judging(members, name, targets)
             setattr(one, "step", look.around(one.step))  # noqa: B010
-            one.on_instance(0, {"bad": dict.fromkeys(list(targets)[:FEW_ROWS], 3), "good": []})
+            one.on_instance_report(0, {"bad": dict.fromkeys(list(targets)[:FEW_ROWS], 3), "good": []})
             made[name] = one
             members.engine.after(members.rng.uniform(0, SAY_S), one.start)
         members.news = lambda name, now, words: made[name].step()  # each datagram, as fleet/agreed.py has it
--- a/flintlatch/fleet/judging.py
+++ b/flintlatch/fleet/judging.py
@@ -49,7 +49,7 @@
         if self.timer is not None:
             self.timer.cancel()
 
-    def on_instance(self, worker: int, message: Message) -> None:
+    def on_instance_report(self, worker: int, message: Message) -> None:
         before = self.instances.get(worker), self.answered.get(worker)
         self.instances[worker] = {str(name): int(count) for name, count in message["bad"].items()}
         self.answered[worker] = set(map(str, message["good"]))
--- a/flintlatch/fleet/limiting.py
+++ b/flintlatch/fleet/limiting.py
@@ -137,7 +137,7 @@
 
     # Instances
 
-    def on_instance(self, worker: int, message: Message) -> None:
+    def on_instance_report(self, worker: int, message: Message) -> None:
         """What it was asked for so far, and the grants that it goes by."""
         now, instance = clock(), self.instances.setdefault(worker, Instance())
         for name, asked in message["asked"].items():
--- a/flintlatch/fleet/supervisor.py
+++ b/flintlatch/fleet/supervisor.py
@@ -523,10 +523,10 @@
             self._step(core.WorkerBeat(worker, float(message.get("rss_mb", 0))))
         elif kind == "limits":
             if self.agreed is not None and self.agreed.limiting is not None and worker in self.processes:
-                self.agreed.limiting.on_instance(worker, message)
+                self.agreed.limiting.on_instance_report(worker, message)
         elif kind == "seen":
             if self.agreed is not None and self.agreed.judging is not None and worker in self.processes:
-                self.agreed.judging.on_instance(worker, message)
+                self.agreed.judging.on_instance_report(worker, message)
         elif kind == "failed":
             self._step(core.WorkerFailed(worker, str(message.get("reason"))))
 
