--- a/bench/scale/verdicts.py
+++ b/bench/scale/verdicts.py
@@ -90,7 +90,7 @@
     return {
         "fold": 1e3 * look.spent / look.calls,
         "bytes": (members.sent_by["f0:7946"] - sent) / took,
-        "out": float(len(made.found.out)),
+        "out": float(len(made.detected.out)),
     }
 
 
@@ -114,7 +114,7 @@
         while looks < 4:
             members.run(LOOK_S)
             looks += 1
-            found += sum(len(one.found.out) for one in made.values())
+            found += sum(len(one.detected.out) for one in made.values())
     took = looks * LOOK_S
     return {
         "core": (look.spent - spent) / took / n,
--- a/flintlatch/fleet/judging.py
+++ b/flintlatch/fleet/judging.py
@@ -34,7 +34,7 @@
         self.answered: dict[int, set[str]] = {}  # what failed it and has answered it since
         # By server, what we say of it and when it is said anew.
         self.said: dict[str, tuple[bytes, float]] = {}
-        self.found = Judgement()
+        self.detected = Judgement()
         self.shunned: list[str] = []
         self.accused: list[str] = []
         self.tell_at = 0.0
@@ -76,10 +76,10 @@
             else:
                 voices.setdefault(said.subject, {})[said.origin] = int(said.value[:4])
         there = {record.name: record.zone for record in shell.member.peers.alive()}
-        before, self.found = self.found, judge(voices, good, there, len(servers), self.rules)
+        before, self.detected = self.detected, judge(voices, good, there, len(servers), self.rules)
         me = shell.member.me
         self._report(before, me.name)
-        shunned, accused = sorted(self.found.shuns(me.name, me.zone)), sorted(voices)
+        shunned, accused = sorted(self.detected.shuns(me.name, me.zone)), sorted(voices)
         if (shunned, accused) != (self.shunned, self.accused) or (shunned and now >= self.tell_at):
             self.shunned, self.accused = shunned, accused
             self.tell_at = now + self.rules.life_s / RENEWALS_PER_TTL
@@ -106,17 +106,17 @@
 
     def _report(self, before: Judgement, me: str) -> None:
         """Each change is one line."""
-        for server, one in self.found.out.items():
+        for server, one in self.detected.out.items():
             if server not in before.out:
                 where = f"for zone {one.zone}" if one.zone else "for all"
                 told = f"found bad {where} by {', '.join(one.voices)}; tried on by {', '.join(one.tries)}"
                 self.log("info", f"{server}: {told}")
-        for server in before.out.keys() - self.found.out.keys():
+        for server in before.out.keys() - self.detected.out.keys():
             self.log("info", f"{server}: no longer found bad together")
-        if me in self.found.ill - before.ill:
+        if me in self.detected.ill - before.ill:
             self.log("warning", "most servers fail here and not elsewhere: our voice counts for nothing")
-        if self.found.many and not before.many:
-            text = f"{self.found.many} servers found bad together are more than may be out: all are used"
+        if self.detected.many and not before.many:
+            text = f"{self.detected.many} servers found bad together are more than may be out: all are used"
             self.log("warning", text)
 
     def report(self) -> dict[str, Any]:
@@ -128,7 +128,7 @@
                     voices.setdefault(said.subject, []).append(said.origin)
         rows = []
         for server, named in sorted(voices.items()):
-            one = self.found.out.get(server)
+            one = self.detected.out.get(server)
             rows.append(
                 {
                     "server": server,
@@ -141,7 +141,7 @@
             )
         return {
             "servers": rows,
-            "ill": sorted(self.found.ill),
-            "many": self.found.many,
+            "ill": sorted(self.detected.ill),
+            "many": self.detected.many,
             "alone_within_s": round(2 * Carrier.stale_s(self.rules.life_s), 2),
         }
