--- a/flintlatch/fleet/agreed.py
+++ b/flintlatch/fleet/agreed.py
@@ -179,7 +179,7 @@
 
     def _on_news(self, words: tuple[Word, ...]) -> None:
         if self.limiting is not None:
-            self.limiting.on_news()
+            self.limiting.on_entries_changed()
         if self.judging is not None and any(word.topic == "seen" for word in words):
             self.judging.step()
         for word in words:
--- a/flintlatch/fleet/limiting.py
+++ b/flintlatch/fleet/limiting.py
@@ -127,7 +127,7 @@
             if timer is not None:
                 timer.cancel()
 
-    def on_news(self) -> None:
+    def on_entries_changed(self) -> None:
         if self.soon is None:
             self.soon = self.loop.call_later(AT_ONCE_S, self._look_soon)
 
@@ -145,7 +145,7 @@
         for name, mark in message["follows"].items():
             if mark:
                 instance.follows[name] = Mark(int(mark[0]), int(mark[1]))
-        self.on_news()
+        self.on_entries_changed()
 
     def gone(self, worker: int) -> None:
         self.instances.pop(worker, None)
@@ -293,7 +293,7 @@
             if mine[name][0] != me.name:
                 told.add(mine[name][0])
             else:
-                self.on_news()
+                self.on_entries_changed()
         if due:
             row.deal_at = now + self.terms.term_s / RENEWALS_PER_TERM
 
