--- a/bench/scale/limits.py
+++ b/bench/scale/limits.py
@@ -127,7 +127,7 @@
         self.epoch += 1
         words, me = list[Word](), self.record
         for name, row in self.lessor.rows.items():
-            out = row.keeper.split.outs.get(holder(me.name, me.life))
+            out = row.lessor.split.outs.get(holder(me.name, me.life))
             given = out.given[-1] if out is not None and out.given else None
             mark, used = (given.mark, given.amount) if given is not None else (Mark(0, 0), 0.0)
             ask = Ask(self.share, "f0", "f0" if given else "", mark, used, PER_S, me.life)
@@ -166,7 +166,7 @@
         posted, at, members.meter.spent = members.network.sent, members.engine.now, 0.0
         members.run(WINDOW_S)
         took = members.engine.now - at
-        granted = sum(len(row.keeper.split.outs) for row in made.rows.values())
+        granted = sum(len(row.lessor.split.outs) for row in made.rows.values())
     return {
         "look": 1e3 * (look.spent - spent) / (look.calls - looks),
         "core": (look.spent - spent) / took,
@@ -236,7 +236,7 @@
         began = time.process_time()
         for row in made:
             ask = row.holder.ask(now, "f0")._replace(life=1)
-            grants = row.keeper.step(now, "f0", 1, True, row.limit.lent(), {"f0/1": ask}, True)
+            grants = row.lessor.step(now, "f0", 1, True, row.limit.lent(), {"f0/1": ask}, True)
             row.holder.hear(now, "f0", grants["f0/1"], now + TERM_S)
             row.holder.parts(now, {}, {"0": 1.0}, TERM_S, True)
         took = time.process_time() - began
--- a/flintlatch/fleet/limiting.py
+++ b/flintlatch/fleet/limiting.py
@@ -75,7 +75,7 @@
     def __init__(self, limit: Limit, terms: Terms, now: float) -> None:
         self.limit = limit
         fixed = limit.fixed(terms.fleets)
-        self.holder, self.keeper = Holder(limit, terms, fixed, now + over_s(terms)), Keeper(limit, terms)
+        self.holder, self.lessor = Holder(limit, terms, fixed, now + over_s(terms)), Keeper(limit, terms)
         self.keeps_since: float | None = None  # as the keeper of an open one
         self.number = 0
         self.asked: Ask | None = None
@@ -113,7 +113,7 @@
             self.log("warning", "keepers: a change of voters or terms takes a restart of all fleets")
         for limit in limits:
             row = self.rows.setdefault(limit.name, LimitState(limit, self.terms, clock()))
-            row.limit = row.holder.limit = row.keeper.limit = limit
+            row.limit = row.holder.limit = row.lessor.limit = limit
             row.holder.fixed = limit.fixed(self.terms.fleets)
         for name in [name for name in self.rows if name not in {limit.name for limit in limits}]:
             del self.rows[name]
@@ -272,14 +272,14 @@
                 return
             if row.keeps_since is None:
                 row.keeps_since, row.number = now, row.number + 1
-                row.keeper.number = 0
+                row.lessor.number = 0
             number, settled = row.number, now >= row.keeps_since + over_s(self.terms)
-            if row.keeper.number:
-                number = row.keeper.number
+            if row.lessor.number:
+                number = row.lessor.number
         view = shell.member.peers.view
         following = sum(view[origin].instances if origin in view else 1 for origin, _ in mine.values())
         configured = max(self.terms.fleets * max(me.instances, 1), 1)
-        capacity = row.keeper.capacity(following, configured, (ask for _, ask in mine.values()))
+        capacity = row.lessor.capacity(following, configured, (ask for _, ask in mine.values()))
         others = sorted({o for o, ask in mine.values() if ask.per_s and ask.per_s != limit.per_s})
         if others != row.others:
             row.others = others
@@ -288,7 +288,7 @@
                 self.log("warning", f"limit {limit.name}: {text}")
         due = now >= row.deal_at
         heard = {name: ask for name, (_, ask) in mine.items()}
-        for name, grant in row.keeper.step(now, me.name, number, settled, capacity, heard, due).items():
+        for name, grant in row.lessor.step(now, me.name, number, settled, capacity, heard, due).items():
             shell.say("grant", f"{name} {limit.name}", write_grant(grant), self.terms.term_s, renew=False)
             if mine[name][0] != me.name:
                 told.add(mine[name][0])
@@ -304,7 +304,7 @@
         rows = []
         for row in self.rows.values():
             limit, holder = row.limit, row.holder
-            keeps = row.keeper.split.out(now)
+            keeps = row.lessor.split.out(now)
             instances = shell.member.peers.instances() if shell is not None else 0
             rows.append(
                 {
