--- a/tests/accesslog/test_fleet.py
+++ b/tests/accesslog/test_fleet.py
@@ -12,7 +12,7 @@
 
 from flintlatch.config import Unusable, parse
 from flintlatch.standin.rig import configuration
-from tests.fleet.support import LIMIT_S, daemon, run
+from tests.fleet.support import TEST_TIMEOUT_S, daemon, run
 
 LOG = {"file": "access.jsonl", "paths": "path"}
 HTTP = {"safe_class": "answer", "other_class": "grade"}
@@ -26,7 +26,7 @@
     async def test() -> None:
         async with daemon(tmp_path, 2, fleet={"instances": 3}, http=HTTP, access_log=LOG) as made:
             url = f"http://{made.fleet.address}"
-            async with httpx.AsyncClient(base_url=url, timeout=LIMIT_S) as client:
+            async with httpx.AsyncClient(base_url=url, timeout=TEST_TIMEOUT_S) as client:
                 for number in range(40):
                     headers = {"x-call-id": f"r{number}", "connection": "close"}
                     assert (await client.get(f"/answer/{number}?token=t", headers=headers)).status_code == 200
--- a/tests/fleet/support.py
+++ b/tests/fleet/support.py
@@ -15,7 +15,7 @@
 from flintlatch.standin.process import FleetProcess, alive
 from flintlatch.standin.rig import CLASSES, Rig
 
-LIMIT_S = 40.0  # far beyond what any test needs; only a hang comes near it
+TEST_TIMEOUT_S = 40.0  # far beyond what any test needs; only a hang comes near it
 # Put on PYTHONPATH: every interpreter started from then on does what the file names. Workers alone are
 # hurt; the supervisor has other arguments.
 SITECUSTOMIZE = """
@@ -35,7 +35,7 @@
 
 
 def run(test: Coroutine[Any, Any, None]) -> None:
-    uvloop.run(asyncio.wait_for(test, LIMIT_S))
+    uvloop.run(asyncio.wait_for(test, TEST_TIMEOUT_S))
 
 
 class Hold:
@@ -102,6 +102,6 @@
 
 
 async def none_left(pids: set[int]) -> None:
-    async with asyncio.timeout(LIMIT_S / 2):
+    async with asyncio.timeout(TEST_TIMEOUT_S / 2):
         while any(map(alive, pids)):
             await asyncio.sleep(0.02)
--- a/tests/fleet/test_heir.py
+++ b/tests/fleet/test_heir.py
@@ -17,7 +17,7 @@
 from flintlatch import handover
 from flintlatch.fleet import spread
 from flintlatch.standin.process import FleetProcess, alive
-from tests.fleet.support import LIMIT_S, Daemon, daemon, none_left, run
+from tests.fleet.support import TEST_TIMEOUT_S, Daemon, daemon, none_left, run
 
 NUMBERS = count()
 TWO = {"fleet": {"instances": 2}}
@@ -113,7 +113,7 @@
             stuck = next(one["pid"] for one in status["instances"] if one["state"] == "starting")
             await kill_supervisor(made)
             assert alive(stuck)
-            async with asyncio.timeout(LIMIT_S / 2):  # its own alarm, after ready_s and a second
+            async with asyncio.timeout(TEST_TIMEOUT_S / 2):  # its own alarm, after ready_s and a second
                 while alive(stuck):
                     await asyncio.sleep(0.05)
             made.fault.unlink()
--- a/tests/http/test_fleet.py
+++ b/tests/http/test_fleet.py
@@ -13,7 +13,7 @@
 from flintlatch.http.build import rules_of
 from flintlatch.http.head import read_request_head
 from flintlatch.standin.rig import configuration
-from tests.fleet.support import LIMIT_S, daemon, run
+from tests.fleet.support import TEST_TIMEOUT_S, daemon, run
 from tests.http.support import ScriptedNode, head_of
 
 HTTP = {"safe_class": "answer", "other_class": "grade", "idle_s": 20.0}
@@ -67,7 +67,7 @@
             made.rig.write(fleet={"instances": 2}, http=HTTP)
             assert (await made.fleet.ask("reload"))["ok"]
             url = f"http://{made.fleet.address}"
-            async with httpx.AsyncClient(base_url=url, timeout=LIMIT_S) as client:
+            async with httpx.AsyncClient(base_url=url, timeout=TEST_TIMEOUT_S) as client:
                 reply = await client.put("/deck/7", content=b"x" * 300_000)
                 assert (reply.status_code, reply.content) == (201, b"made")
                 digest, got = hashlib.sha256(), 0
--- a/tests/http/test_peers.py
+++ b/tests/http/test_peers.py
@@ -16,7 +16,7 @@
 from aiohttp import web
 
 from flintlatch.standin.bulk import PATTERN, digest
-from tests.fleet.support import LIMIT_S, daemon, run
+from tests.fleet.support import TEST_TIMEOUT_S, daemon, run
 
 MIB = 1024 * 1024
 HTTP: dict[str, Any] = {"safe_class": "answer", "other_class": "grade", "idle_s": 5.0}
@@ -84,7 +84,7 @@
 def test_httpx_and_aiohttp_through_to_aiohttp(tmp_path: Path) -> None:
     async def test() -> None:
         async with site(tmp_path) as url:
-            async with httpx.AsyncClient(base_url=url, timeout=LIMIT_S) as client:
+            async with httpx.AsyncClient(base_url=url, timeout=TEST_TIMEOUT_S) as client:
                 for content in (body(SIZE), slowly(100_000, SLOW_S)):
                     reply = await client.put("/upload", content=content)
                     size = SIZE if isinstance(content, bytes) else 100_000
@@ -119,7 +119,7 @@
 def test_curl_by_its_command_line(tmp_path: Path) -> None:
     async def curl(*arguments: str) -> str:
         process = await asyncio.create_subprocess_exec(
-            "curl", "-sS", "--max-time", str(LIMIT_S), *arguments, stdout=asyncio.subprocess.PIPE
+            "curl", "-sS", "--max-time", str(TEST_TIMEOUT_S), *arguments, stdout=asyncio.subprocess.PIPE
         )
         out, _ = await process.communicate()
         assert process.returncode == 0
--- a/tests/metrics/test_counts.py
+++ b/tests/metrics/test_counts.py
@@ -14,7 +14,7 @@
 
 from flintlatch.metrics import BOUNDS_S, Counts, Totals
 from flintlatch.metrics.page import Now, Page
-from tests.fleet.support import LIMIT_S, daemon, run
+from tests.fleet.support import TEST_TIMEOUT_S, daemon, run
 
 
 @given(st.lists(st.tuples(st.integers(0, 3), st.sampled_from(["count", "tell", "end"])), max_size=80))
@@ -44,7 +44,7 @@
     counts.attempt("ok")
     page = Page("127.0.0.1:0", lambda: Now(counts, {"serving": 2}, 3, 4, 5, {"alive": 6}, {"died": 1}))
     try:
-        with urllib.request.urlopen(f"http://{page.address}/metrics", timeout=LIMIT_S) as answer:
+        with urllib.request.urlopen(f"http://{page.address}/metrics", timeout=TEST_TIMEOUT_S) as answer:
             families = {f.name: f for f in text_string_to_metric_families(answer.read().decode())}
     finally:
         page.close()
@@ -67,7 +67,7 @@
             told = [json.loads(line) for line in made.fleet.log[:place]]
             assert {"event", "level", "timestamp", "fleet", "pid", "logger"} <= set(told[0])
             url = f"http://{told[-1]['event'].split()[-1]}/metrics"
-            async with httpx.AsyncClient(timeout=LIMIT_S) as client:
+            async with httpx.AsyncClient(timeout=TEST_TIMEOUT_S) as client:
                 for turn in range(2):
                     for _ in range(15):
                         reply = await client.get(
