--- a/tests/fleet/support.py
+++ b/tests/fleet/support.py
@@ -70,7 +70,7 @@
         self.pids |= set(pids)
         return pids
 
-    def good(self) -> None:
+    def assert_rules_kept(self) -> None:
         """No rule broke."""
         assert not self.rig.ledger.broken(), [str(b) for b in self.rig.ledger.broken()[:5]]
 
--- a/tests/fleet/test_daemon.py
+++ b/tests/fleet/test_daemon.py
@@ -44,7 +44,7 @@
             await made.clients.none_open.wait()
             assert held.status == 200
             await none_left(set(old))
-            made.good()
+            made.assert_rules_kept()
 
     run(test())
 
@@ -66,7 +66,7 @@
             assert await made.fleet.ended() == 0
             await made.clients.none_open.wait()
             assert held.status == 200
-            made.good()
+            made.assert_rules_kept()
 
     run(test())
 
@@ -85,7 +85,7 @@
             assert await made.fleet.ended() == 0
             await made.clients.none_open.wait()
             assert held.status == 504  # it may have run: no promise, but an answer
-            made.good()
+            made.assert_rules_kept()
 
     run(test())
 
@@ -155,7 +155,7 @@
             await made.clients.none_open.wait()
             status = await made.fleet.until(lambda s: len(s["instances"]) == 2)
             assert [one["pid"] for one in status["instances"]] == before
-            made.good()
+            made.assert_rules_kept()
 
     run(test())
 
@@ -180,7 +180,7 @@
                 lambda s: [one["state"] for one in s["instances"]] == ["serving", "serving"]
             )
             assert other in await made.pids_now()
-            made.good()
+            made.assert_rules_kept()
 
     run(test())
 
@@ -203,7 +203,7 @@
             assert (await made.fleet.ask("reload"))["ok"]
             status = await made.fleet.status()
             assert status["summary"] == "generation 2: 2 of 2 instances serve"
-            made.good()
+            made.assert_rules_kept()
 
     run(test())
 
@@ -247,7 +247,7 @@
             made.clients.ask("grade")
             await made.clients.none_open.wait()
             assert await successor.stop() == 0
-            made.good()
+            made.assert_rules_kept()
 
     run(test())
 
@@ -304,7 +304,7 @@
             for client in idle + half:
                 client.close()
             made.rig.ledger.runs = [r for r in made.rig.ledger.runs if r.id in made.rig.ledger.asked]
-            made.good()
+            made.assert_rules_kept()
 
     run(test())
 
@@ -321,7 +321,7 @@
             await made.clients.run(150, 4, MIX)
             assert sum(node.falls for node in made.rig.nodes) == 0
             assert made.clients.statuses[200] > 0
-            made.good()
+            made.assert_rules_kept()
 
     run(test())
 
@@ -352,7 +352,7 @@
             await made.pids_now()
             await made.fleet.ask("stop")
             made.pids.add(status["pid"])
-            made.good()
+            made.assert_rules_kept()
 
     run(test())
 
@@ -380,7 +380,7 @@
             await traffic
             print(f"{reloads} reloads, {kills} kills\n{made.rig.ledger.table()}")
             assert reloads and kills
-            made.good()
+            made.assert_rules_kept()
 
     run(test())
 
@@ -401,6 +401,6 @@
             )
             await traffic
             assert added.served
-            made.good()
+            made.assert_rules_kept()
 
     run(test())
--- a/tests/fleet/test_delivered.py
+++ b/tests/fleet/test_delivered.py
@@ -151,7 +151,7 @@
         children = [line for child in made.children.values() for line in child.log]
         bugs = [line for line in (*made.fleet.log, *children) if "bug" in line or "Traceback" in line]
         assert not bugs, bugs
-        made.good()
+        made.assert_rules_kept()
     finally:
         if hasattr(made, "clients"):
             made.clients.close()
--- a/tests/fleet/test_members.py
+++ b/tests/fleet/test_members.py
@@ -98,7 +98,7 @@
             assert source["version"] == number and source["rejected"] >= rejected
             states = {t["uid"]: t["state"] for t in nodes["list"]["targets"]}
             assert set(states) == {node.uid for node in made.rig.nodes}
-            made.good()
+            made.assert_rules_kept()
 
     run(test())
 
@@ -130,7 +130,7 @@
                     == {(s["generations"][-1]["nodes"]["rev"], 4)}
                 )
             )
-            made.good()
+            made.assert_rules_kept()
 
     run(test())
 
@@ -165,7 +165,7 @@
             }
             assert states == {"s0": "leaving", "s1": "active", "s2": "active"}
             await made.clients.run(100, 1, {"answer": 1})
-            made.good()
+            made.assert_rules_kept()
 
     run(test())
 
--- a/tests/membership/test_consul.py
+++ b/tests/membership/test_consul.py
@@ -258,7 +258,7 @@
             seen = len([run for run in made.rig.ledger.runs if run.node == "s0"])
             await made.clients.run(100, 1, {"answer": 1})
             assert len([run for run in made.rig.ledger.runs if run.node == "s0"]) == seen and count > 1
-            made.good()
+            made.assert_rules_kept()
         consul.close()
 
     run(test())
