--- a/flintlatch/fleet/core.py
+++ b/flintlatch/fleet/core.py
@@ -1,11 +1,12 @@
-"""What a fleet does when: which worker to start, replace, drain, kill or give up on. No I/O, no clock.
+"""State machine of a fleet: decides which worker to start, replace, drain, kill or give up on.
 
-Events go in with a time in seconds of any clock that only goes forward; actions come out, to be carried
-out in order. Each worker has an id that never returns. A generation is one configuration's set of slots;
-each slot holds one worker at a time and starts the next when it crashes.
+It does no I/O and reads no clock. Each event comes with a time in seconds of any monotonic clock; the
+returned actions have to be carried out in order. A worker id is never reused. A generation is the set of
+slots of one configuration; a slot holds one worker at a time and starts a new one when that worker crashes.
 
-Reload in two steps: the workers of the new generation get ready without accepting, and only when all of
-them are does the old one drain. So one that never gets ready has taken nothing, and can just be killed.
+A reload has two phases: the workers of the new generation start up without accepting connections, and the
+old generation drains only when all of them are ready. A new worker that never becomes ready has therefore
+accepted nothing and can be killed.
 """
 
 from __future__ import annotations
@@ -15,17 +16,17 @@
 from enum import Enum
 from typing import NamedTuple
 
-KILL_AFTER_S = 1.0  # s beyond its drain limit that a worker gets for its own end
-CLEAN = "exit code 0"  # how a worker ends that was told to
-JITTER = (0.5, 1.0)  # part of a restart's wait: workers that crashed together don't come back together
+KILL_GRACE_S = 1.0  # after its drain limit a worker has this long to exit before it is killed
+CLEAN_EXIT = "exit code 0"  # `WorkerExited.exit_status` of a worker that drained as requested
+RESTART_JITTER = (0.5, 1.0)  # factor on the restart delay: workers that crash together restart apart
 
 
 class WorkerState(Enum):
-    STARTING = "starting"  # has not said that it is ready
-    READY = "ready"  # waits for the word to accept
+    STARTING = "starting"  # has not reported that it is ready
+    READY = "ready"  # has not been told to accept connections yet
     SERVING = "serving"
     DRAINING = "draining"
-    KILLED = "killed"  # its end is on the way
+    KILLED = "killed"  # has been sent SIGKILL; its exit is not reported yet
 
 
 class Phase(Enum):
@@ -37,7 +38,7 @@
 
 class SlotState(Enum):
     RUNNING = "running"
-    WAITING = "waiting"  # for its next start
+    WAITING = "waiting"  # for the end of the restart delay
     GIVEN_UP = "given up"
 
 
@@ -49,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """A generation's own; see config/tables.py. Seconds, counts and MB."""
+    """Settings of one generation, in seconds, counts and MB; config/tables.py describes each."""
 
     instances: int
     ready_s: float
@@ -66,15 +67,16 @@
 # Events
 
 
-class ReloadAsked(NamedTuple):
-    """A configuration that has been checked wants to be the next generation. `ticket` names the asker."""
+class ReloadRequested(NamedTuple):
+    """Start a generation with a configuration that has been checked. `ticket` identifies the request."""
 
     limits: Limits
     ticket: int
 
 
-class StopAsked(NamedTuple):
-    """TERM or INT; the second one hurries. `handed_over`: a successor accepts on the same sockets."""
+class StopRequested(NamedTuple):
+    """SIGTERM or SIGINT; a second one shortens the drain. `handed_over`: a successor accepts on the same
+    sockets."""
 
     reason: str = "asked to"
     handed_over: bool = False
@@ -84,32 +86,32 @@
     worker: int
 
 
-class WorkerBeat(NamedTuple):
-    """A sign of life. `rss_mb`: its resident memory."""
+class WorkerHeartbeat(NamedTuple):
+    """The worker's event loop runs. `rss_mb`: its resident memory."""
 
     worker: int
     rss_mb: float = 0.0
 
 
 class WorkerFailed(NamedTuple):
-    """It can't do its work, and says why; its end follows."""
+    """The worker can't serve, for the given reason; its exit follows."""
 
     worker: int
     reason: str
 
 
 class WorkerExited(NamedTuple):
-    """Its process is gone, or never came up. `how` is for a person, such as "signal 9"."""
+    """The process has exited or could not be started. `exit_status` is for people, for example "signal 9"."""
 
     worker: int
-    how: str
+    exit_status: str
 
 
 class Tick(NamedTuple):
-    """The time that `WakeAt` named has come; one more does no harm."""
+    """The time given by `WakeAt` has come; additional ticks are harmless."""
 
 
-Event = ReloadAsked | StopAsked | WorkerReady | WorkerBeat | WorkerFailed | WorkerExited | Tick
+Event = ReloadRequested | StopRequested | WorkerReady | WorkerHeartbeat | WorkerFailed | WorkerExited | Tick
 
 # Actions
 
@@ -117,7 +119,7 @@
 class Spawn(NamedTuple):
     worker: int
     generation: int
-    number: int  # its place among the instances, from 0
+    number: int  # index among the instances, from 0
 
 
 class Accept(NamedTuple):
@@ -127,19 +129,20 @@
 
 
 class Drain(NamedTuple):
-    """Take nothing new and end within the limit. `last`: nobody else accepts, so first take what waits."""
+    """Accept nothing new and exit within the limit. `accept_backlog`: no other process accepts on these
+    sockets, so first accept the connections that wait in the kernel's queue."""
 
     worker: int
     limit_s: float
-    last: bool
+    accept_backlog: bool
 
 
 class Kill(NamedTuple):
     worker: int
 
 
-class GenerationServes(NamedTuple):
-    """It is the current one from now on. `complete`: none of its slots is missing."""
+class GenerationServing(NamedTuple):
+    """The generation is the current one from now on. `complete`: every slot has a running worker."""
 
     generation: int
     complete: bool
@@ -147,12 +150,12 @@
 
 class ReloadDone(NamedTuple):
     ticket: int
-    generation: int  # 0 if none was made
-    reason: str  # empty if it succeeded
+    generation: int  # 0 if none was started
+    reason: str  # of the failure; empty on success
 
 
-class GenerationGone(NamedTuple):
-    """No worker of it is left, nor will be: what was kept for it may be closed."""
+class GenerationEnded(NamedTuple):
+    """No worker of the generation is left or will be started: its resources may be released."""
 
     generation: int
 
@@ -165,20 +168,20 @@
     failed: bool
 
 
-class Say(NamedTuple):
+class LogLine(NamedTuple):
     level: str  # "error", "warning", "info" or "debug"
     text: str
 
 
 class WakeAt(NamedTuple):
-    """Send `Tick` at this time; a later WakeAt replaces an earlier one."""
+    """Send `Tick` at this time; each WakeAt replaces the one before."""
 
     at_s: float
 
 
 Action = (
-    Spawn | Accept | Drain | Kill | GenerationServes | ReloadDone | GenerationGone | Stopping | Stopped
-    | Say | WakeAt
+    Spawn | Accept | Drain | Kill | GenerationServing | ReloadDone | GenerationEnded | Stopping | Stopped
+    | LogLine | WakeAt
 )  # fmt: skip
 
 
@@ -188,10 +191,10 @@
     generation: int
     number: int
     started_s: float
-    heard_s: float
+    last_message_s: float
     state: WorkerState = WorkerState.STARTING
-    serving_s: float = 0.0  # since when; means nothing before
-    end_s: float = 0.0  # draining: when it is killed
+    serving_since_s: float = 0.0  # undefined before the worker serves
+    kill_at_s: float = 0.0  # while draining
     reason: str = ""
     rss_mb: float = 0.0
 
@@ -201,8 +204,8 @@
     number: int
     worker: int | None = None
     state: SlotState = SlotState.RUNNING
-    start_s: float = 0.0  # waiting: when
-    crashes: int = 0  # in a row
+    restart_at_s: float = 0.0  # while waiting
+    consecutive_crashes: int = 0
     restarts: int = 0
     last_crash: str = ""
 
@@ -212,62 +215,62 @@
     number: int
     limits: Limits
     ticket: int
-    ready_by_s: float
+    ready_deadline_s: float
     state: GenerationState = GenerationState.PREPARING
     slots: list[Slot] = field(default_factory=list)
 
 
 class Fleet:
-    """`step` takes what happened and returns what to do. The attributes are for reading."""
+    """`step` takes an event and returns the resulting actions. The attributes are read-only for callers."""
 
     def __init__(self, uniform: Callable[[float, float], float]) -> None:
-        """`uniform(a, b)` gives a random number between the two; tests give a seeded one."""
+        """`uniform(a, b)` returns a random number from a to b, as `random.uniform` does."""
         self.uniform = uniform
         self.phase = Phase.STARTING
         self.generations: dict[int, Generation] = {}
         self.workers: dict[int, Worker] = {}
         self.current: Generation | None = None
         self.preparing: Generation | None = None
-        self.next_reload: ReloadAsked | None = None  # one waits at most: the last asked for
+        self.queued_reload: ReloadRequested | None = None  # at most one, the latest request
         self.hurried = False
         self.handed_over = False
         self.failed = False
-        self.last_worker = 0
+        self.last_worker_id = 0
         self.last_generation = 0
         self.now = 0.0
-        self.out: list[Action] = []
+        self.actions: list[Action] = []
 
     def step(self, now: float, event: Event) -> list[Action]:
-        self.now, self.out = now, []
-        if isinstance(event, ReloadAsked):
+        self.now, self.actions = now, []
+        if isinstance(event, ReloadRequested):
             self._on_reload(event)
-        elif isinstance(event, StopAsked):
+        elif isinstance(event, StopRequested):
             self._on_stop(event.reason, event.handed_over)
-        elif isinstance(event, (WorkerReady, WorkerBeat, WorkerFailed)):
+        elif isinstance(event, (WorkerReady, WorkerHeartbeat, WorkerFailed)):
             if (worker := self.workers.get(event.worker)) is not None:
-                self._on_word(worker, event)
+                self._on_worker_message(worker, event)
         elif isinstance(event, WorkerExited):
             self._on_exit(event)
-        self._look_at_times()
-        if self.phase is not Phase.STOPPED and (at := self._next_time()) is not None:
-            self.out.append(WakeAt(at))
-        return self.out
+        self._check_deadlines()
+        if self.phase is not Phase.STOPPED and (at := self._next_deadline()) is not None:
+            self.actions.append(WakeAt(at))
+        return self.actions
 
     # Events
 
-    def _on_reload(self, event: ReloadAsked) -> None:
+    def _on_reload(self, event: ReloadRequested) -> None:
         if self.phase in (Phase.STOPPING, Phase.STOPPED):
-            self.out.append(ReloadDone(event.ticket, 0, "the fleet is stopping"))
+            self.actions.append(ReloadDone(event.ticket, 0, "the fleet is stopping"))
         elif self.preparing is not None:
-            if self.next_reload is not None:
-                reason = "another reload was asked for before its turn came"
-                self.out.append(ReloadDone(self.next_reload.ticket, 0, reason))
-            self.next_reload = event
-            self._say("info", "reload: waits for the one that is under way")
+            if self.queued_reload is not None:
+                reason = "superseded by a later reload request while queued"
+                self.actions.append(ReloadDone(self.queued_reload.ticket, 0, reason))
+            self.queued_reload = event
+            self._log("info", "reload: queued behind the reload in progress")
         else:
-            self._prepare(event)
+            self._start_generation(event)
 
-    def _prepare(self, event: ReloadAsked) -> None:
+    def _start_generation(self, event: ReloadRequested) -> None:
         self.last_generation += 1
         generation = Generation(
             self.last_generation, event.limits, event.ticket, self.now + event.limits.ready_s
@@ -282,23 +285,23 @@
         if self.phase in (Phase.STOPPING, Phase.STOPPED):
             if not self.hurried:
                 self.hurried = True
-                self._say("warning", "stop: hurried")
+                self._log("warning", "stop: requested again, shortening the drain")
                 for worker in list(self.workers.values()):
-                    self._drain(worker, self._limits(worker).hurry_s)
+                    self._drain(worker, self._limits_of(worker).hurry_s)
             return
         self.phase, self.handed_over = Phase.STOPPING, handed_over
-        self.out.append(Stopping(reason))
-        if self.next_reload is not None:
-            self.out.append(ReloadDone(self.next_reload.ticket, 0, "the fleet is stopping"))
-            self.next_reload = None
+        self.actions.append(Stopping(reason))
+        if self.queued_reload is not None:
+            self.actions.append(ReloadDone(self.queued_reload.ticket, 0, "the fleet is stopping"))
+            self.queued_reload = None
         if self.preparing is not None:
-            self._abandon("the fleet is stopping")
+            self._abort_preparing("the fleet is stopping")
         if self.current is not None:
-            self._end(self.current)
-        self._look_for_end()
+            self._drain_generation(self.current)
+        self._check_finished()
 
-    def _on_word(self, worker: Worker, event: WorkerReady | WorkerBeat | WorkerFailed) -> None:
-        worker.heard_s = self.now
+    def _on_worker_message(self, worker: Worker, event: WorkerReady | WorkerHeartbeat | WorkerFailed) -> None:
+        worker.last_message_s = self.now
         if isinstance(event, WorkerFailed):
             worker.reason = event.reason
         elif isinstance(event, WorkerReady):
@@ -307,18 +310,20 @@
                 self._on_ready(self.generations[worker.generation], worker)
         else:
             worker.rss_mb = event.rss_mb
-            limits = self._limits(worker)
-            # Not sooner than it is stable: with a limit too low for any, each would be replaced at once.
-            stable = self.now - worker.serving_s >= limits.stable_s
+            limits = self._limits_of(worker)
+            # Only after stable_s: a limit that is too low for any worker would replace each at once.
+            stable = self.now - worker.serving_since_s >= limits.stable_s
             if worker.state is WorkerState.SERVING and worker.rss_mb > limits.memory_mb and stable:
-                self._replace(worker, f"{worker.rss_mb:.0f} MB, over its limit of {limits.memory_mb:g}")
+                self._replace_worker(
+                    worker, f"{worker.rss_mb:.0f} MB, over its limit of {limits.memory_mb:g}"
+                )
 
     def _on_ready(self, generation: Generation, worker: Worker) -> None:
-        # The first generation serves as it comes up, since nobody else does; and so does a replacement.
+        # Replacements, and workers of the first generation, before which none serves, accept once ready.
         first = self.current is None and self.phase is Phase.STARTING
         if first or generation.state is GenerationState.CURRENT:
             self._accept(worker)
-        if generation is self.preparing and self._all_up(generation):
+        if generation is self.preparing and self._all_ready(generation):
             self._commit(generation)
 
     def _on_exit(self, event: WorkerExited) -> None:
@@ -327,46 +332,47 @@
             return
         generation = self.generations[worker.generation]
         slot = generation.slots[worker.number]
-        how = f"{event.how}: {worker.reason}" if worker.reason else event.how
+        exit_status = f"{event.exit_status}: {worker.reason}" if worker.reason else event.exit_status
         if slot.worker == worker.id:
             slot.worker = None
             if generation.state is not GenerationState.ENDING:
-                self._crashed(generation, slot, worker, how)
-        elif worker.state is WorkerState.DRAINING and event.how != CLEAN:
-            self._say("error", f"{self._name(worker)} ended while it drained, {how}")
-        self._look_for_end(generation)
+                self._on_crash(generation, slot, worker, exit_status)
+        elif worker.state is WorkerState.DRAINING and event.exit_status != CLEAN_EXIT:
+            self._log("error", f"{self._describe(worker)} exited while draining, {exit_status}")
+        self._check_finished(generation)
 
-    def _crashed(self, generation: Generation, slot: Slot, worker: Worker, how: str) -> None:
+    def _on_crash(self, generation: Generation, slot: Slot, worker: Worker, exit_status: str) -> None:
         limits = generation.limits
-        served = worker.serving_s if worker.state is not WorkerState.STARTING else 0.0
-        if served and self.now - served >= limits.stable_s:
-            slot.crashes = 0
-        slot.crashes += 1
-        slot.last_crash = how
-        if slot.crashes >= limits.give_up_after:
+        serving_since_s = worker.serving_since_s if worker.state is not WorkerState.STARTING else 0.0
+        if serving_since_s and self.now - serving_since_s >= limits.stable_s:
+            slot.consecutive_crashes = 0
+        slot.consecutive_crashes += 1
+        slot.last_crash = exit_status
+        if slot.consecutive_crashes >= limits.give_up_after:
             slot.state = SlotState.GIVEN_UP
-            self._say(
+            self._log(
                 "error",
-                f"{self._name(worker)} ended, {how}: given up after {slot.crashes} crashes in a row, "
-                f"until the next reload",
+                f"{self._describe(worker)} exited, {exit_status}: given up after "
+                f"{slot.consecutive_crashes} crashes in a row, until the next reload",
             )
             if generation is self.preparing:
                 if self.current is not None:
-                    self._abandon(
-                        f"instance {slot.number} crashed {slot.crashes} times in a row, last: {how}"
+                    self._abort_preparing(
+                        f"instance {slot.number} crashed {slot.consecutive_crashes} times in a row, "
+                        f"last: {exit_status}"
                     )
-                elif self._all_up(generation):
+                elif self._all_ready(generation):
                     self._commit(generation)
             if all(s.state is SlotState.GIVEN_UP for s in generation.slots):
-                self._nobody_left(generation)
+                self._on_all_slots_given_up(generation)
             return
-        wait = min(limits.restart_first_s * 2 ** (slot.crashes - 1), limits.restart_most_s)
-        wait *= self.uniform(*JITTER)
-        slot.state, slot.start_s = SlotState.WAITING, self.now + wait
-        self._say("warning", f"{self._name(worker)} ended, {how}: starts again in {wait:.2f} s")
+        delay_s = min(limits.restart_first_s * 2 ** (slot.consecutive_crashes - 1), limits.restart_most_s)
+        delay_s *= self.uniform(*RESTART_JITTER)
+        slot.state, slot.restart_at_s = SlotState.WAITING, self.now + delay_s
+        self._log("warning", f"{self._describe(worker)} exited, {exit_status}: restarting in {delay_s:.2f} s")
 
-    def _nobody_left(self, generation: Generation) -> None:
-        """Its last slot is given up. The service manager, or a person, must hear of it."""
+    def _on_all_slots_given_up(self, generation: Generation) -> None:
+        """Stop the fleet as failed, so that the service manager or an operator notices."""
         if generation is self.current or self.current is None:
             self.failed = True
             if self.phase is not Phase.STOPPING:
@@ -374,140 +380,145 @@
 
     # Generations
 
-    def _all_up(self, generation: Generation) -> bool:
-        """Each slot has a worker that is ready; where nothing served before, or is given up."""
-        states = []
+    def _all_ready(self, generation: Generation) -> bool:
+        """Whether each slot has a ready worker. While no generation serves, slots that are given up don't
+        count, unless all are."""
+        ready = []
         for slot in generation.slots:
             worker = self.workers.get(slot.worker) if slot.worker is not None else None
-            up = worker is not None and worker.state in (WorkerState.READY, WorkerState.SERVING)
-            states.append(up or (self.current is None and slot.state is SlotState.GIVEN_UP))
-        return all(states) and any(s.state is not SlotState.GIVEN_UP for s in generation.slots)
+            is_ready = worker is not None and worker.state in (WorkerState.READY, WorkerState.SERVING)
+            ready.append(is_ready or (self.current is None and slot.state is SlotState.GIVEN_UP))
+        return all(ready) and any(s.state is not SlotState.GIVEN_UP for s in generation.slots)
 
     def _commit(self, generation: Generation) -> None:
-        old, self.current, self.preparing = self.current, generation, None
+        previous, self.current, self.preparing = self.current, generation, None
         generation.state = GenerationState.CURRENT
         self.phase = Phase.SERVING
         for slot in generation.slots:
             if slot.worker is not None and self.workers[slot.worker].state is WorkerState.READY:
                 self._accept(self.workers[slot.worker])
-        up = [s for s in generation.slots if s.worker is not None and s.state is SlotState.RUNNING]
-        self.out.append(GenerationServes(generation.number, len(up) == len(generation.slots)))
-        self.out.append(ReloadDone(generation.ticket, generation.number, ""))
-        if old is not None:
-            self._end(old)
-        self._next_in_turn()
-
-    def _abandon(self, reason: str) -> None:
-        """Workers of a generation that is given up have accepted nothing, but for the very first's."""
+        running = [s for s in generation.slots if s.worker is not None and s.state is SlotState.RUNNING]
+        self.actions.append(GenerationServing(generation.number, len(running) == len(generation.slots)))
+        self.actions.append(ReloadDone(generation.ticket, generation.number, ""))
+        if previous is not None:
+            self._drain_generation(previous)
+        self._start_queued_reload()
+
+    def _abort_preparing(self, reason: str) -> None:
+        """End a reload that failed. Its workers are killed, since they have accepted nothing; those of the
+        first generation may serve already, so they drain."""
         generation, self.preparing = self.preparing, None
         assert generation is not None
         if self.current is None:
-            self._end(generation)
+            self._drain_generation(generation)
         else:
             generation.state = GenerationState.ENDING
             for slot in generation.slots:
-                worker, slot.worker = slot.worker, None
-                if worker is not None:
-                    self._kill(self.workers[worker])
-        self.out.append(ReloadDone(generation.ticket, generation.number, reason))
-        self._look_for_end(generation)
-        self._next_in_turn()
-
-    def _next_in_turn(self) -> None:
-        event, self.next_reload = self.next_reload, None
+                worker_id, slot.worker = slot.worker, None
+                if worker_id is not None:
+                    self._kill(self.workers[worker_id])
+        self.actions.append(ReloadDone(generation.ticket, generation.number, reason))
+        self._check_finished(generation)
+        self._start_queued_reload()
+
+    def _start_queued_reload(self) -> None:
+        event, self.queued_reload = self.queued_reload, None
         if event is not None:
-            self._prepare(event)
+            self._start_generation(event)
 
-    def _end(self, generation: Generation) -> None:
+    def _drain_generation(self, generation: Generation) -> None:
         generation.state = GenerationState.ENDING
         for slot in generation.slots:
-            worker, slot.worker = slot.worker, None
-            if worker is not None:
-                self._drain(self.workers[worker], generation.limits.drain_s)
-        self._look_for_end(generation)
+            worker_id, slot.worker = slot.worker, None
+            if worker_id is not None:
+                self._drain(self.workers[worker_id], generation.limits.drain_s)
+        self._check_finished(generation)
 
-    def _look_for_end(self, generation: Generation | None = None) -> None:
+    def _check_finished(self, generation: Generation | None = None) -> None:
         if generation is not None and generation.state is GenerationState.ENDING:
-            left = any(w.generation == generation.number for w in self.workers.values())
-            if not left and self.generations.pop(generation.number, None) is not None:
-                self.out.append(GenerationGone(generation.number))
+            workers_left = any(w.generation == generation.number for w in self.workers.values())
+            if not workers_left and self.generations.pop(generation.number, None) is not None:
+                self.actions.append(GenerationEnded(generation.number))
                 if generation is self.current:
                     self.current = None
         if self.phase is Phase.STOPPING and not self.workers:
             self.phase = Phase.STOPPED
-            self.out.append(Stopped(self.failed))
+            self.actions.append(Stopped(self.failed))
 
     # Workers
 
     def _spawn(self, generation: Generation, slot: Slot) -> None:
-        self.last_worker += 1
-        worker = Worker(self.last_worker, generation.number, slot.number, self.now, self.now)
+        self.last_worker_id += 1
+        worker = Worker(self.last_worker_id, generation.number, slot.number, self.now, self.now)
         self.workers[worker.id] = worker
         slot.worker, slot.state = worker.id, SlotState.RUNNING
-        self.out.append(Spawn(worker.id, generation.number, slot.number))
+        self.actions.append(Spawn(worker.id, generation.number, slot.number))
 
     def _accept(self, worker: Worker) -> None:
-        worker.state, worker.serving_s = WorkerState.SERVING, self.now
-        self.out.append(Accept(worker.id))
+        worker.state, worker.serving_since_s = WorkerState.SERVING, self.now
+        self.actions.append(Accept(worker.id))
 
     def _drain(self, worker: Worker, limit_s: float) -> None:
         if worker.state is WorkerState.KILLED:
             return
-        if worker.state in (WorkerState.STARTING, WorkerState.READY):  # it holds nothing
+        if worker.state in (WorkerState.STARTING, WorkerState.READY):  # has no connections
             self._kill(worker)
             return
-        end_s = self.now + limit_s + KILL_AFTER_S
-        if worker.state is WorkerState.DRAINING and worker.end_s <= end_s:
+        kill_at_s = self.now + limit_s + KILL_GRACE_S
+        if worker.state is WorkerState.DRAINING and worker.kill_at_s <= kill_at_s:
             return
-        worker.state, worker.end_s = WorkerState.DRAINING, end_s
-        last = self.phase is Phase.STOPPING and not self.handed_over
-        self.out.append(Drain(worker.id, limit_s, last))
+        worker.state, worker.kill_at_s = WorkerState.DRAINING, kill_at_s
+        accept_backlog = self.phase is Phase.STOPPING and not self.handed_over
+        self.actions.append(Drain(worker.id, limit_s, accept_backlog))
 
     def _kill(self, worker: Worker) -> None:
         if worker.state is not WorkerState.KILLED:
             worker.state = WorkerState.KILLED
-            self.out.append(Kill(worker.id))
+            self.actions.append(Kill(worker.id))
 
-    def _replace(self, worker: Worker, why: str) -> None:
+    def _replace_worker(self, worker: Worker, reason: str) -> None:
         generation = self.generations[worker.generation]
         slot = generation.slots[worker.number]
         if slot.worker != worker.id:
             return
-        self._say("warning", f"{self._name(worker)} is replaced: {why}")
+        self._log("warning", f"{self._describe(worker)} is replaced: {reason}")
         slot.restarts += 1
-        slot.last_crash = why
+        slot.last_crash = reason
         self._spawn(generation, slot)
         self._drain(worker, generation.limits.drain_s)
 
     # Time
 
-    def _look_at_times(self) -> None:
+    def _check_deadlines(self) -> None:
         for worker in list(self.workers.values()):
-            limits = self._limits(worker)
+            limits = self._limits_of(worker)
             if worker.state is WorkerState.KILLED:
                 continue
-            if worker.state is WorkerState.DRAINING and self.now >= worker.end_s:
-                self._say("error", f"{self._name(worker)} is killed: it did not drain within its limit")
+            if worker.state is WorkerState.DRAINING and self.now >= worker.kill_at_s:
+                self._log("error", f"{self._describe(worker)} is killed: it did not drain within its limit")
                 self._kill(worker)
             elif worker.state is WorkerState.STARTING:
                 if self.now >= worker.started_s + limits.ready_s:
                     worker.reason = f"not ready within {limits.ready_s:g} s"
                     self._kill(worker)
-            elif self.now >= worker.heard_s + limits.watchdog_s:
+            elif self.now >= worker.last_message_s + limits.watchdog_s:
                 worker.reason = f"no sign of life for {limits.watchdog_s:g} s"
                 self._kill(worker)
         generation = self.preparing
-        if generation is not None and self.now >= generation.ready_by_s:
-            up = sum(
+        if generation is not None and self.now >= generation.ready_deadline_s:
+            ready_count = sum(
                 s.worker is not None
                 and self.workers[s.worker].state in (WorkerState.READY, WorkerState.SERVING)
                 for s in generation.slots
             )
-            text = f"{up} of {len(generation.slots)} instances ready within {generation.limits.ready_s:g} s"
+            text = (
+                f"{ready_count} of {len(generation.slots)} instances ready "
+                f"within {generation.limits.ready_s:g} s"
+            )
             if self.current is not None:
-                self._abandon(text)
-            elif up:  # some serve: that beats nobody
-                self._say("error", text)
+                self._abort_preparing(text)
+            elif ready_count:  # the first start: serve with the instances that are ready
+                self._log("error", text)
                 self._commit(generation)
             else:
                 self.failed = True
@@ -515,33 +526,37 @@
         if self.phase in (Phase.STARTING, Phase.SERVING):
             for generation in self.generations.values():
                 for slot in generation.slots:
-                    waits = slot.state is SlotState.WAITING and slot.worker is None
-                    if waits and generation.state is not GenerationState.ENDING and self.now >= slot.start_s:
+                    is_waiting = slot.state is SlotState.WAITING and slot.worker is None
+                    if (
+                        is_waiting
+                        and generation.state is not GenerationState.ENDING
+                        and self.now >= slot.restart_at_s
+                    ):
                         slot.restarts += 1
                         self._spawn(generation, slot)
 
-    def _next_time(self) -> float | None:
-        times = []
+    def _next_deadline(self) -> float | None:
+        deadlines = []
         for worker in self.workers.values():
-            limits = self._limits(worker)
+            limits = self._limits_of(worker)
             if worker.state is WorkerState.DRAINING:
-                times.append(worker.end_s)
+                deadlines.append(worker.kill_at_s)
             if worker.state is WorkerState.STARTING:
-                times.append(worker.started_s + limits.ready_s)
+                deadlines.append(worker.started_s + limits.ready_s)
             elif worker.state is not WorkerState.KILLED:
-                times.append(worker.heard_s + limits.watchdog_s)
+                deadlines.append(worker.last_message_s + limits.watchdog_s)
         if self.preparing is not None:
-            times.append(self.preparing.ready_by_s)
+            deadlines.append(self.preparing.ready_deadline_s)
         for generation in self.generations.values():
             if generation.state is not GenerationState.ENDING:
-                times += [s.start_s for s in generation.slots if s.state is SlotState.WAITING]
-        return min(times, default=None)
+                deadlines += [s.restart_at_s for s in generation.slots if s.state is SlotState.WAITING]
+        return min(deadlines, default=None)
 
-    def _limits(self, worker: Worker) -> Limits:
+    def _limits_of(self, worker: Worker) -> Limits:
         return self.generations[worker.generation].limits
 
-    def _name(self, worker: Worker) -> str:
+    def _describe(self, worker: Worker) -> str:
         return f"instance {worker.number} of generation {worker.generation} (worker {worker.id})"
 
-    def _say(self, level: str, text: str) -> None:
-        self.out.append(Say(level, text))
+    def _log(self, level: str, text: str) -> None:
+        self.actions.append(LogLine(level, text))
--- a/flintlatch/fleet/status.py
+++ b/flintlatch/fleet/status.py
@@ -78,9 +78,9 @@
         "state": slot.state.value,
         "worker": slot.worker,
         "restarts": slot.restarts,
-        "crashes_in_a_row": slot.crashes,
+        "crashes_in_a_row": slot.consecutive_crashes,
         "last_crash": slot.last_crash,
-        "starts_in_s": round(slot.start_s - now_s, 3) if waits else None,
+        "starts_in_s": round(slot.restart_at_s - now_s, 3) if waits else None,
     }
 
 
@@ -115,7 +115,7 @@
         "pid": started.pid if started is not None else None,
         "state": worker.state.value,
         "age_s": round(now_s - worker.started_s, 1),
-        "heard_s": round(now_s - worker.heard_s, 2),
+        "heard_s": round(now_s - worker.last_message_s, 2),
         "in_flight": last.get("in_flight"),
         "clients": last.get("clients"),
         "rss_mb": last.get("rss_mb"),
--- a/flintlatch/fleet/supervisor.py
+++ b/flintlatch/fleet/supervisor.py
@@ -239,7 +239,7 @@
             self.listeners.socks[address, place] = sock
         self.listeners.keep_only(self.config.fleet.listen)
         # Numbers go on, so that a log of both tells generations and workers apart.
-        self.core.last_generation, self.core.last_worker = message["generation"], message["worker"]
+        self.core.last_generation, self.core.last_worker_id = message["generation"], message["worker"]
 
     def _open_page(self, config: Config) -> None:
         """Metrics are no reason not to serve: an address that is taken is told of, and no more."""
@@ -329,7 +329,7 @@
     def stop(self) -> None:
         self.stop_early = True  # should nothing have been started yet
         if self.last_ticket:
-            self._step(core.StopAsked())
+            self._step(core.StopRequested())
 
     def on_hup(self) -> None:
         self.task(self.reload())
@@ -349,15 +349,15 @@
         elif isinstance(action, core.Accept):
             self.processes[action.worker].say({"kind": "accept"})
         elif isinstance(action, core.Drain):
-            message = {"kind": "drain", "limit_s": action.limit_s, "last": action.last}
+            message = {"kind": "drain", "limit_s": action.limit_s, "last": action.accept_backlog}
             self.processes[action.worker].say(message)
         elif isinstance(action, core.Kill):
             self.processes[action.worker].kill()
-        elif isinstance(action, core.GenerationServes):
+        elif isinstance(action, core.GenerationServing):
             self._on_serving(action)
         elif isinstance(action, core.ReloadDone):
             self._on_reloaded(action)
-        elif isinstance(action, core.GenerationGone):
+        elif isinstance(action, core.GenerationEnded):
             self.nodes.pop(action.generation).close()
             del self.configs[action.generation]
         elif isinstance(action, core.Stopping):
@@ -374,7 +374,7 @@
             if not self.done.done():
                 self.log("info", "stopped")
                 self.done.set_result(1 if action.failed else 0)
-        elif isinstance(action, core.Say):
+        elif isinstance(action, core.LogLine):
             self.log(action.level, action.text)
         elif isinstance(action, core.WakeAt):
             if self.wake is not None:
@@ -385,10 +385,10 @@
         self.last_ticket += 1
         done: asyncio.Future[core.ReloadDone] = self.loop.create_future()
         self.tickets[self.last_ticket] = (done, config, nodes)
-        self._step(core.ReloadAsked(limits(config), self.last_ticket))
+        self._step(core.ReloadRequested(limits(config), self.last_ticket))
         return done
 
-    def _on_serving(self, action: core.GenerationServes) -> None:
+    def _on_serving(self, action: core.GenerationServing) -> None:
         first = not self.serving
         self.config = self.configs[action.generation]
         self.serving = True
@@ -520,7 +520,7 @@
                 self.processes[worker].last = message
                 if message.get("counts") is not None:
                     self.totals.heard(worker, message["counts"])
-            self._step(core.WorkerBeat(worker, float(message.get("rss_mb", 0))))
+            self._step(core.WorkerHeartbeat(worker, float(message.get("rss_mb", 0))))
         elif kind == "limits":
             if self.agreed is not None and self.agreed.limiting is not None and worker in self.processes:
                 self.agreed.limiting.on_instance_report(worker, message)
@@ -640,7 +640,7 @@
                 "kind": "takeover",
                 "listeners": [[address, place, sock.fileno()] for (address, place), sock in socks.items()],
                 "generation": self.core.last_generation,
-                "worker": self.core.last_worker,
+                "worker": self.core.last_worker_id,
             }
         )
         limit_s = 2 * self.config.start.ready_s + self.config.start.bind_wait_s
@@ -660,7 +660,7 @@
             return {"ok": False, "reason": reason}
         self.handed_over = True
         self.log("info", f"upgrade: process {pid} has taken over")
-        self._step(core.StopAsked(f"process {pid} has taken over", True))
+        self._step(core.StopRequested(f"process {pid} has taken over", True))
         return {"ok": True, "pid": pid}
 
     # Control
--- a/tests/fleet/test_core.py
+++ b/tests/fleet/test_core.py
@@ -8,27 +8,27 @@
 from hypothesis import strategies as st
 
 from flintlatch.fleet.core import (
-    KILL_AFTER_S,
+    KILL_GRACE_S,
     Accept,
     Action,
     Drain,
     Event,
     Fleet,
-    GenerationGone,
-    GenerationServes,
+    GenerationEnded,
+    GenerationServing,
     Kill,
     Limits,
     Phase,
-    ReloadAsked,
+    ReloadRequested,
     ReloadDone,
     SlotState,
     Spawn,
-    StopAsked,
+    StopRequested,
     Stopped,
     Stopping,
     Tick,
     WakeAt,
-    WorkerBeat,
+    WorkerHeartbeat,
     WorkerExited,
     WorkerFailed,
     WorkerReady,
@@ -82,13 +82,13 @@
             if alive:
                 for worker in list(self.fleet.workers.values()):
                     if worker.state not in (WorkerState.KILLED, WorkerState.STARTING):
-                        seen += self.do(WorkerBeat(worker.id))
+                        seen += self.do(WorkerHeartbeat(worker.id))
             seen += self.do(Tick())
         return seen
 
     def reload(self, asked: Limits = LIMITS) -> int:
         self.ticket += 1
-        self.do(ReloadAsked(asked, self.ticket))
+        self.do(ReloadRequested(asked, self.ticket))
         return self.ticket
 
     def all_ready(self) -> None:
@@ -121,9 +121,9 @@
     driver.reload()
     assert [a.number for a in driver.of(Spawn)] == [0, 1, 2]
     assert driver.of(Accept, driver.do(WorkerReady(1))) == [Accept(1)]
-    assert not driver.of(GenerationServes, driver.actions)
+    assert not driver.of(GenerationServing, driver.actions)
     driver.all_ready()
-    assert driver.of(GenerationServes, driver.actions) == [GenerationServes(1, True)]
+    assert driver.of(GenerationServing, driver.actions) == [GenerationServing(1, True)]
     assert driver.result(1) == ReloadDone(1, 1, "")
 
 
@@ -141,9 +141,9 @@
     assert accepts < drains
     assert driver.result(ticket) == ReloadDone(ticket, 2, "")
     for worker in (1, 2, 3):
-        assert not driver.of(GenerationGone)
+        assert not driver.of(GenerationEnded)
         driver.exit(worker)
-    assert driver.of(GenerationGone) == [GenerationGone(1)]
+    assert driver.of(GenerationEnded) == [GenerationEnded(1)]
 
 
 def test_a_generation_that_never_gets_ready_is_killed_and_the_old_one_stays() -> None:
@@ -158,7 +158,7 @@
     assert driver.serving() == [1, 2, 3] and not driver.of(Drain, driver.actions)
     for worker in (4, 5, 6):
         driver.exit(worker, "signal 9")
-    assert driver.of(GenerationGone) == [GenerationGone(2)]
+    assert driver.of(GenerationEnded) == [GenerationEnded(2)]
     assert not driver.of(Spawn, driver.after(60.0))
 
 
@@ -176,7 +176,7 @@
 def test_a_reload_during_another_waits_and_of_several_the_last_counts() -> None:
     driver = Driver().started()
     first, second, third = (driver.reload(limits(instances=n)) for n in (2, 4, 5))
-    assert driver.result(second).reason == "another reload was asked for before its turn came"
+    assert driver.result(second).reason == "superseded by a later reload request while queued"
     driver.all_ready()
     assert driver.result(first).generation == 2
     assert [a.generation for a in driver.of(Spawn)] == [3] * 5
@@ -188,7 +188,7 @@
 def test_a_reload_while_it_stops_is_refused_and_one_under_way_is_given_up() -> None:
     driver = Driver().started()
     ticket, waits = driver.reload(), driver.reload()
-    driver.do(StopAsked())
+    driver.do(StopRequested())
     assert driver.result(ticket).reason == driver.result(waits).reason == "the fleet is stopping"
     assert {a.worker for a in driver.of(Kill)} == {4, 5, 6}
     assert driver.of(Drain) == [Drain(worker, 20.0, True) for worker in (1, 2, 3)]
@@ -198,7 +198,7 @@
 
 def test_a_stop_ends_when_the_last_worker_has() -> None:
     driver = Driver().started()
-    driver.do(StopAsked())
+    driver.do(StopRequested())
     assert driver.of(Stopping)
     driver.exit(1)
     driver.exit(3)
@@ -209,12 +209,12 @@
 
 def test_a_second_stop_hurries_and_a_third_changes_nothing() -> None:
     driver = Driver().started()
-    driver.do(StopAsked())
+    driver.do(StopRequested())
     driver.after(2.0)
-    driver.do(StopAsked())
+    driver.do(StopRequested())
     assert driver.of(Drain) == [Drain(worker, 1.0, True) for worker in (1, 2, 3)]
-    assert not driver.of(Drain, driver.do(StopAsked()))
-    killed = driver.of(Kill, driver.after(1.0 + KILL_AFTER_S + 0.1))
+    assert not driver.of(Drain, driver.do(StopRequested()))
+    killed = driver.of(Kill, driver.after(1.0 + KILL_GRACE_S + 0.1))
     assert {a.worker for a in killed} == {1, 2, 3}
 
 
@@ -222,7 +222,7 @@
     driver = Driver().started()
     driver.reload()
     driver.all_ready()
-    assert not driver.of(Kill, driver.after(20.0 + KILL_AFTER_S - 0.1))
+    assert not driver.of(Kill, driver.after(20.0 + KILL_GRACE_S - 0.1))
     assert {a.worker for a in driver.of(Kill, driver.after(0.2))} == {1, 2, 3}
 
 
@@ -231,7 +231,7 @@
     waits, worker = [], 1
     for _ in range(3):
         driver.exit(worker, "signal 11")
-        waits.append(round(driver.fleet.generations[1].slots[0].start_s - driver.now, 2))
+        waits.append(round(driver.fleet.generations[1].slots[0].restart_at_s - driver.now, 2))
         spawned = driver.of(Spawn, driver.after(waits[-1] + 0.01))
         worker = spawned[0].worker
         driver.do(WorkerReady(worker))
@@ -242,7 +242,7 @@
 def test_waits_are_jittered_down_to_half() -> None:
     driver = Driver(jitter=0.0).started()
     driver.exit(1, "signal 11")
-    assert driver.fleet.generations[1].slots[0].start_s == driver.now + 0.1
+    assert driver.fleet.generations[1].slots[0].restart_at_s == driver.now + 0.1
 
 
 def test_a_crash_loop_is_given_up_and_the_others_serve_on() -> None:
@@ -286,7 +286,7 @@
     driver.do(WorkerReady(2))
     driver.do(WorkerReady(3))
     driver.exit(1, "exit code 1")
-    assert driver.of(GenerationServes) == [GenerationServes(1, False)]
+    assert driver.of(GenerationServing) == [GenerationServing(1, False)]
     assert driver.serving() == [2, 3]
 
 
@@ -305,7 +305,7 @@
     driver.after(0.3)  # worker 4 is on its way
     for _ in range(4):
         driver.now += 1.0
-        driver.do(WorkerBeat(1))
+        driver.do(WorkerHeartbeat(1))
     assert driver.of(Kill, driver.actions) == [Kill(2)]
     driver.exit(2, "signal 9")
     assert driver.fleet.generations[1].slots[1].last_crash == "signal 9: no sign of life for 3 s"
@@ -314,9 +314,9 @@
 
 def test_a_worker_over_its_memory_is_replaced_while_it_drains_and_not_sooner_than_it_is_stable() -> None:
     driver = Driver().started()
-    assert not driver.of(Spawn, driver.do(WorkerBeat(1, 150.0)))
+    assert not driver.of(Spawn, driver.do(WorkerHeartbeat(1, 150.0)))
     driver.after(8.0)
-    driver.do(WorkerBeat(1, 150.0))
+    driver.do(WorkerHeartbeat(1, 150.0))
     assert driver.of(Spawn) == [Spawn(4, 1, 0)] and driver.of(Drain) == [Drain(1, 20.0, False)]
     driver.exit(1)
     assert not driver.of(Spawn, driver.after(5.0))
@@ -324,8 +324,8 @@
 
 def test_a_successor_takes_the_connections_so_none_is_accepted_any_more() -> None:
     driver = Driver().started()
-    driver.do(StopAsked("upgraded", True))
-    assert {a.last for a in driver.of(Drain)} == {False}
+    driver.do(StopRequested("upgraded", True))
+    assert {a.accept_backlog for a in driver.of(Drain)} == {False}
 
 
 STEPS = st.lists(
@@ -351,7 +351,7 @@
             driver.reload(limits(instances=1 + number % 3))
         elif what == "stop" and number < 5:
             stopped = True
-            driver.do(StopAsked())
+            driver.do(StopRequested())
         elif what == "time":
             driver.after(number / 4)
         elif worker is not None and what == "ready" and worker.state is WorkerState.STARTING:
@@ -372,7 +372,7 @@
         elif worker is not None and what == "failed":
             driver.do(WorkerFailed(worker.id, "why"))
         elif worker is not None:
-            driver.do(WorkerBeat(worker.id, float(number)))
+            driver.do(WorkerHeartbeat(worker.id, float(number)))
         assert crashed or stopped or driver.serving()
         current = driver.fleet.current
         if not stopped and current is not None and not crashed:
@@ -382,7 +382,7 @@
         assert action.worker not in spawned
         spawned.add(action.worker)
     if driver.fleet.phase is not Phase.STOPPED:
-        driver.do(StopAsked())
+        driver.do(StopRequested())
         driver.after(25.0, alive=False)
         for worker in list(driver.fleet.workers.values()):
             assert worker.state is WorkerState.KILLED
@@ -391,5 +391,5 @@
     assert len(driver.of(Stopped, driver.actions)) == 1
     answered = [a.ticket for a in driver.of(ReloadDone, driver.actions)]
     assert sorted(answered) == list(range(1, driver.ticket + 1))
-    gone = [a.generation for a in driver.of(GenerationGone, driver.actions)]
+    gone = [a.generation for a in driver.of(GenerationEnded, driver.actions)]
     assert sorted(gone) == list(range(1, driver.fleet.last_generation + 1))
