--- a/flintlatch/fleet/control.py
+++ b/flintlatch/fleet/control.py
@@ -1,4 +1,4 @@
-"""The control socket: a Unix socket of mode 0600, a JSON object a line each way."""
+"""The control socket of a fleet: a Unix socket of mode 0600; each request and response is a line of JSON."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 import orjson
 
-MOST_REQUEST = 64 * 1024  # bytes: a command and its few arguments
-MOST_ANSWER = 64 * 1024 * 1024
-SILENT_S = 30.0  # s that a caller may take over its request
-CALLERS = 16  # at once: a script gone wild must not use up the supervisor's descriptors
-Answer = dict[str, Any]
+MAX_REQUEST_BYTES = 64 * 1024
+MAX_RESPONSE_BYTES = 64 * 1024 * 1024
+REQUEST_TIMEOUT_S = 30.0  # a connection that sends no complete request for this long is closed
+MAX_CONNECTIONS = 16  # a faulty script must not use up the supervisor's file descriptors
+JsonObject = dict[str, Any]
 
 
 class ControlError(Exception):
-    """The path can't be had for a control socket; the text says why."""
+    """The control socket can't be created or does not answer; the text gives the path and the reason."""
 
 
 def check_path(path: str) -> None:
-    """Raise ControlError if something lives at the path; a socket that nobody listens on may be replaced."""
+    """Raise ControlError unless the path is free or holds a socket that no process listens on."""
     try:
         mode = os.lstat(path).st_mode
     except FileNotFoundError:
@@ -44,29 +44,29 @@
 
 
 class Control:
-    """Listens under a name of its own first; `publish` puts it at the path, over whatever was there, so that
-    a successor takes the path in one step."""
+    """Listens at a temporary path first; `publish` renames that to the final path, so that a successor
+    replaces the socket of its predecessor atomically."""
 
-    def __init__(self, path: str, answer: Callable[[Answer], Awaitable[Answer]]) -> None:
-        self.path, self.answer = path, answer
+    def __init__(self, path: str, handle_request: Callable[[JsonObject], Awaitable[JsonObject]]) -> None:
+        self.path, self.handle_request = path, handle_request
         self.server: asyncio.Server | None = None
         self.inode = 0
-        self.callers: set[asyncio.Task[None]] = set()
+        self.connections: set[asyncio.Task[None]] = set()
 
     async def open(self) -> None:
-        hidden = f"{self.path}.{os.getpid()}"
+        temporary_path = f"{self.path}.{os.getpid()}"
         sock = socket.socket(socket.AF_UNIX)
-        old = os.umask(0o177)
+        previous_umask = os.umask(0o177)
         try:
-            sock.bind(hidden)
+            sock.bind(temporary_path)
         except OSError as error:
             sock.close()
             raise ControlError(f"control socket {self.path}: {error.strerror or error}") from None
         finally:
-            os.umask(old)
-        self.inode = os.lstat(hidden).st_ino
+            os.umask(previous_umask)
+        self.inode = os.lstat(temporary_path).st_ino
         sock.setblocking(False)
-        self.server = await asyncio.start_unix_server(self._serve, sock=sock, limit=MOST_REQUEST)
+        self.server = await asyncio.start_unix_server(self._serve, sock=sock, limit=MAX_REQUEST_BYTES)
 
     def publish(self) -> None:
         try:
@@ -75,7 +75,7 @@
             raise ControlError(f"control socket {self.path}: {error.strerror}") from None
 
     def close(self) -> None:
-        """Remove the path if it is still this one's."""
+        """Stop listening, and remove the path unless another process has replaced it."""
         if self.server is not None:
             self.server.close()
             self.server = None
@@ -85,19 +85,24 @@
                     os.unlink(path)
             except OSError:
                 continue
-        for caller in self.callers:
-            caller.cancel()
+        for task in self.connections:
+            task.cancel()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.current_task()
         assert task is not None
-        self.callers.add(task)
+        self.connections.add(task)
         try:
-            if len(self.callers) > CALLERS:
-                writer.write(orjson.dumps({"ok": False, "reason": f"{CALLERS} callers already"}) + b"\n")
+            if len(self.connections) > MAX_CONNECTIONS:
+                writer.write(
+                    orjson.dumps(
+                        {"ok": False, "reason": f"{MAX_CONNECTIONS} control connections are open already"}
+                    )
+                    + b"\n"
+                )
                 return
             while True:
-                async with asyncio.timeout(SILENT_S):
+                async with asyncio.timeout(REQUEST_TIMEOUT_S):
                     line = await reader.readline()
                 if not line.endswith(b"\n"):
                     return
@@ -106,35 +111,37 @@
                     if not isinstance(request, dict):
                         raise ValueError
                 except ValueError:
-                    answer: Answer = {"ok": False, "reason": "expected a JSON object on one line"}
+                    response: JsonObject = {"ok": False, "reason": "expected a JSON object on one line"}
                 else:
-                    answer = await self.answer(request)
-                writer.write(orjson.dumps(answer) + b"\n")
+                    response = await self.handle_request(request)
+                writer.write(orjson.dumps(response) + b"\n")
                 await writer.drain()
         except (OSError, ValueError, TimeoutError, asyncio.CancelledError):
-            pass  # the caller is gone, says too much, or says nothing
+            pass  # the client is gone, sent a line that is too long, or timed out
         finally:
-            self.callers.discard(task)
+            self.connections.discard(task)
             writer.close()
 
 
-def send_control_request(path: str, request: Answer, timeout_s: float = 30.0) -> Answer:
-    """One request to a running fleet. Raises ControlError, with a text for a person, if none answers."""
+def send_control_request(path: str, request: JsonObject, timeout_s: float = 30.0) -> JsonObject:
+    """Send one request to a running fleet and return its response.
+
+    Raises ControlError if no fleet listens there or the connection fails."""
     with socket.socket(socket.AF_UNIX) as sock:
         sock.settimeout(timeout_s)
         try:
             sock.connect(path)
             sock.sendall(orjson.dumps(request) + b"\n")
-            data = bytearray()
-            while not data.endswith(b"\n"):
-                piece = sock.recv(65536)
-                if not piece or len(data) > MOST_ANSWER:
-                    raise ControlError(f"control socket {path}: the fleet ended the call")
-                data += piece
+            received = bytearray()
+            while not received.endswith(b"\n"):
+                chunk = sock.recv(65536)
+                if not chunk or len(received) > MAX_RESPONSE_BYTES:
+                    raise ControlError(f"control socket {path}: the fleet closed the connection")
+                received += chunk
         except (FileNotFoundError, ConnectionRefusedError):
             raise ControlError(f"control socket {path}: no fleet runs there") from None
         except OSError as error:
             raise ControlError(f"control socket {path}: {error.strerror or error or 'no answer'}") from None
-    answer = orjson.loads(data)
-    assert isinstance(answer, dict)
-    return answer
+    response = orjson.loads(received)
+    assert isinstance(response, dict)
+    return response
--- a/flintlatch/fleet/listeners.py
+++ b/flintlatch/fleet/listeners.py
@@ -1,4 +1,4 @@
-"""The listening sockets: opened once by the supervisor, inherited by every worker, handed to a successor."""
+"""The listening sockets of a fleet: opened by the supervisor, inherited by workers, handed to a successor."""
 
 from __future__ import annotations
 
@@ -10,80 +10,91 @@
 from flintlatch.net.frontend import open_listener
 from flintlatch.net.http1 import split_address
 
-LOOK_S = 0.02  # s between tries for an address that is still taken
-Key = tuple[str, int]  # an address as configured, and which of several equal ones (port 0) it is
+BIND_RETRY_INTERVAL_S = 0.02  # while the address is in use
+ListenerKey = tuple[str, int]  # a configured address, and its index among equal ones (several with port 0)
 
 
-class NoListener(Exception):
-    """An address is not to be had; the text says which and why."""
+class ListenError(Exception):
+    """An address can't be listened on; the text gives the address and the reason."""
 
 
-def keys(addresses: Sequence[str]) -> list[Key]:
-    return [(address, list(addresses[:place]).count(address)) for place, address in enumerate(addresses)]
+def listener_keys(addresses: Sequence[str]) -> list[ListenerKey]:
+    return [(address, list(addresses[:index]).count(address)) for index, address in enumerate(addresses)]
 
 
-def bound(sock: socket.socket) -> str:
+def bound_address(sock: socket.socket) -> str:
     host, port = sock.getsockname()[:2]
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
 
 
 class Listeners:
     def __init__(self) -> None:
-        self.socks: dict[Key, socket.socket] = {}
+        self.sockets: dict[ListenerKey, socket.socket] = {}
 
     def adopt(self, addresses: Sequence[str], given: list[socket.socket]) -> None:
-        """Take sockets that somebody else opened, each for the configured address that it is bound to.
-        Raises NoListener for one that no address names."""
+        """Use sockets that the service manager opened, each for the configured address that it is bound to.
+
+        Raises ListenError for a socket that is bound to another address."""
         for sock in given:
-            where = split_address(bound(sock))
-            for key in keys(addresses):
-                if key not in self.socks and split_address(key[0]) == where:
-                    self.socks[key] = sock
+            address = split_address(bound_address(sock))
+            for key in listener_keys(addresses):
+                if key not in self.sockets and split_address(key[0]) == address:
+                    self.sockets[key] = sock
                     break
             else:
-                raise NoListener(f"LISTEN_FDS: {bound(sock)} is not among the addresses in fleet.listen")
+                raise ListenError(
+                    f"LISTEN_FDS: {bound_address(sock)} is not among the addresses in fleet.listen"
+                )
 
     def inherit(self, addresses: Sequence[str], given: list[socket.socket]) -> list[socket.socket]:
-        """Take those that are bound to a configured address which is still missing, and close the others."""
-        taken = []
+        """Use the sockets that are bound to a configured address which has none yet, and close the others.
+        Returns those used."""
+        inherited = []
         for sock in given:
-            where = split_address(bound(sock))
+            address = split_address(bound_address(sock))
             key = next(
-                (k for k in keys(addresses) if k not in self.socks and split_address(k[0]) == where), None
+                (
+                    k
+                    for k in listener_keys(addresses)
+                    if k not in self.sockets and split_address(k[0]) == address
+                ),
+                None,
             )
             if key is None:
                 sock.close()
             else:
-                self.socks[key] = sock
-                taken.append(sock)
-        return taken
+                self.sockets[key] = sock
+                inherited.append(sock)
+        return inherited
+
+    async def open(self, addresses: Sequence[str], wait_s: float = 0.0) -> list[ListenerKey]:
+        """Open the addresses that have no socket yet, and return their keys.
 
-    async def open(self, addresses: Sequence[str], wait_s: float = 0.0) -> list[Key]:
-        """Open those that are missing, all or none; returns them. Raises NoListener."""
+        An address in use is retried for `wait_s`. Raises ListenError, after closing those it opened."""
         loop = asyncio.get_running_loop()
-        fresh: list[Key] = []
-        until = loop.time() + wait_s
-        for key in keys(addresses):
-            while key not in self.socks:
+        opened: list[ListenerKey] = []
+        deadline = loop.time() + wait_s
+        for key in listener_keys(addresses):
+            while key not in self.sockets:
                 try:
-                    self.socks[key] = open_listener(key[0])
-                    fresh.append(key)
+                    self.sockets[key] = open_listener(key[0])
+                    opened.append(key)
                 except OSError as error:
-                    if error.errno == errno.EADDRINUSE and loop.time() < until:
-                        await asyncio.sleep(LOOK_S)
+                    if error.errno == errno.EADDRINUSE and loop.time() < deadline:
+                        await asyncio.sleep(BIND_RETRY_INTERVAL_S)
                         continue
-                    self.close(fresh)
-                    raise NoListener(f"listen {key[0]}: {error.strerror}") from None
-        return fresh
+                    self.close(opened)
+                    raise ListenError(f"listen {key[0]}: {error.strerror}") from None
+        return opened
 
-    def of(self, addresses: Sequence[str]) -> list[socket.socket]:
-        return [self.socks[key] for key in keys(addresses)]
+    def sockets_for(self, addresses: Sequence[str]) -> list[socket.socket]:
+        return [self.sockets[key] for key in listener_keys(addresses)]
 
-    def close(self, which: Sequence[Key]) -> None:
-        for key in which:
-            self.socks.pop(key).close()
+    def close(self, keys: Sequence[ListenerKey]) -> None:
+        for key in keys:
+            self.sockets.pop(key).close()
 
-    def keep_only(self, *lists: Sequence[str]) -> None:
-        """Close those that none of the lists of addresses names."""
-        kept = {key for addresses in lists for key in keys(addresses)}
-        self.close([key for key in self.socks if key not in kept])
+    def keep_only(self, *address_lists: Sequence[str]) -> None:
+        """Close the sockets whose address is in none of the given lists."""
+        wanted = {key for addresses in address_lists for key in listener_keys(addresses)}
+        self.close([key for key in self.sockets if key not in wanted])
--- a/flintlatch/fleet/supervisor.py
+++ b/flintlatch/fleet/supervisor.py
@@ -23,7 +23,7 @@
 from flintlatch.fleet import core, log, spread
 from flintlatch.fleet.channel import Channel, Message, open_channel
 from flintlatch.fleet.control import Control, ControlError, check_path
-from flintlatch.fleet.listeners import Listeners, NoListener, bound
+from flintlatch.fleet.listeners import Listeners, ListenError, bound_address
 from flintlatch.fleet.nodes import Nodes, described
 from flintlatch.fleet.notify import Notifier, activated
 from flintlatch.fleet.status import report, summary
@@ -61,11 +61,11 @@
         self.killed = False
         self.last: Message = {}
 
-    def say(self, message: Message) -> None:
+    def send(self, message: Message) -> None:
         if self.channel is None:
             self.early.append(message)
         else:
-            self.channel.say(message)
+            self.channel.send(message)
 
     def kill(self) -> None:
         self.killed = True
@@ -166,7 +166,7 @@
                 await self.loop.run_in_executor(None, self._inherit)
             await self.control.open()
             await self.listeners.open(config.fleet.listen, config.start.bind_wait_s)
-        except (ControlError, NoListener, ValueError) as error:
+        except (ControlError, ListenError, ValueError) as error:
             raise CannotStart(str(error)) from None
         for address in self.addresses():
             self.log("info", f"listens on {address}")
@@ -236,7 +236,7 @@
         for address, place, number in message["listeners"]:
             sock = socket.socket(fileno=number)
             sock.set_inheritable(False)
-            self.listeners.socks[address, place] = sock
+            self.listeners.sockets[address, place] = sock
         self.listeners.keep_only(self.config.fleet.listen)
         # Numbers go on, so that a log of both tells generations and workers apart.
         self.core.last_generation, self.core.last_worker_id = message["generation"], message["worker"]
@@ -268,7 +268,7 @@
     def _tell_all(self, message: Message) -> None:
         for process in self.processes.values():
             if process.channel is not None:  # one that starts is told what holds then
-                process.channel.say(message)
+                process.channel.send(message)
 
     def _servers(self) -> set[str]:
         """Uids that the current generation's list names."""
@@ -278,7 +278,7 @@
 
     def _tell_one(self, worker: int, message: Message) -> None:
         if (process := self.processes.get(worker)) is not None and process.channel is not None:
-            process.channel.say(message)
+            process.channel.send(message)
 
     def now(self) -> Any:
         """For the page's thread: whole values, read once each."""
@@ -294,12 +294,12 @@
     def _inherit(self) -> None:
         """Take the listening sockets that a dead supervisor's workers hold, with all that waits there."""
         for path in handover.find(self.config.control_path):
-            socks = handover.take(path)
-            if not socks:
+            sockets = handover.take(path)
+            if not sockets:
                 continue
             self.orphans.append(path)
             for sock in self.listeners.inherit(self.config.fleet.listen, socks):
-                self.log("info", f"inherited {bound(sock)}")
+                self.log("info", f"inherited {bound_address(sock)}")
 
     def _tell_orphans(self) -> None:
         orphans, self.orphans = self.orphans, []
@@ -323,7 +323,7 @@
             self.supply.close()
         for process in self.processes.values():
             process.kill()
-        self.listeners.close(list(self.listeners.socks))
+        self.listeners.close(list(self.listeners.sockets))
         self.control.close()
 
     def stop(self) -> None:
@@ -347,10 +347,10 @@
         if isinstance(action, core.Spawn):
             self._spawn(action)
         elif isinstance(action, core.Accept):
-            self.processes[action.worker].say({"kind": "accept"})
+            self.processes[action.worker].send({"kind": "accept"})
         elif isinstance(action, core.Drain):
             message = {"kind": "drain", "limit_s": action.limit_s, "last": action.accept_backlog}
-            self.processes[action.worker].say(message)
+            self.processes[action.worker].send(message)
         elif isinstance(action, core.Kill):
             self.processes[action.worker].kill()
         elif isinstance(action, core.GenerationServing):
@@ -369,7 +369,7 @@
             if self.successor is not None and not self.handed_over:
                 self.successor.terminate()
             # Workers hold the sockets; once the last of them lets go, the address is free.
-            self.listeners.close(list(self.listeners.socks))
+            self.listeners.close(list(self.listeners.sockets))
         elif isinstance(action, core.Stopped):
             if not self.done.done():
                 self.log("info", "stopped")
@@ -403,7 +403,7 @@
             except ControlError as error:
                 self.log("error", str(error))
             if self.predecessor is not None:
-                self.predecessor.say({"kind": "serving", "pid": os.getpid()})
+                self.predecessor.send({"kind": "serving", "pid": os.getpid()})
             self._tell_orphans()
         self.notifier.ready(summary(self.core))
         lack = "" if action.complete else ", not complete"
@@ -455,7 +455,7 @@
 
     async def _worker_life(self, action: core.Spawn, process: Process) -> str:
         config, nodes = self.configs[action.generation], self.nodes[action.generation]
-        socks = self.listeners.of(config.fleet.listen)
+        sockets = self.listeners.sockets_for(config.fleet.listen)
         mine, theirs = socket.socketpair()
         try:
             with theirs:
@@ -479,7 +479,7 @@
         except BaseException:
             mine.close()
             raise
-        process.channel.say(
+        process.channel.send(
             {
                 "kind": "hello",
                 "generation": action.generation,
@@ -495,7 +495,7 @@
             }
         )
         for message in process.early:
-            process.channel.say(message)
+            process.channel.send(message)
         code = await process.process.wait()
         return f"signal {-code}" if code < 0 else f"exit code {code}"
 
@@ -536,7 +536,7 @@
         for generation in [number for number, nodes in self.nodes.items() if nodes is source]:
             for worker in self.core.workers.values():
                 if worker.generation == generation and worker.id in self.processes:
-                    self.processes[worker.id].say(message)
+                    self.processes[worker.id].send(message)
 
     # Reload and upgrade
 
@@ -587,7 +587,7 @@
         self.notifier.reloading()
         try:
             await self.listeners.open(config.fleet.listen)
-        except NoListener as error:
+        except ListenError as error:
             return str(error)
         self.opening = config.fleet.listen
         nodes = self._draw(config)
@@ -616,7 +616,7 @@
             if not serving.done():
                 serving.set_result(0)
 
-        socks = self.listeners.socks
+        sockets = self.listeners.sockets
         env = self.env | {TAKEOVER: str(theirs.fileno())}
         self.log("info", "upgrade: starting the successor")
         try:
@@ -635,7 +635,7 @@
             mine.close()
             return {"ok": False, "reason": f"upgrade: {error.strerror}"}
         channel = await open_channel(mine, on_message, on_end)
-        channel.say(
+        channel.send(
             {
                 "kind": "takeover",
                 "listeners": [[address, place, sock.fileno()] for (address, place), sock in socks.items()],
@@ -722,7 +722,7 @@
             return {"ok": False, "reason": "expected source and version"}
 
     def addresses(self) -> list[str]:
-        return [bound(sock) for sock in self.listeners.socks.values()]
+        return [bound_address(sock) for sock in self.listeners.sockets.values()]
 
 
 def limits(config: Config) -> core.Limits:
--- a/flintlatch/fleet/worker.py
+++ b/flintlatch/fleet/worker.py
@@ -39,7 +39,7 @@
 BEATS = 5  # signs of life within the watchdog's time: one that comes late must not count as silence
 SEEN_S = 0.1  # s between two words on servers that failed
 LIMITS_S = 0.1  # s between two words on what limits were asked for
-MOST_UNREAD = 16 * 1024  # bytes that wait for a supervisor which does not read
+MAX_UNSENT_BYTES = 16 * 1024  # bytes that wait for a supervisor which does not read
 LAST_WORDS_S = 0.3  # s for the answers written at the limit to leave
 LAST_RECORDS_S = 1.0  # s that the access log may take for what waits
 PARENT_LOOK_S = 0.5  # s between looks at whether the supervisor still lives, should the loop hang
@@ -183,7 +183,7 @@
         if not self.ready_said and self.engine.backends.active() > 0:
             self.ready_said = True
             # The module has met the list in the loop's next turn, before any client can be accepted.
-            self.loop.call_soon(self.channel.say, {"kind": "ready"})
+            self.loop.call_soon(self.channel.send, {"kind": "ready"})
 
     def accept(self) -> None:
         if not self.accepting and self.draining is None and self.frontend is not None:
@@ -240,9 +240,9 @@
     def say_beat(self) -> None:
         engine, frontend = self.engine, self.frontend
         assert engine is not None and frontend is not None
-        if self.channel.unread() > MOST_UNREAD:
+        if self.channel.unsent_bytes() > MAX_UNSENT_BYTES:
             return  # the supervisor hangs; what it missed then is of no use to it
-        self.channel.say(
+        self.channel.send(
             {
                 "kind": "beat",
                 "in_flight": engine.open_requests(),
@@ -264,22 +264,22 @@
         """Which servers failed this instance and have not answered it since."""
         self.loop.call_later(SEEN_S, self.say_seen)
         engine = self.engine
-        if engine is not None and self.channel.unread() <= MOST_UNREAD:
+        if engine is not None and self.channel.unsent_bytes() <= MAX_UNSENT_BYTES:
             now = now_ms()
             bad = engine.balancer.found_bad(now)
             accused = self.heard.accused if self.heard is not None else ()
             good = engine.balancer.found_good(now, accused)
             if bad or good or self.seen:
-                self.channel.say({"kind": "seen", "bad": bad, "good": good})
+                self.channel.send({"kind": "seen", "bad": bad, "good": good})
             self.seen = bool(bad or good)
 
     def say_followed(self) -> None:
         """What was asked for so far by limit, and the grants that the module goes by."""
         engine, heard = self.engine, self.heard
-        if engine is None or heard is None or self.channel.unread() > MOST_UNREAD:
+        if engine is None or heard is None or self.channel.unsent_bytes() > MAX_UNSENT_BYTES:
             return
         asked = {name: bucket.asked for name, bucket in engine.balancer.buckets.items()}
-        self.channel.say({"kind": "limits", "asked": asked, "follows": heard.applied_leases})
+        self.channel.send({"kind": "limits", "asked": asked, "follows": heard.applied_leases})
 
     def _access_log(self) -> dict[str, Any] | None:
         if self.observer is None or self.observer.log is None:
@@ -289,7 +289,7 @@
 
     def fail(self, reason: str) -> None:
         """What it was told is of no use, or it lacks what it needs: the supervisor decides what follows."""
-        self.channel.say({"kind": "failed", "reason": reason})
+        self.channel.send({"kind": "failed", "reason": reason})
         self.exit_code = 1
         self.loop.call_soon(self.ended.set)
 
