--- a/flintlatch/fleet/agreed.py
+++ b/flintlatch/fleet/agreed.py
@@ -27,7 +27,7 @@
 NOTE_LEAST_S = 1.0
 
 
-class Agreed:
+class PeerService:
     """`tell` says a message to every instance. Nothing here is a reason not to serve."""
 
     def __init__(
@@ -48,32 +48,32 @@
         self.timer: asyncio.TimerHandle | None = None
         self.opening: asyncio.Task[None] | None = None
         self.ended = False
-        self.limiting: Limiter | None = None
+        self.limiter: Limiter | None = None
         if config.shared:
-            self.limiting = Limiter(config.shared, config.terms, lambda: self.shell, tell_one, log)
-        self.judging: OutlierEjector | None = None
+            self.limiter = Limiter(config.shared, config.terms, lambda: self.shell, tell_one, log)
+        self.ejector: OutlierEjector | None = None
         if config.verdicts is not None:
-            self.judging = OutlierEjector(config.verdicts, lambda: self.shell, tell, servers, log)
+            self.ejector = OutlierEjector(config.verdicts, lambda: self.shell, tell, servers, log)
 
     def start(self) -> None:
         self.opening = self.loop.create_task(self._open())
         self._beat()
-        if self.limiting is not None:
-            self.limiting.start()
-        if self.judging is not None:
-            self.judging.start()
+        if self.limiter is not None:
+            self.limiter.start()
+        if self.ejector is not None:
+            self.ejector.start()
 
     def topics(self) -> tuple[Topic, ...]:
-        limits = topics(self.config.terms.term_s) if self.limiting is not None else ()
+        limits = topics(self.config.terms.term_s) if self.limiter is not None else ()
         seen = (SEEN(self.config.verdicts.life_s),) if self.config.verdicts is not None else ()
         return (NOTES, *limits, *seen)
 
-    def gone(self, worker: int) -> None:
+    def remove_instance(self, worker: int) -> None:
         """An instance has ended."""
-        if self.limiting is not None:
-            self.limiting.gone(worker)
-        if self.judging is not None:
-            self.judging.gone(worker)
+        if self.limiter is not None:
+            self.limiter.remove_instance(worker)
+        if self.ejector is not None:
+            self.ejector.remove_instance(worker)
 
     async def _open(self) -> None:
         while not self.ended:
@@ -134,8 +134,8 @@
             self.log("warning", "peers: a new name or address takes a restart or an upgrade")
         self.config, self.table = config, table
         self.census.own = config.fleet.instances
-        if self.limiting is not None:
-            self.limiting.reconfigure(config.shared, config.terms)
+        if self.limiter is not None:
+            self.limiter.reconfigure(config.shared, config.terms)
         elif config.shared:
             self.log("warning", "limit: the first ones take a restart or an upgrade")
         if self.shell is not None:
@@ -151,10 +151,10 @@
             self.timer.cancel()
         if self.opening is not None:
             self.opening.cancel()
-        if self.limiting is not None:
-            self.limiting.close()
-        if self.judging is not None:
-            self.judging.close()
+        if self.limiter is not None:
+            self.limiter.close()
+        if self.ejector is not None:
+            self.ejector.close()
         if self.shell is not None:
             self.shell.close()
 
@@ -178,10 +178,10 @@
         self._say()
 
     def _on_news(self, words: tuple[Word, ...]) -> None:
-        if self.limiting is not None:
-            self.limiting.on_entries_changed()
-        if self.judging is not None and any(word.topic == "seen" for word in words):
-            self.judging.step()
+        if self.limiter is not None:
+            self.limiter.on_entries_changed()
+        if self.ejector is not None and any(word.topic == "seen" for word in words):
+            self.ejector.step()
         for word in words:
             if word.topic == NOTES.name and word.value:
                 text = word.value.decode("utf-8", "replace")
--- a/flintlatch/fleet/delivered.py
+++ b/flintlatch/fleet/delivered.py
@@ -37,7 +37,7 @@
         rules = table.rules or Rules()
         self.stale_s = 2 * rules.stale_s  # age of what is held at which the client tells of it
         self.before = as_of
-        self.drawn: dict[str, list[Followed]] = {}
+        self.drawn: dict[str, list[NodeSubscription]] = {}
         self.revisions: dict[str, int] = {}  # of each object's last change
         self.absent: set[str] = set()
         me = Place(table.name, table.region, table.zone)
@@ -82,13 +82,13 @@
                     followed.tell(followed.rows.gone())
 
 
-class Followed:
+class NodeSubscription:
     """One generation's part of a feed: events of one object to `on_event`, on the loop, until closed. Without
     a feed there was no key, and `complaint` says why."""
 
     def __init__(
         self,
-        supply: Supply,
+        supply: DeliveryFeeds,
         feed: Feed | None,
         service: str,
         on_event: Callable[[Event], None],
@@ -158,7 +158,7 @@
         self.supply.leave(self)
 
 
-class Supply:
+class DeliveryFeeds:
     """All that delivery brings this fleet, over its generations."""
 
     def __init__(self, log: Callable[[str, str], None]) -> None:
@@ -167,7 +167,7 @@
         self.taken: dict[str, Version] = {}  # by service
         self.keeps = False  # whether a list may stand that is kept over restarts
 
-    def follow(self, config: Config, on_event: Callable[[Event], None]) -> Followed:
+    def follow(self, config: Config, on_event: Callable[[Event], None]) -> NodeSubscription:
         table, service = config.delivery, config.nodes.service
         assert table is not None
         self.keeps = bool(config.nodes.keep)
@@ -178,7 +178,7 @@
         except (BadKeys, OSError) as error:
             if not self.feeds:
                 self.log("error", f"delivery: {error}; nothing is followed until a reload")
-                return Followed(self, None, service, on_event, str(error))
+                return NodeSubscription(self, None, service, on_event, str(error))
             self.log("error", f"delivery: {error}; going on with the keys of before")
             keys = self.feeds[-1].made_for[1]
         made_for = (table, keys, config.nodes.source_host)
@@ -187,9 +187,9 @@
             as_of = max((feed.as_of() for feed in self.feeds), default=-1.0)
             feed = Feed(*made_for, as_of, self._on_told)
             self.feeds.append(feed)
-        return Followed(self, feed, service, on_event)
+        return NodeSubscription(self, feed, service, on_event)
 
-    def leave(self, followed: Followed) -> None:
+    def leave(self, followed: NodeSubscription) -> None:
         feed, name = followed.feed, followed.service
         if feed is None or followed not in feed.drawn.get(name, ()):
             return
--- a/flintlatch/fleet/judging.py
+++ b/flintlatch/fleet/judging.py
@@ -56,7 +56,7 @@
         if (self.instances[worker], self.answered[worker]) != before:
             self.step()
 
-    def gone(self, worker: int) -> None:
+    def remove_instance(self, worker: int) -> None:
         self.instances.pop(worker, None)
         self.answered.pop(worker, None)
 
--- a/flintlatch/fleet/limiting.py
+++ b/flintlatch/fleet/limiting.py
@@ -147,7 +147,7 @@
                 instance.follows[name] = Mark(int(mark[0]), int(mark[1]))
         self.on_entries_changed()
 
-    def gone(self, worker: int) -> None:
+    def remove_instance(self, worker: int) -> None:
         self.instances.pop(worker, None)
 
     # One look: what has come, what to say
--- a/flintlatch/fleet/members.py
+++ b/flintlatch/fleet/members.py
@@ -36,7 +36,7 @@
 from flintlatch.settings import Wire
 
 if TYPE_CHECKING:
-    from flintlatch.fleet.delivered import Followed, Supply
+    from flintlatch.fleet.delivered import DeliveryFeeds, NodeSubscription
 
 REGISTRY = "registry"  # its name as a source
 FAULTS_TOLD = 5  # of a rejection in the log; all are in `status`
@@ -50,7 +50,7 @@
         config: Config,
         take: Callable[[Listing], None],
         log: Callable[[str, str], None],
-        supply: Supply | None = None,
+        supply: DeliveryFeeds | None = None,
     ) -> None:
         self.wire, self.take, self.log = config.wire(), take, log
         self.loop = asyncio.get_running_loop()
@@ -74,7 +74,7 @@
         self.last_rejection = ""
         for name in self.core.rules.sources:
             self._restore(name)
-        self.sources: list[FileSource | CatalogueSource | RegistrySource | Followed] = [
+        self.sources: list[FileSource | CatalogueSource | RegistrySource | NodeSubscription] = [
             source_of(name, beside(config.path, name), self.on_event) for name in table.files
         ]
         token = self._token(beside(config.path, table.token_file)) if table.token_file else ""
@@ -87,7 +87,7 @@
 
         if registry:
             self.sources.append(RegistrySource(REGISTRY, table.registry, self.wire, self.on_event))
-        self.followed: Followed | None = None
+        self.followed: NodeSubscription | None = None
         if delivered and supply is not None:
             self.followed = supply.follow(config, self.on_event)
             self.sources.append(self.followed)
--- a/flintlatch/fleet/nodes.py
+++ b/flintlatch/fleet/nodes.py
@@ -14,12 +14,12 @@
 from flintlatch.net.http1 import split_address
 
 if TYPE_CHECKING:
-    from flintlatch.fleet.delivered import Supply
+    from flintlatch.fleet.delivered import DeliveryFeeds
 
 STATE_NAMES = {state: name for name, state in STATES.items()}
 
 
-def described(listing: Listing) -> dict[str, Any]:
+def encode_listing(listing: Listing) -> dict[str, Any]:
     """A list in the registry's own form, with numbers for zones and kinds, as `read_listing` takes it."""
     return {
         "rev": listing.rev,
@@ -54,15 +54,15 @@
     return Listing(1, True, tuple(targets))
 
 
-class Nodes:
+class NodeList:
     """`on_news` is called with each list or change that comes after the first; `first` waits for that."""
 
     def __init__(
         self,
         config: Config,
-        on_news: Callable[[Nodes, Listing], None],
+        on_news: Callable[[NodeList, Listing], None],
         log: Callable[[str, str], None],
-        supply: Supply | None = None,
+        supply: DeliveryFeeds | None = None,
     ) -> None:
         self.on_news, self.log = on_news, log
         self.targets: dict[str, Target] = {}
--- a/flintlatch/fleet/status.py
+++ b/flintlatch/fleet/status.py
@@ -8,7 +8,7 @@
 from flintlatch.config import Config
 from flintlatch.fleet import core
 from flintlatch.fleet.channel import Message
-from flintlatch.fleet.nodes import Nodes
+from flintlatch.fleet.nodes import NodeList
 from flintlatch.net.clock import now_ms
 
 
@@ -24,9 +24,9 @@
     @property
     def last_reload(self) -> Message: ...
     @property
-    def news(self) -> list[str]: ...
+    def recent_warnings(self) -> list[str]: ...
     @property
-    def nodes(self) -> Mapping[int, Nodes]: ...
+    def nodes(self) -> Mapping[int, NodeList]: ...
     @property
     def processes(self) -> Mapping[int, Any]: ...
     def addresses(self) -> list[str]: ...
@@ -57,7 +57,7 @@
         "config": supervisor.config.path,
         "ready_after_s": round(supervisor.ready_after_s, 3),
         "last_reload": supervisor.last_reload,
-        "news": supervisor.news,
+        "news": supervisor.recent_warnings,
         "generations": [
             {
                 "generation": generation.number,
@@ -107,7 +107,7 @@
 def instance(supervisor: Reported, worker: core.Worker, now_s: float) -> dict[str, Any]:
     process = supervisor.processes.get(worker.id)
     started = process.process if process is not None else None
-    last = process.last if process is not None else {}
+    last = process.last_heartbeat if process is not None else {}
     return {
         "worker": worker.id,
         "generation": worker.generation,
--- a/flintlatch/fleet/supervisor.py
+++ b/flintlatch/fleet/supervisor.py
@@ -1,4 +1,4 @@
-"""The supervisor's shell: processes, sockets, signals and clocks for the decisions of core.py."""
+"""The supervisor process of a fleet: applies the decisions of core.py to processes, sockets and signals."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 from flintlatch.fleet import core, log, spread
 from flintlatch.fleet.channel import Channel, Message, open_channel
 from flintlatch.fleet.control import Control, ControlError, check_path
-from flintlatch.fleet.listeners import Listeners, ListenError, bound_address
-from flintlatch.fleet.nodes import Nodes, described
+from flintlatch.fleet.listeners import ListenError, Listeners, bound_address
+from flintlatch.fleet.nodes import NodeList, encode_listing
 from flintlatch.fleet.notify import Notifier, activated
 from flintlatch.fleet.status import report, summary
 from flintlatch.metrics import Totals
@@ -32,18 +32,18 @@
 from flintlatch.net.discovery import Listing
 
 if TYPE_CHECKING:
-    from flintlatch.fleet.agreed import Agreed
-    from flintlatch.fleet.delivered import Supply
+    from flintlatch.fleet.agreed import PeerService
+    from flintlatch.fleet.delivered import DeliveryFeeds
 
-TAKEOVER = "FLINTLATCH_TAKEOVER"  # names the descriptor of a successor's channel to its predecessor
-OWN_SOCKETS = 48  # descriptors of the supervisor itself: interpreter, loop, registry, control and its callers
-EACH_SOCKETS = 2 * 3  # a worker's channel, both ends for a moment, a pidfd; twice, while two generations run
+TAKEOVER_VARIABLE = "FLINTLATCH_TAKEOVER"  # descriptor of a successor's channel to its predecessor
+SUPERVISOR_DESCRIPTORS = 48  # interpreter, event loop, registry, control socket and its connections
+DESCRIPTORS_PER_INSTANCE = 2 * 3  # both ends of the channel and a pidfd, for each of two generations
 LEVELS = ("error", "warning", "info", "debug")
-NEWS_KEPT = 20  # last lines for `status`
+MAX_RECENT_WARNINGS = 20  # log lines shown by `status`
 
 
-class CannotStart(Exception):
-    """The fleet can't run; the text is the one line that says why."""
+class StartupError(Exception):
+    """The fleet can't start; the text is the one line that is printed, `code` the exit code."""
 
     def __init__(self, text: str, code: int = 1) -> None:
         super().__init__(text)
@@ -51,19 +51,19 @@
 
 
 class Process:
-    """A worker's process and what it last said of itself."""
+    """A worker's process, the channel to it and its last heartbeat."""
 
     def __init__(self, worker: int) -> None:
         self.worker = worker
         self.process: asyncio.subprocess.Process | None = None
         self.channel: Channel | None = None
-        self.early: list[Message] = []  # said before the channel was up
+        self.queued_messages: list[Message] = []  # sent once the channel is open
         self.killed = False
-        self.last: Message = {}
+        self.last_heartbeat: Message = {}
 
     def send(self, message: Message) -> None:
         if self.channel is None:
-            self.early.append(message)
+            self.queued_messages.append(message)
         else:
             self.channel.send(message)
 
@@ -81,29 +81,29 @@
         self.core = core.Fleet(self.random.uniform)
         self.notifier = Notifier(env, os.getpid())
         self.listeners = Listeners()
-        self.control = Control(config.control_path, self.answer)
-        self.configs: dict[int, Config] = {}  # of each generation
-        self.nodes: dict[int, Nodes] = {}
+        self.control = Control(config.control_path, self.on_control_request)
+        self.configs: dict[int, Config] = {}  # by generation
+        self.nodes: dict[int, NodeList] = {}  # by generation
         self.processes: dict[int, Process] = {}
         self.tasks: set[asyncio.Task[Any]] = set()
-        self.wake: asyncio.TimerHandle | None = None
-        self.tickets: dict[int, tuple[asyncio.Future[core.ReloadDone], Config, Nodes]] = {}
+        self.wake_timer: asyncio.TimerHandle | None = None
+        self.pending_reloads: dict[int, tuple[asyncio.Future[core.ReloadDone], Config, NodeList]] = {}
         self.last_ticket = 0
-        self.reading = asyncio.Lock()  # a reload is read and prepared; the core keeps order from there on
-        self.opening: tuple[str, ...] = ()  # addresses of that reload
-        self.next_reload: asyncio.Task[Message] | None = None  # asked for, its file not read yet
+        self.reload_lock = asyncio.Lock()  # held while a reload is read and prepared; the core queues it then
+        self.opening_addresses: tuple[str, ...] = ()  # listen addresses of the reload being prepared
+        self.scheduled_reload: asyncio.Task[Message] | None = None  # requested, its file not read yet
         self.last_reload: Message = {}
-        self.news: list[str] = []
+        self.recent_warnings: list[str] = []
         self.spread_fd = spread.make()
         self.spread = spread.Spread(self.spread_fd, 0)
-        self.logger: tuple[str, Any] = "", None  # the form it is made for
+        self.logger: tuple[str, Any] = "", None  # the log format that it writes, and the logger
         self.totals = Totals()
-        self.page: Any = None  # of metrics
-        self.agreed: Agreed | None = None
-        self.supply: Supply | None = None  # of nodes by delivery, for all generations
-        self.orphans: list[str] = []  # of a predecessor that died: where they wait for this one to serve
-        self.done: asyncio.Future[int] = self.loop.create_future()
-        self.serving = self.stop_early = False
+        self.metrics_page: Any = None
+        self.peer_service: PeerService | None = None
+        self.delivery_feeds: DeliveryFeeds | None = None  # shared by all generations
+        self.orphan_paths: list[str] = []  # handover sockets of the workers of a supervisor that died
+        self.exit_code: asyncio.Future[int] = self.loop.create_future()
+        self.serving = self.stop_requested = False
         self.started_ms = now_ms()
         self.ready_after_s = 0.0
         self.predecessor: Channel | None = None
@@ -113,24 +113,24 @@
     def log(self, level: str, text: str) -> None:
         if LEVELS.index(level) <= LEVELS.index(self.config.fleet.log_level):
             if self.logger[0] != self.config.fleet.log_format:
-                form = self.config.fleet.log_format
+                log_format = self.config.fleet.log_format
                 fields = {"fleet": self.config.fleet.name, "pid": os.getpid()}
-                self.logger = form, log.make(form, "debug", "flintlatch fleet", **fields)
-            # Nobody reads it any more: no reason to leave a decision half carried out.
+                self.logger = log_format, log.make(log_format, "debug", "flintlatch fleet", **fields)
+            # A closed standard error must not interrupt the actions of a decision halfway.
             with suppress(OSError, ValueError):
                 getattr(self.logger[1], level)(text)
         if level in ("error", "warning"):
-            self.news = [*self.news[1 - NEWS_KEPT :], f"{level}: {text}"]
+            self.recent_warnings = [*self.recent_warnings[1 - MAX_RECENT_WARNINGS :], f"{level}: {text}"]
             if self.serving and not self.handed_over:
                 self.notifier.status(summary(self.core))
 
-    def task(self, coroutine: Any) -> asyncio.Task[Any]:
+    def create_task(self, coroutine: Any) -> asyncio.Task[Any]:
         task: asyncio.Task[Any] = self.loop.create_task(coroutine)
         self.tasks.add(task)
-        task.add_done_callback(self._task_done)
+        task.add_done_callback(self._on_task_done)
         return task
 
-    def _task_done(self, task: asyncio.Task[Any]) -> None:
+    def _on_task_done(self, task: asyncio.Task[Any]) -> None:
         self.tasks.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
             self.log("error", f"bug: {error!r}")
@@ -138,17 +138,17 @@
     # Start and end
 
     async def run(self) -> int:
-        """Serve until told to stop; the exit code. Raises CannotStart before anything serves."""
+        """Serve until told to stop, and return the exit code. Raises StartupError if nothing can serve."""
         for number, handler in (
             (signal.SIGTERM, self.stop),
             (signal.SIGINT, self.stop),
-            (signal.SIGHUP, self.on_hup),
-            (signal.SIGUSR2, self.on_usr2),
+            (signal.SIGHUP, self.on_sighup),
+            (signal.SIGUSR2, self.on_sigusr2),
         ):
             self.loop.add_signal_handler(number, handler)
         try:
             await self._start()
-            return await self.done
+            return await self.exit_code
         finally:
             self._close()
 
@@ -156,194 +156,214 @@
         config = self.config
         check_descriptors(config)
         await self._take_over()
-        given: list[socket.socket] = []
+        activated_sockets: list[socket.socket] = []
         try:
             if self.predecessor is None:
                 check_path(config.control_path)
-                given = activated(self.env, os.getpid())
-            self.listeners.adopt(config.fleet.listen, given)
-            if self.predecessor is None and not given:
-                await self.loop.run_in_executor(None, self._inherit)
+                activated_sockets = activated(self.env, os.getpid())
+            self.listeners.adopt(config.fleet.listen, activated_sockets)
+            if self.predecessor is None and not activated_sockets:
+                await self.loop.run_in_executor(None, self._inherit_listeners)
             await self.control.open()
             await self.listeners.open(config.fleet.listen, config.start.bind_wait_s)
         except (ControlError, ListenError, ValueError) as error:
-            raise CannotStart(str(error)) from None
+            raise StartupError(str(error)) from None
         for address in self.addresses():
             self.log("info", f"listens on {address}")
-        self._open_page(config)
-        self._open_agreed(config)
-        nodes = self._draw(config)
+        self._open_metrics_page(config)
+        self._open_peer_service(config)
+        node_list = self._open_nodes(config)
         try:
-            await self._first_list(nodes)
+            await self._wait_for_first_list(node_list)
         except TimeoutError:
-            nodes.close()
-            raise CannotStart(self._no_list(config, nodes)) from None
-        if self.stop_early:
-            nodes.close()
-            self.done.set_result(0)
+            node_list.close()
+            raise StartupError(self._no_list_error(config, node_list)) from None
+        if self.stop_requested:
+            node_list.close()
+            self.exit_code.set_result(0)
             return
-        self._ask_core(config, nodes)
+        self._request_generation(config, node_list)
         if self.notifier.watchdog_s:
-            self._alive()
+            self._notify_watchdog()
 
-    def _draw(self, config: Config) -> Nodes:
-        """The nodes of a generation to come."""
-        if config.delivery is not None and self.supply is None:
+    def _open_nodes(self, config: Config) -> NodeList:
+        """Start to follow the node list of a new generation."""
+        if config.delivery is not None and self.delivery_feeds is None:
             try:
-                from flintlatch.fleet.delivered import Supply  # only where it is wanted
+                from flintlatch.fleet.delivered import DeliveryFeeds  # an optional dependency
 
-                self.supply = Supply(self.log)
+                self.delivery_feeds = DeliveryFeeds(self.log)
             except ImportError as error:
                 self.log("error", f"delivery: {error.name} is not installed: pip install flintlatch[peers]")
-        return Nodes(config, self._on_news, self.log, self.supply)
+        return NodeList(config, self._on_listing, self.log, self.delivery_feeds)
 
-    async def _first_list(self, nodes: Nodes) -> None:
-        """Raises TimeoutError if the list has not come within the configuration's start limit."""
-        first = self.loop.create_task(nodes.first())
+    async def _wait_for_first_list(self, node_list: NodeList) -> None:
+        """Raises TimeoutError if no list has come within `ready_s`."""
+        first = self.loop.create_task(node_list.first())
         try:
             async with asyncio.timeout(self.config.start.ready_s):
-                while not first.done() and not self.stop_early:
+                while not first.done() and not self.stop_requested:
                     await asyncio.wait((first,), timeout=0.05)
         finally:
             first.cancel()
 
     @staticmethod
-    def _no_list(config: Config, nodes: Nodes) -> str:
+    def _no_list_error(config: Config, node_list: NodeList) -> str:
         limit = f"{config.start.ready_s:g} s"
         table = config.nodes
-        named = {"registry": f"registry {table.registry}", "catalogue": f"catalogue {table.catalogue}"}
-        named["delivery"] = f"delivery of {table.service}"
-        where = named.get(table.source, ", ".join(table.files))
-        return f"{where}: no list within {limit}: {nodes.failure or 'no answer'}"
+        source_names = {"registry": f"registry {table.registry}", "catalogue": f"catalogue {table.catalogue}"}
+        source_names["delivery"] = f"delivery of {table.service}"
+        source = source_names.get(table.source, ", ".join(table.files))
+        return f"{source}: no list within {limit}: {node_list.failure or 'no answer'}"
 
     async def _take_over(self) -> None:
-        """Started by a predecessor: its listening sockets, and a channel to tell it when it may go."""
-        fd = self.env.pop(TAKEOVER, "")
-        if not fd:
+        """If a predecessor started this process, receive its listening sockets over the channel that later
+        tells it that this process serves."""
+        descriptor_number = self.env.pop(TAKEOVER_VARIABLE, "")
+        if not descriptor_number:
             return
-        come: asyncio.Future[Message] = self.loop.create_future()
+        received: asyncio.Future[Message] = self.loop.create_future()
 
         def on_message(message: Message) -> None:
-            if not come.done():
-                come.set_result(message)
+            if not received.done():
+                received.set_result(message)
 
-        def on_end() -> None:
-            if not come.done():
-                come.set_exception(CannotStart("the predecessor is gone"))
+        def on_closed() -> None:
+            if not received.done():
+                received.set_exception(StartupError("the predecessor is gone"))
 
-        self.predecessor = await open_channel(socket.socket(fileno=int(fd)), on_message, on_end)
-        message = await come
-        for address, place, number in message["listeners"]:
-            sock = socket.socket(fileno=number)
+        self.predecessor = await open_channel(
+            socket.socket(fileno=int(descriptor_number)), on_message, on_closed
+        )
+        message = await received
+        for address, index, descriptor in message["listeners"]:
+            sock = socket.socket(fileno=descriptor)
             sock.set_inheritable(False)
-            self.listeners.sockets[address, place] = sock
+            self.listeners.sockets[address, index] = sock
         self.listeners.keep_only(self.config.fleet.listen)
-        # Numbers go on, so that a log of both tells generations and workers apart.
+        # Continue the predecessor's numbering, so that ids are unique in a log that both processes write.
         self.core.last_generation, self.core.last_worker_id = message["generation"], message["worker"]
 
-    def _open_page(self, config: Config) -> None:
-        """Metrics are no reason not to serve: an address that is taken is told of, and no more."""
+    def _open_metrics_page(self, config: Config) -> None:
+        """Open the metrics page. A failure is logged only, since the fleet can serve without it."""
         if not config.fleet.metrics:
             return
         try:
-            from flintlatch.metrics.page import Page  # only where it is wanted
+            from flintlatch.metrics.page import Page  # an optional dependency
 
-            self.page = Page(config.fleet.metrics, self.now)
+            self.metrics_page = Page(config.fleet.metrics, self.metrics_snapshot)
         except (OSError, ImportError) as error:
             self.log("error", f"metrics {config.fleet.metrics}: {error}")
         else:
-            self.log("info", f"metrics at {self.page.address}")
+            self.log("info", f"metrics at {self.metrics_page.address}")
 
-    def _open_agreed(self, config: Config) -> None:
+    def _open_peer_service(self, config: Config) -> None:
         if config.peers is None:
             return
         try:
-            from flintlatch.fleet.agreed import Agreed  # only where it is wanted
+            from flintlatch.fleet.agreed import PeerService  # an optional dependency
         except ImportError as error:
             self.log("error", f"peers: {error.name} is not installed: pip install flintlatch[peers]")
             return
-        self.agreed = Agreed(config, config.peers, self._tell_all, self._tell_one, self._servers, self.log)
-        self.agreed.start()
+        self.peer_service = PeerService(
+            config, config.peers, self._send_to_all, self._send_to_worker, self._listed_servers, self.log
+        )
+        self.peer_service.start()
 
-    def _tell_all(self, message: Message) -> None:
+    def _send_to_all(self, message: Message) -> None:
         for process in self.processes.values():
-            if process.channel is not None:  # one that starts is told what holds then
+            if process.channel is not None:  # a worker without one gets the current state when it starts
                 process.channel.send(message)
 
-    def _servers(self) -> set[str]:
-        """Uids that the current generation's list names."""
+    def _listed_servers(self) -> set[str]:
+        """Uids of the nodes on the current generation's list."""
         current = self.core.current
-        nodes = self.nodes.get(current.number) if current is not None else None
-        return set(nodes.targets) if nodes is not None else set()
+        node_list = self.nodes.get(current.number) if current is not None else None
+        return set(node_list.targets) if node_list is not None else set()
 
-    def _tell_one(self, worker: int, message: Message) -> None:
+    def _send_to_worker(self, worker: int, message: Message) -> None:
         if (process := self.processes.get(worker)) is not None and process.channel is not None:
             process.channel.send(message)
 
-    def now(self) -> Any:
-        """For the page's thread: whole values, read once each."""
+    def metrics_snapshot(self) -> Any:
+        """Called in the thread of the metrics page: reads each value once and copies what may change."""
         from flintlatch.metrics.page import Now
 
-        lasts = [process.last for process in list(self.processes.values())]
-        states = Counter(worker.state.value for worker in list(self.core.workers.values()))
-        lost = sum((last.get("access_log") or {}).get("lost", 0) for last in lasts)
-        flight, clients = (sum(last.get(name) or 0 for last in lasts) for name in ("in_flight", "clients"))
-        members, told = (self.agreed.states(), self.agreed.counts()) if self.agreed is not None else ({}, {})
-        return Now(self.totals.all(), dict(states), flight, clients, lost, members, told)
+        heartbeats = [process.last_heartbeat for process in list(self.processes.values())]
+        workers_by_state = Counter(worker.state.value for worker in list(self.core.workers.values()))
+        lost_records = sum((heartbeat.get("access_log") or {}).get("lost", 0) for heartbeat in heartbeats)
+        in_flight, clients = (
+            sum(heartbeat.get(name) or 0 for heartbeat in heartbeats) for name in ("in_flight", "clients")
+        )
+        members_by_state, peer_counts = (
+            (self.peer_service.states(), self.peer_service.counts())
+            if self.peer_service is not None
+            else ({}, {})
+        )
+        return Now(
+            self.totals.all(),
+            dict(workers_by_state),
+            in_flight,
+            clients,
+            lost_records,
+            members_by_state,
+            peer_counts,
+        )
 
-    def _inherit(self) -> None:
-        """Take the listening sockets that a dead supervisor's workers hold, with all that waits there."""
+    def _inherit_listeners(self) -> None:
+        """Take over the listening sockets, with their accept queues, from the workers of a dead
+        supervisor."""
         for path in handover.find(self.config.control_path):
             sockets = handover.take(path)
             if not sockets:
                 continue
-            self.orphans.append(path)
-            for sock in self.listeners.inherit(self.config.fleet.listen, socks):
-                self.log("info", f"inherited {bound_address(sock)}")
+            self.orphan_paths.append(path)
+            for sock in self.listeners.inherit(self.config.fleet.listen, sockets):
+                self.log("info", f"inherited the listening socket {bound_address(sock)}")
 
-    def _tell_orphans(self) -> None:
-        orphans, self.orphans = self.orphans, []
-        for path in orphans:
+    def _notify_orphans(self) -> None:
+        paths, self.orphan_paths = self.orphan_paths, []
+        for path in paths:
             self.loop.run_in_executor(None, handover.tell_serving, path)
 
-    def _alive(self) -> None:
+    def _notify_watchdog(self) -> None:
         self.notifier.alive()
-        self.loop.call_later(self.notifier.watchdog_s / 2, self._alive)
+        self.loop.call_later(self.notifier.watchdog_s / 2, self._notify_watchdog)
 
     def _close(self) -> None:
-        if self.wake is not None:
-            self.wake.cancel()
-        if self.page is not None:
-            self.page.close()
-        if self.agreed is not None:
-            self.agreed.close()
-        for nodes in self.nodes.values():
-            nodes.close()
-        if self.supply is not None:
-            self.supply.close()
+        if self.wake_timer is not None:
+            self.wake_timer.cancel()
+        if self.metrics_page is not None:
+            self.metrics_page.close()
+        if self.peer_service is not None:
+            self.peer_service.close()
+        for node_list in self.nodes.values():
+            node_list.close()
+        if self.delivery_feeds is not None:
+            self.delivery_feeds.close()
         for process in self.processes.values():
             process.kill()
         self.listeners.close(list(self.listeners.sockets))
         self.control.close()
 
     def stop(self) -> None:
-        self.stop_early = True  # should nothing have been started yet
+        self.stop_requested = True  # read during startup, before the core knows any generation
         if self.last_ticket:
             self._step(core.StopRequested())
 
-    def on_hup(self) -> None:
-        self.task(self.reload())
+    def on_sighup(self) -> None:
+        self.create_task(self.reload())
 
-    def on_usr2(self) -> None:
-        self.task(self.upgrade())
+    def on_sigusr2(self) -> None:
+        self.create_task(self.upgrade())
 
     # Decisions
 
     def _step(self, event: core.Event) -> None:
         for action in self.core.step(self.loop.time(), event):
-            self._carry_out(action)
+            self._perform(action)
 
-    def _carry_out(self, action: core.Action) -> None:
+    def _perform(self, action: core.Action) -> None:
         if isinstance(action, core.Spawn):
             self._spawn(action)
         elif isinstance(action, core.Accept):
@@ -356,7 +376,7 @@
         elif isinstance(action, core.GenerationServing):
             self._on_serving(action)
         elif isinstance(action, core.ReloadDone):
-            self._on_reloaded(action)
+            self._on_reload_done(action)
         elif isinstance(action, core.GenerationEnded):
             self.nodes.pop(action.generation).close()
             del self.configs[action.generation]
@@ -364,38 +384,40 @@
             self.log("info", f"stopping: {action.reason}")
             if not self.handed_over:
                 self.notifier.stopping(action.reason)
-            if self.agreed is not None:
-                self.agreed.close() if self.handed_over else self.agreed.leave()
+            if self.peer_service is not None:
+                self.peer_service.close() if self.handed_over else self.peer_service.leave()
             if self.successor is not None and not self.handed_over:
                 self.successor.terminate()
-            # Workers hold the sockets; once the last of them lets go, the address is free.
+            # The workers keep the sockets open; the address is free once the last of them has closed it.
             self.listeners.close(list(self.listeners.sockets))
         elif isinstance(action, core.Stopped):
-            if not self.done.done():
+            if not self.exit_code.done():
                 self.log("info", "stopped")
-                self.done.set_result(1 if action.failed else 0)
+                self.exit_code.set_result(1 if action.failed else 0)
         elif isinstance(action, core.LogLine):
             self.log(action.level, action.text)
         elif isinstance(action, core.WakeAt):
-            if self.wake is not None:
-                self.wake.cancel()
-            self.wake = self.loop.call_at(max(action.at_s, self.loop.time() + 0.001), self._step, core.Tick())
+            if self.wake_timer is not None:
+                self.wake_timer.cancel()
+            self.wake_timer = self.loop.call_at(
+                max(action.at_s, self.loop.time() + 0.001), self._step, core.Tick()
+            )
 
-    def _ask_core(self, config: Config, nodes: Nodes) -> asyncio.Future[core.ReloadDone]:
+    def _request_generation(self, config: Config, node_list: NodeList) -> asyncio.Future[core.ReloadDone]:
         self.last_ticket += 1
         done: asyncio.Future[core.ReloadDone] = self.loop.create_future()
-        self.tickets[self.last_ticket] = (done, config, nodes)
-        self._step(core.ReloadRequested(limits(config), self.last_ticket))
+        self.pending_reloads[self.last_ticket] = (done, config, node_list)
+        self._step(core.ReloadRequested(generation_limits(config), self.last_ticket))
         return done
 
     def _on_serving(self, action: core.GenerationServing) -> None:
         first = not self.serving
         self.config = self.configs[action.generation]
         self.serving = True
-        if self.agreed is not None and not first:
-            self.agreed.reconfigure(self.config)
-        elif self.agreed is None and not first:
-            self._open_agreed(self.config)
+        if self.peer_service is not None and not first:
+            self.peer_service.reconfigure(self.config)
+        elif self.peer_service is None and not first:
+            self._open_peer_service(self.config)
         if first:
             self.ready_after_s = (now_ms() - self.started_ms) / 1000
             try:
@@ -404,80 +426,82 @@
                 self.log("error", str(error))
             if self.predecessor is not None:
                 self.predecessor.send({"kind": "serving", "pid": os.getpid()})
-            self._tell_orphans()
+            self._notify_orphans()
         self.notifier.ready(summary(self.core))
-        lack = "" if action.complete else ", not complete"
+        incomplete = "" if action.complete else ", not complete"
         self.log(
-            "info", f"ready: generation {action.generation}, {self.config.fleet.instances} instances{lack}"
+            "info",
+            f"ready: generation {action.generation}, {self.config.fleet.instances} instances{incomplete}",
         )
 
-    def _on_reloaded(self, action: core.ReloadDone) -> None:
-        done, _, nodes = self.tickets.pop(action.ticket)
-        if not action.generation:  # its turn never came
-            nodes.close()
-        self._close_listeners()
+    def _on_reload_done(self, action: core.ReloadDone) -> None:
+        done, _, node_list = self.pending_reloads.pop(action.ticket)
+        if not action.generation:  # no generation was started
+            node_list.close()
+        self._close_unused_listeners()
         if not done.done():
             done.set_result(action)
 
-    def _close_listeners(self) -> None:
-        """Those of a reload that failed go, and those that the new generation no longer names."""
+    def _close_unused_listeners(self) -> None:
+        """Close the listening sockets that neither the current configuration nor a pending reload names."""
         if self.serving and self.core.phase is core.Phase.SERVING:
-            waiting = [other.fleet.listen for _, other, _ in self.tickets.values()]
-            self.listeners.keep_only(self.config.fleet.listen, self.opening, *waiting)
+            pending = [config.fleet.listen for _, config, _ in self.pending_reloads.values()]
+            self.listeners.keep_only(self.config.fleet.listen, self.opening_addresses, *pending)
 
     # Workers
 
     def _spawn(self, action: core.Spawn) -> None:
         generation = action.generation
         if generation not in self.configs:
-            _, config, nodes = self.tickets[self.core.generations[generation].ticket]
-            self.configs[generation], self.nodes[generation] = config, nodes
+            _, config, node_list = self.pending_reloads[self.core.generations[generation].ticket]
+            self.configs[generation], self.nodes[generation] = config, node_list
         process = self.processes[action.worker] = Process(action.worker)
-        self.task(self._run_worker(action, process))
+        self.create_task(self._run_worker(action, process))
 
     async def _run_worker(self, action: core.Spawn, process: Process) -> None:
-        """Start one, hear it, and tell of its end."""
+        """Start a worker and wait for its end, which is reported to the core in any case."""
         try:
-            # One that was given up before its turn came: its sockets may be closed by now.
-            how = "not started" if process.killed else await self._worker_life(action, process)
+            # If it was killed before its process was started, the listening sockets may be closed already.
+            exit_status = "not started" if process.killed else await self._start_and_wait(action, process)
         except OSError as error:
-            how = f"not started: {error.strerror or error}"
-        except Exception as error:  # whatever it was, the decisions must hear of the end
-            how = f"not started: {error!r}"
+            exit_status = f"not started: {error.strerror or error}"
+        except Exception as error:  # the core must learn of the end after any failure
+            exit_status = f"not started: {error!r}"
         if process.channel is not None:
             process.channel.close()
         self.spread.leave(action.worker)
         self.totals.ended(action.worker)
         del self.processes[action.worker]
-        if self.agreed is not None:
-            self.agreed.gone(action.worker)
-        self._step(core.WorkerExited(action.worker, how))
+        if self.peer_service is not None:
+            self.peer_service.remove_instance(action.worker)
+        self._step(core.WorkerExited(action.worker, exit_status))
 
-    async def _worker_life(self, action: core.Spawn, process: Process) -> str:
-        config, nodes = self.configs[action.generation], self.nodes[action.generation]
+    async def _start_and_wait(self, action: core.Spawn, process: Process) -> str:
+        config, node_list = self.configs[action.generation], self.nodes[action.generation]
         sockets = self.listeners.sockets_for(config.fleet.listen)
-        mine, theirs = socket.socketpair()
+        supervisor_end, worker_end = socket.socketpair()
         try:
-            with theirs:
+            with worker_end:
                 process.process = await asyncio.create_subprocess_exec(
                     sys.executable,
                     "-m",
                     "flintlatch.fleet.worker",
-                    str(theirs.fileno()),
+                    str(worker_end.fileno()),
                     stdin=asyncio.subprocess.DEVNULL,
-                    pass_fds=(theirs.fileno(), self.spread_fd, *(sock.fileno() for sock in socks)),
+                    pass_fds=(worker_end.fileno(), self.spread_fd, *(sock.fileno() for sock in sockets)),
                     env=self.worker_env(),
-                    # A limit on the interpreter's start that needs nobody: should it hang there, and this
-                    # process be gone, it would hold the address for good. An alarm outlives exec (alarm(2)).
+                    # Limits the interpreter's start even if the supervisor dies: a worker that hangs there
+                    # would keep the address in use forever. A pending alarm is preserved across exec
+                    # (alarm(2)).
                     preexec_fn=partial(signal.alarm, ceil(config.start.ready_s) + 1),
                 )
             if process.killed:
                 process.process.kill()
             process.channel = await open_channel(
-                mine, lambda message: self._on_word(action.worker, message), lambda: None
+                supervisor_end, lambda message: self._on_worker_message(action.worker, message), lambda: None
             )
         except BaseException:
-            mine.close()
+            supervisor_end.close()
             raise
         process.channel.send(
             {
@@ -487,20 +511,20 @@
                 "seed": self.random.getrandbits(48),
                 "path": config.path,
                 "config": config.text,
-                "list": described(nodes.whole()),
-                "listeners": [sock.fileno() for sock in socks],
+                "list": encode_listing(node_list.whole()),
+                "listeners": [sock.fileno() for sock in sockets],
                 "spread": self.spread_fd,
                 "worker": action.worker,
-                "words": self.agreed.words() if self.agreed is not None else [],
+                "words": self.peer_service.words() if self.peer_service is not None else [],
             }
         )
-        for message in process.early:
+        for message in process.queued_messages:
             process.channel.send(message)
         code = await process.process.wait()
         return f"signal {-code}" if code < 0 else f"exit code {code}"
 
     def worker_env(self) -> dict[str, str]:
-        """Nothing of the service manager's: what it expects is said by the supervisor alone."""
+        """The environment without the service manager's variables: only the supervisor notifies it."""
         names = (
             "NOTIFY_SOCKET",
             "WATCHDOG_USEC",
@@ -511,29 +535,37 @@
         )
         return {name: value for name, value in self.env.items() if name not in names}
 
-    def _on_word(self, worker: int, message: Message) -> None:
+    def _on_worker_message(self, worker: int, message: Message) -> None:
         kind = message.get("kind")
         if kind == "ready":
             self._step(core.WorkerReady(worker))
         elif kind == "beat":
             if worker in self.processes:
-                self.processes[worker].last = message
+                self.processes[worker].last_heartbeat = message
                 if message.get("counts") is not None:
                     self.totals.heard(worker, message["counts"])
             self._step(core.WorkerHeartbeat(worker, float(message.get("rss_mb", 0))))
         elif kind == "limits":
-            if self.agreed is not None and self.agreed.limiting is not None and worker in self.processes:
-                self.agreed.limiting.on_instance_report(worker, message)
+            if (
+                self.peer_service is not None
+                and self.peer_service.limiter is not None
+                and worker in self.processes
+            ):
+                self.peer_service.limiter.on_instance_report(worker, message)
         elif kind == "seen":
-            if self.agreed is not None and self.agreed.judging is not None and worker in self.processes:
-                self.agreed.judging.on_instance_report(worker, message)
+            if (
+                self.peer_service is not None
+                and self.peer_service.ejector is not None
+                and worker in self.processes
+            ):
+                self.peer_service.ejector.on_instance_report(worker, message)
         elif kind == "failed":
             self._step(core.WorkerFailed(worker, str(message.get("reason"))))
 
-    def _on_news(self, source: Nodes, news: Listing) -> None:
-        """The list has changed for the workers of the generation that draws on this source."""
-        message = {"kind": "list", "list": described(news)}
-        for generation in [number for number, nodes in self.nodes.items() if nodes is source]:
+    def _on_listing(self, node_list: NodeList, listing: Listing) -> None:
+        """Send a changed list to the workers of the generations that use it."""
+        message = {"kind": "list", "list": encode_listing(listing)}
+        for generation in [number for number, other in self.nodes.items() if other is node_list]:
             for worker in self.core.workers.values():
                 if worker.generation == generation and worker.id in self.processes:
                     self.processes[worker.id].send(message)
@@ -541,20 +573,20 @@
     # Reload and upgrade
 
     async def reload(self) -> Message:
-        """Read the file again and make it the next generation. Calls that come before the file is read share
-        one reading; the answer says how it went."""
-        if self.next_reload is None:
-            self.next_reload = self.task(self._reload())
-        return await asyncio.shield(self.next_reload)
+        """Read the configuration file again and start a generation with it; return the outcome. Calls that
+        come before the file is read share one reload."""
+        if self.scheduled_reload is None:
+            self.scheduled_reload = self.create_task(self._reload())
+        return await asyncio.shield(self.scheduled_reload)
 
     async def _reload(self) -> Message:
         started = self.loop.time()
-        async with self.reading:
-            self.next_reload = None
-            prepared = await self._prepare()
+        async with self.reload_lock:
+            self.scheduled_reload = None
+            prepared = await self._prepare_reload()
         if isinstance(prepared, str):
             generation, reason = 0, prepared
-            self._close_listeners()
+            self._close_unused_listeners()
         else:
             done = await prepared
             generation, reason = done.generation, done.reason
@@ -571,8 +603,9 @@
             self.notifier.ready(summary(self.core))
         return self.last_reload
 
-    async def _prepare(self) -> asyncio.Future[core.ReloadDone] | str:
-        """Check all that can be checked before a worker is started; the core's answer to come, or why not."""
+    async def _prepare_reload(self) -> asyncio.Future[core.ReloadDone] | str:
+        """Check what can be checked before a worker is started. Returns a future of the core's result, or the
+        reason why the reload failed."""
         if self.core.phase is not core.Phase.SERVING:
             return f"the fleet is {self.core.phase.value}"
         if self.successor is not None:
@@ -580,7 +613,7 @@
         try:
             config = load(self.config.path)
             check_descriptors(config)
-        except (Unusable, CannotStart) as error:
+        except (Unusable, StartupError) as error:
             return str(error).replace("\n", "; ")
         if config.control_path != self.config.control_path:
             return f"{config.path}: fleet.control: can't change while the fleet runs; restart or upgrade it"
@@ -589,38 +622,39 @@
             await self.listeners.open(config.fleet.listen)
         except ListenError as error:
             return str(error)
-        self.opening = config.fleet.listen
-        nodes = self._draw(config)
+        self.opening_addresses = config.fleet.listen
+        node_list = self._open_nodes(config)
         try:
             async with asyncio.timeout(config.start.ready_s):
-                await nodes.first()
+                await node_list.first()
         except TimeoutError:
-            nodes.close()
-            return self._no_list(config, nodes)
+            node_list.close()
+            return self._no_list_error(config, node_list)
         finally:
-            self.opening = ()
-        return self._ask_core(config, nodes)
+            self.opening_addresses = ()
+        return self._request_generation(config, node_list)
 
     async def upgrade(self) -> Message:
-        """Start a new program on the same listening sockets; this one drains once that serves."""
+        """Start a successor, possibly of a new version, on the same listening sockets (hot restart). This
+        fleet drains once the successor serves."""
         if self.successor is not None or self.core.phase is not core.Phase.SERVING:
-            return {"ok": False, "reason": "not while it starts, stops, or upgrades already"}
-        mine, theirs = socket.socketpair()
+            return {"ok": False, "reason": "the fleet is starting, stopping or already being upgraded"}
+        predecessor_end, successor_end = socket.socketpair()
         serving: asyncio.Future[int] = self.loop.create_future()
 
         def on_message(message: Message) -> None:
             if message.get("kind") == "serving" and not serving.done():
                 serving.set_result(int(message["pid"]))
 
-        def on_end() -> None:
+        def on_closed() -> None:
             if not serving.done():
                 serving.set_result(0)
 
         sockets = self.listeners.sockets
-        env = self.env | {TAKEOVER: str(theirs.fileno())}
+        env = self.env | {TAKEOVER_VARIABLE: str(successor_end.fileno())}
         self.log("info", "upgrade: starting the successor")
         try:
-            with theirs:
+            with successor_end:
                 self.successor = await asyncio.create_subprocess_exec(
                     sys.executable,
                     "-m",
@@ -628,17 +662,17 @@
                     "fleet",
                     self.config.path,
                     stdin=asyncio.subprocess.DEVNULL,
-                    pass_fds=(theirs.fileno(), *(sock.fileno() for sock in socks.values())),
+                    pass_fds=(successor_end.fileno(), *(sock.fileno() for sock in sockets.values())),
                     env=env,
                 )
         except OSError as error:
-            mine.close()
+            predecessor_end.close()
             return {"ok": False, "reason": f"upgrade: {error.strerror}"}
-        channel = await open_channel(mine, on_message, on_end)
+        channel = await open_channel(predecessor_end, on_message, on_closed)
         channel.send(
             {
                 "kind": "takeover",
-                "listeners": [[address, place, sock.fileno()] for (address, place), sock in socks.items()],
+                "listeners": [[address, index, sock.fileno()] for (address, index), sock in sockets.items()],
                 "generation": self.core.last_generation,
                 "worker": self.core.last_worker_id,
             }
@@ -655,7 +689,7 @@
                 self.successor.kill()
             await self.successor.wait()
             self.successor = None
-            reason = "the successor did not come to serve; going on as before"
+            reason = "the successor did not start serving; going on as before"
             self.log("error", f"upgrade: {reason}")
             return {"ok": False, "reason": reason}
         self.handed_over = True
@@ -665,7 +699,7 @@
 
     # Control
 
-    async def answer(self, request: Message) -> Message:
+    async def on_control_request(self, request: Message) -> Message:
         command = request.get("do")
         if command == "status":
             return report(self, os.getpid(), self.loop.time())
@@ -677,47 +711,47 @@
             self.loop.call_soon(self.stop)
             return {"ok": True}
         if command in ("nodes", "confirm"):
-            return self._on_nodes(request)
+            return self._on_nodes_request(request)
         if command in ("peers", "note"):
-            return self._on_peers(request)
+            return self._on_peers_request(request)
         if command == "limits":
-            limiting = self.agreed.limiting if self.agreed is not None else None
-            if limiting is None:
+            limiter = self.peer_service.limiter if self.peer_service is not None else None
+            if limiter is None:
                 return {"ok": False, "reason": "no [[limit]] with [peers] here"}
-            return {"ok": True, "limits": limiting.report()}
+            return {"ok": True, "limits": limiter.report()}
         if command == "verdicts":
-            judging = self.agreed.judging if self.agreed is not None else None
-            if judging is None:
+            ejector = self.peer_service.ejector if self.peer_service is not None else None
+            if ejector is None:
                 return {"ok": False, "reason": "no [verdicts] with [peers] here"}
-            return {"ok": True, **judging.report()}
+            return {"ok": True, **ejector.report()}
         expected = "status, reload, upgrade, stop, nodes, confirm, peers, note, limits, verdicts"
         return {"ok": False, "reason": f"expected 'do' to be one of {expected}"}
 
-    def _on_peers(self, request: Message) -> Message:
-        """Who is there, or a note for all of them."""
-        if self.agreed is None:
+    def _on_peers_request(self, request: Message) -> Message:
+        """Report the members, or publish a note to all fleets."""
+        if self.peer_service is None:
             return {"ok": False, "reason": "no [peers] here"}
         if request["do"] == "peers":
-            return self.agreed.report()
+            return self.peer_service.report()
         try:
             subject, text = str(request["subject"]), str(request["text"])
-            return self.agreed.note(subject, text, float(request["for_s"]))
+            return self.peer_service.note(subject, text, float(request["for_s"]))
         except (KeyError, ValueError, TypeError):
             return {"ok": False, "reason": "expected subject, text and for_s"}
 
-    def _on_nodes(self, request: Message) -> Message:
-        """The list in effect with its sources, or a confirmation of a version that is held."""
+    def _on_nodes_request(self, request: Message) -> Message:
+        """Report the current list with its sources, or confirm a version that is on hold."""
         current = self.core.current
-        nodes = self.nodes.get(current.number) if current is not None else None
-        if nodes is None:
+        node_list = self.nodes.get(current.number) if current is not None else None
+        if node_list is None:
             return {"ok": False, "reason": "no generation serves"}
         if request["do"] == "nodes":
-            sources = nodes.members.report() if nodes.members is not None else []
-            return {"ok": True, "list": described(nodes.whole()), "sources": sources}
-        if nodes.members is None:
-            return {"ok": False, "reason": "no source here holds versions"}
+            sources = node_list.members.report() if node_list.members is not None else []
+            return {"ok": True, "list": encode_listing(node_list.whole()), "sources": sources}
+        if node_list.members is None:
+            return {"ok": False, "reason": "the node source of this fleet has no versions to confirm"}
         try:
-            return nodes.members.confirm(str(request["source"]), int(request["version"]))
+            return node_list.members.confirm(str(request["source"]), int(request["version"]))
         except (KeyError, ValueError, TypeError):
             return {"ok": False, "reason": "expected source and version"}
 
@@ -725,7 +759,7 @@
         return [bound_address(sock) for sock in self.listeners.sockets.values()]
 
 
-def limits(config: Config) -> core.Limits:
+def generation_limits(config: Config) -> core.Limits:
     start, drain = config.start, config.drain
     return core.Limits(
         config.fleet.instances,
@@ -742,22 +776,28 @@
 
 
 def check_descriptors(config: Config) -> None:
-    """Raise CannotStart if the process may not hold what two generations at once need."""
-    need = OWN_SOCKETS + EACH_SOCKETS * config.fleet.instances + 2 * len(config.fleet.listen)
+    """Raise the soft limit on file descriptors to what two generations need at once.
+
+    Raises StartupError if the hard limit is lower."""
+    needed = (
+        SUPERVISOR_DESCRIPTORS
+        + DESCRIPTORS_PER_INSTANCE * config.fleet.instances
+        + 2 * len(config.fleet.listen)
+    )
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    if hard != resource.RLIM_INFINITY and hard < need:
-        raise CannotStart(
-            f"descriptors: at most {hard} allowed (ulimit -Hn), at least {need} needed for "
+    if hard != resource.RLIM_INFINITY and hard < needed:
+        raise StartupError(
+            f"descriptors: at most {hard} allowed (ulimit -Hn), at least {needed} needed for "
             f"{config.fleet.instances} instances"
         )
-    if soft < need:
-        resource.setrlimit(resource.RLIMIT_NOFILE, (need, hard))
+    if soft < needed:
+        resource.setrlimit(resource.RLIMIT_NOFILE, (needed, hard))
 
 
 def run(path: str, env: Mapping[str, str]) -> int:
-    """Run a fleet from the configuration at `path` until it is told to stop; the exit code.
+    """Run a fleet with the configuration at `path` until it is told to stop, and return the exit code.
 
-    2: the configuration can't be used. 1: it can't start, or every instance is given up."""
+    2: the configuration is invalid. 1: the fleet can't start, or every instance is given up."""
     try:
         config = load(path)
     except Unusable as error:
@@ -769,6 +809,6 @@
 
     try:
         return uvloop.run(supervise())
-    except CannotStart as error:
+    except StartupError as error:
         print(f"flintlatch fleet: error: {error}", file=sys.stderr)
         return error.code
--- a/tests/fleet/test_delivered.py
+++ b/tests/fleet/test_delivered.py
@@ -25,8 +25,8 @@
 from flintlatch.delivery.model import ObjectChange, Place
 from flintlatch.delivery.shell import Server
 from flintlatch.delivery.source import LOOK_S
-from flintlatch.fleet.delivered import Supply
-from flintlatch.fleet.nodes import Nodes, described
+from flintlatch.fleet.delivered import DeliveryFeeds
+from flintlatch.fleet.nodes import NodeList, encode_listing
 from flintlatch.net.clock import now_ms
 from flintlatch.net.discovery import Listing, read_listing
 from flintlatch.net.engine import Engine
@@ -309,10 +309,10 @@
         self.log: list[str] = []
         self.news: list[Listing] = []
         self.server = Server(Place("r0"), "127.0.0.1:0", RULES, (bytes.fromhex(KEY),), self.log.append)
-        self.supply = Supply(lambda level, text: self.log.append(f"{level}: {text}"))
-        self.drawn: list[Nodes] = []
+        self.supply = DeliveryFeeds(lambda level, text: self.log.append(f"{level}: {text}"))
+        self.drawn: list[NodeList] = []
 
-    async def open(self, count: int) -> Nodes:
+    async def open(self, count: int) -> NodeList:
         await self.server.open()
         self.commit({f"s{n}": {"address": f"10.0.{n >> 8}.{n & 255}:80", "zone": "a"} for n in range(count)})
         return await self.draw()
@@ -326,11 +326,11 @@
 
     async def draw(
         self, within_s: float = RULES.staleness_s(0, 0.0) + LOADED_S, service: str = SERVICE
-    ) -> Nodes:
+    ) -> NodeList:
         """As a reload does. Raises TimeoutError."""
         path = str(self.folder / "fleet.toml")
         config = parse(text_of([self.server.address], QUICK, nodes={"service": service}), path)
-        nodes = Nodes(config, lambda _, news: self.news.append(news), lambda *line: None, self.supply)
+        nodes = NodeList(config, lambda _, news: self.news.append(news), lambda *line: None, self.supply)
         self.drawn.append(nodes)
         async with asyncio.timeout(within_s):
             await nodes.first()
@@ -354,13 +354,13 @@
         nodes = await made.open(2000)
         config = parse(text_of(["127.0.0.1:1"], {}), "f.toml")
         engine = Engine(config.settings(0), config.wire(), 1, 100)
-        whole = described(nodes.whole())
+        whole = encode_listing(nodes.whole())
         engine.on_list(read_listing(whole, config.wire()))
         engine.news.clear()
         made.commit({"s7": {"address": "10.0.0.7:80", "zone": "a", "state": "draining"}})
         await made.until(lambda: bool(made.news))
         (news,) = made.news
-        message = json.dumps(described(news))  # what each worker is sent
+        message = json.dumps(encode_listing(news))  # what each worker is sent
         assert len(message) < 300 < len(json.dumps(whole)) / 500
         engine.on_list(read_listing(json.loads(message), config.wire()))
         (told,) = engine.news
