--- a/flintlatch/fleet/heard.py
+++ b/flintlatch/fleet/heard.py
@@ -26,7 +26,7 @@
         """`number`: of this instance in its fleet. `alone`, `limits`: what holds with no word."""
         self.number, self.alone, self.clock, self.log = number, alone, clock, log
         self.place, self.until = alone, 0.0
-        self.used = alone
+        self.applied_proxies = alone
         self.lone = True
         self.life = -1  # of the module that was told
         self.fixed = {part.limit: part for part in limits}
@@ -36,7 +36,9 @@
         self.next_end, self.news = 0.0, True
         self.ejected: set[str] = set()  # as the module was told
         self.shun: tuple[set[str], float] = set(), 0.0  # as we were, and until when
-        self.accused: set[str] = set()  # servers that somebody finds bad: what we see of them is asked for
+        self.reported_servers: set[str] = (
+            set()
+        )  # servers that somebody finds bad: what we see of them is asked for
         self.shun_news = False
 
     def on_entry(self, word: dict[str, Any]) -> None:
@@ -47,7 +49,7 @@
             self.until = float(word["until"])
         elif word["about"] == "shun":
             self.shun = set(map(str, word["value"])), float(word["until"])
-            self.accused = set(map(str, word["accused"]))
+            self.reported_servers = set(map(str, word["accused"]))
             self.shun_news = True
         elif word["about"] == "limit" and word["limit"] in self.fixed:
             per_s, burst, *mark = word["value"]
@@ -71,8 +73,8 @@
         if lone and not self.lone:
             self.log(f"the word on other fleets has ended: counting {wanted.proxies} proxies, as configured")
         self.lone = lone
-        if wanted != self.used:
-            self.used = wanted
+        if wanted != self.applied_proxies:
+            self.applied_proxies = wanted
             events.append(wanted)
         return events
 
--- a/flintlatch/fleet/supervisor.py
+++ b/flintlatch/fleet/supervisor.py
@@ -190,7 +190,7 @@
         """Start to follow the node list of a new generation."""
         if config.delivery is not None and self.delivery_feeds is None:
             try:
-                from flintlatch.fleet.delivered import DeliveryFeeds  # an optional dependency
+                from flintlatch.fleet.delivered import DeliveryFeeds  # imported only if configured
 
                 self.delivery_feeds = DeliveryFeeds(self.log)
             except ImportError as error:
@@ -249,7 +249,7 @@
         if not config.fleet.metrics:
             return
         try:
-            from flintlatch.metrics.page import Page  # an optional dependency
+            from flintlatch.metrics.page import Page  # imported only if configured
 
             self.metrics_page = Page(config.fleet.metrics, self.metrics_snapshot)
         except (OSError, ImportError) as error:
@@ -261,7 +261,7 @@
         if config.peers is None:
             return
         try:
-            from flintlatch.fleet.agreed import PeerService  # an optional dependency
+            from flintlatch.fleet.agreed import PeerService  # imported only if configured
         except ImportError as error:
             self.log("error", f"peers: {error.name} is not installed: pip install flintlatch[peers]")
             return
--- a/flintlatch/fleet/worker.py
+++ b/flintlatch/fleet/worker.py
@@ -1,7 +1,8 @@
-"""One instance of the proxy, as a supervisor starts it: `python -m flintlatch.fleet.worker FD`.
+"""One instance of the proxy, started by the supervisor as `python -m flintlatch.fleet.worker FD`.
 
-FD is its end of the channel. It is told by `hello` what it is, says `ready` once it holds a list with a
-node that takes requests, accepts from `accept` on, and ends after `drain`, or when its supervisor is gone.
+FD is the worker's end of the channel to the supervisor. The message `hello` brings the configuration. The
+worker sends `ready` once its list has a node that takes requests, accepts connections after `accept`, and
+exits after `drain` or when the supervisor is gone.
 """
 
 from __future__ import annotations
@@ -36,13 +37,13 @@
     from flintlatch.fleet.heard import ReceivedEntries
     from flintlatch.fleet.observe import Observer
 
-BEATS = 5  # signs of life within the watchdog's time: one that comes late must not count as silence
-SEEN_S = 0.1  # s between two words on servers that failed
-LIMITS_S = 0.1  # s between two words on what limits were asked for
-MAX_UNSENT_BYTES = 16 * 1024  # bytes that wait for a supervisor which does not read
-LAST_WORDS_S = 0.3  # s for the answers written at the limit to leave
-LAST_RECORDS_S = 1.0  # s that the access log may take for what waits
-PARENT_LOOK_S = 0.5  # s between looks at whether the supervisor still lives, should the loop hang
+HEARTBEATS_PER_WATCHDOG = 5  # within watchdog_s, so that a late heartbeat does not count as a hang
+SERVER_REPORT_INTERVAL_S = 0.1
+LIMIT_REPORT_INTERVAL_S = 0.1
+MAX_UNSENT_BYTES = 16 * 1024  # periodic messages are skipped while the supervisor reads too slowly
+FINAL_RESPONSES_S = 0.3  # of the drain limit, kept to send the responses to requests that it ends
+ACCESS_LOG_CLOSE_S = 1.0  # for writing the queued records
+PARENT_POLL_INTERVAL_S = 0.5
 PAGE_MB = os.sysconf("SC_PAGE_SIZE") / 1e6
 
 
@@ -58,18 +59,18 @@
         self.frontend: Frontend | None = None
         self.observer: Observer | None = None
         self.spread: Spread | None = None
-        self.offer: Offer | None = None
-        self.heard: ReceivedEntries | None = None
-        self.seen = False  # whether it has said that some server is bad
+        self.listener_offer: Offer | None = None
+        self.entries: ReceivedEntries | None = None
+        self.server_report_sent = False  # whether the last report named any server
         self.config: Config
-        self.socks: list[socket.socket] = []
-        self.ready_said = self.accepting = False
+        self.listeners: list[socket.socket] = []
+        self.ready_sent = self.accepting = False
         self.exit_code = 0
-        self.hard_limit_s = 1.0  # s from the supervisor's end to this process's own, come what may
-        self.draining: asyncio.Task[None] | None = None
-        self.limit = asyncio.Event()  # the drain's time is over
-        self.limit_timer: asyncio.TimerHandle | None = None
-        self.ended = asyncio.Event()
+        self.exit_limit_s = 1.0  # after the supervisor has ended, this process exits within this time
+        self.drain_task: asyncio.Task[None] | None = None
+        self.drain_expired = asyncio.Event()  # the drain limit has passed
+        self.drain_timer: asyncio.TimerHandle | None = None
+        self.finished = asyncio.Event()
         self.loop = asyncio.get_running_loop()
 
     # From the supervisor
@@ -78,73 +79,80 @@
         try:
             kind = message["kind"]
             if kind == "hello":
-                self.hello(message)
+                self.on_hello(message)
             elif kind == "list":
-                self.take_list(message["list"])
-            elif kind == "word" and self.heard is not None:
-                self.heard.on_entry(message)
+                self.on_list(message["list"])
+            elif kind == "word" and self.entries is not None:
+                self.entries.on_entry(message)
                 if message["about"] == "limit" and self.engine is not None:
-                    # The module goes by it from its next step on, and only then is it said to be followed.
+                    # The lease is applied in the decision module's next step; only then is it acknowledged.
                     self.engine.wake()
-                    self.loop.call_soon(self.say_followed)
+                    self.loop.call_soon(self.send_limit_report)
             elif kind == "accept":
-                self.accept()
+                self.start_accepting()
             elif kind == "drain":
                 self.drain(float(message["limit_s"]), bool(message["last"]))
         except (Unusable, Malformed, KeyError, OSError, ValueError) as error:
             self.fail(f"{type(error).__name__}: {error}")
 
-    def on_end(self) -> None:
-        """The supervisor is gone. Nobody watches this process any more, and nobody would stop it: it serves
-        on for a stated time, holds the listening sockets out to a successor, finishes and ends."""
-        if self.engine is None or self.ended.is_set():
-            self.ended.set()
-        elif self.draining is None and self.accepting and self.config.drain.orphan_s and self._offer():
+    def on_supervisor_lost(self) -> None:
+        """The supervisor is gone, so no process monitors or stops this one. It offers its listening sockets
+        to a successor, serves for up to `orphan_s`, then drains and exits."""
+        if self.engine is None or self.finished.is_set():
+            self.finished.set()
+        elif (
+            self.drain_task is None
+            and self.accepting
+            and self.config.drain.orphan_s
+            and self._offer_listeners()
+        ):
             log("the supervisor is gone: serving on until a successor does")
             self.loop.call_later(self.config.drain.orphan_s, self.drain, self.config.drain.limit_s, True)
         else:
-            if self.draining is None:
+            if self.drain_task is None:
                 log("the supervisor is gone: draining")
             self.drain(self.config.drain.limit_s, True)
 
-    def _offer(self) -> bool:
-        """Hold the listening sockets out to whoever comes next; false if that can't be."""
+    def _offer_listeners(self) -> bool:
+        """Offer the listening sockets to a successor; False if that fails."""
         try:
-            self.offer = Offer(self.config.control_path, self.socks, self._on_successor)
+            self.listener_offer = Offer(self.config.control_path, self.listeners, self._on_successor)
         except OSError as error:
-            log(f"the listening sockets can't be handed on: {error}")
+            log(f"the listening sockets can't be offered to a successor: {error}")
             return False
         return True
 
     def _on_successor(self) -> None:
-        if self.draining is None:
+        if self.drain_task is None:
             log("a successor serves: draining")
             self.drain(self.config.drain.limit_s, False)
 
-    def on_term(self) -> None:
-        """Somebody ends this one process: the supervisor starts another in its place."""
+    def on_sigterm(self) -> None:
+        """This process alone is to end; the supervisor starts another in its place."""
         if self.engine is None:
-            self.ended.set()
+            self.finished.set()
         else:
             self.drain(self.config.drain.limit_s, False)
 
-    def hello(self, message: Message) -> None:
+    def on_hello(self, message: Message) -> None:
         self.config = parse(message["config"], message["path"])
         limits, number = self.config.limits, int(message["number"])
-        self.hard_limit_s = self.config.drain.limit_s + self.config.drain.orphan_s + 1.0
-        _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-        sockets = limits.sockets if hard == resource.RLIM_INFINITY else min(limits.sockets, hard)
-        resource.setrlimit(resource.RLIMIT_NOFILE, (sockets, hard))
-        to_backends, to_clients = share_out(sockets)
+        self.exit_limit_s = self.config.drain.limit_s + self.config.drain.orphan_s + 1.0
+        _, hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)
+        descriptors = (
+            limits.sockets if hard_limit == resource.RLIM_INFINITY else min(limits.sockets, hard_limit)
+        )
+        resource.setrlimit(resource.RLIMIT_NOFILE, (descriptors, hard_limit))
+        to_backends, to_clients = share_out(descriptors)
         if self.config.fleet.log_format == "json":
-            from flintlatch.fleet.log import make  # only where it is wanted
+            from flintlatch.fleet.log import make  # imported only if configured
 
-            told = make("json", "debug", "flintlatch", instance=number, pid=os.getpid())
-            log.write = lambda line: told.info(line)  # type: ignore[method-assign]
+            logger = make("json", "debug", "flintlatch", instance=number, pid=os.getpid())
+            log.write = lambda line: logger.info(line)  # type: ignore[method-assign]
         settings, wire, seed = self.config.settings(number), self.config.wire(), int(message["seed"])
-        self.socks = [socket.socket(fileno=fd) for fd in message["listeners"]]
+        self.listeners = [socket.socket(fileno=fd) for fd in message["listeners"]]
         if self.config.http is not None:
-            from flintlatch.http.build import build  # only where it is wanted
+            from flintlatch.http.build import build  # imported only if configured
 
             self.engine, self.frontend = build(
                 self.config, self.config.http, number, seed, to_backends, to_clients, ACCEPT_SHARED
@@ -153,95 +161,96 @@
             self.engine = Engine(settings, wire, seed, to_backends)
             self.frontend = Frontend(self.engine, Reader(settings, wire), to_clients, ACCEPT_SHARED)
         if self.config.access_log is not None or self.config.fleet.metrics:
-            from flintlatch.fleet.observe import Observer  # only where it is wanted
+            from flintlatch.fleet.observe import Observer  # imported only if configured
 
             self.observer = Observer(self.config, number)
             self.observer.watch(self.engine)
         if self.config.peers is not None:
-            from flintlatch.fleet.heard import ReceivedEntries  # only where it is wanted
+            from flintlatch.fleet.heard import ReceivedEntries  # imported only if configured
             from flintlatch.peers.clock import clock
 
-            place = Proxies(settings.proxies, settings.me)
-            self.heard = ReceivedEntries(number, place, self.config.parts_alone(), clock, log)
-            for word in message.get("words", ()):
-                self.heard.on_entry(word)
-            self.engine.agreed = self.heard.pending_events
+            position = Proxies(settings.proxies, settings.me)
+            self.entries = ReceivedEntries(number, position, self.config.parts_alone(), clock, log)
+            for entry in message.get("words", ()):
+                self.entries.on_entry(entry)
+            self.engine.agreed = self.entries.pending_events
             if self.config.shared:
-                self.say_limits()
+                self.send_limit_reports()
             if self.config.verdicts is not None:
-                self.say_seen()
+                self.send_server_reports()
         if message.get("spread") is not None and self.config.fleet.instances > 1:
             self.spread = Spread(message["spread"], int(message["worker"]))
             self.frontend.tell_held, self.frontend.should_rest = self.spread.tell, self.spread.should_rest
             self.frontend.rest_s = REST_S
-        self.take_list(message["list"])
-        self.beat(self.config.start.watchdog_s / BEATS)
+        self.on_list(message["list"])
+        self.send_heartbeats(self.config.start.watchdog_s / HEARTBEATS_PER_WATCHDOG)
 
-    def take_list(self, raw: Any) -> None:
+    def on_list(self, listing: Any) -> None:
         assert self.engine is not None
-        self.engine.on_list(read_listing(raw, self.config.wire()))
-        if not self.ready_said and self.engine.backends.active() > 0:
-            self.ready_said = True
-            # The module has met the list in the loop's next turn, before any client can be accepted.
+        self.engine.on_list(read_listing(listing, self.config.wire()))
+        if not self.ready_sent and self.engine.backends.active() > 0:
+            self.ready_sent = True
+            # The decision module processes the list in the event loop's next iteration, before any connection
+            # is accepted.
             self.loop.call_soon(self.channel.send, {"kind": "ready"})
 
-    def accept(self) -> None:
-        if not self.accepting and self.draining is None and self.frontend is not None:
+    def start_accepting(self) -> None:
+        if not self.accepting and self.drain_task is None and self.frontend is not None:
             self.accepting = True
             if self.spread is not None:
                 self.spread.tell(0)
             gc.collect()
             gc.freeze()
-            self.frontend.serve_on(self.socks)
+            self.frontend.serve_on(self.listeners)
 
-    def drain(self, limit_s: float, last: bool) -> None:
-        """Told again with less time, it hurries."""
-        if self.limit_timer is not None:
-            self.limit_timer.cancel()
-        self.limit_timer = self.loop.call_later(max(limit_s - LAST_WORDS_S, 0.0), self.limit.set)
-        if self.draining is None:
-            self.draining = self.loop.create_task(self._drain(last))
+    def drain(self, limit_s: float, accept_backlog: bool) -> None:
+        """Start to drain; a repeated call changes the time limit."""
+        if self.drain_timer is not None:
+            self.drain_timer.cancel()
+        self.drain_timer = self.loop.call_later(max(limit_s - FINAL_RESPONSES_S, 0.0), self.drain_expired.set)
+        if self.drain_task is None:
+            self.drain_task = self.loop.create_task(self._drain(accept_backlog))
 
-    async def _drain(self, last: bool) -> None:
+    async def _drain(self, accept_backlog: bool) -> None:
         engine, frontend = self.engine, self.frontend
         if engine is None or frontend is None or not self.accepting:
-            self.ended.set()
+            self.finished.set()
             return
         if self.spread is not None:
             self.spread.leave()
-        # Who asks on a connection of before hears of the address, not of this process.
-        frontend.stop_keeping(served_on=not last)
-        if not last:
+        # The readiness check on open connections reports whether the address is served, not this process.
+        frontend.stop_keeping(served_on=not accept_backlog)
+        if not accept_backlog:
             frontend.stop_accepting()
-        idle = self.loop.create_task(asyncio.sleep(self.config.drain.idle_s))
-        await self._unless_over(idle)
-        # The last process at this address accepts what waits there, and closes nothing that has been asked:
-        # `finish` looks at both.
-        await self._unless_over(self.loop.create_task(frontend.finish(self.config.drain.limit_s)))
-        if self.limit.is_set():
+        idle_wait = self.loop.create_task(asyncio.sleep(self.config.drain.idle_s))
+        await self._run_until_drain_limit(idle_wait)
+        # The last process on this address accepts the connections that wait in the kernel's queue and answers
+        # every request that has arrived; `finish` waits for both.
+        await self._run_until_drain_limit(self.loop.create_task(frontend.finish(self.config.drain.limit_s)))
+        if self.drain_expired.is_set():
             engine.give_up_all()
-            await asyncio.sleep(LAST_WORDS_S / 2)
+            await asyncio.sleep(FINAL_RESPONSES_S / 2)
         engine.close()
-        self.ended.set()
+        self.finished.set()
 
-    async def _unless_over(self, task: asyncio.Task[None]) -> None:
-        over = self.loop.create_task(self.limit.wait())
-        await asyncio.wait((task, over), return_when=asyncio.FIRST_COMPLETED)
-        over.cancel()
+    async def _run_until_drain_limit(self, task: asyncio.Task[None]) -> None:
+        expired = self.loop.create_task(self.drain_expired.wait())
+        await asyncio.wait((task, expired), return_when=asyncio.FIRST_COMPLETED)
+        expired.cancel()
         task.cancel()
-        await asyncio.gather(task, over, return_exceptions=True)
+        await asyncio.gather(task, expired, return_exceptions=True)
 
     # To the supervisor
 
-    def beat(self, every_s: float) -> None:
-        self.loop.call_later(every_s, self.beat, every_s)
-        self.say_beat()
+    def send_heartbeats(self, interval_s: float) -> None:
+        self.loop.call_later(interval_s, self.send_heartbeats, interval_s)
+        self.send_heartbeat()
 
-    def say_beat(self) -> None:
+    def send_heartbeat(self) -> None:
         engine, frontend = self.engine, self.frontend
         assert engine is not None and frontend is not None
         if self.channel.unsent_bytes() > MAX_UNSENT_BYTES:
-            return  # the supervisor hangs; what it missed then is of no use to it
+            return  # the supervisor hangs; it has no use for outdated heartbeats
         self.channel.send(
             {
                 "kind": "beat",
@@ -251,35 +260,36 @@
                 "rev": engine.list_rev,
                 "nodes": len(engine.backends.backends),
                 "access_log": self._access_log(),
-                "proxies": self.heard.used.proxies if self.heard is not None else None,
+                "proxies": self.entries.applied_proxies.proxies if self.entries is not None else None,
                 "counts": self.observer.counts.told() if self.observer is not None else None,
             }
         )
 
-    def say_limits(self) -> None:
-        self.loop.call_later(LIMITS_S, self.say_limits)
-        self.say_followed()
+    def send_limit_reports(self) -> None:
+        self.loop.call_later(LIMIT_REPORT_INTERVAL_S, self.send_limit_reports)
+        self.send_limit_report()
 
-    def say_seen(self) -> None:
-        """Which servers failed this instance and have not answered it since."""
-        self.loop.call_later(SEEN_S, self.say_seen)
+    def send_server_reports(self) -> None:
+        """Report the servers that failed requests of this instance and have not answered since, and those
+        under suspicion that have answered."""
+        self.loop.call_later(SERVER_REPORT_INTERVAL_S, self.send_server_reports)
         engine = self.engine
         if engine is not None and self.channel.unsent_bytes() <= MAX_UNSENT_BYTES:
             now = now_ms()
             bad = engine.balancer.found_bad(now)
-            accused = self.heard.accused if self.heard is not None else ()
-            good = engine.balancer.found_good(now, accused)
-            if bad or good or self.seen:
+            reported = self.entries.reported_servers if self.entries is not None else ()
+            good = engine.balancer.found_good(now, reported)
+            if bad or good or self.server_report_sent:
                 self.channel.send({"kind": "seen", "bad": bad, "good": good})
-            self.seen = bool(bad or good)
+            self.server_report_sent = bool(bad or good)
 
-    def say_followed(self) -> None:
-        """What was asked for so far by limit, and the grants that the module goes by."""
-        engine, heard = self.engine, self.heard
-        if engine is None or heard is None or self.channel.unsent_bytes() > MAX_UNSENT_BYTES:
+    def send_limit_report(self) -> None:
+        """Report by limit how many requests have arrived, and the leases that the decision module applies."""
+        engine, entries = self.engine, self.entries
+        if engine is None or entries is None or self.channel.unsent_bytes() > MAX_UNSENT_BYTES:
             return
         asked = {name: bucket.asked for name, bucket in engine.balancer.buckets.items()}
-        self.channel.send({"kind": "limits", "asked": asked, "follows": heard.applied_leases})
+        self.channel.send({"kind": "limits", "asked": asked, "follows": entries.applied_leases})
 
     def _access_log(self) -> dict[str, Any] | None:
         if self.observer is None or self.observer.log is None:
@@ -288,55 +298,59 @@
         return {"written": log.written, "lost": log.lost, "failure": log.failure}
 
     def fail(self, reason: str) -> None:
-        """What it was told is of no use, or it lacks what it needs: the supervisor decides what follows."""
+        """Report that this process can't serve, and exit; the supervisor decides what follows."""
         self.channel.send({"kind": "failed", "reason": reason})
         self.exit_code = 1
-        self.loop.call_soon(self.ended.set)
+        self.loop.call_soon(self.finished.set)
+
 
+def watch_parent(parent_pid: int, worker: Worker) -> None:
+    """Exit when the supervisor is gone, even if the event loop hangs and does not notice the closed channel.
 
-def watch_parent(parent: int, worker: Worker) -> None:
-    """A loop that hangs never hears that the supervisor is gone; without it nobody would end this process."""
+    A thread polls the parent process id and allows the worker `exit_limit_s` to exit by itself."""
 
-    def watch() -> None:
-        while os.getppid() == parent:
-            time.sleep(PARENT_LOOK_S)
-        time.sleep(worker.hard_limit_s)
+    def poll() -> None:
+        while os.getppid() == parent_pid:
+            time.sleep(PARENT_POLL_INTERVAL_S)
+        time.sleep(worker.exit_limit_s)
         os._exit(3)
 
-    threading.Thread(target=watch, daemon=True, name="parent").start()
+    threading.Thread(target=poll, daemon=True, name="parent").start()
 
 
 async def work(fd: int) -> int:
-    parent = os.getppid()
+    parent_pid = os.getppid()
     loop = asyncio.get_running_loop()
     loop.set_exception_handler(
         lambda _, context: log(f"bug: {context.get('message')}: {context.get('exception')!r}")
     )
     worker = Worker()
-    # A terminal's Ctrl-C goes to the whole group: what it means is the supervisor's to say.
+    # A terminal sends Ctrl-C to the whole process group; only the supervisor reacts to it.
     for number in (signal.SIGINT, signal.SIGHUP, signal.SIGUSR2):
         signal.signal(number, signal.SIG_IGN)
-    early: list[Message] = []
-    worker.channel = await open_channel(socket.socket(fileno=fd), early.append, worker.on_end)
+    early_messages: list[Message] = []
+    worker.channel = await open_channel(
+        socket.socket(fileno=fd), early_messages.append, worker.on_supervisor_lost
+    )
     worker.channel.on_message = worker.on_message
-    for message in early:
+    for message in early_messages:
         worker.on_message(message)
-    loop.add_signal_handler(signal.SIGTERM, worker.on_term)
-    watch_parent(parent, worker)
-    await worker.ended.wait()
+    loop.add_signal_handler(signal.SIGTERM, worker.on_sigterm)
+    watch_parent(parent_pid, worker)
+    await worker.finished.wait()
     await asyncio.sleep(0)
-    if worker.offer is not None:
-        worker.offer.close()
+    if worker.listener_offer is not None:
+        worker.listener_offer.close()
     if worker.engine is not None:
-        worker.say_beat()  # its last counts
+        worker.send_heartbeat()  # with the final counts
     if worker.observer is not None and worker.observer.log is not None:
-        await asyncio.to_thread(worker.observer.log.close, LAST_RECORDS_S)
+        await asyncio.to_thread(worker.observer.log.close, ACCESS_LOG_CLOSE_S)
     worker.channel.close()
     return worker.exit_code
 
 
 def main() -> int:
-    signal.alarm(0)  # see the supervisor: from here on this process ends by itself if nobody is there
+    signal.alarm(0)  # set by the supervisor; from here on `watch_parent` limits this process's lifetime
     return uvloop.run(work(int(sys.argv[1])))
 
 
