--- a/flintlatch/fleet/heard.py
+++ b/flintlatch/fleet/heard.py
@@ -1,8 +1,10 @@
-"""What an instance was told that the fleets agree on: words with an end, as events to the decision module.
+"""Soft-state entries that an instance received from its supervisor, turned into events for the decision
+module.
 
-The end is a moment of the machine's clock, set by the supervisor no later than its saying, and is tested
-before each step of the module. Past it the instance is where it would be alone, and says so once. A module
-that took over after a fault is told all of it anew, before its first request.
+The supervisor sets the expiry of an entry on the machine's clock when it sends the entry. The expiry is
+checked before each step of the module. After it the instance uses its standalone value and, for the number of
+proxies, logs that once. A decision module that is restarted after a fault gets all entries again before its
+first request.
 """
 
 from __future__ import annotations
@@ -17,91 +19,103 @@
 class ReceivedEntries:
     def __init__(
         self,
-        number: int,
-        alone: Proxies,
+        instance_number: int,
+        standalone_proxies: Proxies,
         limits: Iterable[Part],
         clock: Callable[[], float],
         log: Callable[[str], None],
     ) -> None:
-        """`number`: of this instance in its fleet. `alone`, `limits`: what holds with no word."""
-        self.number, self.alone, self.clock, self.log = number, alone, clock, log
-        self.place, self.until = alone, 0.0
-        self.applied_proxies = alone
-        self.lone = True
-        self.life = -1  # of the module that was told
-        self.fixed = {part.limit: part for part in limits}
-        self.lent: dict[str, tuple[Part, float, list[int]]] = {}  # what, until, which grant
-        self.told: dict[str, Part] = {}
-        self.applied_leases: dict[str, list[int]] = {}  # grants that the module goes by, by limit
-        self.next_end, self.news = 0.0, True
-        self.ejected: set[str] = set()  # as the module was told
-        self.shun: tuple[set[str], float] = set(), 0.0  # as we were, and until when
+        """`instance_number`: index of this instance in its fleet. `standalone_proxies` and `limits` are used
+        while there is no valid entry."""
+        self.instance_number, self.standalone_proxies, self.clock, self.log = (
+            instance_number,
+            standalone_proxies,
+            clock,
+            log,
+        )
+        self.agreed_proxies, self.proxies_expire_at = standalone_proxies, 0.0
+        self.applied_proxies = standalone_proxies
+        self.standalone = True
+        self.module_life = -1  # of the module that received the events
+        self.standalone_limits = {limit.limit: limit for limit in limits}
+        self.leases: dict[str, tuple[Part, float, list[int]]] = {}  # by limit: share, expiry, id of the lease
+        self.sent_limits: dict[str, Part] = {}
+        self.applied_leases: dict[str, list[int]] = {}  # by limit: id of the lease in use; empty if none
+        self.next_expiry, self.limits_changed = 0.0, True
+        self.ejected: set[str] = set()  # as sent to the module
+        self.ejections: tuple[set[str], float] = set(), 0.0  # as received, and their expiry
         self.reported_servers: set[str] = (
             set()
-        )  # servers that somebody finds bad: what we see of them is asked for
-        self.shun_news = False
+        )  # an observer reports failures; this instance's view is wanted
+        self.ejections_changed = False
 
-    def on_entry(self, word: dict[str, Any]) -> None:
-        """Raises KeyError, TypeError or ValueError for what is no word. One about something else is left."""
-        if word["about"] == "proxies":
-            proxies, first = map(int, word["value"])
-            self.place = Proxies(max(proxies, 1), max(first, 0) + self.number)
-            self.until = float(word["until"])
-        elif word["about"] == "shun":
-            self.shun = set(map(str, word["value"])), float(word["until"])
-            self.reported_servers = set(map(str, word["accused"]))
-            self.shun_news = True
-        elif word["about"] == "limit" and word["limit"] in self.fixed:
-            per_s, burst, *mark = word["value"]
-            alone = self.fixed[word["limit"]]
-            part = alone._replace(per_s=float(per_s), burst=float(burst))
-            self.lent[part.limit] = part, float(word["until"]), [int(one) for one in mark]
-            self.news = True
+    def on_entry(self, entry: dict[str, Any]) -> None:
+        """Store an entry; one of an unknown kind is ignored.
 
-    def pending_events(self, life: int) -> list[Event]:
+        Raises KeyError, TypeError or ValueError if the entry is malformed."""
+        if entry["about"] == "proxies":
+            proxies, first = map(int, entry["value"])
+            self.agreed_proxies = Proxies(max(proxies, 1), max(first, 0) + self.instance_number)
+            self.proxies_expire_at = float(entry["until"])
+        elif entry["about"] == "shun":
+            self.ejections = set(map(str, entry["value"])), float(entry["until"])
+            self.reported_servers = set(map(str, entry["accused"]))
+            self.ejections_changed = True
+        elif entry["about"] == "limit" and entry["limit"] in self.standalone_limits:
+            per_s, burst, *mark = entry["value"]
+            standalone = self.standalone_limits[entry["limit"]]
+            lease = standalone._replace(per_s=float(per_s), burst=float(burst))
+            self.leases[lease.limit] = lease, float(entry["until"]), [int(component) for component in mark]
+            self.limits_changed = True
+
+    def pending_events(self, module_life: int) -> list[Event]:
+        """Events for what has changed or expired since the last call. `module_life` changes when the decision
+        module is restarted, which then gets everything."""
         now = self.clock()
-        if life != self.life:
-            self.life, self.told, self.news = life, {}, True
-            self.ejected, self.shun_news = set(), True
+        if module_life != self.module_life:
+            self.module_life, self.sent_limits, self.limits_changed = module_life, {}, True
+            self.ejected, self.ejections_changed = set(), True
         events: list[Event] = []
-        if self.news or now >= self.next_end:
-            events += self._parts(now)
-        if self.shun_news or self.ejected:
-            events += self._shuns(now)
-        lone = now >= self.until
-        wanted = self.alone if lone else self.place
-        if lone and not self.lone:
-            self.log(f"the word on other fleets has ended: counting {wanted.proxies} proxies, as configured")
-        self.lone = lone
-        if wanted != self.applied_proxies:
-            self.applied_proxies = wanted
-            events.append(wanted)
+        if self.limits_changed or now >= self.next_expiry:
+            events += self._limit_events(now)
+        if self.ejections_changed or self.ejected:
+            events += self._ejection_events(now)
+        standalone = now >= self.proxies_expire_at
+        proxies = self.standalone_proxies if standalone else self.agreed_proxies
+        if standalone and not self.standalone:
+            self.log(
+                f"the entry on other fleets has expired: counting {proxies.proxies} proxies, as configured"
+            )
+        self.standalone = standalone
+        if proxies != self.applied_proxies:
+            self.applied_proxies = proxies
+            events.append(proxies)
         return events
 
-    def _shuns(self, now: float) -> list[Event]:
-        servers, until = self.shun
-        if not self.shun_news:
-            if now >= until:  # each has its end in the module too
+    def _ejection_events(self, now: float) -> list[Event]:
+        servers, expires_at = self.ejections
+        if not self.ejections_changed:
+            if now >= expires_at:  # the ejections expire in the module as well
                 self.ejected = set()
             return []
-        self.shun_news = False
-        left = max(until - now, 0.0) * 1000
-        wanted = servers if left else set()
-        ended = [Shun(server, 0.0) for server in sorted(self.ejected - wanted)]
-        self.ejected = set(wanted)
-        return [*ended, *(Shun(server, left) for server in sorted(wanted))]
+        self.ejections_changed = False
+        remaining_ms = max(expires_at - now, 0.0) * 1000
+        servers_to_eject = servers if remaining_ms else set()
+        lifted = [Shun(server, 0.0) for server in sorted(self.ejected - servers_to_eject)]
+        self.ejected = set(servers_to_eject)
+        return [*lifted, *(Shun(server, remaining_ms) for server in sorted(servers_to_eject))]
 
-    def _parts(self, now: float) -> list[Event]:
-        self.news, self.next_end = False, inf
-        changed: list[Event] = []
-        for name, alone in self.fixed.items():
-            part, until, mark = self.lent.get(name, (alone, 0.0, []))
-            if now >= until:
-                part, mark = alone, []
+    def _limit_events(self, now: float) -> list[Event]:
+        self.limits_changed, self.next_expiry = False, inf
+        events: list[Event] = []
+        for name, standalone in self.standalone_limits.items():
+            limit, expires_at, mark = self.leases.get(name, (standalone, 0.0, []))
+            if now >= expires_at:
+                limit, mark = standalone, []
             else:
-                self.next_end = min(self.next_end, until)
-            if part != self.told.get(name):
-                self.told[name] = part
-                changed.append(part)
+                self.next_expiry = min(self.next_expiry, expires_at)
+            if limit != self.sent_limits.get(name):
+                self.sent_limits[name] = limit
+                events.append(limit)
             self.applied_leases[name] = mark
-        return changed
+        return events
