--- a/flintlatch/fleet/agreed.py
+++ b/flintlatch/fleet/agreed.py
@@ -1,5 +1,8 @@
-"""What the fleets agree on, in the supervisor: the member on its sockets, the census, and words to the
-instances."""
+"""Membership of this fleet among its peers, in the supervisor.
+
+Runs the member on its sockets, the shared limits and the outlier ejection, counts the proxies of all fleets,
+and sends what is agreed to the instances as soft-state entries.
+"""
 
 from __future__ import annotations
 
@@ -21,43 +24,44 @@
 from flintlatch.peers.words import SUBJECT_MOST, VALUE_MOST, Carrier
 from flintlatch.verdicts.api import SEEN
 
-OPEN_AGAIN_S = 0.5  # until an address that a predecessor may still hold is tried again
-RENEW = 3  # times in its life that a word to the instances is said anew
-NOTES = Topic("notes", Merge.EACH, life_s=3600.0, each=16)  # what people tell all fleets
-NOTE_LEAST_S = 1.0
+OPEN_RETRY_INTERVAL_S = 0.5  # the address may still be in use by a predecessor
+RENEWALS_PER_TTL = 3  # of an entry sent to the instances
+NOTES = Topic("notes", Merge.EACH, life_s=3600.0, each=16)  # notes of operators to all fleets
+MIN_NOTE_TTL_S = 1.0
 
 
 class PeerService:
-    """`tell` says a message to every instance. Nothing here is a reason not to serve."""
+    """`broadcast` sends a message to every instance, `send_to_worker` to one; `servers` returns the uids on
+    the node list. A failure here never keeps the fleet from serving."""
 
     def __init__(
         self,
         config: Config,
         table: PeersTable,
-        tell: Callable[[Message], None],
-        tell_one: Callable[[int, Message], None],
+        broadcast: Callable[[Message], None],
+        send_to_worker: Callable[[int, Message], None],
         servers: Callable[[], set[str]],
         log: Callable[[str, str], None],
     ) -> None:
-        self.config, self.table, self.tell, self.log = config, table, tell, log
+        self.config, self.table, self.broadcast, self.log = config, table, broadcast, log
         self.loop = asyncio.get_running_loop()
         self.census = Census(config.fleet.instances, config.fleet.proxies, table.hold_s, clock())
-        self.place: Place | None = None
+        self.position: Place | None = None
         self.shell: Shell | None = None
-        self.complaint = ""
-        self.timer: asyncio.TimerHandle | None = None
-        self.opening: asyncio.Task[None] | None = None
-        self.ended = False
+        self.error = ""
+        self.renew_timer: asyncio.TimerHandle | None = None
+        self.open_task: asyncio.Task[None] | None = None
+        self.closed = False
         self.limiter: Limiter | None = None
         if config.shared:
-            self.limiter = Limiter(config.shared, config.terms, lambda: self.shell, tell_one, log)
+            self.limiter = Limiter(config.shared, config.terms, lambda: self.shell, send_to_worker, log)
         self.ejector: OutlierEjector | None = None
         if config.verdicts is not None:
-            self.ejector = OutlierEjector(config.verdicts, lambda: self.shell, tell, servers, log)
+            self.ejector = OutlierEjector(config.verdicts, lambda: self.shell, broadcast, servers, log)
 
     def start(self) -> None:
-        self.opening = self.loop.create_task(self._open())
-        self._beat()
+        self.open_task = self.loop.create_task(self._open())
+        self._renew()
         if self.limiter is not None:
             self.limiter.start()
         if self.ejector is not None:
@@ -65,36 +69,40 @@
 
     def topics(self) -> tuple[Topic, ...]:
         limits = topics(self.config.terms.term_s) if self.limiter is not None else ()
-        seen = (SEEN(self.config.verdicts.life_s),) if self.config.verdicts is not None else ()
-        return (NOTES, *limits, *seen)
+        observations = (SEEN(self.config.verdicts.life_s),) if self.config.verdicts is not None else ()
+        return (NOTES, *limits, *observations)
 
     def remove_instance(self, worker: int) -> None:
-        """An instance has ended."""
+        """Called when an instance has exited."""
         if self.limiter is not None:
             self.limiter.remove_instance(worker)
         if self.ejector is not None:
             self.ejector.remove_instance(worker)
 
     async def _open(self) -> None:
-        while not self.ended:
+        while not self.closed:
             try:
-                shell = Shell(self._options(), self.topics(), self._on_view, self._on_news, self._on_told)
+                shell = Shell(
+                    self._options(), self.topics(), self._on_view, self._on_entries, self._on_warning
+                )
                 await shell.open()
             except (NotBound, BadKeys, OSError) as error:
-                self._complain(str(error))
-                await asyncio.sleep(OPEN_AGAIN_S)
+                self._report_error(str(error))
+                await asyncio.sleep(OPEN_RETRY_INTERVAL_S)
                 continue
-            self.shell, self.complaint = shell, ""
+            self.shell, self.error = shell, ""
             self.log("info", f"peers at {shell.host}:{shell.port}, known as {shell.address}")
             return
 
-    def _complain(self, text: str) -> None:
-        if text != self.complaint:
-            self.complaint = text
-            self.log("error", f"peers: {text}; serving alone, tried again each {OPEN_AGAIN_S:g} s")
+    def _report_error(self, text: str) -> None:
+        if text != self.error:
+            self.error = text
+            self.log(
+                "error", f"peers: {text}; serving without peers, retrying every {OPEN_RETRY_INTERVAL_S:g} s"
+            )
 
-    def _keys(self) -> tuple[bytes, ...]:
-        """Raises BadKeys or OSError."""
+    def _read_keys(self) -> tuple[bytes, ...]:
+        """Read the key file. Raises BadKeys or OSError."""
         path = beside(self.config.path, self.table.key_file)
         with open(path, encoding="ascii", errors="replace") as file:
             return read_keys(file.read(65536), path)
@@ -113,7 +121,7 @@
             table.bind,
             table.advertise,
             table.seeds,
-            self._keys(),
+            self._read_keys(),
             self.config.nodes.zone,
             table.region,
             self.config.fleet.instances,
@@ -121,36 +129,37 @@
         )
 
     def reconfigure(self, config: Config) -> None:
-        """A reload: numbers and keys follow; an address or a name takes a restart."""
+        """Apply a reloaded configuration. The number of instances, keys and limits change at once; a changed
+        name or address needs a restart."""
         table = config.peers
         if table is None:
-            self.log("warning", "peers: the table is gone; what it began goes on until a restart")
+            self.log("warning", "peers: the table was removed; this fleet stays a member until a restart")
             return
         if (table.name, table.bind, table.advertise) != (
             self.table.name,
             self.table.bind,
             self.table.advertise,
         ):
-            self.log("warning", "peers: a new name or address takes a restart or an upgrade")
+            self.log("warning", "peers: a changed name or address takes effect at a restart or an upgrade")
         self.config, self.table = config, table
         self.census.own = config.fleet.instances
         if self.limiter is not None:
             self.limiter.reconfigure(config.shared, config.terms)
         elif config.shared:
-            self.log("warning", "limit: the first ones take a restart or an upgrade")
+            self.log("warning", "limit: the first [[limit]] takes effect at a restart or an upgrade")
         if self.shell is not None:
             try:
-                self.shell.change_keys(self._keys())
+                self.shell.change_keys(self._read_keys())
             except (BadKeys, OSError) as error:
                 self.log("error", f"peers: {error}; going on with the keys of before")
             self.shell.alter(config.fleet.instances)
 
     def close(self) -> None:
-        self.ended = True
-        if self.timer is not None:
-            self.timer.cancel()
-        if self.opening is not None:
-            self.opening.cancel()
+        self.closed = True
+        if self.renew_timer is not None:
+            self.renew_timer.cancel()
+        if self.open_task is not None:
+            self.open_task.cancel()
         if self.limiter is not None:
             self.limiter.close()
         if self.ejector is not None:
@@ -159,71 +168,71 @@
             self.shell.close()
 
     def leave(self) -> None:
-        """Told to stop: the others are to count without us at once."""
+        """Announce that this fleet leaves, so that the other members stop counting it at once, and close."""
         if self.shell is not None:
             self.shell.leave()
         self.close()
 
-    # What the members tell
+    # From other members
 
     def _on_view(self, view: View) -> None:
         shell = self.shell
         if shell is None:
             return
         peers = shell.member.peers
-        there = peers.alive()
-        before = sum(record.instances for record in there if record.name < peers.me.name)
-        doubted = not peers.joined or any(record.state is State.SUSPECT for record in there)
-        self.census.see(clock(), Sight(peers.instances(), before, doubted))
-        self._say()
+        alive_members = peers.alive()
+        preceding_instances = sum(record.instances for record in alive_members if record.name < peers.me.name)
+        uncertain = not peers.joined or any(record.state is State.SUSPECT for record in alive_members)
+        self.census.see(clock(), Sight(peers.instances(), preceding_instances, uncertain))
+        self._send_entries()
 
-    def _on_news(self, words: tuple[Word, ...]) -> None:
+    def _on_entries(self, entries: tuple[Word, ...]) -> None:
         if self.limiter is not None:
             self.limiter.on_entries_changed()
-        if self.ejector is not None and any(word.topic == "seen" for word in words):
+        if self.ejector is not None and any(entry.topic == "seen" for entry in entries):
             self.ejector.step()
-        for word in words:
-            if word.topic == NOTES.name and word.value:
-                text = word.value.decode("utf-8", "replace")
-                self.log("info", f"note of {word.origin}, for {word.left_s:.0f} s: {text}")
+        for entry in entries:
+            if entry.topic == NOTES.name and entry.value:
+                text = entry.value.decode("utf-8", "replace")
+                self.log("info", f"note of {entry.origin}, for {entry.left_s:.0f} s: {text}")
 
-    def _on_told(self, text: str) -> None:
+    def _on_warning(self, text: str) -> None:
         self.log("warning", text)
 
-    # What the instances are told
+    # To the instances
 
-    def _beat(self) -> None:
-        self.timer = self.loop.call_later(self.table.word_s / RENEW, self._beat)
-        self._say(renew=True)
+    def _renew(self) -> None:
+        self.renew_timer = self.loop.call_later(self.table.word_s / RENEWALS_PER_TTL, self._renew)
+        self._send_entries(renew=True)
 
-    def _say(self, renew: bool = False) -> None:
-        place = self.census.read(clock())
-        if renew or place != self.place:
-            self.place = place
-            for word in self.words():
-                self.tell(word)
+    def _send_entries(self, renew: bool = False) -> None:
+        position = self.census.read(clock())
+        if renew or position != self.position:
+            self.position = position
+            for entry in self.entries():
+                self.broadcast(entry)
 
-    def words(self) -> list[Message]:
-        """What holds at this moment, each with its end. Nothing, while this fleet is no member."""
+    def entries(self) -> list[Message]:
+        """The currently valid entries; none while this fleet is not a member."""
         if self.shell is None:
             return []
-        place, until = self.census.read(clock()), clock() + self.table.word_s
-        return [{"kind": "word", "about": "proxies", "value": list(place), "until": until}]
+        position, expires_at = self.census.read(clock()), clock() + self.table.word_s
+        return [{"kind": "word", "about": "proxies", "value": list(position), "until": expires_at}]
 
-    # What people ask
+    # Control requests
 
-    def note(self, subject: str, text: str, for_s: float) -> Message:
+    def publish_note(self, subject: str, text: str, ttl_s: float) -> Message:
         if self.shell is None:
-            return {"ok": False, "reason": self.complaint or "not a member yet"}
+            return {"ok": False, "reason": self.error or "not a member yet"}
         if not 1 <= len(text.encode()) <= VALUE_MOST or not 1 <= len(subject) <= SUBJECT_MOST:
             return {"ok": False, "reason": f"expected a text of 1 to {VALUE_MOST} bytes"}
-        if not NOTE_LEAST_S <= for_s <= NOTES.life_s:
-            return {"ok": False, "reason": f"expected {NOTE_LEAST_S:g} to {NOTES.life_s:g} s"}
+        if not MIN_NOTE_TTL_S <= ttl_s <= NOTES.life_s:
+            return {"ok": False, "reason": f"expected {MIN_NOTE_TTL_S:g} to {NOTES.life_s:g} s"}
         try:
-            self.shell.say(NOTES.name, subject, text.encode(), for_s, renew=False)
+            self.shell.say(NOTES.name, subject, text.encode(), ttl_s, renew=False)
         except ValueError as error:
             return {"ok": False, "reason": str(error)}
-        return {"ok": True, "until_at_most_s": round(Carrier.stale_s(for_s), 3)}
+        return {"ok": True, "until_at_most_s": round(Carrier.stale_s(ttl_s), 3)}
 
     def notes(self) -> list[dict[str, Any]]:
         if self.shell is None:
@@ -231,35 +240,36 @@
         now = clock()
         return [
             {
-                "by": said.origin,
-                "subject": said.subject,
-                "text": said.value.decode("utf-8", "replace"),
-                "left_s": round(said.ends - now, 3),
+                "by": entry.origin,
+                "subject": entry.subject,
+                "text": entry.value.decode("utf-8", "replace"),
+                "left_s": round(entry.ends - now, 3),
             }
-            for said in self.shell.member.carrier.read(now, NOTES.name)
+            for entry in self.shell.member.carrier.read(now, NOTES.name)
         ]
 
     def report(self) -> Message:
-        """Members with states, ages and round-trips; doubts; bounds; counts. Ages in seconds."""
-        place = self.census.read(clock())
-        told: Message = {
+        """Members with their states, last contact and round-trip times, the stated time bounds, and counts.
+        Ages are in seconds."""
+        position = self.census.read(clock())
+        response: Message = {
             "ok": True,
             "member": self.shell is not None,
-            "complaint": self.complaint,
-            "proxies": place.proxies,
-            "first": place.first,
+            "complaint": self.error,
+            "proxies": position.proxies,
+            "first": position.first,
             "notes": self.notes(),
         }
         if self.shell is None:
-            return told
+            return response
         shell, now = self.shell, clock()
         member = shell.member
-        peers, mine = member.peers, member.digest()
+        peers, own_digest = member.peers, member.digest()
         rows = []
         for record in sorted(peers.view.values()):
             contact = member.contacts.get(record.name)
-            me = record.name == peers.me.name
-            known = contact is not None and contact.digest != 0
+            is_self = record.name == peers.me.name
+            digest_known = contact is not None and contact.digest != 0
             suspicion = peers.suspicions.get(record.name)
             rows.append(
                 {
@@ -270,19 +280,23 @@
                     "instances": record.instances,
                     "zone": record.zone,
                     "region": record.region,
-                    "me": me,
+                    "me": is_self,
                     "heard_s": round(now - contact.heard, 2) if contact is not None else None,
                     "rtt_ms": round(contact.rtt * 1000, 2) if contact is not None and contact.rtt else None,
-                    "agrees": True if me else contact.digest == mine if known and contact else None,
+                    "agrees": True
+                    if is_self
+                    else contact.digest == own_digest
+                    if digest_known and contact
+                    else None,
                     "accusers": sorted(suspicion.accusers) if suspicion is not None else [],
                 }
             )
         alive = len(peers.alive())
-        return told | {
+        return response | {
             "name": peers.me.name,
             "address": shell.address,
             "bound": f"{shell.host}:{shell.port}",
-            "digest": f"{mine:08x}",
+            "digest": f"{own_digest:08x}",
             "joined": peers.joined,
             "health": peers.health,
             "members": rows,
@@ -295,18 +309,18 @@
             "counts": self.counts(),
         }
 
-    def states(self) -> dict[str, int]:
-        """Members by state."""
+    def members_by_state(self) -> dict[str, int]:
+        """The number of members in each state."""
         if self.shell is None:
             return {}
         return dict(Counter(record.state.name.lower() for record in self.shell.member.peers.view.values()))
 
     def counts(self) -> dict[str, int]:
-        """All that is counted of the member, by name; each only grows."""
+        """Counters of this member by name; each only grows."""
         if self.shell is None:
             return {}
         shell, member = self.shell, self.shell.member
-        of_peers, of_words = member.peers.counts, member.carrier.counts
+        membership, entries = member.peers.counts, member.carrier.counts
         return {
             "datagrams_in": shell.counts.received,
             "datagrams_out": shell.counts.sent,
@@ -319,12 +333,12 @@
             "failed_streams": shell.counts.failed_streams,
             "replays": member.guard.replays,
             "strangers": member.guard.strangers,
-            "records_refused": of_peers.refused,
-            "refuted": of_peers.refuted,
-            "clashes": of_peers.clashes,
-            "suspected": of_peers.suspected,
-            "died": of_peers.died,
-            "words_taken": of_words.taken,
-            "words_late": of_words.late,
-            "words_refused": of_words.refused,
+            "records_refused": membership.refused,
+            "refuted": membership.refuted,
+            "clashes": membership.clashes,
+            "suspected": membership.suspected,
+            "died": membership.died,
+            "words_taken": entries.taken,
+            "words_late": entries.late,
+            "words_refused": entries.refused,
         }
--- a/flintlatch/fleet/heard.py
+++ b/flintlatch/fleet/heard.py
@@ -1,5 +1,4 @@
-"""Soft-state entries that an instance received from its supervisor, turned into events for the decision
-module.
+"""Turns soft-state entries from the supervisor into events for the decision module of an instance.
 
 The supervisor sets the expiry of an entry on the machine's clock when it sends the entry. The expiry is
 checked before each step of the module. After it the instance uses its standalone value and, for the number of
--- a/flintlatch/fleet/supervisor.py
+++ b/flintlatch/fleet/supervisor.py
@@ -296,7 +296,7 @@
             sum(heartbeat.get(name) or 0 for heartbeat in heartbeats) for name in ("in_flight", "clients")
         )
         members_by_state, peer_counts = (
-            (self.peer_service.states(), self.peer_service.counts())
+            (self.peer_service.members_by_state(), self.peer_service.counts())
             if self.peer_service is not None
             else ({}, {})
         )
@@ -515,7 +515,7 @@
                 "listeners": [sock.fileno() for sock in sockets],
                 "spread": self.spread_fd,
                 "worker": action.worker,
-                "words": self.peer_service.words() if self.peer_service is not None else [],
+                "words": self.peer_service.entries() if self.peer_service is not None else [],
             }
         )
         for message in process.queued_messages:
@@ -735,7 +735,7 @@
             return self.peer_service.report()
         try:
             subject, text = str(request["subject"]), str(request["text"])
-            return self.peer_service.note(subject, text, float(request["for_s"]))
+            return self.peer_service.publish_note(subject, text, float(request["for_s"]))
         except (KeyError, ValueError, TypeError):
             return {"ok": False, "reason": "expected subject, text and for_s"}
 
