--- a/flintlatch/fleet/limiting.py
+++ b/flintlatch/fleet/limiting.py
@@ -1,5 +1,8 @@
-"""Limits of the whole fleet, in the supervisor: the cores on the carrier of words, and parts for the
-instances."""
+"""Rate limits shared by all fleets, in the supervisor.
+
+Connects the decision cores of `flintlatch.limits` (lessor election, lessor, lease holder) to the soft-state
+entries of the peers, and divides what this fleet is granted among its instances.
+"""
 
 from __future__ import annotations
 
@@ -38,77 +41,80 @@
 from flintlatch.peers.clock import clock
 from flintlatch.peers.shell import Shell
 
-TICK_S = 0.1
-AT_ONCE_S = 0.01  # from news to the next look at most so often: words of one turn are answered together
-NEED_S = 0.5  # over which what is asked for is measured
-RENEWALS_PER_TERM = 3  # times in a term that words are said anew
-CHANGED = 0.05  # part of the limit by which a need has to move to be said at once
+TICK_INTERVAL_S = 0.1
+COALESCE_S = 0.01  # delay of the step after a change, so that one step handles entries that come together
+RATE_WINDOW_S = 0.5
+RENEWALS_PER_TERM = 3  # of each published entry
+SIGNIFICANT_CHANGE_FRACTION = 0.05  # of the limit: a change of the demand by more is published at once
 
 
-class Need:
-    """Requests a second that one instance was asked for, of one limit, over the last moments."""
+class ArrivalRate:
+    """Requests per second that arrived at one instance for one limit, over the last `RATE_WINDOW_S`."""
 
     def __init__(self) -> None:
         self.counts: deque[tuple[float, int]] = deque()
 
-    def told(self, now: float, asked: int) -> None:
-        self.counts.append((now, asked))
-        while len(self.counts) > 2 and self.counts[1][0] <= now - NEED_S:
+    def record(self, now: float, count: int) -> None:
+        self.counts.append((now, count))
+        while len(self.counts) > 2 and self.counts[1][0] <= now - RATE_WINDOW_S:
             self.counts.popleft()
 
     def per_s(self, now: float) -> float:
         if len(self.counts) < 2:
             return 0.0
-        (first, before), (_, after) = self.counts[0], self.counts[-1]
-        return (after - before) / max(now - first, NEED_S / 2)
+        (start, first_count), (_, last_count) = self.counts[0], self.counts[-1]
+        return (last_count - first_count) / max(now - start, RATE_WINDOW_S / 2)
+
 
+class InstanceReports:
+    """What one instance has reported, by limit."""
 
-class Instance:
     def __init__(self) -> None:
-        self.follows: dict[str, Mark] = {}
-        self.needs: dict[str, Need] = {}
+        self.applied_leases: dict[str, Mark] = {}
+        self.arrival_rates: dict[str, ArrivalRate] = {}
 
 
 class LimitState:
-    """One limit, here."""
+    """State of one limit in this fleet: as a lease holder, and as its lessor while it is one."""
 
     def __init__(self, limit: Limit, terms: Terms, now: float) -> None:
         self.limit = limit
         fixed = limit.fixed(terms.fleets)
         self.holder, self.lessor = Holder(limit, terms, fixed, now + over_s(terms)), Keeper(limit, terms)
-        self.keeps_since: float | None = None  # as the keeper of an open one
-        self.number = 0
-        self.asked: Ask | None = None
-        self.ask_at = self.deal_at = self.part_at = 0.0
-        self.others: list[str] = []  # whose rows are not ours
-        self.over = False  # more is asked for than there is
+        self.lessor_since: float | None = None  # of an open limit
+        self.term_number = 0  # the highest leadership term seen; a new lessor takes a higher one
+        self.last_ask: Ask | None = None
+        self.next_ask_at = self.next_grant_at = self.next_share_at = 0.0
+        self.mismatched_fleets: list[str] = []  # whose configured rate of this limit differs
+        self.demand_exceeds_share = False
 
 
 class Limiter:
-    """`tell` says a message to one instance."""
+    """`shell` returns the running member, or None; `send_to_worker` sends a message to one instance."""
 
     def __init__(
         self,
         limits: tuple[Limit, ...],
         terms: Terms,
         shell: Callable[[], Shell | None],
-        tell: Callable[[int, Message], None],
+        send_to_worker: Callable[[int, Message], None],
         log: Callable[[str, str], None],
     ) -> None:
-        self.terms, self.shell, self.tell, self.log = terms, shell, tell, log
+        self.terms, self.shell, self.send_to_worker, self.log = terms, shell, send_to_worker, log
         self.rows = {limit.name: LimitState(limit, terms, clock()) for limit in limits}
-        self.instances: dict[int, Instance] = {}
-        self.seat: Seat | None = None
-        self.vote_at = 0.0
-        self.voted: Vote | None = None
+        self.instances: dict[int, InstanceReports] = {}
+        self.leadership: Seat | None = None
+        self.next_vote_at = 0.0
+        self.last_vote: Vote | None = None
         self.loop = asyncio.get_running_loop()
-        self.timer: asyncio.TimerHandle | None = None
-        self.soon: asyncio.TimerHandle | None = None
+        self.tick_timer: asyncio.TimerHandle | None = None
+        self.soon_timer: asyncio.TimerHandle | None = None
 
     topics = staticmethod(topics)
 
     def reconfigure(self, limits: tuple[Limit, ...], terms: Terms) -> None:
-        """A reload. What is lent stays lent: the new figure holds once that has come down or is over."""
+        """Apply a reloaded configuration. Granted leases stay valid: a lower limit takes full effect once
+        they have been reduced or have expired."""
         if terms != self.terms:
             self.log("warning", "keepers: a change of voters or terms takes a restart of all fleets")
         for limit in limits:
@@ -119,192 +125,218 @@
             del self.rows[name]
 
     def start(self) -> None:
-        self.timer = self.loop.call_later(TICK_S, self.start)
+        self.tick_timer = self.loop.call_later(TICK_INTERVAL_S, self.start)
         self.step()
 
     def close(self) -> None:
-        for timer in (self.timer, self.soon):
+        for timer in (self.tick_timer, self.soon_timer):
             if timer is not None:
                 timer.cancel()
 
     def on_entries_changed(self) -> None:
-        if self.soon is None:
-            self.soon = self.loop.call_later(AT_ONCE_S, self._look_soon)
+        """Take a step soon, unless one is scheduled already."""
+        if self.soon_timer is None:
+            self.soon_timer = self.loop.call_later(COALESCE_S, self._step_soon)
 
-    def _look_soon(self) -> None:
-        self.soon = None
+    def _step_soon(self) -> None:
+        self.soon_timer = None
         self.step()
 
     # Instances
 
     def on_instance_report(self, worker: int, message: Message) -> None:
-        """What it was asked for so far, and the grants that it goes by."""
-        now, instance = clock(), self.instances.setdefault(worker, Instance())
-        for name, asked in message["asked"].items():
-            instance.needs.setdefault(name, Need()).told(now, int(asked))
-        for name, mark in message["follows"].items():
-            if mark:
-                instance.follows[name] = Mark(int(mark[0]), int(mark[1]))
+        """Take the number of requests that have arrived at an instance, and the leases that it applies."""
+        now, instance = clock(), self.instances.setdefault(worker, InstanceReports())
+        for name, count in message["asked"].items():
+            instance.arrival_rates.setdefault(name, ArrivalRate()).record(now, int(count))
+        for name, lease_id in message["follows"].items():
+            if lease_id:
+                instance.applied_leases[name] = Mark(int(lease_id[0]), int(lease_id[1]))
         self.on_entries_changed()
 
     def remove_instance(self, worker: int) -> None:
         self.instances.pop(worker, None)
 
-    # One look: what has come, what to say
+    # One step: read the entries, publish what has changed or is due
 
     def step(self) -> None:
         shell = self.shell()
         if shell is None:
             return
         now = clock()
-        if self.seat is None:
-            self.seat = Seat(shell.member.me.name, self.terms, now)
-        keeping = self._seat(now, shell, self.seat)
-        told: set[str] = set()
+        if self.leadership is None:
+            self.leadership = Seat(shell.member.me.name, self.terms, now)
+        is_lessor = self._run_election(now, shell, self.leadership)
+        peers_to_push: set[str] = set()
         for row in self.rows.values():
-            self._hold(now, shell, row, told)
-            self._keep(now, shell, row, keeping, told)
-        for name in told:
+            self._use_lease(now, shell, row, peers_to_push)
+            self._grant_leases(now, shell, row, is_lessor, peers_to_push)
+        for name in peers_to_push:
             shell.push(name)
 
-    def _there(self, shell: Shell) -> Callable[[str], bool]:
+    def _liveness(self, shell: Shell) -> Callable[[str], bool]:
         view = shell.member.peers.view
 
-        def there(name: str) -> bool:
+        def is_alive(name: str) -> bool:
             record = view.get(name)
             return record is not None and record.state is State.ALIVE
 
-        return there
+        return is_alive
 
-    def _seat(self, now: float, shell: Shell, seat: Seat) -> bool:
+    def _run_election(self, now: float, shell: Shell, leadership: Seat) -> bool:
+        """Read and publish votes; whether this fleet is the lessor of the strict limits."""
         votes: dict[str, tuple[Vote, float]] = {}
-        for said in shell.member.carrier.read(now, "vote"):
+        for entry in shell.member.carrier.read(now, "vote"):
             try:
-                vote = read_vote(said.value)
+                vote = read_vote(entry.value)
             except Malformed:
                 continue
-            votes[said.origin] = vote, said.ends
-            seat.hear(vote)
-        vote_now = (
-            seat.vote(now, self._there(shell)) if now >= self.vote_at or self.voted is None else self.voted
+            votes[entry.origin] = vote, entry.ends
+            leadership.hear(vote)
+        vote_to_publish = (
+            leadership.vote(now, self._liveness(shell))
+            if now >= self.next_vote_at or self.last_vote is None
+            else self.last_vote
         )
-        if vote_now is not None and (vote_now != self.voted or now >= self.vote_at):
-            shell.say("vote", "seat", write_vote(vote_now), self.terms.term_s, renew=False)
-            self.voted, self.vote_at = vote_now, now + self.terms.term_s / RENEWALS_PER_TERM
-            # Our own counts from its saying, as everybody's: the carrier holds it.
-            own = shell.member.carrier.read(now, "vote")
-            votes |= {s.origin: (vote_now, s.ends) for s in own if s.origin == shell.member.me.name}
-        elif vote_now is None:
-            self.voted = None
-        before = seat.kept_since
-        keeping = seat.look(now, votes)
-        if keeping and before is None:
-            self.log("info", f"limits: keeper of the strict ones, number {seat.mine}")
-        elif before is not None and not keeping:
+        if vote_to_publish is not None and (vote_to_publish != self.last_vote or now >= self.next_vote_at):
+            shell.say("vote", "seat", write_vote(vote_to_publish), self.terms.term_s, renew=False)
+            self.last_vote, self.next_vote_at = vote_to_publish, now + self.terms.term_s / RENEWALS_PER_TERM
+            # Like those of the other voters, the own vote counts until the expiry that the carrier gave it.
+            own_entries = shell.member.carrier.read(now, "vote")
+            votes |= {
+                s.origin: (vote_to_publish, s.ends) for s in own_entries if s.origin == shell.member.me.name
+            }
+        elif vote_to_publish is None:
+            self.last_vote = None
+        lessor_before = leadership.kept_since
+        is_lessor = leadership.look(now, votes)
+        if is_lessor and lessor_before is None:
+            self.log("info", f"limits: keeper of the strict ones, number {leadership.mine}")
+        elif lessor_before is not None and not is_lessor:
             self.log("info", "limits: no longer keeper of the strict ones")
-        return keeping
+        return is_lessor
 
-    def _hold(self, now: float, shell: Shell, row: LimitState, told: set[str]) -> None:
+    def _use_lease(self, now: float, shell: Shell, row: LimitState, peers_to_push: set[str]) -> None:
+        """As a lease holder: read the lease, divide it among the instances, and ask for the next one."""
         limit, holder, me = row.limit, row.holder, shell.member.me
-        mine = f"{holder_of(me.name, me.life)} {limit.name}"
-        for said in shell.member.carrier.read(now, "grant", mine):
+        own_subject = f"{holder_of(me.name, me.life)} {limit.name}"
+        for entry in shell.member.carrier.read(now, "grant", own_subject):
             try:
-                holder.hear(now, said.origin, read_grant(said.value), said.ends)
+                holder.hear(now, entry.origin, read_grant(entry.value), entry.ends)
             except Malformed:
                 continue
-        needs = {
-            str(worker): instance.needs[limit.name].per_s(now) if limit.name in instance.needs else 0.0
+        arrival_rates = {
+            str(worker): instance.arrival_rates[limit.name].per_s(now)
+            if limit.name in instance.arrival_rates
+            else 0.0
             for worker, instance in self.instances.items()
         }
-        follows = {
-            str(worker): instance.follows[limit.name]
+        applied_leases = {
+            str(worker): instance.applied_leases[limit.name]
             for worker, instance in self.instances.items()
-            if limit.name in instance.follows
+            if limit.name in instance.applied_leases
         }
-        holder.measure(sum(needs.values()))
-        part_due = now >= row.part_at
-        for worker, part in holder.parts(now, follows, needs, self.terms.term_s, part_due).items():
-            self.tell(int(worker), word(limit.name, [part.per_s, part.burst, *part.mark], part.until))
-        if part_due:
-            row.part_at = now + self.terms.term_s / RENEWALS_PER_TERM
-        ask = holder.ask(now, self._keeper_of(shell, limit))._replace(life=me.life)
-        if now >= row.ask_at or row.asked is None or moved(row.asked, ask, limit):
+        holder.measure(sum(arrival_rates.values()))
+        shares_due = now >= row.next_share_at
+        for worker, share in holder.parts(
+            now, applied_leases, arrival_rates, self.terms.term_s, shares_due
+        ).items():
+            self.send_to_worker(
+                int(worker), lease_message(limit.name, [share.per_s, share.burst, *share.mark], share.until)
+            )
+        if shares_due:
+            row.next_share_at = now + self.terms.term_s / RENEWALS_PER_TERM
+        ask = holder.ask(now, self._lessor_of(shell, limit))._replace(life=me.life)
+        if now >= row.next_ask_at or row.last_ask is None or differs_significantly(row.last_ask, ask, limit):
             shell.say("ask", limit.name, write_ask(ask), self.terms.term_s, renew=False)
-            row.asked, row.ask_at = ask, now + self.terms.term_s / RENEWALS_PER_TERM
+            row.last_ask, row.next_ask_at = ask, now + self.terms.term_s / RENEWALS_PER_TERM
             if ask.keeper and ask.keeper != me.name:
-                told.add(ask.keeper)
-        over = holder.need > holder.lent(now) + limit.fixed(self.terms.fleets) + 1e-9
-        if over != row.over:
-            row.over = over
-            text = "more is asked for here than its part" if over else "its part is enough again"
+                peers_to_push.add(ask.keeper)
+        exceeded = holder.need > holder.lent(now) + limit.fixed(self.terms.fleets) + 1e-9
+        if exceeded != row.demand_exceeds_share:
+            row.demand_exceeds_share = exceeded
+            text = "more is asked for here than its part" if exceeded else "its part is enough again"
             self.log("info", f"limit {limit.name}: {text}")
 
-    def _keeper_of(self, shell: Shell, limit: Limit) -> str:
-        """By rendezvous over those that are there, for the open ones; the strict ones' is whoever has the
-        seat."""
+    def _lessor_of(self, shell: Shell, limit: Limit) -> str:
+        """The lessor of a strict limit is the elected leader, by the most votes; of an open limit, the first
+        of the members that are alive by rendezvous ranking."""
         if limit.when_cut is WhenCut.STRICT:
-            votes = [read_vote(s.value).keeper for s in shell.member.carrier.read(clock(), "vote")]
-            return max(set(votes), key=lambda name: (votes.count(name), name), default="")
-        there = [record.name for record in shell.member.peers.alive()]
-        return max(there, key=lambda name: (crc32(f"{limit.name} {name}".encode()), name))
-
-    def _keep(self, now: float, shell: Shell, row: LimitState, keeping: bool, told: set[str]) -> None:
-        limit, me, seat = row.limit, shell.member.me, self.seat
-        assert seat is not None
+            lessors = [read_vote(s.value).keeper for s in shell.member.carrier.read(clock(), "vote")]
+            return max(set(lessors), key=lambda name: (lessors.count(name), name), default="")
+        members = [record.name for record in shell.member.peers.alive()]
+        return max(members, key=lambda name: (crc32(f"{limit.name} {name}".encode()), name))
+
+    def _grant_leases(
+        self, now: float, shell: Shell, row: LimitState, is_lessor: bool, peers_to_push: set[str]
+    ) -> None:
+        """As the lessor, if this fleet is: grant leases to the holders that ask for one."""
+        limit, me, leadership = row.limit, shell.member.me, self.leadership
+        assert leadership is not None
         asks: dict[str, tuple[str, Ask]] = {}
-        for said in shell.member.carrier.read(now, "ask", limit.name):
+        for entry in shell.member.carrier.read(now, "ask", limit.name):
             try:
-                ask = read_ask(said.value)
+                ask = read_ask(entry.value)
             except Malformed:
                 continue
-            asks[holder_of(said.origin, ask.life)] = said.origin, ask
-            row.number = max(row.number, ask.mark.number)
+            asks[holder_of(entry.origin, ask.life)] = entry.origin, ask
+            row.term_number = max(row.term_number, ask.mark.number)
         if limit.when_cut is WhenCut.STRICT:
-            if not keeping:
+            if not is_lessor:
                 return
-            number, settled = seat.mine, seat.settled(now)
-            seat.number = max(seat.number, row.number)
-            mine = asks
+            term_number, settled = leadership.mine, leadership.settled(now)
+            leadership.number = max(leadership.number, row.term_number)
+            received_asks = asks
         else:
-            mine = {name: pair for name, pair in asks.items() if pair[1].keeper == me.name}
-            if not mine:
-                row.keeps_since = None
+            received_asks = {name: pair for name, pair in asks.items() if pair[1].keeper == me.name}
+            if not received_asks:
+                row.lessor_since = None
                 return
-            if row.keeps_since is None:
-                row.keeps_since, row.number = now, row.number + 1
+            if row.lessor_since is None:
+                row.lessor_since, row.term_number = now, row.term_number + 1
                 row.lessor.number = 0
-            number, settled = row.number, now >= row.keeps_since + over_s(self.terms)
+            term_number, settled = row.term_number, now >= row.lessor_since + over_s(self.terms)
             if row.lessor.number:
-                number = row.lessor.number
+                term_number = row.lessor.number
         view = shell.member.peers.view
-        following = sum(view[origin].instances if origin in view else 1 for origin, _ in mine.values())
-        configured = max(self.terms.fleets * max(me.instances, 1), 1)
-        capacity = row.lessor.capacity(following, configured, (ask for _, ask in mine.values()))
-        others = sorted({o for o, ask in mine.values() if ask.per_s and ask.per_s != limit.per_s})
-        if others != row.others:
-            row.others = others
-            if others:
-                text = f"{', '.join(others)} have other rows than {limit.per_s:g} a second; the lowest holds"
+        instances = sum(
+            view[origin].instances if origin in view else 1 for origin, _ in received_asks.values()
+        )
+        configured_instances = max(self.terms.fleets * max(me.instances, 1), 1)
+        capacity = row.lessor.capacity(
+            instances, configured_instances, (ask for _, ask in received_asks.values())
+        )
+        mismatched = sorted(
+            {o for o, ask in received_asks.values() if ask.per_s and ask.per_s != limit.per_s}
+        )
+        if mismatched != row.mismatched_fleets:
+            row.mismatched_fleets = mismatched
+            if mismatched:
+                text = (
+                    f"{', '.join(mismatched)} have other rows than {limit.per_s:g} a second; the lowest holds"
+                )
                 self.log("warning", f"limit {limit.name}: {text}")
-        due = now >= row.deal_at
-        heard = {name: ask for name, (_, ask) in mine.items()}
-        for name, grant in row.lessor.step(now, me.name, number, settled, capacity, heard, due).items():
+        renewal_due = now >= row.next_grant_at
+        asks_by_holder = {name: ask for name, (_, ask) in received_asks.items()}
+        for name, grant in row.lessor.step(
+            now, me.name, term_number, settled, capacity, asks_by_holder, renewal_due
+        ).items():
             shell.say("grant", f"{name} {limit.name}", write_grant(grant), self.terms.term_s, renew=False)
-            if mine[name][0] != me.name:
-                told.add(mine[name][0])
+            if received_asks[name][0] != me.name:
+                peers_to_push.add(received_asks[name][0])
             else:
                 self.on_entries_changed()
-        if due:
-            row.deal_at = now + self.terms.term_s / RENEWALS_PER_TERM
+        if renewal_due:
+            row.next_grant_at = now + self.terms.term_s / RENEWALS_PER_TERM
 
-    # What people ask
+    # Control requests
 
     def report(self) -> list[dict[str, Any]]:
         shell, now = self.shell(), clock()
         rows = []
         for row in self.rows.values():
             limit, holder = row.limit, row.holder
-            keeps = row.lessor.split.out(now)
+            granted = row.lessor.split.out(now)
             instances = shell.member.peers.instances() if shell is not None else 0
             rows.append(
                 {
@@ -319,7 +351,7 @@
                     "lent_here": round(holder.lent(now), 2),
                     "fixed_here": round(limit.fixed(self.terms.fleets), 2),
                     "alone_here": round(limit.alone(self.terms), 2),
-                    "granted": round(keeps, 2) if keeps else None,
+                    "granted": round(granted, 2) if granted else None,
                     "most_in_a_second": round(most(limit, self.terms, 1.0, instances), 2),
                     "most_without_cuts": round(most(limit, self.terms, 1.0, instances, cut=False), 2),
                     "follows_a_change_s": over_s(self.terms),
@@ -328,12 +360,12 @@
         return rows
 
 
-def word(limit: str, value: list[float], until: float) -> Message:
-    return {"kind": "word", "about": "limit", "limit": limit, "value": value, "until": until}
+def lease_message(limit: str, value: list[float], expires_at: float) -> Message:
+    return {"kind": "word", "about": "limit", "limit": limit, "value": value, "until": expires_at}
 
 
-def moved(before: Ask, ask: Ask, limit: Limit) -> bool:
-    """Whether what is said differs enough to be said at once."""
-    if (before.mark, before.keeper, before.of) != (ask.mark, ask.keeper, ask.of):
+def differs_significantly(previous: Ask, ask: Ask, limit: Limit) -> bool:
+    """Whether the new entry has to be published before the next renewal."""
+    if (previous.mark, previous.keeper, previous.of) != (ask.mark, ask.keeper, ask.of):
         return True
-    return abs(before.need - ask.need) > CHANGED * limit.per_s
+    return abs(previous.need - ask.need) > SIGNIFICANT_CHANGE_FRACTION * limit.per_s
