--- a/flintlatch/fleet/judging.py
+++ b/flintlatch/fleet/judging.py
@@ -1,4 +1,8 @@
-"""Shared verdicts, in the supervisor: what its instances saw goes out, what all find together comes back."""
+"""Outlier ejection shared by all fleets, in the supervisor.
+
+Publishes which servers fail its instances, evaluates the observations of all fleets, and tells the instances
+which servers to avoid.
+"""
 
 from __future__ import annotations
 
@@ -13,31 +17,37 @@
 from flintlatch.peers.words import Carrier
 from flintlatch.verdicts.api import Judgement, Rules, judge
 
-RENEWALS_PER_TTL = 4  # times in a life that voices and words to the instances are said anew
-GOOD = b"0"  # a voice is how often it failed in a row; nothing of that any more
+RENEWALS_PER_TTL = 4  # of the published observations and of the entries sent to the instances
+RECOVERED_VALUE = b"0"  # the value of an observation is the number of consecutive failures; 0 after a success
 
 
 class OutlierEjector:
-    """`tell` says a message to every instance; `servers` are the uids that the own list names: a verdict only
-    ever takes away."""
+    """`broadcast` sends a message to every instance. `listed_servers` returns the uids on the own node list:
+    observations of other servers are ignored, so ejection never adds a server."""
 
     def __init__(
         self,
         rules: Rules,
         shell: Callable[[], Shell | None],
-        tell: Callable[[Message], None],
-        servers: Callable[[], set[str]],
+        broadcast: Callable[[Message], None],
+        listed_servers: Callable[[], set[str]],
         log: Callable[[str, str], None],
     ) -> None:
-        self.rules, self.shell, self.tell, self.servers, self.log = rules, shell, tell, servers, log
-        self.instances: dict[int, dict[str, int]] = {}  # what failed each, and how often in a row
-        self.answered: dict[int, set[str]] = {}  # what failed it and has answered it since
-        # By server, what we say of it and when it is said anew.
-        self.said: dict[str, tuple[bytes, float]] = {}
+        self.rules, self.shell, self.broadcast, self.listed_servers, self.log = (
+            rules,
+            shell,
+            broadcast,
+            listed_servers,
+            log,
+        )
+        self.failures_by_instance: dict[int, dict[str, int]] = {}  # consecutive failures by server
+        self.recovered_by_instance: dict[int, set[str]] = {}  # servers that have answered since they failed
+        # By server: the published value, and when to renew it.
+        self.published: dict[str, tuple[bytes, float]] = {}
         self.detected = Judgement()
-        self.shunned: list[str] = []
-        self.accused: list[str] = []
-        self.tell_at = 0.0
+        self.ejected: list[str] = []
+        self.reported_servers: list[str] = []
+        self.next_broadcast_at = 0.0
         self.loop = asyncio.get_running_loop()
         self.timer: asyncio.TimerHandle | None = None
 
@@ -50,93 +60,101 @@
             self.timer.cancel()
 
     def on_instance_report(self, worker: int, message: Message) -> None:
-        before = self.instances.get(worker), self.answered.get(worker)
-        self.instances[worker] = {str(name): int(count) for name, count in message["bad"].items()}
-        self.answered[worker] = set(map(str, message["good"]))
-        if (self.instances[worker], self.answered[worker]) != before:
+        previous = self.failures_by_instance.get(worker), self.recovered_by_instance.get(worker)
+        self.failures_by_instance[worker] = {str(name): int(count) for name, count in message["bad"].items()}
+        self.recovered_by_instance[worker] = set(map(str, message["good"]))
+        if (self.failures_by_instance[worker], self.recovered_by_instance[worker]) != previous:
             self.step()
 
     def remove_instance(self, worker: int) -> None:
-        self.instances.pop(worker, None)
-        self.answered.pop(worker, None)
+        self.failures_by_instance.pop(worker, None)
+        self.recovered_by_instance.pop(worker, None)
 
     def step(self) -> None:
         shell = self.shell()
         if shell is None:
             return
-        now, servers = clock(), self.servers()
-        self._speak(now, shell, servers)
-        voices: dict[str, dict[str, int]] = {}
-        good: dict[str, set[str]] = {}
-        for said in shell.member.carrier.read(now, "seen"):
-            if said.subject not in servers or not said.value.isdigit():
+        now, listed = clock(), self.listed_servers()
+        self._publish_observations(now, shell, listed)
+        failing: dict[str, dict[str, int]] = {}
+        recovered: dict[str, set[str]] = {}
+        for entry in shell.member.carrier.read(now, "seen"):
+            if entry.subject not in listed or not entry.value.isdigit():
                 continue
-            if said.value == GOOD:
-                good.setdefault(said.subject, set()).add(said.origin)
+            if entry.value == RECOVERED_VALUE:
+                recovered.setdefault(entry.subject, set()).add(entry.origin)
             else:
-                voices.setdefault(said.subject, {})[said.origin] = int(said.value[:4])
-        there = {record.name: record.zone for record in shell.member.peers.alive()}
-        before, self.detected = self.detected, judge(voices, good, there, len(servers), self.rules)
+                failing.setdefault(entry.subject, {})[entry.origin] = int(entry.value[:4])
+        zones = {record.name: record.zone for record in shell.member.peers.alive()}
+        previous, self.detected = self.detected, judge(failing, recovered, zones, len(listed), self.rules)
         me = shell.member.me
-        self._report(before, me.name)
-        shunned, accused = sorted(self.detected.shuns(me.name, me.zone)), sorted(voices)
-        if (shunned, accused) != (self.shunned, self.accused) or (shunned and now >= self.tell_at):
-            self.shunned, self.accused = shunned, accused
-            self.tell_at = now + self.rules.life_s / RENEWALS_PER_TTL
-            until = now + self.rules.life_s
-            self.tell({"kind": "word", "about": "shun", "value": shunned, "accused": accused, "until": until})
-
-    def _speak(self, now: float, shell: Shell, servers: set[str]) -> None:
-        """One voice a fleet: what failed one of its instances most; good what did, and no longer does."""
-        bad: dict[str, int] = {}
-        for seen in self.instances.values():
-            for server in seen.keys() & servers:
-                bad[server] = max(bad.get(server, 0), seen[server])
-        answered = set().union(*self.answered.values()) - bad.keys()
-        for server in self.said.keys() - bad.keys() - answered:
-            del self.said[server]  # nothing is known of it any more: what it said last runs out
-        for server in sorted(bad.keys() | answered):
-            wanted = b"%d" % bad[server] if server in bad else GOOD
-            what, again = self.said.get(server, (b"", 0.0))
-            if wanted == what and now < again:
+        self._log_changes(previous, me.name)
+        ejected, reported = sorted(self.detected.shuns(me.name, me.zone)), sorted(failing)
+        if (ejected, reported) != (self.ejected, self.reported_servers) or (
+            ejected and now >= self.next_broadcast_at
+        ):
+            self.ejected, self.reported_servers = ejected, reported
+            self.next_broadcast_at = now + self.rules.life_s / RENEWALS_PER_TTL
+            expires_at = now + self.rules.life_s
+            self.broadcast(
+                {"kind": "word", "about": "shun", "value": ejected, "accused": reported, "until": expires_at}
+            )
+
+    def _publish_observations(self, now: float, shell: Shell, listed: set[str]) -> None:
+        """Publish one observation per server for the whole fleet: the most consecutive failures that an
+        instance reports, or, if none does, that the server has recovered."""
+        worst: dict[str, int] = {}
+        for failures in self.failures_by_instance.values():
+            for server in failures.keys() & listed:
+                worst[server] = max(worst.get(server, 0), failures[server])
+        recovered = set().union(*self.recovered_by_instance.values()) - worst.keys()
+        for server in self.published.keys() - worst.keys() - recovered:
+            del self.published[server]  # not observed any more: the published entry expires
+        for server in sorted(worst.keys() | recovered):
+            value = b"%d" % worst[server] if server in worst else RECOVERED_VALUE
+            published_value, renew_at = self.published.get(server, (b"", 0.0))
+            if value == published_value and now < renew_at:
                 continue
-            with suppress(ValueError):  # more than one fleet may speak of
-                shell.say("seen", server, wanted, self.rules.life_s, renew=False)
-                self.said[server] = wanted, now + self.rules.life_s / RENEWALS_PER_TTL
-
-    def _report(self, before: Judgement, me: str) -> None:
-        """Each change is one line."""
-        for server, one in self.detected.out.items():
-            if server not in before.out:
-                where = f"for zone {one.zone}" if one.zone else "for all"
-                told = f"found bad {where} by {', '.join(one.voices)}; tried on by {', '.join(one.tries)}"
-                self.log("info", f"{server}: {told}")
-        for server in before.out.keys() - self.detected.out.keys():
+            with suppress(ValueError):  # more servers than one fleet may report
+                shell.say("seen", server, value, self.rules.life_s, renew=False)
+                self.published[server] = value, now + self.rules.life_s / RENEWALS_PER_TTL
+
+    def _log_changes(self, previous: Judgement, own_name: str) -> None:
+        """Log one line for each change."""
+        for server, verdict in self.detected.out.items():
+            if server not in previous.out:
+                scope = f"for zone {verdict.zone}" if verdict.zone else "for all"
+                change = (
+                    f"found bad {scope} by {', '.join(verdict.voices)}; "
+                    f"tried on by {', '.join(verdict.tries)}"
+                )
+                self.log("info", f"{server}: {change}")
+        for server in previous.out.keys() - self.detected.out.keys():
             self.log("info", f"{server}: no longer found bad together")
-        if me in self.detected.ill - before.ill:
+        if own_name in self.detected.ill - previous.ill:
             self.log("warning", "most servers fail here and not elsewhere: our voice counts for nothing")
-        if self.detected.many and not before.many:
+        if self.detected.many and not previous.many:
             text = f"{self.detected.many} servers found bad together are more than may be out: all are used"
             self.log("warning", text)
 
     def report(self) -> dict[str, Any]:
         shell, now = self.shell(), clock()
-        voices: dict[str, list[str]] = {}
+        observers: dict[str, list[str]] = {}
         if shell is not None:
-            for said in shell.member.carrier.read(now, "seen"):
-                if said.value != GOOD:
-                    voices.setdefault(said.subject, []).append(said.origin)
+            for entry in shell.member.carrier.read(now, "seen"):
+                if entry.value != RECOVERED_VALUE:
+                    observers.setdefault(entry.subject, []).append(entry.origin)
         rows = []
-        for server, named in sorted(voices.items()):
-            one = self.detected.out.get(server)
+        for server, names in sorted(observers.items()):
+            verdict = self.detected.out.get(server)
             rows.append(
                 {
                     "server": server,
-                    "out": one is not None,
-                    "zone": one.zone if one is not None else "",
-                    "voices": sorted(named),
-                    "tries": list(one.tries) if one is not None else [],
-                    "shunned_here": server in self.shunned,
+                    "out": verdict is not None,
+                    "zone": verdict.zone if verdict is not None else "",
+                    "voices": sorted(names),
+                    "tries": list(verdict.tries) if verdict is not None else [],
+                    "shunned_here": server in self.ejected,
                 }
             )
         return {
