--- a/flintlatch/fleet/delivered.py
+++ b/flintlatch/fleet/delivered.py
@@ -1,7 +1,8 @@
-"""Nodes by delivery, in the supervisor: one client follows for all generations, and reloads don't end it.
+"""Node lists by delivery, in the supervisor: one delivery client serves all generations and outlives reloads.
 
-What was taken of an object stands over a reload, whoever can be reached meanwhile. A reload with another
-table or key gets a client of its own; the one before goes on for as long as a generation draws on it.
+The last accepted version of an object stays in use over a reload, even if no relay can be reached meanwhile.
+A reload with another table or other keys opens a client of its own; the previous client stays open until no
+generation uses it.
 """
 
 from __future__ import annotations
@@ -23,7 +24,8 @@
 
 
 class Feed:
-    """A client and who draws on it. `as_of`: when what was held before it was surely the origin's."""
+    """A delivery client and the subscriptions that share it. `as_of`: the last time at which the state held
+    by a previous client was known to be the origin's; negative if there was none."""
 
     def __init__(
         self,
@@ -31,120 +33,124 @@
         keys: tuple[bytes, ...],
         local_host: str,
         as_of: float,
-        on_told: Callable[[Feed, str], None],
+        on_warning: Callable[[Feed, str], None],
     ) -> None:
-        self.made_for = (table, keys, local_host)
+        self.parameters = (table, keys, local_host)
         rules = table.rules or Rules()
-        self.stale_s = 2 * rules.stale_s  # age of what is held at which the client tells of it
-        self.before = as_of
-        self.drawn: dict[str, list[NodeSubscription]] = {}
+        self.max_age_s = 2 * rules.stale_s  # beyond this age the client warns of it
+        self.initial_as_of = as_of
+        self.subscriptions: dict[str, list[NodeSubscription]] = {}
         self.revisions: dict[str, int] = {}  # of each object's last change
         self.absent: set[str] = set()
-        me = Place(table.name, table.region, table.zone)
-        relays = tuple(Place(row.name, row.region, row.zone, row.address) for row in table.relays)
+        own_place = Place(table.name, table.region, table.zone)
+        relays = tuple(Place(relay.name, relay.region, relay.zone, relay.address) for relay in table.relays)
         self.client = Client(
-            me,
+            own_place,
             Role.PROXY,
             relays,
             rules,
             keys,
             self._on_changed,
             self._on_absent,
-            lambda text: on_told(self, text),
+            lambda text: on_warning(self, text),
             local_host,
         )
         self.client.open()
 
     def as_of(self) -> float:
-        return max(self.before, self.client.subscriber.as_of)
+        return max(self.initial_as_of, self.client.subscriber.as_of)
 
     def age_s(self) -> float:
-        """Since what is held was surely the origin's; while nothing is, since it was first asked for."""
+        """Age of the state: seconds since it was known to be the origin's, or, while there is none, since the
+        client was opened."""
         as_of = self.as_of()
         return clock() - (as_of if as_of >= 0 else self.client.subscriber.began)
 
     def _on_changed(self, changed: Changed) -> None:
         for change in changed.changes:
             if change.gone:
-                continue  # `_on_absent` hears of it too
+                continue  # `_on_absent` is called as well
             self.revisions[change.name] = changed.revision
             self.absent.discard(change.name)
-            for followed in list(self.drawn.get(change.name, ())):
-                if followed.begun:  # else it takes all of it when it begins
-                    rows = followed.rows
-                    followed.tell(rows.changed(now_ms(), changed.revision, change.items, change.removed))
+            for subscription in list(self.subscriptions.get(change.name, ())):
+                if subscription.started:  # `_start` emits the whole object otherwise
+                    source = subscription.source
+                    subscription.emit(
+                        source.changed(now_ms(), changed.revision, change.items, change.removed)
+                    )
 
     def _on_absent(self, names: tuple[str, ...]) -> None:
         for name in names:
             self.absent.add(name)
-            for followed in list(self.drawn.get(name, ())):
-                if followed.begun:
-                    followed.tell(followed.rows.gone())
+            for subscription in list(self.subscriptions.get(name, ())):
+                if subscription.started:
+                    subscription.emit(subscription.source.gone())
 
 
 class NodeSubscription:
-    """One generation's part of a feed: events of one object to `on_event`, on the loop, until closed. Without
-    a feed there was no key, and `complaint` says why."""
+    """One generation's subscription to an object: passes its events to `on_event` until closed. Without a
+    feed the key file could not be used, for the reason in `error`."""
 
     def __init__(
         self,
-        supply: DeliveryFeeds,
+        feeds: DeliveryFeeds,
         feed: Feed | None,
         service: str,
         on_event: Callable[[Event], None],
-        complaint: str = "",
+        error: str = "",
     ) -> None:
-        self.supply, self.feed, self.service, self.on_event = supply, feed, service, on_event
-        self.complaint = complaint
-        self.rows = Delivered(service)
-        self.begun = False
-        self.beginning = asyncio.get_running_loop().call_soon(self._begin)
+        self.feeds, self.feed, self.service, self.on_event = feeds, feed, service, on_event
+        self.error = error
+        self.source = Delivered(service)
+        self.started = False
+        self.start_handle = asyncio.get_running_loop().call_soon(self._start)
         if feed is not None:
-            feed.drawn.setdefault(service, []).append(self)
+            feed.subscriptions.setdefault(service, []).append(self)
             feed.client.follow((service,))
 
-    def _begin(self) -> None:
-        """With what was taken last, and what is held by now."""
-        self.begun = True
-        if (version := self.supply.taken.get(self.service)) is not None:
+    def _start(self) -> None:
+        """Emit the version that was accepted last, and the state that the client holds."""
+        self.started = True
+        if (version := self.feeds.accepted_versions.get(self.service)) is not None:
             self.on_event(Restored(version))
         if self.feed is None:
             return
         held = self.feed.client.subscriber.store.objects.get(self.service)
         revision = self.feed.revisions.get(self.service)
         if held is not None and revision is not None:
-            self.tell(self.rows.whole(now_ms(), revision, held.items))
+            self.emit(self.source.whole(now_ms(), revision, held.items))
         elif self.service in self.feed.absent:
-            self.tell(self.rows.gone())
+            self.emit(self.source.gone())
 
-    def tell(self, events: list[Event]) -> None:
+    def emit(self, events: list[Event]) -> None:
         for event in events:
             self.on_event(event)
 
-    def took(self, version: Version) -> None:
-        """Membership's core has taken it: it stands over reloads, unless a later generation is beyond it."""
-        before = self.supply.taken.get(self.service)
-        if before is None or version.number >= before.number:
-            self.supply.taken[self.service] = version
+    def on_accepted(self, version: Version) -> None:
+        """Called when the membership core has accepted a version: keeps it over reloads, unless another
+        generation has accepted a newer one."""
+        previous = self.feeds.accepted_versions.get(self.service)
+        if previous is None or version.number >= previous.number:
+            self.feeds.accepted_versions[self.service] = version
 
-    def heard_ms(self) -> float:
-        """Unix time at which what is held was surely the origin's."""
+    def last_update_ms(self) -> float:
+        """Unix time in ms at which the state was known to be the origin's."""
         return now_ms() - 1000 * self.feed.age_s() if self.feed is not None else 0.0
 
     def failure(self) -> str:
-        """Empty while its age is within the bound."""
+        """Why the list is missing or too old; empty while neither holds."""
         if self.feed is None:
-            return self.complaint
+            return self.error
         age = self.feed.age_s()
-        if age > self.feed.stale_s:
+        if age > self.feed.max_age_s:
             return f"{self.service}: no relay with news for {age:.0f} s"
         return "" if self.feed.client.subscriber.ready() else f"{self.service}: no relay has answered yet"
 
     def report(self) -> dict[str, Any]:
-        """`relay`: at which it follows, empty while at none. `revision`: whose state is held, of all objects
+        """`relay`: the one that the client follows, empty if none. `revision`: of the state of all objects
         together."""
         if self.feed is None:
-            return {"relay": "", "revision": 0, "age_s": None, "complaint": self.complaint}
+            return {"relay": "", "revision": 0, "age_s": None, "complaint": self.error}
         client = self.feed.client
         return {
             "relay": client.relay(),
@@ -154,23 +160,23 @@
         }
 
     def close(self) -> None:
-        self.beginning.cancel()
-        self.supply.leave(self)
+        self.start_handle.cancel()
+        self.feeds.unsubscribe(self)
 
 
 class DeliveryFeeds:
-    """All that delivery brings this fleet, over its generations."""
+    """The feeds of this fleet, shared by its generations, and the last accepted version of each object."""
 
     def __init__(self, log: Callable[[str, str], None]) -> None:
         self.log = log
         self.feeds: list[Feed] = []
-        self.taken: dict[str, Version] = {}  # by service
-        self.keeps = False  # whether a list may stand that is kept over restarts
+        self.accepted_versions: dict[str, Version] = {}  # by service
+        self.saves_lists = False  # whether accepted lists are saved to disk and used after a restart
 
-    def follow(self, config: Config, on_event: Callable[[Event], None]) -> NodeSubscription:
+    def subscribe(self, config: Config, on_event: Callable[[Event], None]) -> NodeSubscription:
         table, service = config.delivery, config.nodes.service
         assert table is not None
-        self.keeps = bool(config.nodes.keep)
+        self.saves_lists = bool(config.nodes.keep)
         path = beside(config.path, table.key_file)
         try:
             with open(path, encoding="ascii", errors="replace") as file:
@@ -180,31 +186,31 @@
                 self.log("error", f"delivery: {error}; nothing is followed until a reload")
                 return NodeSubscription(self, None, service, on_event, str(error))
             self.log("error", f"delivery: {error}; going on with the keys of before")
-            keys = self.feeds[-1].made_for[1]
-        made_for = (table, keys, config.nodes.source_host)
-        feed = next((feed for feed in self.feeds if feed.made_for == made_for), None)
+            keys = self.feeds[-1].parameters[1]
+        parameters = (table, keys, config.nodes.source_host)
+        feed = next((feed for feed in self.feeds if feed.parameters == parameters), None)
         if feed is None:
             as_of = max((feed.as_of() for feed in self.feeds), default=-1.0)
-            feed = Feed(*made_for, as_of, self._on_told)
+            feed = Feed(*parameters, as_of, self._on_warning)
             self.feeds.append(feed)
         return NodeSubscription(self, feed, service, on_event)
 
-    def leave(self, followed: NodeSubscription) -> None:
-        feed, name = followed.feed, followed.service
-        if feed is None or followed not in feed.drawn.get(name, ()):
+    def unsubscribe(self, subscription: NodeSubscription) -> None:
+        feed, service = subscription.feed, subscription.service
+        if feed is None or subscription not in feed.subscriptions.get(service, ()):
             return
-        feed.drawn[name].remove(followed)
-        if not feed.drawn[name]:
-            del feed.drawn[name]
-            feed.revisions.pop(name, None)
-            feed.absent.discard(name)
-            feed.client.unfollow((name,))
-        if not feed.drawn:
+        feed.subscriptions[service].remove(subscription)
+        if not feed.subscriptions[service]:
+            del feed.subscriptions[service]
+            feed.revisions.pop(service, None)
+            feed.absent.discard(service)
+            feed.client.unfollow((service,))
+        if not feed.subscriptions:
             feed.client.close()
             self.feeds.remove(feed)
 
-    def _on_told(self, feed: Feed, text: str) -> None:
-        if feed.client.subscriber.as_of < 0 and (self.taken or self.keeps):
+    def _on_warning(self, feed: Feed, text: str) -> None:
+        if feed.client.subscriber.as_of < 0 and (self.accepted_versions or self.saves_lists):
             text += " by this client; a list taken before stands"
         self.log("warning", text)
 
--- a/flintlatch/fleet/judging.py
+++ b/flintlatch/fleet/judging.py
@@ -71,6 +71,8 @@
         self.recovered_by_instance.pop(worker, None)
 
     def step(self) -> None:
+        """Publish the own observations, evaluate those of all fleets, and send the result to the
+        instances."""
         shell = self.shell()
         if shell is None:
             return
--- a/flintlatch/fleet/members.py
+++ b/flintlatch/fleet/members.py
@@ -1,4 +1,8 @@
-"""Membership in the supervisor: files watched, the core's decisions carried out, one list for all workers."""
+"""Follows the configured node sources in the supervisor and makes one list of them for all workers.
+
+Sources are files, a catalogue, the registry or delivery. The membership core decides which versions of a
+source are accepted; this module carries its decisions out.
+"""
 
 from __future__ import annotations
 
@@ -38,91 +42,94 @@
 if TYPE_CHECKING:
     from flintlatch.fleet.delivered import DeliveryFeeds, NodeSubscription
 
-REGISTRY = "registry"  # its name as a source
-FAULTS_TOLD = 5  # of a rejection in the log; all are in `status`
+REGISTRY_SOURCE = "registry"  # name of the registry as a source
+MAX_LOGGED_FAULTS = 5  # per rejected version; `status` shows all
 
 
-class Members:
-    """`take` gets the first list whole, then what changes. `supply`: of nodes by delivery."""
+class NodeSources:
+    """`on_listing` gets the first list as a snapshot, then deltas. `delivery_feeds` is used if nodes come by
+    delivery."""
 
     def __init__(
         self,
         config: Config,
-        take: Callable[[Listing], None],
+        on_listing: Callable[[Listing], None],
         log: Callable[[str, str], None],
-        supply: DeliveryFeeds | None = None,
+        delivery_feeds: DeliveryFeeds | None = None,
     ) -> None:
-        self.wire, self.take, self.log = config.wire(), take, log
+        self.wire, self.on_listing, self.log = config.wire(), on_listing, log
         self.loop = asyncio.get_running_loop()
         table = config.nodes
-        named = {f"{table.catalogue}#{service}": service for service in table.services}
-        registry = (REGISTRY,) if table.source == "registry" else ()
-        delivered = (table.service,) if table.source == "delivery" else ()
+        catalogue_services = {f"{table.catalogue}#{service}": service for service in table.services}
+        registry_sources = (REGISTRY_SOURCE,) if table.source == "registry" else ()
+        delivery_sources = (table.service,) if table.source == "delivery" else ()
         self.core = Membership(
             Rules(
-                (*table.files, *named, *registry, *delivered),
+                (*table.files, *catalogue_services, *registry_sources, *delivery_sources),
                 most_removed_part=table.most_removed_part,
                 hold_s=table.hold_s,
-                drains_at_once=frozenset(registry),  # a drain is a process's own word there, not a hand's
+                # In the registry a node itself asks to be drained; in other sources an operator does.
+                drains_at_once=frozenset(registry_sources),
             )
         )
-        self.offered_ms = 0.0
-        self.keep_path = beside(config.path, table.keep) if table.keep else ""
-        self.kept: set[asyncio.Future[None]] = set()
-        self.wake: asyncio.TimerHandle | None = None
-        self.taken = self.rejected = 0
+        self.last_offer_ms = 0.0
+        self.saved_path_prefix = beside(config.path, table.keep) if table.keep else ""
+        self.pending_saves: set[asyncio.Future[None]] = set()
+        self.wake_timer: asyncio.TimerHandle | None = None
+        self.accepted_count = self.rejected_count = 0
         self.last_rejection = ""
         for name in self.core.rules.sources:
             self._restore(name)
         self.sources: list[FileSource | CatalogueSource | RegistrySource | NodeSubscription] = [
             source_of(name, beside(config.path, name), self.on_event) for name in table.files
         ]
-        token = self._token(beside(config.path, table.token_file)) if table.token_file else ""
-        for name, service in named.items():
+        token = self._read_token(beside(config.path, table.token_file)) if table.token_file else ""
+        for name, service in catalogue_services.items():
             catalogue = Catalogue(name, service, table.wait_s, table.most_stale_s)
             try:
                 self.sources.append(CatalogueSource(table.catalogue, token, catalogue, self.on_event))
             except ImportError:
                 log("error", f"{name}: httpx is not installed: pip install flintlatch[membership]")
 
-        if registry:
-            self.sources.append(RegistrySource(REGISTRY, table.registry, self.wire, self.on_event))
-        self.followed: NodeSubscription | None = None
-        if delivered and supply is not None:
-            self.followed = supply.follow(config, self.on_event)
-            self.sources.append(self.followed)
+        if registry_sources:
+            self.sources.append(RegistrySource(REGISTRY_SOURCE, table.registry, self.wire, self.on_event))
+        self.subscription: NodeSubscription | None = None
+        if delivery_sources and delivery_feeds is not None:
+            self.subscription = delivery_feeds.subscribe(config, self.on_event)
+            self.sources.append(self.subscription)
 
     def failure(self) -> str:
-        """Why there is no list yet, as far as sources have said."""
+        """The failures that sources have reported, which may explain why there is no list yet."""
         failures = [source.failure for source in self.core.sources.values()]
-        if self.followed is not None:
-            failures.append(self.followed.failure())
+        if self.subscription is not None:
+            failures.append(self.subscription.failure())
         return "; ".join(filter(None, failures))
 
     @property
-    def heard_ms(self) -> float:
-        """When a source last said something of use; by delivery, when what is held was the origin's."""
-        return self.followed.heard_ms() if self.followed is not None else self.offered_ms
+    def last_update_ms(self) -> float:
+        """Unix time of the last version from a source; with delivery, the time at which the list was known to
+        be the origin's."""
+        return self.subscription.last_update_ms() if self.subscription is not None else self.last_offer_ms
 
-    def _token(self, path: str) -> str:
+    def _read_token(self, path: str) -> str:
         try:
             with open(path, encoding="utf-8") as file:
                 return file.read(4096).strip()
         except (OSError, UnicodeDecodeError) as error:
-            self.log("error", f"{path}: {error}; the catalogue is asked without a token")
+            self.log("error", f"{path}: {error}; requests to the catalogue carry no token")
             return ""
 
-    def _kept_at(self, source: str) -> str:
-        """One file a source; its name may hold what a file's may not."""
-        return f"{self.keep_path}.{self.core.rules.sources.index(source)}"
+    def _saved_path(self, source: str) -> str:
+        """One file per source, by index, since a source's name may not be valid as a file name."""
+        return f"{self.saved_path_prefix}.{self.core.rules.sources.index(source)}"
 
     def _restore(self, name: str) -> None:
-        if not self.keep_path:
+        if not self.saved_path_prefix:
             return
         try:
-            version = kept(self._kept_at(name))
+            version = kept(self._saved_path(name))
         except (OSError, Unreadable) as error:
-            self.log("warning", f"{self._kept_at(name)}: not used: {error}")
+            self.log("warning", f"{self._saved_path(name)}: not used: {error}")
             return
         if version is not None and version.source == name:
             self.log("info", f"{name}: version {version.number} of before, until there is a newer one")
@@ -130,61 +137,65 @@
 
     def on_event(self, event: Event) -> None:
         if isinstance(event, Offered):
-            self.offered_ms = now_ms()
+            self.last_offer_ms = now_ms()
             if failure := self.core.sources[event.version.source].failure:
                 self.log("info", f"{event.version.source}: answers again, after {failure}")
         for action in self.core.step(self.loop.time(), event):
             if isinstance(action, Apply):
                 self._apply(action)
             elif isinstance(action, Save):
-                self.taken += 1
+                self.accepted_count += 1
                 self.log("info", f"{action.version.source}: version {action.version.number} taken")
-                self._keep(action.version)
-                if self.followed is not None:
-                    self.followed.took(action.version)
+                self._save(action.version)
+                if self.subscription is not None:
+                    self.subscription.on_accepted(action.version)
             elif isinstance(action, Rejected):
-                self.rejected += 1
-                told = "; ".join(map(str, action.faults[:FAULTS_TOLD]))
-                more = len(action.faults) - FAULTS_TOLD
-                which = f"version {action.number}" if action.number is not None else "what is there"
-                text = f"{action.source}: {which} rejected: {told}" + (f"; {more} more" if more > 0 else "")
+                self.rejected_count += 1
+                faults = "; ".join(map(str, action.faults[:MAX_LOGGED_FAULTS]))
+                omitted = len(action.faults) - MAX_LOGGED_FAULTS
+                version_name = f"version {action.number}" if action.number is not None else "what is there"
+                text = f"{action.source}: {version_name} rejected: {faults}" + (
+                    f"; {omitted} more" if omitted > 0 else ""
+                )
                 self.last_rejection = text
                 self.log("warning", text)
             elif isinstance(action, Held):
-                left = action.until_s - self.loop.time()
-                text = f"{action.source}: version {action.number} held for {left:.0f} s: {action.reason}"
+                remaining_s = action.until_s - self.loop.time()
+                text = (
+                    f"{action.source}: version {action.number} held for {remaining_s:.0f} s: {action.reason}"
+                )
                 self.log("warning", text)
             elif isinstance(action, Warned):
                 self.log("warning", action.text)
             elif isinstance(action, WakeAt):
-                if self.wake is not None:
-                    self.wake.cancel()
+                if self.wake_timer is not None:
+                    self.wake_timer.cancel()
                 at = max(action.at_s, self.loop.time() + 0.001)
-                self.wake = self.loop.call_at(at, self.on_event, Ticked())
+                self.wake_timer = self.loop.call_at(at, self.on_event, Ticked())
 
     def _apply(self, action: Apply) -> None:
         if action.revision == 1:
             targets = tuple(target_of(node, self.wire) for node in action.nodes)
-            self.take(Listing(action.revision, True, targets))
+            self.on_listing(Listing(action.revision, True, targets))
             return
         change = action.change
-        gone = (target_of(node, self.wire, ServerState.GONE) for node in change.gone)
-        there = (target_of(n, self.wire) for n in (*change.drained, *change.changed, *change.added))
-        self.take(Listing(action.revision, False, (*gone, *there)))
+        removed = (target_of(node, self.wire, ServerState.GONE) for node in change.gone)
+        remaining = (target_of(n, self.wire) for n in (*change.drained, *change.changed, *change.added))
+        self.on_listing(Listing(action.revision, False, (*removed, *remaining)))
 
-    def _keep(self, version: Version) -> None:
-        """Off the loop; that it fails is told of and stops nothing."""
-        if not self.keep_path:
+    def _save(self, version: Version) -> None:
+        """Save an accepted version in a thread; a failure is logged and has no other effect."""
+        if not self.saved_path_prefix:
             return
 
-        def done(future: asyncio.Future[None]) -> None:
-            self.kept.discard(future)
-            if not future.cancelled() and (error := future.exception()) is not None:
-                self.log("warning", f"{self._kept_at(version.source)}: version not kept: {error}")
+        def on_done(save: asyncio.Future[None]) -> None:
+            self.pending_saves.discard(save)
+            if not save.cancelled() and (error := save.exception()) is not None:
+                self.log("warning", f"{self._saved_path(version.source)}: version not saved: {error}")
 
-        future = self.loop.run_in_executor(None, keep, self._kept_at(version.source), version)
-        self.kept.add(future)
-        future.add_done_callback(done)
+        save = self.loop.run_in_executor(None, keep, self._saved_path(version.source), version)
+        self.pending_saves.add(save)
+        save.add_done_callback(on_done)
 
     def confirm(self, source: str, number: int) -> dict[str, Any]:
         held = self.core.sources[source].held if source in self.core.sources else None
@@ -194,10 +205,10 @@
         return {"ok": True}
 
     def rejections(self) -> dict[str, Any]:
-        return {"rejected": self.rejected, "last_rejection": self.last_rejection}
+        return {"rejected": self.rejected_count, "last_rejection": self.last_rejection}
 
     def report(self) -> list[dict[str, Any]]:
-        """A row a source."""
+        """One row for each source."""
         now = self.loop.time()
         return [
             {
@@ -210,16 +221,17 @@
                 "failure": source.failure,
                 "rejected": source.rejected,
                 "rejections": [
-                    {"version": one.number, "faults": list(map(str, one.faults))} for one in source.rejections
+                    {"version": rejection.number, "faults": list(map(str, rejection.faults))}
+                    for rejection in source.rejections
                 ],
-                "delivery": self.followed.report() if self.followed is not None else None,
+                "delivery": self.subscription.report() if self.subscription is not None else None,
             }
             for source in self.core.sources.values()
         ]
 
     def close(self) -> None:
-        if self.wake is not None:
-            self.wake.cancel()
+        if self.wake_timer is not None:
+            self.wake_timer.cancel()
         for source in self.sources:
             source.close()
 
--- a/flintlatch/fleet/nodes.py
+++ b/flintlatch/fleet/nodes.py
@@ -1,4 +1,4 @@
-"""Where a generation's nodes come from: one watch for the whole fleet, handed on to every worker."""
+"""The node list of a generation, followed once in the supervisor and sent to every worker."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from flintlatch.api import ServerInfo, ServerState
 from flintlatch.config import Config
-from flintlatch.fleet.members import Members
+from flintlatch.fleet.members import NodeSources
 from flintlatch.net.clock import now_ms
 from flintlatch.net.discovery import STATES, Listing, Target
 from flintlatch.net.http1 import split_address
@@ -20,7 +20,8 @@
 
 
 def encode_listing(listing: Listing) -> dict[str, Any]:
-    """A list in the registry's own form, with numbers for zones and kinds, as `read_listing` takes it."""
+    """Encode a list in the registry's format, with numbers for zones and kinds, which `read_listing`
+    decodes."""
     return {
         "rev": listing.rev,
         "all": listing.whole,
@@ -42,8 +43,8 @@
     }
 
 
-def fixed(config: Config) -> Listing:
-    """The list that the configuration names itself."""
+def static_listing(config: Config) -> Listing:
+    """The list written in the configuration itself."""
     wire, targets = config.wire(), []
     for node in config.nodes.static:
         host, port = split_address(node.address)
@@ -55,61 +56,64 @@
 
 
 class NodeList:
-    """`on_news` is called with each list or change that comes after the first; `first` waits for that."""
+    """`on_change` is called with each snapshot or delta after the first list, which `wait_for_first`
+    awaits."""
 
     def __init__(
         self,
         config: Config,
-        on_news: Callable[[NodeList, Listing], None],
+        on_change: Callable[[NodeList, Listing], None],
         log: Callable[[str, str], None],
-        supply: DeliveryFeeds | None = None,
+        delivery_feeds: DeliveryFeeds | None = None,
     ) -> None:
-        self.on_news, self.log = on_news, log
+        self.on_change, self.log = on_change, log
         self.targets: dict[str, Target] = {}
-        self.rev, self.taken_ms = 0, 0.0
-        self.come = asyncio.Event()
-        self.members: Members | None = None
+        self.rev, self.updated_ms = 0, 0.0
+        self.first_received = asyncio.Event()
+        self.node_sources: NodeSources | None = None
         if config.nodes.source == "static":
-            self._take(fixed(config))
+            self._on_listing(static_listing(config))
         else:
-            self.members = Members(config, self._take, log, supply)
+            self.node_sources = NodeSources(config, self._on_listing, log, delivery_feeds)
 
-    async def first(self) -> None:
-        await self.come.wait()
+    async def wait_for_first(self) -> None:
+        await self.first_received.wait()
 
-    def whole(self) -> Listing:
+    def snapshot(self) -> Listing:
         return Listing(self.rev, True, tuple(self.targets.values()))
 
-    def _take(self, news: Listing) -> None:
-        if news.whole:
+    def _on_listing(self, listing: Listing) -> None:
+        if listing.whole:
             self.targets = {}
-        for target in news.targets:
+        for target in listing.targets:
             if target.info.state is ServerState.GONE:
                 self.targets.pop(target.uid, None)
             else:
                 self.targets[target.uid] = target
-        self.rev, self.taken_ms = news.rev, now_ms()
-        if self.come.is_set():
-            if news.whole or news.targets:
-                self.on_news(self, news)
+        self.rev, self.updated_ms = listing.rev, now_ms()
+        if self.first_received.is_set():
+            if listing.whole or listing.targets:
+                self.on_change(self, listing)
         else:
-            self.come.set()
+            self.first_received.set()
 
     @property
-    def heard_ms(self) -> float:
-        """When a source last said something of use."""
-        return self.members.heard_ms if self.members is not None else self.taken_ms
+    def last_update_ms(self) -> float:
+        """Unix time in ms of the last update from a source."""
+        return self.node_sources.last_update_ms if self.node_sources is not None else self.updated_ms
 
     @property
     def failure(self) -> str:
-        return self.members.failure() if self.members is not None else ""
+        return self.node_sources.failure() if self.node_sources is not None else ""
 
     def rejections(self) -> dict[str, Any]:
-        """How many versions were rejected, and what was wrong with the last."""
+        """The number of rejected versions, and why the last one was rejected."""
         return (
-            self.members.rejections() if self.members is not None else {"rejected": 0, "last_rejection": ""}
+            self.node_sources.rejections()
+            if self.node_sources is not None
+            else {"rejected": 0, "last_rejection": ""}
         )
 
     def close(self) -> None:
-        if self.members is not None:
-            self.members.close()
+        if self.node_sources is not None:
+            self.node_sources.close()
--- a/flintlatch/fleet/status.py
+++ b/flintlatch/fleet/status.py
@@ -88,7 +88,7 @@
     source = supervisor.nodes.get(generation)
     if source is None:
         return {}
-    age = (now_ms() - source.heard_ms) / 1000
+    age = (now_ms() - source.last_update_ms) / 1000
     return {
         "count": len(source.targets),
         "rev": source.rev,
--- a/flintlatch/fleet/supervisor.py
+++ b/flintlatch/fleet/supervisor.py
@@ -199,7 +199,7 @@
 
     async def _wait_for_first_list(self, node_list: NodeList) -> None:
         """Raises TimeoutError if no list has come within `ready_s`."""
-        first = self.loop.create_task(node_list.first())
+        first = self.loop.create_task(node_list.wait_for_first())
         try:
             async with asyncio.timeout(self.config.start.ready_s):
                 while not first.done() and not self.stop_requested:
@@ -511,7 +511,7 @@
                 "seed": self.random.getrandbits(48),
                 "path": config.path,
                 "config": config.text,
-                "list": encode_listing(node_list.whole()),
+                "list": encode_listing(node_list.snapshot()),
                 "listeners": [sock.fileno() for sock in sockets],
                 "spread": self.spread_fd,
                 "worker": action.worker,
@@ -626,7 +626,7 @@
         node_list = self._open_nodes(config)
         try:
             async with asyncio.timeout(config.start.ready_s):
-                await node_list.first()
+                await node_list.wait_for_first()
         except TimeoutError:
             node_list.close()
             return self._no_list_error(config, node_list)
@@ -746,12 +746,12 @@
         if node_list is None:
             return {"ok": False, "reason": "no generation serves"}
         if request["do"] == "nodes":
-            sources = node_list.members.report() if node_list.members is not None else []
-            return {"ok": True, "list": encode_listing(node_list.whole()), "sources": sources}
-        if node_list.members is None:
+            sources = node_list.node_sources.report() if node_list.node_sources is not None else []
+            return {"ok": True, "list": encode_listing(node_list.snapshot()), "sources": sources}
+        if node_list.node_sources is None:
             return {"ok": False, "reason": "the node source of this fleet has no versions to confirm"}
         try:
-            return node_list.members.confirm(str(request["source"]), int(request["version"]))
+            return node_list.node_sources.confirm(str(request["source"]), int(request["version"]))
         except (KeyError, ValueError, TypeError):
             return {"ok": False, "reason": "expected source and version"}
 
--- a/tests/fleet/test_delivered.py
+++ b/tests/fleet/test_delivered.py
@@ -333,7 +333,7 @@
         nodes = NodeList(config, lambda _, news: self.news.append(news), lambda *line: None, self.supply)
         self.drawn.append(nodes)
         async with asyncio.timeout(within_s):
-            await nodes.first()
+            await nodes.wait_for_first()
         return nodes
 
     async def until(self, good: Callable[[], bool]) -> None:
@@ -354,7 +354,7 @@
         nodes = await made.open(2000)
         config = parse(text_of(["127.0.0.1:1"], {}), "f.toml")
         engine = Engine(config.settings(0), config.wire(), 1, 100)
-        whole = encode_listing(nodes.whole())
+        whole = encode_listing(nodes.snapshot())
         engine.on_list(read_listing(whole, config.wire()))
         engine.news.clear()
         made.commit({"s7": {"address": "10.0.0.7:80", "zone": "a", "state": "draining"}})
@@ -458,7 +458,10 @@
         assert (
             nodes.failure == expected and made.supply.feeds == []
         )  # never what stands there: it may be a key
-        assert nodes.members is not None and nodes.members.report()[0]["delivery"]["complaint"] == expected
+        assert (
+            nodes.node_sources is not None
+            and nodes.node_sources.report()[0]["delivery"]["complaint"] == expected
+        )
         made.close()
 
     run(test())
