--- a/flintlatch/fleet/spread.py
+++ b/flintlatch/fleet/spread.py
@@ -1,7 +1,8 @@
-"""Kept connections spread over the workers: one with more than its share lets others accept first.
+"""Spreads persistent connections evenly over the workers, which accept from the same listening sockets.
 
-The workers of a fleet share a page in which each tells how many connections it holds. A worker beyond its
-share rests for a moment before it accepts; if nobody else has taken the connection by then, it does.
+The workers of a fleet share a page of memory in which each publishes how many connections it has open. A
+worker with more than its fair share waits for a moment before it accepts, and accepts only if no other worker
+has.
 """
 
 from __future__ import annotations
@@ -11,51 +12,52 @@
 from mmap import mmap
 from struct import Struct
 
-SLOTS = 512  # two generations of the most instances
-SLOT = Struct("=i")
-REST_S = 0.01  # s: far above a wake-up of another worker, far below what a client feels
-OVER_PART, OVER_LEAST = 0.02, 1  # of the mean, and connections, that a worker may hold beyond it
+MAX_WORKERS = 512  # two generations of at most 256 instances
+COUNTER = Struct("=i")
+YIELD_S = 0.01  # far above the time in which another worker wakes up, far below what a client notices
+TOLERANCE_FRACTION, MIN_TOLERANCE_CONNECTIONS = 0.02, 1  # that a worker may exceed the mean by
 
 
-def over_share(mine: int, all_counts: Sequence[int]) -> bool:
-    """Whether a worker that holds `mine` should let others accept. `all_counts`: of those that accept, this
-    one included. The one that holds the least never is, so somebody always accepts at once."""
+def exceeds_fair_share(own_count: int, all_counts: Sequence[int]) -> bool:
+    """Whether a worker with `own_count` connections should let others accept first. `all_counts`: of all
+    workers that accept, itself included. False for the worker with the fewest, so one always accepts at
+    once."""
     if len(all_counts) < 2:
         return False
     mean = sum(all_counts) / len(all_counts)
-    return mine > mean + max(OVER_LEAST, OVER_PART * mean)
+    return own_count > mean + max(MIN_TOLERANCE_CONNECTIONS, TOLERANCE_FRACTION * mean)
 
 
-def make() -> int:
-    """A descriptor of the shared page, for `Spread`; closed by whoever holds it."""
+def create_page() -> int:
+    """Create the shared page; returns its descriptor, which the caller has to close."""
     fd = os.memfd_create("flintlatch-spread", os.MFD_CLOEXEC)
-    os.ftruncate(fd, SLOTS * SLOT.size)
+    os.ftruncate(fd, MAX_WORKERS * COUNTER.size)
     return fd
 
 
-class Spread:
-    """A worker's place on the page, by its number; or all of it, for the supervisor. In the page a count is
-    one more than it is, and 0 means that nobody accepts there."""
+class ConnectionSpread:
+    """Access to the shared page: a worker's counter, by its id, or all counters, for the supervisor. The page
+    holds the number of connections plus one; 0 means that no worker accepts there."""
 
     def __init__(self, fd: int, worker: int) -> None:
-        self.page = mmap(fd, SLOTS * SLOT.size)
-        self.slot = worker % SLOTS
-        self.held = 0
-        self.rests = 0  # how often it has let others go first
+        self.page = mmap(fd, MAX_WORKERS * COUNTER.size)
+        self.index = worker % MAX_WORKERS
+        self.connections = 0
+        self.yield_count = 0  # how often it has let others accept first
 
-    def tell(self, held: int) -> None:
-        self.held = held
-        SLOT.pack_into(self.page, self.slot * SLOT.size, held + 1)
+    def publish(self, connections: int) -> None:
+        self.connections = connections
+        COUNTER.pack_into(self.page, self.index * COUNTER.size, connections + 1)
 
-    def leave(self, worker: int | None = None) -> None:
-        """It accepts no more."""
-        slot = self.slot if worker is None else worker % SLOTS
-        SLOT.pack_into(self.page, slot * SLOT.size, 0)
+    def clear(self, worker: int | None = None) -> None:
+        """Mark a worker, by default the own one, as not accepting any more."""
+        index = self.index if worker is None else worker % MAX_WORKERS
+        COUNTER.pack_into(self.page, index * COUNTER.size, 0)
 
     def counts(self) -> list[int]:
-        return [count - 1 for (count,) in SLOT.iter_unpack(self.page[:]) if count > 0]
+        return [count - 1 for (count,) in COUNTER.iter_unpack(self.page[:]) if count > 0]
 
-    def should_rest(self) -> bool:
-        resting = over_share(self.held, self.counts())
-        self.rests += resting
-        return resting
+    def should_yield(self) -> bool:
+        yielding = exceeds_fair_share(self.connections, self.counts())
+        self.yield_count += yielding
+        return yielding
--- a/flintlatch/fleet/supervisor.py
+++ b/flintlatch/fleet/supervisor.py
@@ -94,8 +94,8 @@
         self.scheduled_reload: asyncio.Task[Message] | None = None  # requested, its file not read yet
         self.last_reload: Message = {}
         self.recent_warnings: list[str] = []
-        self.spread_fd = spread.make()
-        self.spread = spread.Spread(self.spread_fd, 0)
+        self.spread_fd = spread.create_page()
+        self.spread = spread.ConnectionSpread(self.spread_fd, 0)
         self.logger: tuple[str, Any] = "", None  # the log format that it writes, and the logger
         self.totals = Totals()
         self.metrics_page: Any = None
@@ -469,7 +469,7 @@
             exit_status = f"not started: {error!r}"
         if process.channel is not None:
             process.channel.close()
-        self.spread.leave(action.worker)
+        self.spread.clear(action.worker)
         self.totals.ended(action.worker)
         del self.processes[action.worker]
         if self.peer_service is not None:
--- a/flintlatch/fleet/worker.py
+++ b/flintlatch/fleet/worker.py
@@ -23,7 +23,7 @@
 from flintlatch.api import Proxies
 from flintlatch.config import Config, Unusable, parse
 from flintlatch.fleet.channel import Channel, Message, open_channel
-from flintlatch.fleet.spread import REST_S, Spread
+from flintlatch.fleet.spread import YIELD_S, ConnectionSpread
 from flintlatch.handover import Offer
 from flintlatch.net.backends import share_out
 from flintlatch.net.clock import now_ms
@@ -58,7 +58,7 @@
         self.engine: Engine | None = None
         self.frontend: Frontend | None = None
         self.observer: Observer | None = None
-        self.spread: Spread | None = None
+        self.spread: ConnectionSpread | None = None
         self.listener_offer: Offer | None = None
         self.entries: ReceivedEntries | None = None
         self.server_report_sent = False  # whether the last report named any server
@@ -179,9 +179,9 @@
             if self.config.verdicts is not None:
                 self.send_server_reports()
         if message.get("spread") is not None and self.config.fleet.instances > 1:
-            self.spread = Spread(message["spread"], int(message["worker"]))
-            self.frontend.tell_held, self.frontend.should_rest = self.spread.tell, self.spread.should_rest
-            self.frontend.rest_s = REST_S
+            self.spread = ConnectionSpread(message["spread"], int(message["worker"]))
+            self.frontend.tell_held, self.frontend.should_rest = self.spread.publish, self.spread.should_yield
+            self.frontend.rest_s = YIELD_S
         self.on_list(message["list"])
         self.send_heartbeats(self.config.start.watchdog_s / HEARTBEATS_PER_WATCHDOG)
 
@@ -198,7 +198,7 @@
         if not self.accepting and self.drain_task is None and self.frontend is not None:
             self.accepting = True
             if self.spread is not None:
-                self.spread.tell(0)
+                self.spread.publish(0)
             gc.collect()
             gc.freeze()
             self.frontend.serve_on(self.listeners)
@@ -217,7 +217,7 @@
             self.finished.set()
             return
         if self.spread is not None:
-            self.spread.leave()
+            self.spread.clear()
         # The readiness check on open connections reports whether the address is served, not this process.
         frontend.stop_keeping(served_on=not accept_backlog)
         if not accept_backlog:
--- a/tests/fleet/test_heir.py
+++ b/tests/fleet/test_heir.py
@@ -166,7 +166,7 @@
 
 @given(st.lists(st.integers(0, 5000), min_size=1, max_size=64))
 def test_somebody_always_accepts_at_once_and_nobody_over_its_share_does(counts: list[int]) -> None:
-    resting = [spread.over_share(held, counts) for held in counts]
+    resting = [spread.exceeds_fair_share(held, counts) for held in counts]
     assert not resting[counts.index(min(counts))]
     mean = sum(counts) / len(counts)
     for held, rests in zip(counts, resting, strict=True):
@@ -175,13 +175,13 @@
 
 
 def test_the_page_is_shared_and_forgets_who_leaves() -> None:
-    fd = spread.make()
-    whole, one, other = (spread.Spread(fd, number) for number in (0, 3, spread.SLOTS + 4))
-    one.tell(10)
-    other.tell(2)
-    assert sorted(whole.counts()) == [2, 10] and one.should_rest() and not other.should_rest()
-    whole.leave(3)
-    assert whole.counts() == [2] and one.rests == 1
+    fd = spread.create_page()
+    whole, one, other = (spread.ConnectionSpread(fd, number) for number in (0, 3, spread.MAX_WORKERS + 4))
+    one.publish(10)
+    other.publish(2)
+    assert sorted(whole.counts()) == [2, 10] and one.should_yield() and not other.should_yield()
+    whole.clear(3)
+    assert whole.counts() == [2] and one.yield_count == 1
     os.close(fd)
 
 
