--- a/flintlatch/fleet/log.py
+++ b/flintlatch/fleet/log.py
@@ -1,4 +1,4 @@
-"""The daemon's log on standard error: for people or as JSON Lines, by `fleet.log_format`."""
+"""The daemon's log on standard error: plain text or JSON Lines, as `fleet.log_format` says."""
 
 from __future__ import annotations
 
@@ -10,25 +10,28 @@
 LEVELS = ("error", "warning", "info", "debug")
 
 
-def for_people(_: Any, __: str, event: Any) -> str:
-    """What a terminal or a journal shows, which has its own times: who, how bad, what."""
+def render_line(_: Any, __: str, event: Any) -> str:
+    """Render an event as text: logger, level and message. The journal adds the time."""
     return f"{event['logger']}: {event['level']}: {event['event']}"
 
 
-def make(form: str, level: str, logger: str, **more: Any) -> structlog.typing.FilteringBoundLogger:
-    """`form`: "text" or "json". `level`: the least that is told. `more`: fields of each line of JSON."""
-    shape: structlog.typing.Processor = for_people
-    if form == "json":
-        shape = structlog.processors.JSONRenderer()
-    bound: structlog.typing.FilteringBoundLogger = structlog.wrap_logger(
+def make_logger(
+    log_format: str, level: str, logger: str, **fields: Any
+) -> structlog.typing.FilteringBoundLogger:
+    """`log_format`: "text" or "json". `level`: the lowest level that is logged. `fields`: added to each JSON
+    object."""
+    renderer: structlog.typing.Processor = render_line
+    if log_format == "json":
+        renderer = structlog.processors.JSONRenderer()
+    structured_logger: structlog.typing.FilteringBoundLogger = structlog.wrap_logger(
         structlog.PrintLogger(sys.stderr),
         processors=[
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso", utc=True),
             structlog.processors.EventRenamer("event"),
-            shape,
+            renderer,
         ],
         wrapper_class=structlog.make_filtering_bound_logger(level),
-        **more,
+        **fields,
     ).bind(logger=logger)
-    return bound
+    return structured_logger
--- a/flintlatch/fleet/notify.py
+++ b/flintlatch/fleet/notify.py
@@ -1,4 +1,4 @@
-"""The service manager's side, by the man pages sd_notify(3), sd_watchdog_enabled(3) and sd_listen_fds(3)."""
+"""The service manager's protocols: sd_notify(3), sd_watchdog_enabled(3) and sd_listen_fds(3)."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 import time
 from collections.abc import Mapping
 
-FIRST_FD = 3  # SD_LISTEN_FDS_START
+FIRST_DESCRIPTOR = 3  # SD_LISTEN_FDS_START
 
 
 class Notifier:
-    """Messages to `$NOTIFY_SOCKET`; without one they go nowhere. A manager that can't be reached must not
-    keep the fleet from its work, so errors are dropped."""
+    """Sends state changes to `$NOTIFY_SOCKET`, or nowhere if that is not set. Errors are ignored: the fleet
+    serves even if the service manager can't be reached."""
 
     def __init__(self, env: Mapping[str, str], pid: int) -> None:
         self.address = env.get("NOTIFY_SOCKET", "")
@@ -36,7 +36,7 @@
         self.send("READY=1", f"MAINPID={os.getpid()}", f"STATUS={status}")
 
     def reloading(self) -> None:
-        """Both lines in one message, as Type=notify-reload asks."""
+        """Type=notify-reload requires RELOADING and MONOTONIC_USEC in one message."""
         usec = time.clock_gettime_ns(time.CLOCK_MONOTONIC) // 1000
         self.send("RELOADING=1", f"MONOTONIC_USEC={usec}", "STATUS=reloading")
 
@@ -50,22 +50,22 @@
         self.send("WATCHDOG=1")
 
 
-def activated(env: Mapping[str, str], pid: int) -> list[socket.socket]:
-    """The listening sockets that the service manager opened; none where they are another process's.
+def sockets_from_manager(env: Mapping[str, str], pid: int) -> list[socket.socket]:
+    """The listening sockets passed by the service manager; none if they are meant for another process.
 
-    Raises ValueError for what is no listening stream socket."""
+    Raises ValueError for a descriptor that is not a listening TCP socket."""
     count = env.get("LISTEN_FDS", "")
     if env.get("LISTEN_PID") != str(pid) or not count.isascii() or not count.isdigit():
         return []
-    socks = []
-    for fd in range(FIRST_FD, FIRST_FD + int(count)):
+    sockets = []
+    for fd in range(FIRST_DESCRIPTOR, FIRST_DESCRIPTOR + int(count)):
         try:
             sock = socket.socket(fileno=fd)
-            listens = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
+            is_listening = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
         except OSError as error:
             raise ValueError(f"LISTEN_FDS: descriptor {fd}: {error.strerror}") from None
-        if not listens or sock.type != socket.SOCK_STREAM or sock.family == socket.AF_UNIX:
-            raise ValueError(f"LISTEN_FDS: descriptor {fd} is no listening TCP socket")
+        if not is_listening or sock.type != socket.SOCK_STREAM or sock.family == socket.AF_UNIX:
+            raise ValueError(f"LISTEN_FDS: descriptor {fd} is not a listening TCP socket")
         sock.set_inheritable(False)
-        socks.append(sock)
-    return socks
+        sockets.append(sock)
+    return sockets
--- a/flintlatch/fleet/status.py
+++ b/flintlatch/fleet/status.py
@@ -1,4 +1,4 @@
-"""What a fleet tells of itself: the control socket's `status`, and the one line for the service manager."""
+"""Status of a fleet: the report of the control command `status`, and the line for the service manager."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from flintlatch.net.clock import now_ms
 
 
-class Reported(Protocol):
-    """What is told of, as far as it is told."""
+class StatusSource(Protocol):
+    """The part of the supervisor that the report reads."""
 
     @property
     def core(self) -> core.Fleet: ...
@@ -33,19 +33,19 @@
 
 
 def summary(fleet: core.Fleet) -> str:
-    """One line: how many of the current generation's instances serve."""
+    """One line that says how many instances of the current generation serve."""
     current = fleet.current
     if current is None:
         return fleet.phase.value
-    serving = [w for w in fleet.workers.values() if w.state is core.WorkerState.SERVING]
-    mine = sum(w.generation == current.number for w in serving)
+    serving_workers = [w for w in fleet.workers.values() if w.state is core.WorkerState.SERVING]
+    serving_count = sum(w.generation == current.number for w in serving_workers)
     given_up = sum(s.state is core.SlotState.GIVEN_UP for s in current.slots)
-    text = f"generation {current.number}: {mine} of {len(current.slots)} instances serve"
+    text = f"generation {current.number}: {serving_count} of {len(current.slots)} instances serve"
     return text + (f", {given_up} given up" if given_up else "")
 
 
-def report(supervisor: Reported, pid: int, now_s: float) -> dict[str, Any]:
-    """All of it, as JSON. Ages in seconds; what is not known yet is null."""
+def report(supervisor: StatusSource, pid: int, now_s: float) -> dict[str, Any]:
+    """The whole status, to be sent as JSON. Ages are in seconds; unknown values are null."""
     fleet = supervisor.core
     return {
         "ok": True,
@@ -62,17 +62,17 @@
             {
                 "generation": generation.number,
                 "state": generation.state.value,
-                "nodes": nodes(supervisor, generation.number),
+                "nodes": node_list_row(supervisor, generation.number),
                 "slots": [slot_row(slot, now_s) for slot in generation.slots],
             }
             for generation in fleet.generations.values()
         ],
-        "instances": [instance(supervisor, worker, now_s) for worker in fleet.workers.values()],
+        "instances": [instance_row(supervisor, worker, now_s) for worker in fleet.workers.values()],
     }
 
 
 def slot_row(slot: core.Slot, now_s: float) -> dict[str, Any]:
-    waits = slot.state is core.SlotState.WAITING
+    is_waiting = slot.state is core.SlotState.WAITING
     return {
         "number": slot.number,
         "state": slot.state.value,
@@ -80,48 +80,48 @@
         "restarts": slot.restarts,
         "crashes_in_a_row": slot.consecutive_crashes,
         "last_crash": slot.last_crash,
-        "starts_in_s": round(slot.restart_at_s - now_s, 3) if waits else None,
+        "starts_in_s": round(slot.restart_at_s - now_s, 3) if is_waiting else None,
     }
 
 
-def nodes(supervisor: Reported, generation: int) -> dict[str, Any]:
-    source = supervisor.nodes.get(generation)
-    if source is None:
+def node_list_row(supervisor: StatusSource, generation: int) -> dict[str, Any]:
+    node_list = supervisor.nodes.get(generation)
+    if node_list is None:
         return {}
-    age = (now_ms() - source.last_update_ms) / 1000
+    age_s = (now_ms() - node_list.last_update_ms) / 1000
     return {
-        "count": len(source.targets),
-        "rev": source.rev,
-        "age_s": round(age, 1),
-        "failure": source.failure,
-        **source.rejections(),
+        "count": len(node_list.targets),
+        "rev": node_list.rev,
+        "age_s": round(age_s, 1),
+        "failure": node_list.failure,
+        **node_list.rejections(),
     }
 
 
-def _behind(supervisor: Reported, generation: int, rev: int | None) -> int | None:
-    """Versions of the list that an instance has not told of yet; None if it has told of none."""
-    source = supervisor.nodes.get(generation)
-    return None if source is None or rev is None else max(source.rev - rev, 0)
+def _revisions_behind(supervisor: StatusSource, generation: int, rev: int | None) -> int | None:
+    """How many revisions of the list an instance has not confirmed yet; None if it has confirmed none."""
+    node_list = supervisor.nodes.get(generation)
+    return None if node_list is None or rev is None else max(node_list.rev - rev, 0)
 
 
-def instance(supervisor: Reported, worker: core.Worker, now_s: float) -> dict[str, Any]:
+def instance_row(supervisor: StatusSource, worker: core.Worker, now_s: float) -> dict[str, Any]:
     process = supervisor.processes.get(worker.id)
-    started = process.process if process is not None else None
-    last = process.last_heartbeat if process is not None else {}
+    subprocess = process.process if process is not None else None
+    heartbeat = process.last_heartbeat if process is not None else {}
     return {
         "worker": worker.id,
         "generation": worker.generation,
         "number": worker.number,
-        "pid": started.pid if started is not None else None,
+        "pid": subprocess.pid if subprocess is not None else None,
         "state": worker.state.value,
         "age_s": round(now_s - worker.started_s, 1),
         "heard_s": round(now_s - worker.last_message_s, 2),
-        "in_flight": last.get("in_flight"),
-        "clients": last.get("clients"),
-        "rss_mb": last.get("rss_mb"),
-        "rev": last.get("rev"),
-        "behind": _behind(supervisor, worker.generation, last.get("rev")),
-        "nodes": last.get("nodes"),
-        "proxies": last.get("proxies"),
-        "access_log": last.get("access_log"),
+        "in_flight": heartbeat.get("in_flight"),
+        "clients": heartbeat.get("clients"),
+        "rss_mb": heartbeat.get("rss_mb"),
+        "rev": heartbeat.get("rev"),
+        "behind": _revisions_behind(supervisor, worker.generation, heartbeat.get("rev")),
+        "nodes": heartbeat.get("nodes"),
+        "proxies": heartbeat.get("proxies"),
+        "access_log": heartbeat.get("access_log"),
     }
--- a/flintlatch/fleet/supervisor.py
+++ b/flintlatch/fleet/supervisor.py
@@ -25,7 +25,7 @@
 from flintlatch.fleet.control import Control, ControlError, check_path
 from flintlatch.fleet.listeners import ListenError, Listeners, bound_address
 from flintlatch.fleet.nodes import NodeList, encode_listing
-from flintlatch.fleet.notify import Notifier, activated
+from flintlatch.fleet.notify import Notifier, sockets_from_manager
 from flintlatch.fleet.status import report, summary
 from flintlatch.metrics import Totals
 from flintlatch.net.clock import now_ms
@@ -115,7 +115,7 @@
             if self.logger[0] != self.config.fleet.log_format:
                 log_format = self.config.fleet.log_format
                 fields = {"fleet": self.config.fleet.name, "pid": os.getpid()}
-                self.logger = log_format, log.make(log_format, "debug", "flintlatch fleet", **fields)
+                self.logger = log_format, log.make_logger(log_format, "debug", "flintlatch fleet", **fields)
             # A closed standard error must not interrupt the actions of a decision halfway.
             with suppress(OSError, ValueError):
                 getattr(self.logger[1], level)(text)
@@ -160,7 +160,7 @@
         try:
             if self.predecessor is None:
                 check_path(config.control_path)
-                activated_sockets = activated(self.env, os.getpid())
+                activated_sockets = sockets_from_manager(self.env, os.getpid())
             self.listeners.adopt(config.fleet.listen, activated_sockets)
             if self.predecessor is None and not activated_sockets:
                 await self.loop.run_in_executor(None, self._inherit_listeners)
--- a/flintlatch/fleet/worker.py
+++ b/flintlatch/fleet/worker.py
@@ -145,9 +145,9 @@
         resource.setrlimit(resource.RLIMIT_NOFILE, (descriptors, hard_limit))
         to_backends, to_clients = share_out(descriptors)
         if self.config.fleet.log_format == "json":
-            from flintlatch.fleet.log import make  # imported only if configured
+            from flintlatch.fleet.log import make_logger  # imported only if configured
 
-            logger = make("json", "debug", "flintlatch", instance=number, pid=os.getpid())
+            logger = make_logger("json", "debug", "flintlatch", instance=number, pid=os.getpid())
             log.write = lambda line: logger.info(line)  # type: ignore[method-assign]
         settings, wire, seed = self.config.settings(number), self.config.wire(), int(message["seed"])
         self.listeners = [socket.socket(fileno=fd) for fd in message["listeners"]]
