--- a/flintlatch/fleet/observe.py
+++ b/flintlatch/fleet/observe.py
@@ -1,4 +1,4 @@
-"""From what an instance has served to its access log and its counts."""
+"""Writes the access log of an instance and counts its requests, from the exchanges that have ended."""
 
 from __future__ import annotations
 
@@ -16,6 +16,8 @@
 
 
 class Observer:
+    """Observes the engine of the instance with the given number."""
+
     def __init__(self, config: Config, number: int) -> None:
         table = config.access_log
         self.counts = Counts()
@@ -26,87 +28,91 @@
         if table is not None:
             self.log = AccessLog(beside(config.path, table.file), config.fleet.name, number)
 
-    def watch(self, engine: Engine) -> None:
+    def attach(self, engine: Engine) -> None:
         if isinstance(engine, RelayEngine):
             engine.exchange_observer = self.on_exchange
             engine.refusal_observer = self.on_refusal
         else:
-            engine.observer = self.on_held
+            engine.observer = self.on_request
 
     def on_exchange(self, exchange: Exchange, attempts: list[Attempt]) -> None:
-        ask, began = exchange.ask, exchange.began_s
+        request, began_s = exchange.ask, exchange.began_s
 
-        def after(moment_s: float) -> float | None:
-            return (moment_s - began) * 1000 if moment_s else None
+        def ms_after_start(at_s: float) -> float | None:
+            return (at_s - began_s) * 1000 if at_s else None
 
-        self.put(
+        self.record(
             Record(
-                began * 1000,
-                ask.id,
-                self.classes[ask.cls],
-                self._tenant(ask.tenant),
+                began_s * 1000,
+                request.id,
+                self.classes[request.cls],
+                self._tenant(request.tenant),
                 exchange.request.method.decode("latin-1"),
                 path_of(exchange.request.target, self.paths),
                 exchange.status,
                 exchange.ending.value if exchange.ending is not None else "",
-                (exchange.over_s - began) * 1000,
-                after(exchange.first_s),
-                after(exchange.whole_s),
+                (exchange.over_s - began_s) * 1000,
+                ms_after_start(exchange.first_s),
+                ms_after_start(exchange.whole_s),
                 exchange.upload.total,
                 exchange.down.arrived_bytes if exchange.down is not None else 0,
-                attempts_of(attempts, began * 1000),
+                attempt_records(attempts, began_s * 1000),
             )
         )
 
     def on_refusal(self, refusal: Refusal) -> None:
         path, method = path_of(refusal.target, self.paths), refusal.method.decode("latin-1")
-        at = now_ms()
-        self.put(
-            Record(at, "", "", "", method, path, refusal.status, refusal.reason, 0.0, 0.0, None, 0, 0, ())
+        at_ms = now_ms()
+        self.record(
+            Record(at_ms, "", "", "", method, path, refusal.status, refusal.reason, 0.0, 0.0, None, 0, 0, ())
         )
 
-    def on_held(self, held: Held) -> None:
-        """The platform's protocol: requests and answers are whole, and short."""
-        taken = held.taken
-        method, target, *_ = *taken.head.split(b" ", 2), b""
-        total = held.over_ms - held.came_ms
-        self.put(
+    def on_request(self, request: Held) -> None:
+        """A request in the platform's protocol, where requests and responses are short and buffered whole."""
+        received = request.taken
+        method, target, *_ = *received.head.split(b" ", 2), b""
+        total_ms = request.over_ms - request.came_ms
+        self.record(
             Record(
-                held.came_ms,
-                taken.id,
-                self.classes[taken.cls],
-                self._tenant(taken.tenant),
+                request.came_ms,
+                received.id,
+                self.classes[received.cls],
+                self._tenant(received.tenant),
                 method.decode("latin-1"),
                 path_of(target, self.paths),
-                held.status,
-                "client left" if not held.status else "answered" if held.status == 200 else "own answer",
-                total,
-                total if held.status else None,
+                request.status,
+                "client left"
+                if not request.status
+                else "answered"
+                if request.status == 200
+                else "own answer",
+                total_ms,
+                total_ms if request.status else None,
                 0.0,
-                len(taken.body),
-                held.sent_bytes,
-                attempts_of(held.attempts, held.came_ms),
+                len(received.body),
+                request.sent_bytes,
+                attempt_records(request.attempts, request.came_ms),
             )
         )
 
-    def put(self, record: Record) -> None:
-        first_s = None if record.first_ms is None else record.first_ms / 1000
-        self.counts.request(record.cls, record.status, first_s, record.up_bytes, record.down_bytes)
-        for attempt in record.attempts:
+    def record(self, entry: Record) -> None:
+        first_s = None if entry.first_ms is None else entry.first_ms / 1000
+        self.counts.request(entry.cls, entry.status, first_s, entry.up_bytes, entry.down_bytes)
+        for attempt in entry.attempts:
             self.counts.attempt(attempt.result)
         if self.log is not None:
-            self.log.put(record)
+            self.log.put(entry)
 
-    def _tenant(self, tenant: int) -> str:
-        return self.tenants[tenant] if tenant < len(self.tenants) else ""
+    def _tenant(self, index: int) -> str:
+        return self.tenants[index] if index < len(self.tenants) else ""
 
 
-def attempts_of(attempts: Iterable[Attempt], came_ms: float) -> tuple[AttemptRecord, ...]:
+def attempt_records(attempts: Iterable[Attempt], start_ms: float) -> tuple[AttemptRecord, ...]:
     return tuple(
         AttemptRecord(
             attempt.uid,
             attempt.result.value if attempt.result is not None else "",
-            attempt.started - came_ms,
+            attempt.started - start_ms,
             attempt.ended_ms - attempt.started,
             attempt.result not in NEVER_RAN,
         )
--- a/flintlatch/fleet/worker.py
+++ b/flintlatch/fleet/worker.py
@@ -164,7 +164,7 @@
             from flintlatch.fleet.observe import Observer  # imported only if configured
 
             self.observer = Observer(self.config, number)
-            self.observer.watch(self.engine)
+            self.observer.attach(self.engine)
         if self.config.peers is not None:
             from flintlatch.fleet.heard import ReceivedEntries  # imported only if configured
             from flintlatch.peers.clock import clock
