--- a/flintlatch/fleet/members.py
+++ b/flintlatch/fleet/members.py
@@ -180,8 +180,8 @@
             return
         change = action.change
         removed = (target_of(node, self.wire, ServerState.GONE) for node in change.gone)
-        remaining = (target_of(n, self.wire) for n in (*change.drained, *change.changed, *change.added))
-        self.on_listing(Listing(action.revision, False, (*removed, *remaining)))
+        updated = (target_of(n, self.wire) for n in (*change.drained, *change.changed, *change.added))
+        self.on_listing(Listing(action.revision, False, (*removed, *updated)))
 
     def _save(self, version: Version) -> None:
         """Save an accepted version in a thread; a failure is logged and has no other effect."""
