--- a/tests/fleet/test_core.py
+++ b/tests/fleet/test_core.py
@@ -1,4 +1,4 @@
-"""What a fleet does when: decisions fed by hand, with a clock that the test sets."""
+"""The fleet's state machine, driven by events with a simulated clock."""
 
 from __future__ import annotations
 
@@ -51,12 +51,13 @@
 
 
 def limits(**changes: Any) -> Limits:
-    values = {name: getattr(LIMITS, name) for name in Limits.__slots__}
-    return Limits(**(values | changes))
+    fields = {name: getattr(LIMITS, name) for name in Limits.__slots__}
+    return Limits(**(fields | changes))
 
 
 class Driver:
-    """A fleet whose workers the test plays; `jitter` is what every draw gives, as a part of its range."""
+    """Drives a fleet with simulated workers. `jitter`: the position of every random number within its
+    range."""
 
     def __init__(self, jitter: float = 1.0) -> None:
         self.fleet = Fleet(lambda low, high: low + (high - low) * jitter)
@@ -64,268 +65,274 @@
         self.actions: list[Action] = []
         self.last: list[Action] = []
         self.ticket = 0
-        self.wake_at = 0.0
+        self.next_wake_s = 0.0
 
-    def do(self, event: Event) -> list[Action]:
+    def send(self, event: Event) -> list[Action]:
         self.last = self.fleet.step(self.now, event)
         self.actions += self.last
         for action in self.last:
             if isinstance(action, WakeAt):
-                self.wake_at = action.at_s
+                self.next_wake_s = action.at_s
         return self.last
 
-    def after(self, seconds: float, alive: bool = True) -> list[Action]:
-        """Let time pass, with the ticks that were asked for; workers give signs of life if `alive`."""
-        until, seen = self.now + seconds, []
-        while self.now < until:
-            self.now = min(until, max(self.wake_at, self.now + 0.005), self.now + 2.0)
+    def advance(self, seconds: float, alive: bool = True) -> list[Action]:
+        """Advance the clock with the requested ticks; workers send heartbeats if `alive`."""
+        end_s, actions = self.now + seconds, []
+        while self.now < end_s:
+            self.now = min(end_s, max(self.next_wake_s, self.now + 0.005), self.now + 2.0)
             if alive:
                 for worker in list(self.fleet.workers.values()):
                     if worker.state not in (WorkerState.KILLED, WorkerState.STARTING):
-                        seen += self.do(WorkerHeartbeat(worker.id))
-            seen += self.do(Tick())
-        return seen
+                        actions += self.send(WorkerHeartbeat(worker.id))
+            actions += self.send(Tick())
+        return actions
 
-    def reload(self, asked: Limits = LIMITS) -> int:
+    def reload(self, limits: Limits = LIMITS) -> int:
         self.ticket += 1
-        self.do(ReloadRequested(asked, self.ticket))
+        self.send(ReloadRequested(limits, self.ticket))
         return self.ticket
 
-    def all_ready(self) -> None:
+    def make_all_ready(self) -> None:
         for worker in list(self.fleet.workers.values()):
             if worker.state is WorkerState.STARTING:
-                self.do(WorkerReady(worker.id))
+                self.send(WorkerReady(worker.id))
 
-    def serving(self) -> list[int]:
+    def serving_workers(self) -> list[int]:
         return [w.id for w in self.fleet.workers.values() if w.state is WorkerState.SERVING]
 
     def started(self) -> Driver:
         self.reload()
-        self.all_ready()
+        self.make_all_ready()
         assert self.fleet.phase is Phase.SERVING
         return self
 
-    def exit(self, worker: int, how: str = "exit code 0") -> list[Action]:
-        return self.do(WorkerExited(worker, how))
+    def worker_exits(self, worker: int, exit_status: str = "exit code 0") -> list[Action]:
+        return self.send(WorkerExited(worker, exit_status))
 
-    def of(self, kind: type[A], actions: list[Action] | None = None) -> list[A]:
+    def actions_of(self, kind: type[A], actions: list[Action] | None = None) -> list[A]:
         return [a for a in (self.last if actions is None else actions) if isinstance(a, kind)]
 
-    def result(self, ticket: int) -> ReloadDone:
-        (done,) = [a for a in self.of(ReloadDone, self.actions) if a.ticket == ticket]
+    def reload_result(self, ticket: int) -> ReloadDone:
+        (done,) = [a for a in self.actions_of(ReloadDone, self.actions) if a.ticket == ticket]
         return done
 
 
-def test_the_first_generation_serves_as_it_comes_up_and_is_told_once() -> None:
+def test_first_generation_accepts_worker_by_worker_and_is_announced_once() -> None:
     driver = Driver()
     driver.reload()
-    assert [a.number for a in driver.of(Spawn)] == [0, 1, 2]
-    assert driver.of(Accept, driver.do(WorkerReady(1))) == [Accept(1)]
-    assert not driver.of(GenerationServing, driver.actions)
-    driver.all_ready()
-    assert driver.of(GenerationServing, driver.actions) == [GenerationServing(1, True)]
-    assert driver.result(1) == ReloadDone(1, 1, "")
+    assert [a.number for a in driver.actions_of(Spawn)] == [0, 1, 2]
+    assert driver.actions_of(Accept, driver.send(WorkerReady(1))) == [Accept(1)]
+    assert not driver.actions_of(GenerationServing, driver.actions)
+    driver.make_all_ready()
+    assert driver.actions_of(GenerationServing, driver.actions) == [GenerationServing(1, True)]
+    assert driver.reload_result(1) == ReloadDone(1, 1, "")
 
 
-def test_a_new_generation_accepts_and_the_old_one_drains_only_when_all_of_it_is_ready() -> None:
+def test_reload_switches_generations_only_when_all_new_workers_are_ready() -> None:
     driver = Driver().started()
     ticket = driver.reload()
-    assert [a.generation for a in driver.of(Spawn)] == [2, 2, 2]
-    driver.do(WorkerReady(4))
-    driver.do(WorkerReady(5))
-    assert not driver.of(Accept, driver.actions[-4:]) and not driver.of(Drain, driver.actions)
-    driver.do(WorkerReady(6))
-    assert [a.worker for a in driver.of(Accept)] == [4, 5, 6]
-    assert driver.of(Drain) == [Drain(worker, 20.0, False) for worker in (1, 2, 3)]
+    assert [a.generation for a in driver.actions_of(Spawn)] == [2, 2, 2]
+    driver.send(WorkerReady(4))
+    driver.send(WorkerReady(5))
+    assert not driver.actions_of(Accept, driver.actions[-4:]) and not driver.actions_of(Drain, driver.actions)
+    driver.send(WorkerReady(6))
+    assert [a.worker for a in driver.actions_of(Accept)] == [4, 5, 6]
+    assert driver.actions_of(Drain) == [Drain(worker, 20.0, False) for worker in (1, 2, 3)]
     accepts, drains = driver.last.index(Accept(6)), driver.last.index(Drain(1, 20.0, False))
     assert accepts < drains
-    assert driver.result(ticket) == ReloadDone(ticket, 2, "")
+    assert driver.reload_result(ticket) == ReloadDone(ticket, 2, "")
     for worker in (1, 2, 3):
-        assert not driver.of(GenerationEnded)
-        driver.exit(worker)
-    assert driver.of(GenerationEnded) == [GenerationEnded(1)]
+        assert not driver.actions_of(GenerationEnded)
+        driver.worker_exits(worker)
+    assert driver.actions_of(GenerationEnded) == [GenerationEnded(1)]
 
 
-def test_a_generation_that_never_gets_ready_is_killed_and_the_old_one_stays() -> None:
+def test_generation_that_never_gets_ready_is_killed_and_the_old_one_serves_on() -> None:
     driver = Driver().started()
     ticket = driver.reload(limits(ready_s=4.0))
-    driver.do(WorkerReady(4))
-    driver.after(3.9)
-    assert not [a for a in driver.of(ReloadDone, driver.actions) if a.ticket == ticket]
-    driver.after(0.2)
-    assert driver.result(ticket).reason == "1 of 3 instances ready within 4 s"
-    assert {a.worker for a in driver.of(Kill, driver.actions)} == {4, 5, 6}
-    assert driver.serving() == [1, 2, 3] and not driver.of(Drain, driver.actions)
+    driver.send(WorkerReady(4))
+    driver.advance(3.9)
+    assert not [a for a in driver.actions_of(ReloadDone, driver.actions) if a.ticket == ticket]
+    driver.advance(0.2)
+    assert driver.reload_result(ticket).reason == "1 of 3 instances ready within 4 s"
+    assert {a.worker for a in driver.actions_of(Kill, driver.actions)} == {4, 5, 6}
+    assert driver.serving_workers() == [1, 2, 3] and not driver.actions_of(Drain, driver.actions)
     for worker in (4, 5, 6):
-        driver.exit(worker, "signal 9")
-    assert driver.of(GenerationEnded) == [GenerationEnded(2)]
-    assert not driver.of(Spawn, driver.after(60.0))
+        driver.worker_exits(worker, "signal 9")
+    assert driver.actions_of(GenerationEnded) == [GenerationEnded(2)]
+    assert not driver.actions_of(Spawn, driver.advance(60.0))
 
 
-def test_a_generation_whose_workers_die_at_once_fails_before_its_limit() -> None:
+def test_crash_loop_in_a_new_generation_fails_the_reload_before_its_time_limit() -> None:
     driver = Driver().started()
     ticket = driver.reload(limits(give_up_after=2))
-    driver.do(WorkerFailed(4, "no descriptors"))
-    driver.exit(4, "exit code 1")
-    (again,) = driver.of(Spawn, driver.after(0.5))
-    driver.exit(again.worker, "exit code 1")
-    assert driver.result(ticket).reason == "instance 0 crashed 2 times in a row, last: exit code 1"
-    assert driver.serving() == [1, 2, 3]
+    driver.send(WorkerFailed(4, "no descriptors"))
+    driver.worker_exits(4, "exit code 1")
+    (replacement,) = driver.actions_of(Spawn, driver.advance(0.5))
+    driver.worker_exits(replacement.worker, "exit code 1")
+    assert driver.reload_result(ticket).reason == "instance 0 crashed 2 times in a row, last: exit code 1"
+    assert driver.serving_workers() == [1, 2, 3]
 
 
-def test_a_reload_during_another_waits_and_of_several_the_last_counts() -> None:
+def test_reload_requested_during_another_is_queued_and_superseded_by_a_later_one() -> None:
     driver = Driver().started()
     first, second, third = (driver.reload(limits(instances=n)) for n in (2, 4, 5))
-    assert driver.result(second).reason == "superseded by a later reload request while queued"
-    driver.all_ready()
-    assert driver.result(first).generation == 2
-    assert [a.generation for a in driver.of(Spawn)] == [3] * 5
-    driver.all_ready()
-    assert driver.result(third) == ReloadDone(third, 3, "")
-    assert len(driver.serving()) == 5
+    assert driver.reload_result(second).reason == "superseded by a later reload request while queued"
+    driver.make_all_ready()
+    assert driver.reload_result(first).generation == 2
+    assert [a.generation for a in driver.actions_of(Spawn)] == [3] * 5
+    driver.make_all_ready()
+    assert driver.reload_result(third) == ReloadDone(third, 3, "")
+    assert len(driver.serving_workers()) == 5
 
 
-def test_a_reload_while_it_stops_is_refused_and_one_under_way_is_given_up() -> None:
+def test_stop_rejects_later_reloads_and_aborts_the_one_in_progress() -> None:
     driver = Driver().started()
-    ticket, waits = driver.reload(), driver.reload()
-    driver.do(StopRequested())
-    assert driver.result(ticket).reason == driver.result(waits).reason == "the fleet is stopping"
-    assert {a.worker for a in driver.of(Kill)} == {4, 5, 6}
-    assert driver.of(Drain) == [Drain(worker, 20.0, True) for worker in (1, 2, 3)]
+    ticket, queued = driver.reload(), driver.reload()
+    driver.send(StopRequested())
+    assert (
+        driver.reload_result(ticket).reason == driver.reload_result(queued).reason == "the fleet is stopping"
+    )
+    assert {a.worker for a in driver.actions_of(Kill)} == {4, 5, 6}
+    assert driver.actions_of(Drain) == [Drain(worker, 20.0, True) for worker in (1, 2, 3)]
     late = driver.reload()
-    assert driver.result(late).reason == "the fleet is stopping" and not driver.of(Spawn)
+    assert driver.reload_result(late).reason == "the fleet is stopping" and not driver.actions_of(Spawn)
 
 
-def test_a_stop_ends_when_the_last_worker_has() -> None:
+def test_stop_completes_when_the_last_worker_has_exited() -> None:
     driver = Driver().started()
-    driver.do(StopRequested())
-    assert driver.of(Stopping)
-    driver.exit(1)
-    driver.exit(3)
-    assert not driver.of(Stopped, driver.actions)
-    driver.exit(2)
-    assert driver.of(Stopped) == [Stopped(False)] and driver.fleet.phase is Phase.STOPPED
+    driver.send(StopRequested())
+    assert driver.actions_of(Stopping)
+    driver.worker_exits(1)
+    driver.worker_exits(3)
+    assert not driver.actions_of(Stopped, driver.actions)
+    driver.worker_exits(2)
+    assert driver.actions_of(Stopped) == [Stopped(False)] and driver.fleet.phase is Phase.STOPPED
 
 
-def test_a_second_stop_hurries_and_a_third_changes_nothing() -> None:
+def test_second_stop_shortens_the_drain_and_a_third_has_no_effect() -> None:
     driver = Driver().started()
-    driver.do(StopRequested())
-    driver.after(2.0)
-    driver.do(StopRequested())
-    assert driver.of(Drain) == [Drain(worker, 1.0, True) for worker in (1, 2, 3)]
-    assert not driver.of(Drain, driver.do(StopRequested()))
-    killed = driver.of(Kill, driver.after(1.0 + KILL_GRACE_S + 0.1))
+    driver.send(StopRequested())
+    driver.advance(2.0)
+    driver.send(StopRequested())
+    assert driver.actions_of(Drain) == [Drain(worker, 1.0, True) for worker in (1, 2, 3)]
+    assert not driver.actions_of(Drain, driver.send(StopRequested()))
+    killed = driver.actions_of(Kill, driver.advance(1.0 + KILL_GRACE_S + 0.1))
     assert {a.worker for a in killed} == {1, 2, 3}
 
 
-def test_one_that_does_not_drain_within_its_limit_is_killed() -> None:
+def test_worker_that_does_not_drain_within_its_limit_is_killed() -> None:
     driver = Driver().started()
     driver.reload()
-    driver.all_ready()
-    assert not driver.of(Kill, driver.after(20.0 + KILL_GRACE_S - 0.1))
-    assert {a.worker for a in driver.of(Kill, driver.after(0.2))} == {1, 2, 3}
+    driver.make_all_ready()
+    assert not driver.actions_of(Kill, driver.advance(20.0 + KILL_GRACE_S - 0.1))
+    assert {a.worker for a in driver.actions_of(Kill, driver.advance(0.2))} == {1, 2, 3}
 
 
-def test_a_crashed_worker_is_replaced_after_waits_that_grow() -> None:
+def test_crashed_worker_is_restarted_with_exponential_backoff() -> None:
     driver = Driver().started()
-    waits, worker = [], 1
+    delays, worker = [], 1
     for _ in range(3):
-        driver.exit(worker, "signal 11")
-        waits.append(round(driver.fleet.generations[1].slots[0].restart_at_s - driver.now, 2))
-        spawned = driver.of(Spawn, driver.after(waits[-1] + 0.01))
+        driver.worker_exits(worker, "signal 11")
+        delays.append(round(driver.fleet.generations[1].slots[0].restart_at_s - driver.now, 2))
+        spawned = driver.actions_of(Spawn, driver.advance(delays[-1] + 0.01))
         worker = spawned[0].worker
-        driver.do(WorkerReady(worker))
-    assert waits == [0.2, 0.4, 0.8]
-    assert [a.worker for a in driver.of(Accept, driver.actions)][-1] == worker  # a replacement serves at once
+        driver.send(WorkerReady(worker))
+    assert delays == [0.2, 0.4, 0.8]
+    assert [a.worker for a in driver.actions_of(Accept, driver.actions)][
+        -1
+    ] == worker  # a replacement accepts at once
 
 
-def test_waits_are_jittered_down_to_half() -> None:
+def test_restart_delay_is_jittered_down_to_half() -> None:
     driver = Driver(jitter=0.0).started()
-    driver.exit(1, "signal 11")
+    driver.worker_exits(1, "signal 11")
     assert driver.fleet.generations[1].slots[0].restart_at_s == driver.now + 0.1
 
 
-def test_a_crash_loop_is_given_up_and_the_others_serve_on() -> None:
+def test_crash_loop_is_given_up_until_a_reload_and_other_slots_serve_on() -> None:
     driver = Driver().started()
-    driver.exit(1, "signal 11")
+    driver.worker_exits(1, "signal 11")
     for _ in range(3):
-        (spawned,) = driver.of(Spawn, driver.after(5.0))
-        driver.exit(spawned.worker, "exit code 1")
+        (spawned,) = driver.actions_of(Spawn, driver.advance(5.0))
+        driver.worker_exits(spawned.worker, "exit code 1")
     assert driver.fleet.generations[1].slots[0].state is SlotState.GIVEN_UP
-    assert not driver.of(Spawn, driver.after(100.0))
-    assert driver.serving() == [2, 3] and driver.fleet.phase is Phase.SERVING
+    assert not driver.actions_of(Spawn, driver.advance(100.0))
+    assert driver.serving_workers() == [2, 3] and driver.fleet.phase is Phase.SERVING
     driver.reload()
-    driver.all_ready()
-    assert len(driver.serving()) == 3  # a reload begins anew
+    driver.make_all_ready()
+    assert len(driver.serving_workers()) == 3  # a reload starts all slots again
 
 
-def test_a_worker_that_has_served_for_long_begins_a_new_count() -> None:
+def test_crash_count_is_reset_after_a_stable_period() -> None:
     driver = Driver().started()
     for _ in range(10):
-        driver.after(9.0)
+        driver.advance(9.0)
         (worker,) = [w.id for w in driver.fleet.workers.values() if w.number == 0]
-        driver.exit(worker, "signal 11")
-        driver.after(0.3)
-        driver.all_ready()
+        driver.worker_exits(worker, "signal 11")
+        driver.advance(0.3)
+        driver.make_all_ready()
     slot = driver.fleet.generations[1].slots[0]
     assert slot.state is SlotState.RUNNING and slot.restarts == 10
 
 
-def test_when_all_are_given_up_the_fleet_ends_as_failed() -> None:
+def test_fleet_fails_when_all_slots_are_given_up() -> None:
     driver = Driver()
     driver.reload(limits(instances=1, give_up_after=2, ready_s=1000.0))
-    driver.exit(1, "exit code 1")
-    driver.after(1.0)
-    driver.exit(2, "exit code 1")
-    assert driver.of(Stopped) == [Stopped(True)]
+    driver.worker_exits(1, "exit code 1")
+    driver.advance(1.0)
+    driver.worker_exits(2, "exit code 1")
+    assert driver.actions_of(Stopped) == [Stopped(True)]
 
 
-def test_a_first_start_with_one_crash_loop_serves_with_the_others() -> None:
+def test_first_start_with_a_crash_loop_in_one_slot_serves_with_the_others() -> None:
     driver = Driver()
     driver.reload(limits(give_up_after=1))
-    driver.do(WorkerReady(2))
-    driver.do(WorkerReady(3))
-    driver.exit(1, "exit code 1")
-    assert driver.of(GenerationServing) == [GenerationServing(1, False)]
-    assert driver.serving() == [2, 3]
+    driver.send(WorkerReady(2))
+    driver.send(WorkerReady(3))
+    driver.worker_exits(1, "exit code 1")
+    assert driver.actions_of(GenerationServing) == [GenerationServing(1, False)]
+    assert driver.serving_workers() == [2, 3]
 
 
-def test_a_first_start_with_nobody_ready_in_time_fails() -> None:
+def test_first_start_without_a_ready_worker_within_the_limit_fails() -> None:
     driver = Driver()
     driver.reload()
-    driver.after(10.1, alive=False)
+    driver.advance(10.1, alive=False)
     for worker in (1, 2, 3):
-        driver.exit(worker, "signal 9")
-    assert driver.of(Stopped, driver.actions) == [Stopped(True)]
+        driver.worker_exits(worker, "signal 9")
+    assert driver.actions_of(Stopped, driver.actions) == [Stopped(True)]
 
 
-def test_a_silent_worker_is_killed_and_replaced_and_a_starting_one_is_not_hurried() -> None:
+def test_watchdog_kills_a_silent_worker_but_not_a_starting_one() -> None:
     driver = Driver().started()
-    driver.exit(3, "signal 11")
-    driver.after(0.3)  # worker 4 is on its way
+    driver.worker_exits(3, "signal 11")
+    driver.advance(0.3)  # worker 4 is starting
     for _ in range(4):
         driver.now += 1.0
-        driver.do(WorkerHeartbeat(1))
-    assert driver.of(Kill, driver.actions) == [Kill(2)]
-    driver.exit(2, "signal 9")
+        driver.send(WorkerHeartbeat(1))
+    assert driver.actions_of(Kill, driver.actions) == [Kill(2)]
+    driver.worker_exits(2, "signal 9")
     assert driver.fleet.generations[1].slots[1].last_crash == "signal 9: no sign of life for 3 s"
-    assert driver.of(Spawn, driver.after(0.5))[0].number == 1
+    assert driver.actions_of(Spawn, driver.advance(0.5))[0].number == 1
 
 
-def test_a_worker_over_its_memory_is_replaced_while_it_drains_and_not_sooner_than_it_is_stable() -> None:
+def test_worker_over_its_memory_limit_is_replaced_after_the_stable_period() -> None:
     driver = Driver().started()
-    assert not driver.of(Spawn, driver.do(WorkerHeartbeat(1, 150.0)))
-    driver.after(8.0)
-    driver.do(WorkerHeartbeat(1, 150.0))
-    assert driver.of(Spawn) == [Spawn(4, 1, 0)] and driver.of(Drain) == [Drain(1, 20.0, False)]
-    driver.exit(1)
-    assert not driver.of(Spawn, driver.after(5.0))
+    assert not driver.actions_of(Spawn, driver.send(WorkerHeartbeat(1, 150.0)))
+    driver.advance(8.0)
+    driver.send(WorkerHeartbeat(1, 150.0))
+    assert driver.actions_of(Spawn) == [Spawn(4, 1, 0)] and driver.actions_of(Drain) == [
+        Drain(1, 20.0, False)
+    ]
+    driver.worker_exits(1)
+    assert not driver.actions_of(Spawn, driver.advance(5.0))
 
 
-def test_a_successor_takes_the_connections_so_none_is_accepted_any_more() -> None:
+def test_handover_to_a_successor_drains_without_accepting_the_backlog() -> None:
     driver = Driver().started()
-    driver.do(StopRequested("upgraded", True))
-    assert {a.accept_backlog for a in driver.of(Drain)} == {False}
+    driver.send(StopRequested("upgraded", True))
+    assert {a.accept_backlog for a in driver.actions_of(Drain)} == {False}
 
 
 STEPS = st.lists(
@@ -339,57 +346,60 @@
 
 @given(STEPS)
 @settings(max_examples=60, deadline=None)
-def test_whatever_happens_the_fleet_keeps_its_promises(steps: list[tuple[str, int]]) -> None:
-    """Someone serves unless one crashed; each asker gets one answer; a stop ends all; ids don't return."""
+def test_invariants_hold_for_any_sequence_of_events(steps: list[tuple[str, int]]) -> None:
+    """A worker serves unless a serving one crashed; each reload request gets one result; a stop ends every
+    worker and generation; worker ids are never reused."""
     driver = Driver().started()
     spawned: set[int] = set()
-    crashed = stopped = False
-    for what, number in steps:
+    serving_worker_crashed = stop_requested = False
+    for step_name, argument in steps:
         workers = list(driver.fleet.workers.values())
-        worker = workers[number % len(workers)] if workers else None
-        if what == "reload":
-            driver.reload(limits(instances=1 + number % 3))
-        elif what == "stop" and number < 5:
-            stopped = True
-            driver.do(StopRequested())
-        elif what == "time":
-            driver.after(number / 4)
-        elif worker is not None and what == "ready" and worker.state is WorkerState.STARTING:
-            driver.do(WorkerReady(worker.id))
+        worker = workers[argument % len(workers)] if workers else None
+        if step_name == "reload":
+            driver.reload(limits(instances=1 + argument % 3))
+        elif step_name == "stop" and argument < 5:
+            stop_requested = True
+            driver.send(StopRequested())
+        elif step_name == "time":
+            driver.advance(argument / 4)
+        elif worker is not None and step_name == "ready" and worker.state is WorkerState.STARTING:
+            driver.send(WorkerReady(worker.id))
         elif (
             worker is not None
-            and what == "exit"
+            and step_name == "exit"
             and worker.state
             in (
                 WorkerState.DRAINING,
                 WorkerState.KILLED,
             )
         ):
-            driver.exit(worker.id)
-        elif worker is not None and what == "crash" and number < 8:
-            crashed = crashed or worker.state is WorkerState.SERVING
-            driver.exit(worker.id, "signal 11")
-        elif worker is not None and what == "failed":
-            driver.do(WorkerFailed(worker.id, "why"))
+            driver.worker_exits(worker.id)
+        elif worker is not None and step_name == "crash" and argument < 8:
+            serving_worker_crashed = serving_worker_crashed or worker.state is WorkerState.SERVING
+            driver.worker_exits(worker.id, "signal 11")
+        elif worker is not None and step_name == "failed":
+            driver.send(WorkerFailed(worker.id, "why"))
         elif worker is not None:
-            driver.do(WorkerHeartbeat(worker.id, float(number)))
-        assert crashed or stopped or driver.serving()
+            driver.send(WorkerHeartbeat(worker.id, float(argument)))
+        assert serving_worker_crashed or stop_requested or driver.serving_workers()
         current = driver.fleet.current
-        if not stopped and current is not None and not crashed:
-            mine = [w for w in driver.serving() if driver.fleet.workers[w].generation == current.number]
-            assert len(mine) == len(current.slots)
-    for action in driver.of(Spawn, driver.actions):
+        if not stop_requested and current is not None and not serving_worker_crashed:
+            current_workers = [
+                w for w in driver.serving_workers() if driver.fleet.workers[w].generation == current.number
+            ]
+            assert len(current_workers) == len(current.slots)
+    for action in driver.actions_of(Spawn, driver.actions):
         assert action.worker not in spawned
         spawned.add(action.worker)
     if driver.fleet.phase is not Phase.STOPPED:
-        driver.do(StopRequested())
-        driver.after(25.0, alive=False)
+        driver.send(StopRequested())
+        driver.advance(25.0, alive=False)
         for worker in list(driver.fleet.workers.values()):
             assert worker.state is WorkerState.KILLED
-            driver.exit(worker.id, "signal 9")
+            driver.worker_exits(worker.id, "signal 9")
     assert driver.fleet.phase is Phase.STOPPED and not driver.fleet.workers
-    assert len(driver.of(Stopped, driver.actions)) == 1
-    answered = [a.ticket for a in driver.of(ReloadDone, driver.actions)]
-    assert sorted(answered) == list(range(1, driver.ticket + 1))
-    gone = [a.generation for a in driver.of(GenerationEnded, driver.actions)]
-    assert sorted(gone) == list(range(1, driver.fleet.last_generation + 1))
+    assert len(driver.actions_of(Stopped, driver.actions)) == 1
+    answered_tickets = [a.ticket for a in driver.actions_of(ReloadDone, driver.actions)]
+    assert sorted(answered_tickets) == list(range(1, driver.ticket + 1))
+    ended_generations = [a.generation for a in driver.actions_of(GenerationEnded, driver.actions)]
+    assert sorted(ended_generations) == list(range(1, driver.fleet.last_generation + 1))
