--- a/tests/fleet/support.py
+++ b/tests/fleet/support.py
@@ -1,4 +1,4 @@
-"""A real fleet among stand-ins, for one test."""
+"""Starts a real fleet among stand-in nodes, registry and clients for one test."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 from flintlatch.standin.process import FleetProcess, alive
 from flintlatch.standin.rig import CLASSES, Rig
 
-TEST_TIMEOUT_S = 40.0  # far beyond what any test needs; only a hang comes near it
-# Put on PYTHONPATH: every interpreter started from then on does what the file names. Workers alone are
-# hurt; the supervisor has other arguments.
+TEST_TIMEOUT_S = 40.0  # reached only if a test hangs
+# A module on PYTHONPATH that makes each worker started from now on fail as the file at `path` says. The
+# supervisor has other arguments and is not affected.
 SITECUSTOMIZE = """
 import os, sys, time
 if "flintlatch.fleet.worker" in sys.orig_argv:
@@ -38,8 +38,8 @@
     uvloop.run(asyncio.wait_for(test, TEST_TIMEOUT_S))
 
 
-class Hold:
-    """Takes every call of the class `exam` out of a node's hands, until the test answers it."""
+class HeldCalls:
+    """Holds back the calls of the class `exam` that reach the given nodes, until the test answers them."""
 
     def __init__(self, *nodes: Node) -> None:
         self.calls: asyncio.Queue[Call] = asyncio.Queue()
@@ -54,6 +54,9 @@
 
 
 class Daemon:
+    """A running fleet with its rig and clients. `fault` is the path that SITECUSTOMIZE reads; `pids` are the
+    workers that were seen, none of which may outlive the fleet."""
+
     def __init__(self, folder: Path, rig: Rig) -> None:
         self.rig = rig
         self.fault = folder / "fault"
@@ -66,38 +69,38 @@
         self.pids: set[int] = set()
 
     async def pids_now(self) -> list[int]:
-        pids = [one["pid"] for one in (await self.fleet.status())["instances"] if one["pid"]]
+        pids = [instance["pid"] for instance in (await self.fleet.status())["instances"] if instance["pid"]]
         self.pids |= set(pids)
         return pids
 
     def assert_rules_kept(self) -> None:
-        """No rule broke."""
-        assert not self.rig.ledger.broken(), [str(b) for b in self.rig.ledger.broken()[:5]]
+        """Assert that the ledger of clients and nodes shows no broken rule."""
+        assert not self.rig.ledger.broken(), [str(broken) for broken in self.rig.ledger.broken()[:5]]
 
 
 @asynccontextmanager
 async def daemon(
     folder: Path, count: int = 3, shape: Shape | None = None, seed: int = 1, /, **tables: Any
 ) -> AsyncIterator[Daemon]:
-    """A fleet that is ready; stopped, and checked to leave no process, at the end."""
+    """A fleet that is ready. At the end it is stopped, and no process may be left."""
     rig = await Rig(folder, seed).open(count, shape)
-    made = Daemon(folder, rig)
-    made.fleet = FleetProcess(rig.write(**tables), made.env)
+    harness = Daemon(folder, rig)
+    harness.fleet = FleetProcess(rig.write(**tables), harness.env)
     try:
-        await (await made.fleet.start()).ready()
-        made.clients = Clients(made.fleet.address, CLASSES, rig.ledger, seed)
-        yield made
-        await made.clients.none_open.wait()
-        if made.fleet.process.returncode is None:
-            await made.pids_now()
-            assert await made.fleet.stop() == 0, made.fleet.log
-        await none_left(made.pids)
-        bugs = [line for line in made.fleet.log if "bug" in line or "Traceback" in line]
+        await (await harness.fleet.start()).ready()
+        harness.clients = Clients(harness.fleet.address, CLASSES, rig.ledger, seed)
+        yield harness
+        await harness.clients.none_open.wait()
+        if harness.fleet.process.returncode is None:
+            await harness.pids_now()
+            assert await harness.fleet.stop() == 0, harness.fleet.log
+        await none_left(harness.pids)
+        bugs = [line for line in harness.fleet.log if "bug" in line or "Traceback" in line]
         assert not bugs, bugs
     finally:
-        if hasattr(made, "clients"):
-            made.clients.close()
-        await made.fleet.close()
+        if hasattr(harness, "clients"):
+            harness.clients.close()
+        await harness.fleet.close()
         rig.close()
 
 
--- a/tests/fleet/test_delivered.py
+++ b/tests/fleet/test_delivered.py
@@ -127,37 +127,37 @@
 @asynccontextmanager
 async def delivering(folder: Path, count: int, instances: int, **nodes: Any) -> AsyncIterator[Delivering]:
     rig = await Rig(folder, 1).open(count, Shape())
-    made = Delivering(folder, rig)
+    harness = Delivering(folder, rig)
     (folder / "key").write_text(KEY)
     (folder / "key.theirs").write_text(KEY)
     for place in range(count):
-        made.row(place)
-    (folder / "objects.json").write_text(json.dumps({SERVICE: made.rows}))
+        harness.row(place)
+    (folder / "objects.json").write_text(json.dumps({SERVICE: harness.rows}))
     try:
-        origin = await made.start("origin", "origin", source="objects.json")
-        both = (made.start("relay", f"r{n}", origin=origin) for n in range(2))
+        origin = await harness.start("origin", "origin", source="objects.json")
+        both = (harness.start("relay", f"r{n}", origin=origin) for n in range(2))
         relays = list(await asyncio.gather(*both))
         fleet = {"instances": instances}
         nodes = {"connect_timeout_ms": 1000, **nodes}
         rig.config.write_text(text_of(relays, QUICK, fleet=fleet, drain={"idle_s": 0.1}, nodes=nodes))
-        made.fleet = FleetProcess(rig.config, made.env)
-        await (await made.fleet.start()).ready()
-        made.clients = Clients(made.fleet.address, CLASSES, rig.ledger, 1)
-        yield made
-        await made.clients.none_open.wait()
-        await made.pids_now()
-        assert await made.fleet.stop() == 0, made.fleet.log
-        await none_left(made.pids)
-        children = [line for child in made.children.values() for line in child.log]
-        bugs = [line for line in (*made.fleet.log, *children) if "bug" in line or "Traceback" in line]
+        harness.fleet = FleetProcess(rig.config, harness.env)
+        await (await harness.fleet.start()).ready()
+        harness.clients = Clients(harness.fleet.address, CLASSES, rig.ledger, 1)
+        yield harness
+        await harness.clients.none_open.wait()
+        await harness.pids_now()
+        assert await harness.fleet.stop() == 0, harness.fleet.log
+        await none_left(harness.pids)
+        children = [line for child in harness.children.values() for line in child.log]
+        bugs = [line for line in (*harness.fleet.log, *children) if "bug" in line or "Traceback" in line]
         assert not bugs, bugs
-        made.assert_rules_kept()
+        harness.assert_rules_kept()
     finally:
-        if hasattr(made, "clients"):
-            made.clients.close()
-        if hasattr(made, "fleet"):
-            await made.fleet.close()
-        for child in made.children.values():
+        if hasattr(harness, "clients"):
+            harness.clients.close()
+        if hasattr(harness, "fleet"):
+            await harness.fleet.close()
+        for child in harness.children.values():
             with suppress(ProcessLookupError):
                 await child.end()
         rig.close()
@@ -165,9 +165,9 @@
 
 def test_drains_relays_killed_and_a_wrong_key_while_traffic_runs(tmp_path: Path) -> None:
     async def test() -> None:
-        async with delivering(tmp_path, 4, 2) as made:
-            ledger = made.rig.ledger
-            first = await made.source()
+        async with delivering(tmp_path, 4, 2) as harness:
+            ledger = harness.rig.ledger
+            first = await harness.source()
             assert (first["source"], first["nodes"], first["old"], first["failure"]) == (
                 SERVICE,
                 4,
@@ -175,71 +175,73 @@
                 "",
             )
             assert first["delivery"]["relay"] in ("r0", "r1") and first["delivery"]["complaint"] == ""
-            told = await made.command("nodes", str(made.rig.config))
+            told = await harness.command("nodes", str(harness.rig.config))
             assert f"{SERVICE}: version {first['version']}, 4 nodes, 0 rejected" in told
             line = (
                 rf"revision {first['version']}, at most [0-9.]+ s old, relay {first['delivery']['relay']}\n"
             )
             assert re.search(line, told), told
-            traffic = asyncio.create_task(made.clients.run(100, 60, {"answer": 0.8, "grade": 0.2}))
+            traffic = asyncio.create_task(harness.clients.run(100, 60, {"answer": 0.8, "grade": 0.2}))
 
             # A drain in the origin's file: nothing new at that node past the bound and its grace.
-            made.row(0, state="draining")
+            harness.row(0, state="draining")
             bound_s = LOOK_S + RULES.staleness_s(0, 0.0)
             ledger.told_draining["s0"] = now_ms() + 1000 * bound_s
-            await made.taken(await made.commit(), bound_s + LOADED_S)
-            assert await made.states() == {"s0": "leaving", "s1": "active", "s2": "active", "s3": "active"}
+            await harness.taken(await harness.commit(), bound_s + LOADED_S)
+            assert await harness.states() == {"s0": "leaving", "s1": "active", "s2": "active", "s3": "active"}
 
             # The relay that it follows at is killed: requests go on, and the next change comes in its bound.
-            lost = (await made.source())["delivery"]["relay"]
-            answered = made.clients.statuses[200]
-            await made.children[lost].end()
-            made.row(1, state="draining")
-            began, revision = clock(), await made.commit()
-            await made.taken(revision, LOOK_S + RULES.staleness_s(1, 0.0) + LOADED_S)
+            lost = (await harness.source())["delivery"]["relay"]
+            answered = harness.clients.statuses[200]
+            await harness.children[lost].end()
+            harness.row(1, state="draining")
+            began, revision = clock(), await harness.commit()
+            await harness.taken(revision, LOOK_S + RULES.staleness_s(1, 0.0) + LOADED_S)
             print(f"a change with its relay killed came after {clock() - began:.2f} s")
             ledger.told_draining["s1"] = now_ms()
-            source = await made.source()
+            source = await harness.source()
             assert source["version"] == revision and source["delivery"]["relay"] not in ("", lost)
-            assert made.clients.statuses[200] > answered
-            assert not made.said("no relay with news")
+            assert harness.clients.statuses[200] > answered
+            assert not harness.said("no relay with news")
 
             # Another key: the relay refuses it and tells, and what was taken stands over the reload.
             left = source["delivery"]["relay"]
             (tmp_path / "key").write_text("5d" * 32)
-            assert (await made.fleet.ask("reload"))["ok"]
-            await made.children[left].said("no key of ours sealed")
-            await made.rig.add(Shape())
-            made.row(4)
-            missed = await made.commit()
-            await made.fleet.said("no relay with news")
-            assert made.said("nothing is held by this client; a list taken before stands") == 1
-            source = await made.source()
-            assert source["old"] and source["version"] == revision and "s4" not in await made.states()
+            assert (await harness.fleet.ask("reload"))["ok"]
+            await harness.children[left].said("no key of ours sealed")
+            await harness.rig.add(Shape())
+            harness.row(4)
+            missed = await harness.commit()
+            await harness.fleet.said("no relay with news")
+            assert harness.said("nothing is held by this client; a list taken before stands") == 1
+            source = await harness.source()
+            assert source["old"] and source["version"] == revision and "s4" not in await harness.states()
             assert f"{SERVICE}: no relay with news for" in source["delivery"]["complaint"]
-            status = await made.fleet.status()
+            status = await harness.fleet.status()
             known = status["generations"][-1]["nodes"]
             assert "no relay with news" in known["failure"] and known["age_s"] >= 2 * RULES.stale_s
             (tmp_path / "key").write_text(KEY)
-            assert (await made.fleet.ask("reload"))["ok"]
-            await made.taken(missed, RULES.connect_s + RULES.staleness_s(0, 0.0) + LOADED_S)
-            assert (await made.states())["s4"] == "active" and not (await made.source())["old"]
+            assert (await harness.fleet.ask("reload"))["ok"]
+            await harness.taken(missed, RULES.connect_s + RULES.staleness_s(0, 0.0) + LOADED_S)
+            assert (await harness.states())["s4"] == "active" and not (await harness.source())["old"]
 
             # No relay at all: serves on, says so once, and keeps what it has over a reload.
-            place = len(made.fleet.log)
-            await made.children[left].end()
-            place = await made.fleet.said("no relay with news", place)
-            assert f"serving on with revision {missed}" in made.fleet.log[place - 1]
-            made.fleet.signal(signal.SIGHUP)
-            await made.fleet.until(lambda s: s["summary"].startswith("generation 4: 2 of 2"))
-            answered = made.clients.statuses[200]
-            assert (await made.states())["s4"] == "active" and (await made.source())["version"] == missed
-            assert f"relay none; {SERVICE}: no relay with news for" in await made.command(
-                "nodes", str(made.rig.config)
+            place = len(harness.fleet.log)
+            await harness.children[left].end()
+            place = await harness.fleet.said("no relay with news", place)
+            assert f"serving on with revision {missed}" in harness.fleet.log[place - 1]
+            harness.fleet.signal(signal.SIGHUP)
+            await harness.fleet.until(lambda s: s["summary"].startswith("generation 4: 2 of 2"))
+            answered = harness.clients.statuses[200]
+            assert (await harness.states())["s4"] == "active" and (await harness.source())[
+                "version"
+            ] == missed
+            assert f"relay none; {SERVICE}: no relay with news for" in await harness.command(
+                "nodes", str(harness.rig.config)
             )
-            await made.clients.run(100, 0.5, {"answer": 1})
-            assert made.clients.statuses[200] > answered
-            assert sum("no relay with news" in line for line in made.fleet.log[place:]) == 0
+            await harness.clients.run(100, 0.5, {"answer": 1})
+            assert harness.clients.statuses[200] > answered
+            assert sum("no relay with news" in line for line in harness.fleet.log[place:]) == 0
             traffic.cancel()
 
     run(test())
@@ -249,31 +251,31 @@
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
-        async with delivering(tmp_path, 4, 1, keep="kept", hold_s=60.0) as made:
-            good = made.rows["s1"]
-            made.row(1, weight=-1)
-            made.row(0, state="draining")
-            await made.commit()
-            await made.fleet.said("rejected: item['s1'].weight: found -1, expected a number from 0.01")
-            assert set((await made.states()).values()) == {"active"}
-            made.rows["s1"] = good
-            revision = await made.commit()
-            await made.taken(revision, LOOK_S + RULES.staleness_s(0, 0.0) + LOADED_S)
-            assert (await made.states())["s0"] == "leaving"
-            told = (await made.fleet.status())["generations"][-1]["nodes"]
+        async with delivering(tmp_path, 4, 1, keep="kept", hold_s=60.0) as harness:
+            good = harness.rows["s1"]
+            harness.row(1, weight=-1)
+            harness.row(0, state="draining")
+            await harness.commit()
+            await harness.fleet.said("rejected: item['s1'].weight: found -1, expected a number from 0.01")
+            assert set((await harness.states()).values()) == {"active"}
+            harness.rows["s1"] = good
+            revision = await harness.commit()
+            await harness.taken(revision, LOOK_S + RULES.staleness_s(0, 0.0) + LOADED_S)
+            assert (await harness.states())["s0"] == "leaving"
+            told = (await harness.fleet.status())["generations"][-1]["nodes"]
             assert told["rejected"] == 1 and "item['s1'].weight" in told["last_rejection"]
 
             # Half of the items, so that the origin lets it pass, and two of three active nodes.
-            made.rows = {"s0": made.rows["s0"], "s3": made.rows["s3"]}
-            held = await made.commit()
-            await made.fleet.said(f"version {held} held for 60 s: it takes away 2 of 3 active nodes")
-            assert (await made.source())["held"] == held and len(await made.states()) == 4
+            harness.rows = {"s0": harness.rows["s0"], "s3": harness.rows["s3"]}
+            held = await harness.commit()
+            await harness.fleet.said(f"version {held} held for 60 s: it takes away 2 of 3 active nodes")
+            assert (await harness.source())["held"] == held and len(await harness.states()) == 4
             # A reload does not let through what is held.
-            assert (await made.fleet.ask("reload"))["ok"]
-            await made.until_source(lambda source: source["held"] == held)
-            assert (await made.source())["version"] == revision
-            await made.command("nodes", str(made.rig.config), "--confirm", SERVICE, str(held))
-            await made.fleet.said(f"version {held} taken")
+            assert (await harness.fleet.ask("reload"))["ok"]
+            await harness.until_source(lambda source: source["held"] == held)
+            assert (await harness.source())["version"] == revision
+            await harness.command("nodes", str(harness.rig.config), "--confirm", SERVICE, str(held))
+            await harness.fleet.said(f"version {held} taken")
             async with asyncio.timeout(LOADED_S):
                 while f'"version":{held},'.encode() not in (tmp_path / "kept.0").read_bytes():
                     await asyncio.sleep(0.01)  # it is kept off the loop
@@ -281,21 +283,21 @@
             # The object is gone: told, and nothing of it is taken away.
             (tmp_path / "objects.new").write_text('{"other": {"a": 1}, "$confirm": true}')
             (tmp_path / "objects.new").rename(tmp_path / "objects.json")
-            await made.fleet.said("the origin has no such object; the list held stands")
-            assert (await made.source())["failure"] == "the origin has no such object"
+            await harness.fleet.said("the origin has no such object; the list held stands")
+            assert (await harness.source())["failure"] == "the origin has no such object"
 
             # No relay, no supervisor of before: the kept one serves.
-            await asyncio.gather(*(made.children[name].end() for name in ("r0", "r1")))
-            await made.pids_now()
-            assert await made.fleet.stop() == 0
-            made.clients.close()
-            made.fleet = await (await FleetProcess(made.rig.config, made.env).start()).ready()
-            made.clients = Clients(made.fleet.address, CLASSES, made.rig.ledger, 2)
-            await made.fleet.said(f"{SERVICE}: version {held} of before, until there is a newer one")
-            assert await made.states() == {"s0": "leaving", "s3": "active"}
-            assert (await made.source())["old"]
-            await made.clients.run(50, 0.3, {"answer": 1})
-            assert made.clients.statuses[200] > 0
+            await asyncio.gather(*(harness.children[name].end() for name in ("r0", "r1")))
+            await harness.pids_now()
+            assert await harness.fleet.stop() == 0
+            harness.clients.close()
+            harness.fleet = await (await FleetProcess(harness.rig.config, harness.env).start()).ready()
+            harness.clients = Clients(harness.fleet.address, CLASSES, harness.rig.ledger, 2)
+            await harness.fleet.said(f"{SERVICE}: version {held} of before, until there is a newer one")
+            assert await harness.states() == {"s0": "leaving", "s3": "active"}
+            assert (await harness.source())["old"]
+            await harness.clients.run(50, 0.3, {"answer": 1})
+            assert harness.clients.statuses[200] > 0
 
     run(test())
 
@@ -350,119 +352,119 @@
 
 def test_one_backend_that_changes_reaches_the_module_as_a_change_of_one(tmp_path: Path) -> None:
     async def test() -> None:
-        made = Inside(tmp_path)
-        nodes = await made.open(2000)
+        harness = Inside(tmp_path)
+        nodes = await harness.open(2000)
         config = parse(text_of(["127.0.0.1:1"], {}), "f.toml")
         engine = Engine(config.settings(0), config.wire(), 1, 100)
         whole = encode_listing(nodes.snapshot())
         engine.on_list(read_listing(whole, config.wire()))
         engine.news.clear()
-        made.commit({"s7": {"address": "10.0.0.7:80", "zone": "a", "state": "draining"}})
-        await made.until(lambda: bool(made.news))
-        (news,) = made.news
+        harness.commit({"s7": {"address": "10.0.0.7:80", "zone": "a", "state": "draining"}})
+        await harness.until(lambda: bool(harness.news))
+        (news,) = harness.news
         message = json.dumps(encode_listing(news))  # what each worker is sent
         assert len(message) < 300 < len(json.dumps(whole)) / 500
         engine.on_list(read_listing(json.loads(message), config.wire()))
         (told,) = engine.news
         assert told.kind is ListKind.CHANGES and [entry.server for entry in told.entries] == ["s7"]
         assert len(engine.backends.backends) == 2000
-        made.commit({}, ("s9",))
-        await made.until(lambda: len(made.news) == 2)
-        assert [(t.uid, t.info.state.name) for t in made.news[1].targets] == [("s9", "GONE")]
+        harness.commit({}, ("s9",))
+        await harness.until(lambda: len(harness.news) == 2)
+        assert [(t.uid, t.info.state.name) for t in harness.news[1].targets] == [("s9", "GONE")]
         engine.close()
-        made.close()
+        harness.close()
 
     run(test())
 
 
 def test_reloads_share_a_client_and_a_key_file_gone_bad_leaves_the_keys_of_before(tmp_path: Path) -> None:
     async def test() -> None:
-        made = Inside(tmp_path)
-        first = await made.open(3)
-        (feed,) = made.supply.feeds
-        second = await made.draw()
+        harness = Inside(tmp_path)
+        first = await harness.open(3)
+        (feed,) = harness.supply.feeds
+        second = await harness.draw()
         (tmp_path / "key").write_text("no key")
-        third = await made.draw()
-        assert made.supply.feeds == [feed] and len(made.server.relay.sessions) == 1
-        assert any("going on with the keys of before" in line for line in made.log)
-        made.commit({"s3": {"address": "10.0.0.3:80"}})
-        await made.until(lambda: all(len(nodes.targets) == 4 for nodes in (first, second, third)))
+        third = await harness.draw()
+        assert harness.supply.feeds == [feed] and len(harness.server.relay.sessions) == 1
+        assert any("going on with the keys of before" in line for line in harness.log)
+        harness.commit({"s3": {"address": "10.0.0.3:80"}})
+        await harness.until(lambda: all(len(nodes.targets) == 4 for nodes in (first, second, third)))
         first.close()
         second.close()
-        made.commit({"s4": {"address": "10.0.0.4:80"}})
-        await made.until(lambda: len(third.targets) == 5)
+        harness.commit({"s4": {"address": "10.0.0.4:80"}})
+        await harness.until(lambda: len(third.targets) == 5)
         assert len(first.targets) == len(second.targets) == 4
         # A new key that the relay has not: what was taken stands, and the old client goes with its last user.
         (tmp_path / "key").write_text("5d" * 32)
-        fourth = await made.draw()
+        fourth = await harness.draw()
         assert fourth.failure == f"{SERVICE}: no relay has answered yet"
-        assert len(fourth.targets) == 5 and len(made.supply.feeds) == 2
+        assert len(fourth.targets) == 5 and len(harness.supply.feeds) == 2
         third.close()
-        assert feed not in made.supply.feeds
+        assert feed not in harness.supply.feeds
         (tmp_path / "key").write_text(KEY)
-        fifth = await made.draw()
+        fifth = await harness.draw()
         fourth.close()
-        await made.until(lambda: fifth.failure == "")
-        made.commit({"s5": {"address": "10.0.0.5:80"}})
-        await made.until(lambda: len(fifth.targets) == 6)
+        await harness.until(lambda: fifth.failure == "")
+        harness.commit({"s5": {"address": "10.0.0.5:80"}})
+        await harness.until(lambda: len(fifth.targets) == 6)
         fifth.close()
-        assert made.supply.feeds == []
-        await made.until(lambda: not made.server.relay.sessions)
-        made.drawn.clear()
-        made.close()
+        assert harness.supply.feeds == []
+        await harness.until(lambda: not harness.server.relay.sessions)
+        harness.drawn.clear()
+        harness.close()
 
     run(test())
 
 
 def test_a_reload_that_names_another_object_follows_it_and_leaves_the_one_before(tmp_path: Path) -> None:
     async def test() -> None:
-        made = Inside(tmp_path)
-        first = await made.open(2)
-        made.commit({"t0": {"address": "10.0.1.0:80"}}, name="service/other")
-        second = await made.draw(service="service/other")
+        harness = Inside(tmp_path)
+        first = await harness.open(2)
+        harness.commit({"t0": {"address": "10.0.1.0:80"}}, name="service/other")
+        second = await harness.draw(service="service/other")
         assert (set(first.targets), set(second.targets)) == ({"s0", "s1"}, {"t0"})
-        (feed,) = made.supply.feeds
+        (feed,) = harness.supply.feeds
         assert set(feed.client.subscriber.names) == {SERVICE, "service/other"}
         first.close()
         assert set(feed.client.subscriber.names) == {"service/other"}
         # Gone and back again: what was taken stands meanwhile.
-        made.commit({}, name="service/other", gone=True)
-        await made.until(lambda: second.failure == "the origin has no such object")
-        third = await made.draw(service="service/other")
-        await made.until(lambda: third.failure == "the origin has no such object")
+        harness.commit({}, name="service/other", gone=True)
+        await harness.until(lambda: second.failure == "the origin has no such object")
+        third = await harness.draw(service="service/other")
+        await harness.until(lambda: third.failure == "the origin has no such object")
         assert set(second.targets) == set(third.targets) == {"t0"}
-        made.commit(
+        harness.commit(
             {"t0": {"address": "10.0.1.0:80"}, "t1": {"address": "10.0.1.1:80"}}, name="service/other"
         )
-        await made.until(lambda: set(second.targets) == set(third.targets) == {"t0", "t1"})
+        await harness.until(lambda: set(second.targets) == set(third.targets) == {"t0", "t1"})
         assert second.failure == third.failure == ""
         # One that the origin has not gives no list, and says why.
         with pytest.raises(TimeoutError):
-            await made.draw(RULES.staleness_s(0, 0.0), service="service/none")
-        await made.until(lambda: made.drawn[-1].failure == "the origin has no such object")
-        made.close()
+            await harness.draw(RULES.staleness_s(0, 0.0), service="service/none")
+        await harness.until(lambda: harness.drawn[-1].failure == "the origin has no such object")
+        harness.close()
 
     run(test())
 
 
 def test_without_a_key_nothing_is_followed_and_it_is_told_at_once(tmp_path: Path) -> None:
     async def test() -> None:
-        made = Inside(tmp_path)
-        await made.server.open()
+        harness = Inside(tmp_path)
+        await harness.server.open()
         (tmp_path / "key").write_text("no key")
         with pytest.raises(TimeoutError):
-            await made.draw(0.1)
-        (nodes,) = made.drawn
+            await harness.draw(0.1)
+        (nodes,) = harness.drawn
         expected = f"{tmp_path / 'key'}: line 1: expected 64 hexadecimal digits"
-        assert made.log == [f"error: delivery: {expected}; nothing is followed until a reload"]
+        assert harness.log == [f"error: delivery: {expected}; nothing is followed until a reload"]
         assert (
-            nodes.failure == expected and made.supply.feeds == []
+            nodes.failure == expected and harness.supply.feeds == []
         )  # never what stands there: it may be a key
         assert (
             nodes.node_sources is not None
             and nodes.node_sources.report()[0]["delivery"]["complaint"] == expected
         )
-        made.close()
+        harness.close()
 
     run(test())
 
--- a/tests/fleet/test_heir.py
+++ b/tests/fleet/test_heir.py
@@ -58,24 +58,24 @@
     await asyncio.gather(*asked)
 
 
-async def kill_supervisor(made: Daemon) -> set[int]:
-    pids = set(await made.pids_now())
-    os.kill(made.fleet.process.pid, signal.SIGKILL)
-    await made.fleet.process.wait()
+async def kill_supervisor(harness: Daemon) -> set[int]:
+    pids = set(await harness.pids_now())
+    os.kill(harness.fleet.process.pid, signal.SIGKILL)
+    await harness.fleet.process.wait()
     return pids
 
 
 def test_killed_under_load_nobody_goes_without_an_answer(tmp_path: Path) -> None:
     async def test() -> None:
-        async with daemon(tmp_path, **TWO) as made:
+        async with daemon(tmp_path, **TWO) as harness:
             found: Counter[str] = Counter()
             stop = asyncio.Event()
-            load = asyncio.create_task(ask_on(made.fleet.address, found, stop))
+            load = asyncio.create_task(ask_on(harness.fleet.address, found, stop))
             await asyncio.sleep(0.3)
-            pids = await kill_supervisor(made)
+            pids = await kill_supervisor(harness)
             await asyncio.sleep(0.3)
-            path = made.rig.write(fleet={"instances": 2, "listen": [made.fleet.address]})
-            successor = await (await FleetProcess(path, made.env).start()).ready()
+            path = harness.rig.write(fleet={"instances": 2, "listen": [harness.fleet.address]})
+            successor = await (await FleetProcess(path, harness.env).start()).ready()
             assert any("inherited" in line for line in successor.log)
             await none_left(pids)  # they drain once it serves
             await asyncio.sleep(0.3)
@@ -91,32 +91,32 @@
 
 def test_without_a_successor_they_end_by_themselves(tmp_path: Path) -> None:
     async def test() -> None:
-        async with daemon(tmp_path, **TWO, drain={"orphan_s": 1.0}) as made:
-            pids = await kill_supervisor(made)
-            assert await ask_once(made.fleet.address) == "200"
+        async with daemon(tmp_path, **TWO, drain={"orphan_s": 1.0}) as harness:
+            pids = await kill_supervisor(harness)
+            assert await ask_once(harness.fleet.address) == "200"
             await none_left(pids)
             assert handover.find(str(tmp_path / "c.sock")) == []
-            assert (await ask_once(made.fleet.address)).startswith("connect")
+            assert (await ask_once(harness.fleet.address)).startswith("connect")
 
     run(test())
 
 
 def test_a_worker_stuck_in_its_start_ends_though_nobody_is_there(tmp_path: Path) -> None:
     async def test() -> None:
-        async with daemon(tmp_path, **TWO, start={"ready_s": 2.0}, drain={"orphan_s": 0.5}) as made:
-            made.fault.write_text("hang")
-            (victim, _) = await made.pids_now()
-            await made.fleet.kill_worker(victim, made.clients)
-            status = await made.fleet.until(
+        async with daemon(tmp_path, **TWO, start={"ready_s": 2.0}, drain={"orphan_s": 0.5}) as harness:
+            harness.fault.write_text("hang")
+            (victim, _) = await harness.pids_now()
+            await harness.fleet.kill_worker(victim, harness.clients)
+            status = await harness.fleet.until(
                 lambda s: any(one["state"] == "starting" and one["pid"] for one in s["instances"])
             )
             stuck = next(one["pid"] for one in status["instances"] if one["state"] == "starting")
-            await kill_supervisor(made)
+            await kill_supervisor(harness)
             assert alive(stuck)
             async with asyncio.timeout(TEST_TIMEOUT_S / 2):  # its own alarm, after ready_s and a second
                 while alive(stuck):
                     await asyncio.sleep(0.05)
-            made.fault.unlink()
+            harness.fault.unlink()
 
     run(test())
 
@@ -187,13 +187,13 @@
 
 def test_long_lived_connections_are_spread_evenly(tmp_path: Path) -> None:
     async def test() -> None:
-        async with daemon(tmp_path, fleet={"instances": 4}) as made:
-            host, _, port = made.fleet.address.rpartition(":")
-            await made.fleet.until(lambda s: all(one["state"] == "serving" for one in s["instances"]))
+        async with daemon(tmp_path, fleet={"instances": 4}) as harness:
+            host, _, port = harness.fleet.address.rpartition(":")
+            await harness.fleet.until(lambda s: all(one["state"] == "serving" for one in s["instances"]))
             open_ones = []
             for _ in range(120):
                 open_ones.append(await asyncio.open_connection(host, int(port)))
-            status = await made.fleet.until(
+            status = await harness.fleet.until(
                 lambda s: sum(one["clients"] or 0 for one in s["instances"]) == 120
             )
             counts = [one["clients"] for one in status["instances"]]
--- a/tests/fleet/test_start.py
+++ b/tests/fleet/test_start.py
@@ -105,14 +105,14 @@
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
-        async with daemon(tmp_path, fleet={"instances": 1}) as made:
-            done = await asyncio.to_thread(fleet, made.rig.config)
+        async with daemon(tmp_path, fleet={"instances": 1}) as harness:
+            done = await asyncio.to_thread(fleet, harness.rig.config)
             one_line(done, 1, "a fleet runs there already")
-            await made.pids_now()
-            os.kill(made.fleet.process.pid, signal.SIGKILL)
-            await made.fleet.process.wait()
+            await harness.pids_now()
+            os.kill(harness.fleet.process.pid, signal.SIGKILL)
+            await harness.fleet.process.wait()
             assert (tmp_path / "c.sock").exists()
-            again = await (await FleetProcess(made.rig.config).start()).ready()
+            again = await (await FleetProcess(harness.rig.config).start()).ready()
             assert (await again.status())["pid"] == again.process.pid
             assert await again.stop() == 0
             assert not (tmp_path / "c.sock").exists()
