--- a/tests/fleet/test_heir.py
+++ b/tests/fleet/test_heir.py
@@ -1,4 +1,4 @@
-"""A supervisor that dies outright: its workers serve on, and hand the listening sockets to the next one."""
+"""A supervisor that is killed: its workers serve on and hand the listening sockets over to a successor."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 from flintlatch.standin.process import FleetProcess, alive
 from tests.fleet.support import TEST_TIMEOUT_S, Daemon, daemon, none_left, run
 
-NUMBERS = count()
-TWO = {"fleet": {"instances": 2}}
+CALL_NUMBERS = count()
+TWO_INSTANCES = {"fleet": {"instances": 2}}
 
 
-async def ask_once(address: str) -> str:
-    """The answer's status on a connection of its own; else what went wrong."""
+async def request_status(address: str) -> str:
+    """The status of one request on a new connection, or a description of what went wrong."""
     host, _, port = address.rpartition(":")
     try:
         reader, writer = await asyncio.open_connection(host, int(port))
@@ -33,7 +33,7 @@
     try:
         writer.write(
             b"GET /answer/1 HTTP/1.1\r\nHost: x\r\nX-Budget-Ms: 900\r\nX-Call-Id: h%d\r\n"
-            b"Connection: close\r\n\r\n" % next(NUMBERS)
+            b"Connection: close\r\n\r\n" % next(CALL_NUMBERS)
         )
         line = await reader.readline()
         return line[9:12].decode() if line else "closed without an answer"
@@ -43,19 +43,19 @@
         writer.close()
 
 
-async def ask_on(address: str, found: Counter[str], stop: asyncio.Event) -> None:
-    """New connections, one every 5 ms, until told to stop."""
-    asked: set[asyncio.Task[None]] = set()
+async def send_requests(address: str, statuses: Counter[str], stop: asyncio.Event) -> None:
+    """Send a request on a new connection every 5 ms until `stop` is set, and count the statuses."""
+    tasks: set[asyncio.Task[None]] = set()
 
-    async def one() -> None:
-        found[await ask_once(address)] += 1
+    async def record_status() -> None:
+        statuses[await request_status(address)] += 1
 
     while not stop.is_set():
-        task = asyncio.create_task(one())
-        asked.add(task)
-        task.add_done_callback(asked.discard)
+        task = asyncio.create_task(record_status())
+        tasks.add(task)
+        task.add_done_callback(tasks.discard)
         await asyncio.sleep(0.005)
-    await asyncio.gather(*asked)
+    await asyncio.gather(*tasks)
 
 
 async def kill_supervisor(harness: Daemon) -> set[int]:
@@ -65,96 +65,102 @@
     return pids
 
 
-def test_killed_under_load_nobody_goes_without_an_answer(tmp_path: Path) -> None:
+def test_supervisor_killed_under_load_and_replaced_leaves_no_request_unanswered(tmp_path: Path) -> None:
     async def test() -> None:
-        async with daemon(tmp_path, **TWO) as harness:
-            found: Counter[str] = Counter()
+        async with daemon(tmp_path, **TWO_INSTANCES) as harness:
+            statuses: Counter[str] = Counter()
             stop = asyncio.Event()
-            load = asyncio.create_task(ask_on(harness.fleet.address, found, stop))
+            load = asyncio.create_task(send_requests(harness.fleet.address, statuses, stop))
             await asyncio.sleep(0.3)
             pids = await kill_supervisor(harness)
             await asyncio.sleep(0.3)
             path = harness.rig.write(fleet={"instances": 2, "listen": [harness.fleet.address]})
             successor = await (await FleetProcess(path, harness.env).start()).ready()
             assert any("inherited" in line for line in successor.log)
-            await none_left(pids)  # they drain once it serves
+            await none_left(pids)  # the workers drain once the successor serves
             await asyncio.sleep(0.3)
             stop.set()
             await load
-            # None refused, none closed: whoever came was served by one or the other.
-            assert set(found) <= {"200", "503"} and found["200"] > 0.9 * found.total(), found
+            # No connection was refused or closed: old workers or the successor served each of them.
+            assert set(statuses) <= {"200", "503"} and statuses["200"] > 0.9 * statuses.total(), statuses
             assert handover.find(str(tmp_path / "c.sock")) == []
             assert await successor.stop() == 0
 
     run(test())
 
 
-def test_without_a_successor_they_end_by_themselves(tmp_path: Path) -> None:
+def test_workers_of_a_dead_supervisor_exit_without_a_successor(tmp_path: Path) -> None:
     async def test() -> None:
-        async with daemon(tmp_path, **TWO, drain={"orphan_s": 1.0}) as harness:
+        async with daemon(tmp_path, **TWO_INSTANCES, drain={"orphan_s": 1.0}) as harness:
             pids = await kill_supervisor(harness)
-            assert await ask_once(harness.fleet.address) == "200"
+            assert await request_status(harness.fleet.address) == "200"
             await none_left(pids)
             assert handover.find(str(tmp_path / "c.sock")) == []
-            assert (await ask_once(harness.fleet.address)).startswith("connect")
+            assert (await request_status(harness.fleet.address)).startswith("connect")
 
     run(test())
 
 
-def test_a_worker_stuck_in_its_start_ends_though_nobody_is_there(tmp_path: Path) -> None:
+def test_worker_that_hangs_while_starting_exits_after_the_supervisor_died(tmp_path: Path) -> None:
     async def test() -> None:
-        async with daemon(tmp_path, **TWO, start={"ready_s": 2.0}, drain={"orphan_s": 0.5}) as harness:
+        async with daemon(
+            tmp_path, **TWO_INSTANCES, start={"ready_s": 2.0}, drain={"orphan_s": 0.5}
+        ) as harness:
             harness.fault.write_text("hang")
             (victim, _) = await harness.pids_now()
             await harness.fleet.kill_worker(victim, harness.clients)
             status = await harness.fleet.until(
-                lambda s: any(one["state"] == "starting" and one["pid"] for one in s["instances"])
+                lambda s: any(
+                    instance["state"] == "starting" and instance["pid"] for instance in s["instances"]
+                )
+            )
+            hanging_pid = next(
+                instance["pid"] for instance in status["instances"] if instance["state"] == "starting"
             )
-            stuck = next(one["pid"] for one in status["instances"] if one["state"] == "starting")
             await kill_supervisor(harness)
-            assert alive(stuck)
-            async with asyncio.timeout(TEST_TIMEOUT_S / 2):  # its own alarm, after ready_s and a second
-                while alive(stuck):
+            assert alive(hanging_pid)
+            async with asyncio.timeout(TEST_TIMEOUT_S / 2):  # its alarm rings one second after ready_s
+                while alive(hanging_pid):
                     await asyncio.sleep(0.05)
             harness.fault.unlink()
 
     run(test())
 
 
-def test_sockets_are_offered_taken_and_their_queue_outlives_the_giver(tmp_path: Path) -> None:
+def test_handed_over_sockets_keep_their_accept_queue(tmp_path: Path) -> None:
     async def test() -> None:
         listener = socket.create_server(("127.0.0.1", 0), backlog=8)
-        taken = asyncio.Event()
-        control = str(tmp_path / "c")
-        offer = handover.Offer(control, [listener], taken.set)
-        waiting = socket.create_connection(listener.getsockname())
+        taken_over = asyncio.Event()
+        control_path = str(tmp_path / "c")
+        offer = handover.Offer(control_path, [listener], taken_over.set)
+        client = socket.create_connection(listener.getsockname())
         listener.close()
-        (path,) = handover.find(control)
+        (path,) = handover.find(control_path)
         assert os.stat(path).st_mode & 0o777 == 0o600
-        (mine,) = await asyncio.to_thread(handover.take, path)
-        assert not taken.is_set()
+        (inherited,) = await asyncio.to_thread(handover.take, path)
+        assert not taken_over.is_set()
         assert await asyncio.to_thread(handover.tell_serving, path)
-        await taken.wait()
+        await taken_over.wait()
         offer.close()
-        assert handover.find(control) == []
-        accepted, _ = mine.accept()  # the connection that came before is still there
-        for sock in (waiting, accepted, mine):
+        assert handover.find(control_path) == []
+        accepted, _ = inherited.accept()  # the connection made before the handover
+        for sock in (client, accepted, inherited):
             sock.close()
-        # What a killed orphan left behind is found empty, and removed.
+        # The socket file that a killed worker left behind is recognized as unused and removed.
         with socket.socket(socket.AF_UNIX) as dead:
-            dead.bind(f"{control}+1")
-        assert handover.take(f"{control}+1") == [] and handover.find(control) == []
-        assert not handover.tell_serving(f"{control}+1")
+            dead.bind(f"{control_path}+1")
+        assert handover.take(f"{control_path}+1") == [] and handover.find(control_path) == []
+        assert not handover.tell_serving(f"{control_path}+1")
 
     run(test())
 
 
-def test_nonsense_at_the_offer_is_hung_up_on(tmp_path: Path) -> None:
+def test_malformed_requests_at_the_handover_socket_are_disconnected(tmp_path: Path) -> None:
     async def test() -> None:
         offer = handover.Offer(str(tmp_path / "c"), [], lambda: None)
-        for said in (b"more\n", b"", b"x" * 1000):
+        for request in (b"more\n", b"", b"x" * 1000):
             reader, writer = await asyncio.open_unix_connection(offer.path)
-            writer.write(said)
+            writer.write(request)
             writer.write_eof()
             with contextlib.suppress(ConnectionError):
                 assert await reader.read() == b""
@@ -165,23 +171,27 @@
 
 
 @given(st.lists(st.integers(0, 5000), min_size=1, max_size=64))
-def test_somebody_always_accepts_at_once_and_nobody_over_its_share_does(counts: list[int]) -> None:
-    resting = [spread.exceeds_fair_share(held, counts) for held in counts]
-    assert not resting[counts.index(min(counts))]
+def test_worker_with_the_fewest_connections_accepts_at_once_and_one_over_its_share_yields(
+    counts: list[int],
+) -> None:
+    yields = [spread.exceeds_fair_share(own_count, counts) for own_count in counts]
+    assert not yields[counts.index(min(counts))]
     mean = sum(counts) / len(counts)
-    for held, rests in zip(counts, resting, strict=True):
-        assert not rests or held > mean
-        assert rests or len(counts) == 1 or held <= mean + max(1, 0.02 * mean)
+    for own_count, yielding in zip(counts, yields, strict=True):
+        assert not yielding or own_count > mean
+        assert yielding or len(counts) == 1 or own_count <= mean + max(1, 0.02 * mean)
 
 
-def test_the_page_is_shared_and_forgets_who_leaves() -> None:
+def test_spread_page_is_shared_and_a_cleared_counter_is_not_counted() -> None:
     fd = spread.create_page()
-    whole, one, other = (spread.ConnectionSpread(fd, number) for number in (0, 3, spread.MAX_WORKERS + 4))
-    one.publish(10)
-    other.publish(2)
-    assert sorted(whole.counts()) == [2, 10] and one.should_yield() and not other.should_yield()
-    whole.clear(3)
-    assert whole.counts() == [2] and one.yield_count == 1
+    supervisor, first, second = (
+        spread.ConnectionSpread(fd, number) for number in (0, 3, spread.MAX_WORKERS + 4)
+    )
+    first.publish(10)
+    second.publish(2)
+    assert sorted(supervisor.counts()) == [2, 10] and first.should_yield() and not second.should_yield()
+    supervisor.clear(3)
+    assert supervisor.counts() == [2] and first.yield_count == 1
     os.close(fd)
 
 
@@ -189,16 +199,18 @@
     async def test() -> None:
         async with daemon(tmp_path, fleet={"instances": 4}) as harness:
             host, _, port = harness.fleet.address.rpartition(":")
-            await harness.fleet.until(lambda s: all(one["state"] == "serving" for one in s["instances"]))
-            open_ones = []
+            await harness.fleet.until(
+                lambda s: all(instance["state"] == "serving" for instance in s["instances"])
+            )
+            connections = []
             for _ in range(120):
-                open_ones.append(await asyncio.open_connection(host, int(port)))
+                connections.append(await asyncio.open_connection(host, int(port)))
             status = await harness.fleet.until(
-                lambda s: sum(one["clients"] or 0 for one in s["instances"]) == 120
+                lambda s: sum(instance["clients"] or 0 for instance in s["instances"]) == 120
             )
-            counts = [one["clients"] for one in status["instances"]]
+            counts = [instance["clients"] for instance in status["instances"]]
             assert max(counts) <= 30 * 1.25, counts
-            for _, writer in open_ones:
+            for _, writer in connections:
                 writer.close()
 
     run(test())
