--- a/tests/fleet/test_members.py
+++ b/tests/fleet/test_members.py
@@ -1,4 +1,4 @@
-"""A fleet whose nodes come from a watched file, rewritten with good and bad versions while traffic runs."""
+"""Node lists of a real fleet, from a watched file or the registry: valid, malformed and risky versions."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from flintlatch.standin.process import FleetProcess
 from tests.fleet.support import Daemon, daemon, run
 
-FILES = {
+FILE_SOURCE = {
     "nodes": {
         "source": "files",
         "files": ["nodes.json"],
@@ -25,79 +25,81 @@
 }
 
 
-def content(
-    harness: Daemon, number: int, leaving: tuple[int, ...] = (), without: tuple[int, ...] = ()
+def document(
+    harness: Daemon, version: int, draining: tuple[int, ...] = (), removed: tuple[int, ...] = ()
 ) -> bytes:
-    rows = [
+    nodes = [
         {
             "uid": node.uid,
             "address": node.address,
-            "state": "draining" if place in leaving else "active",
-            "cell": place,
+            "state": "draining" if index in draining else "active",
+            "cell": index,
         }
-        for place, node in enumerate(harness.rig.nodes)
-        if place not in without
+        for index, node in enumerate(harness.rig.nodes)
+        if index not in removed
     ]
-    return json.dumps({"version": number, "count": len(rows), "nodes": rows}).encode()
+    return json.dumps({"version": version, "count": len(nodes), "nodes": nodes}).encode()
 
 
-def write(path: Path, data: bytes, random: Random) -> None:
+def write_file(path: Path, data: bytes, random: Random) -> None:
     if random.random() < 0.5:
-        fresh = path.with_name("fresh")
-        fresh.write_bytes(data)
-        fresh.rename(path)
+        temporary = path.with_name("fresh")
+        temporary.write_bytes(data)
+        temporary.rename(path)
     else:
         with open(path, "wb", buffering=0) as file:
-            for place in range(0, len(data), 100):
-                file.write(data[place : place + 100])
+            for offset in range(0, len(data), 100):
+                file.write(data[offset : offset + 100])
 
 
-async def to_files(harness: Daemon, path: Path) -> None:
-    """The fleet has begun with its registry, and takes the file from here on."""
-    path.write_bytes(content(harness, 1))
+async def switch_to_file_source(harness: Daemon, path: Path) -> None:
+    """Reload the fleet, which started with the registry, with a file as its node source."""
+    path.write_bytes(document(harness, 1))
     text = harness.rig.config.read_text()
-    keys = "\n".join(f"{k} = {json.dumps(v)}" for k, v in FILES["nodes"].items())
-    i, j = text.index("[nodes]"), text.index("[[class]]")
-    harness.rig.config.write_text(f"{text[:i]}[nodes]\n{keys}\n\n{text[j:]}")
+    keys = "\n".join(f"{k} = {json.dumps(v)}" for k, v in FILE_SOURCE["nodes"].items())
+    start, end = text.index("[nodes]"), text.index("[[class]]")
+    harness.rig.config.write_text(f"{text[:start]}[nodes]\n{keys}\n\n{text[end:]}")
     answer = await harness.fleet.ask("reload")
     assert answer["ok"], answer
 
 
-def test_good_and_bad_versions_while_traffic_runs(tmp_path: Path) -> None:
+def test_valid_versions_are_taken_and_malformed_ones_rejected_under_traffic(tmp_path: Path) -> None:
     seed = 11
     print("seed", seed)
 
     async def test() -> None:
         random, path = Random(seed), tmp_path / "nodes.json"
         async with daemon(tmp_path, 4, fleet={"instances": 2}) as harness:
-            await to_files(harness, path)
+            await switch_to_file_source(harness, path)
             traffic = asyncio.create_task(harness.clients.run(150, 5, {"answer": 0.8, "grade": 0.2}))
-            number, rejected = 1, 0
+            version, rejected = 1, 0
             while not traffic.done():
-                number += 1
-                drained = random.randrange(4)
-                good = content(harness, number, leaving=(drained,) if random.random() < 0.5 else ())
-                bad = random.choice(
-                    (good[:-7], good.replace(b'"count"', b'"amount"'), content(harness, 0), b"[]", b"\0")
+                version += 1
+                drained_index = random.randrange(4)
+                valid = document(harness, version, draining=(drained_index,) if random.random() < 0.5 else ())
+                malformed = random.choice(
+                    (valid[:-7], valid.replace(b'"count"', b'"amount"'), document(harness, 0), b"[]", b"\0")
                 )
-                place = len(harness.fleet.log)
-                write(path, bad, random)
-                await harness.fleet.said("rejected", place)
+                log_position = len(harness.fleet.log)
+                write_file(path, malformed, random)
+                await harness.fleet.said("rejected", log_position)
                 rejected += 1
-                write(path, good, random)
-                await harness.fleet.said(f"nodes.json: version {number} taken")
+                write_file(path, valid, random)
+                await harness.fleet.said(f"nodes.json: version {version} taken")
             await traffic
-            # Every worker comes to be on the one version that the fleet is on.
+            # Every worker reaches the fleet's current revision.
             await harness.fleet.until(
-                lambda s: {one["rev"] for one in s["instances"]} == {s["generations"][-1]["nodes"]["rev"]}
+                lambda s: (
+                    {instance["rev"] for instance in s["instances"]} == {s["generations"][-1]["nodes"]["rev"]}
+                )
             )
             status = await harness.fleet.status()
-            assert {one["behind"] for one in status["instances"]} == {0}
-            told = status["generations"][-1]["nodes"]
-            assert told["rejected"] >= rejected and "nodes.json: " in told["last_rejection"]
+            assert {instance["behind"] for instance in status["instances"]} == {0}
+            list_status = status["generations"][-1]["nodes"]
+            assert list_status["rejected"] >= rejected and "nodes.json: " in list_status["last_rejection"]
             nodes = await harness.fleet.ask("nodes")
             (source,) = nodes["sources"]
-            assert source["version"] == number and source["rejected"] >= rejected
+            assert source["version"] == version and source["rejected"] >= rejected
             states = {t["uid"]: t["state"] for t in nodes["list"]["targets"]}
             assert set(states) == {node.uid for node in harness.rig.nodes}
             harness.assert_rules_kept()
@@ -105,30 +107,30 @@
     run(test())
 
 
-def test_versions_told_while_workers_start_and_while_a_reload_runs_reach_all(tmp_path: Path) -> None:
+def test_versions_published_during_worker_starts_and_reloads_reach_every_worker(tmp_path: Path) -> None:
     async def test() -> None:
         random, path = Random(3), tmp_path / "nodes.json"
         async with daemon(tmp_path, 4, fleet={"instances": 2}) as harness:
-            await to_files(harness, path)
+            await switch_to_file_source(harness, path)
             traffic = asyncio.create_task(harness.clients.run(100, 6, {"answer": 1}))
-            number = 1
+            version = 1
             for _ in range(3):
                 reload = asyncio.create_task(harness.fleet.ask("reload"))
                 (victim, *_) = await harness.pids_now()
                 await harness.fleet.kill_worker(victim, harness.clients)
-                while not reload.done():  # as fast as they are taken, all through it
-                    number += 1
-                    write(path, content(harness, number, leaving=(number % 4,)), random)
-                    await harness.fleet.said(f"nodes.json: version {number} taken")
+                while not reload.done():  # one after the other for as long as the reload takes
+                    version += 1
+                    write_file(path, document(harness, version, draining=(version % 4,)), random)
+                    await harness.fleet.said(f"nodes.json: version {version} taken")
                 assert (await reload)["ok"]
             await traffic
-            number += 1
-            write(path, content(harness, number), random)
-            await harness.fleet.said(f"nodes.json: version {number} taken")
-            # Whichever of them started late has the one version that the fleet is on, whole.
+            version += 1
+            write_file(path, document(harness, version), random)
+            await harness.fleet.said(f"nodes.json: version {version} taken")
+            # Workers that started late have the fleet's current revision as well, with all nodes.
             await harness.fleet.until(
                 lambda s: (
-                    {(one["rev"], one["nodes"]) for one in s["instances"]}
+                    {(instance["rev"], instance["nodes"]) for instance in s["instances"]}
                     == {(s["generations"][-1]["nodes"]["rev"], 4)}
                 )
             )
@@ -137,8 +139,8 @@
     run(test())
 
 
-def test_a_registry_is_a_source_like_any_other(tmp_path: Path) -> None:
-    # Guards against a registry that begins anew with versions of before, and one that names nobody.
+def test_restarted_registry_cannot_empty_the_list(tmp_path: Path) -> None:
+    # A registry that is restarted counts its revisions from the beginning again and lists no node at first.
     async def test() -> None:
         async with daemon(tmp_path, 3, fleet={"instances": 2}) as harness:
             registry = harness.rig.registry
@@ -147,17 +149,17 @@
             registry.entries.clear()
             registry.down = True
             await harness.fleet.said("the list held stands")
-            registry.rev, registry.changes[:] = 1, []  # as one that was begun anew, and knows nobody yet
+            registry.rev, registry.changes[:] = 1, []  # restarted, with no node registered yet
             registry.down = False
             await harness.fleet.said("removes every node: refused")
-            registry.down = True  # not before it knows all of them does it answer again
+            registry.down = True  # unavailable until all nodes are registered again
             for node in harness.rig.nodes:
                 registry.add(node)
             registry.drain(harness.rig.nodes[0])
             registry.down = False
             await harness.fleet.until(
                 lambda s: (
-                    {(one["rev"], one["nodes"]) for one in s["instances"]}
+                    {(instance["rev"], instance["nodes"]) for instance in s["instances"]}
                     == {(s["generations"][-1]["nodes"]["rev"], 3)}
                 )
             )
@@ -172,28 +174,41 @@
     run(test())
 
 
-def test_one_that_takes_away_too_much_waits_for_the_command(tmp_path: Path) -> None:
+def test_version_that_removes_too_many_nodes_is_held_until_confirmed(tmp_path: Path) -> None:
     async def test() -> None:
         path = tmp_path / "nodes.json"
         async with daemon(tmp_path, 4, fleet={"instances": 1}) as harness:
-            await to_files(harness, path)
-            path.write_bytes(content(harness, 2, without=(0, 1, 2)))
+            await switch_to_file_source(harness, path)
+            path.write_bytes(document(harness, 2, removed=(0, 1, 2)))
             await harness.fleet.said("version 2 held for 60 s: it takes away 3 of 4 active nodes")
             assert len((await harness.fleet.ask("nodes"))["list"]["targets"]) == 4
 
             async def command(*arguments: str) -> tuple[int, str]:
-                line = [sys.executable, "-m", "flintlatch", "nodes", str(harness.rig.config), *arguments]
-                done = await asyncio.to_thread(subprocess.run, line, capture_output=True, text=True)
-                return done.returncode, done.stdout + done.stderr
-
-            code, told = await command()
-            assert code == 0 and "version 2 held for" in told
-            code, told = await command("--check", str(path))
-            assert code == 0 and "removes 3: s0, s1, s2" in told
-            bad = tmp_path / "bad.json"
-            bad.write_text('{"nodes": [{"uid": "a", "address": "10.0.0.1:0"}]}')
-            code, told = await command("--check", str(bad))
-            assert code == 1 and "node[0].address: found '10.0.0.1:0'" in told and "would be rejected" in told
+                command_line = [
+                    sys.executable,
+                    "-m",
+                    "flintlatch",
+                    "nodes",
+                    str(harness.rig.config),
+                    *arguments,
+                ]
+                completed = await asyncio.to_thread(
+                    subprocess.run, command_line, capture_output=True, text=True
+                )
+                return completed.returncode, completed.stdout + completed.stderr
+
+            code, output = await command()
+            assert code == 0 and "version 2 held for" in output
+            code, output = await command("--check", str(path))
+            assert code == 0 and "removes 3: s0, s1, s2" in output
+            invalid_file = tmp_path / "bad.json"
+            invalid_file.write_text('{"nodes": [{"uid": "a", "address": "10.0.0.1:0"}]}')
+            code, output = await command("--check", str(invalid_file))
+            assert (
+                code == 1
+                and "node[0].address: found '10.0.0.1:0'" in output
+                and "would be rejected" in output
+            )
             assert (await command("--confirm", "nodes.json", "3"))[0] == 1
             assert (await command("--confirm", "nodes.json", "2"))[0] == 0
             await harness.fleet.said("version 2 taken")
@@ -202,26 +217,26 @@
     run(test())
 
 
-def test_told_while_the_supervisor_is_dead_or_the_file_is_gone(tmp_path: Path) -> None:
+def test_saved_version_is_used_after_a_crash_when_the_file_is_missing(tmp_path: Path) -> None:
     async def test() -> None:
         path = tmp_path / "nodes.json"
         async with daemon(tmp_path, 3, fleet={"instances": 1}) as harness:
-            await to_files(harness, path)
-            path.write_bytes(content(harness, 2, leaving=(1,)))
+            await switch_to_file_source(harness, path)
+            path.write_bytes(document(harness, 2, draining=(1,)))
             await harness.fleet.said("version 2 taken")
-            while b'"version":2' not in (tmp_path / "kept.0").read_bytes():  # it is kept off the loop
+            while b'"version":2' not in (tmp_path / "kept.0").read_bytes():  # saved in a thread
                 await asyncio.sleep(0.01)
             await harness.pids_now()
             os.kill(harness.fleet.process.pid, signal.SIGKILL)
             await harness.fleet.process.wait()
             path.unlink()
-            # The next one has the last good version, with the drain in it, though the file is gone.
+            # The successor uses the last valid version, with the drain in it, although the file is missing.
             successor = await (await FleetProcess(harness.rig.config, harness.env).start()).ready()
             await successor.said("nodes.json: version 2 of before, until there is a newer one")
             listed = await successor.ask("nodes")
             assert [t["state"] for t in listed["list"]["targets"]] == ["active", "leaving", "active"]
             assert listed["sources"][0]["old"] and "not there" in listed["sources"][0]["failure"]
-            path.write_bytes(content(harness, 3))
+            path.write_bytes(document(harness, 3))
             await successor.said("version 3 taken")
             assert not (await successor.ask("nodes"))["sources"][0]["old"]
             assert await successor.stop() == 0
