--- a/tests/fleet/test_delivered.py
+++ b/tests/fleet/test_delivered.py
@@ -1,4 +1,5 @@
-"""A fleet whose nodes come by delivery: origin and relays as processes of their own, killed while it runs."""
+"""A fleet whose nodes come by delivery, with the origin and the relays as separate processes that are
+killed."""
 
 from __future__ import annotations
 
@@ -40,26 +41,28 @@
 
 SERVICE = "service/answers"
 RULES = read_rules(Reader("quick", "rules", QUICK, []))
-LOADED_S = 4.0  # that a machine with more to do than cores may add to a bound
+LOAD_MARGIN_S = 4.0  # added to time bounds, for a machine with more runnable processes than cores
 ROOT = Path(__file__).parent.parent.parent
 
 
-def text_of(relays: list[str], rules: Mapping[str, Any], registry: str = "127.0.0.1:1", **tables: Any) -> str:
-    """A fleet's configuration; relays `rK` at these addresses."""
+def configuration_text(
+    relays: list[str], rules: Mapping[str, Any], registry: str = "127.0.0.1:1", **tables: Any
+) -> str:
+    """The configuration of a fleet with the relays r0, r1, ... at the given addresses."""
     nodes: dict[str, Any] = {"source": "delivery", "service": SERVICE} | tables.pop("nodes", {})
     tables = {"delivery": {"key_file": "key"}, "delivery.rules": rules, "nodes": nodes, **tables}
-    rows = [{"name": f"r{n}", "address": address} for n, address in enumerate(relays)]
-    return configuration(registry, {"delivery.relays": rows}, **tables)
+    relay_rows = [{"name": f"r{n}", "address": address} for n, address in enumerate(relays)]
+    return configuration(registry, {"delivery.relays": relay_rows}, **tables)
 
 
-class Plain(Child):
-    """With the interpreter's own compiled modules: one folder of them for each test takes seconds to fill."""
+class ChildWithBytecode(Child):
+    """A child process that uses the shared bytecode cache: filling one per test takes seconds."""
 
     def _env(self) -> dict[str, str]:
         return dict(os.environ) | {"PYTHONPATH": str(ROOT)}
 
 
-class Delivering(Daemon):
+class DeliveryDaemon(Daemon):
     """A fleet with its origin, two relays and stand-in nodes."""
 
     def __init__(self, folder: Path, rig: Rig) -> None:
@@ -69,77 +72,83 @@
         self.rows: dict[str, dict[str, Any]] = {}
 
     async def start(self, command: str, name: str, **keys: Any) -> str:
-        """The address of an origin or a relay that has been started."""
+        """Start an origin or a relay, and return its address."""
         path = self.folder / f"{name}.toml"
         keys |= {"name": name, "key_file": "key.theirs", "bind": "127.0.0.1:0"}
         lines = ["[delivery]", *(f"{key} = {toml(value)}" for key, value in keys.items())]
         lines += ["[delivery.rules]", *(f"{key} = {toml(value)}" for key, value in QUICK.items())]
         path.write_text("\n".join(lines) + "\n")
-        child = self.children[name] = await Plain(command, path).start()
+        child = self.children[name] = await ChildWithBytecode(command, path).start()
         return child.log[await child.said("listens on ") - 1].split()[-1]
 
-    def row(self, place: int, **more: Any) -> None:
-        node = self.rig.nodes[place]
-        self.rows[node.uid] = {"address": node.address, "cell": place} | more
+    def set_row(self, index: int, **fields: Any) -> None:
+        node = self.rig.nodes[index]
+        self.rows[node.uid] = {"address": node.address, "cell": index} | fields
 
     async def commit(self) -> int:
-        """Put the rows in place as the origin's file; its revision, once the origin has committed it."""
-        origin, fresh = self.children["origin"], self.folder / "objects.new"
-        start = len(origin.log)
-        fresh.write_text(json.dumps({SERVICE: self.rows}))
-        fresh.rename(self.folder / "objects.json")
-        line = origin.log[await origin.said("revision ", start) - 1]
+        """Write the rows as the origin's file, and return the revision once the origin has committed it."""
+        origin, temporary = self.children["origin"], self.folder / "objects.new"
+        log_position = len(origin.log)
+        temporary.write_text(json.dumps({SERVICE: self.rows}))
+        temporary.rename(self.folder / "objects.json")
+        line = origin.log[await origin.said("revision ", log_position) - 1]
         return int(line.partition("revision ")[2].partition(":")[0])
 
-    async def taken(self, revision: int, within_s: float) -> None:
-        """The fleet and every instance have it. Counted from here."""
-        async with asyncio.timeout(within_s):
+    async def wait_until_taken(self, revision: int, timeout_s: float) -> None:
+        """Wait until the fleet and every instance use the revision, at most `timeout_s` from now."""
+        async with asyncio.timeout(timeout_s):
             await self.fleet.said(f"{SERVICE}: version {revision} taken")
             await self.fleet.until(
-                lambda s: {one["rev"] for one in s["instances"]} == {s["generations"][-1]["nodes"]["rev"]}
+                lambda s: (
+                    {instance["rev"] for instance in s["instances"]} == {s["generations"][-1]["nodes"]["rev"]}
+                )
             )
 
     async def source(self) -> dict[str, Any]:
         (source,) = (await self.fleet.ask("nodes"))["sources"]
         return dict(source)
 
-    async def states(self) -> dict[str, str]:
-        listed = (await self.fleet.ask("nodes"))["list"]["targets"]
-        return {target["uid"]: target["state"] for target in listed}
+    async def node_states(self) -> dict[str, str]:
+        targets = (await self.fleet.ask("nodes"))["list"]["targets"]
+        return {target["uid"]: target["state"] for target in targets}
 
-    async def until_source(self, good: Callable[[dict[str, Any]], bool]) -> dict[str, Any]:
-        async with asyncio.timeout(RULES.detect_s() + 2 * RULES.stale_s + 4 * LOADED_S):
-            while not good(source := await self.source()):
+    async def wait_for_source(self, condition: Callable[[dict[str, Any]], bool]) -> dict[str, Any]:
+        async with asyncio.timeout(RULES.detect_s() + 2 * RULES.stale_s + 4 * LOAD_MARGIN_S):
+            while not condition(source := await self.source()):
                 await asyncio.sleep(0.02)
             return source
 
     async def command(self, *arguments: str) -> str:
-        """What `flintlatch ...` prints."""
-        out = io.StringIO()
-        with redirect_stdout(out):
+        """Run `flintlatch` with the arguments, and return its output."""
+        output = io.StringIO()
+        with redirect_stdout(output):
             assert await asyncio.to_thread(main, list(arguments)) == 0, self.fleet.log
-        return out.getvalue()
+        return output.getvalue()
 
-    def said(self, words: str) -> int:
-        return sum(words in line for line in self.fleet.log)
+    def count_logged(self, text: str) -> int:
+        return sum(text in line for line in self.fleet.log)
 
 
 @asynccontextmanager
-async def delivering(folder: Path, count: int, instances: int, **nodes: Any) -> AsyncIterator[Delivering]:
+async def delivery_daemon(
+    folder: Path, count: int, instances: int, **nodes: Any
+) -> AsyncIterator[DeliveryDaemon]:
     rig = await Rig(folder, 1).open(count, Shape())
-    harness = Delivering(folder, rig)
+    harness = DeliveryDaemon(folder, rig)
     (folder / "key").write_text(KEY)
     (folder / "key.theirs").write_text(KEY)
-    for place in range(count):
-        harness.row(place)
+    for index in range(count):
+        harness.set_row(index)
     (folder / "objects.json").write_text(json.dumps({SERVICE: harness.rows}))
     try:
         origin = await harness.start("origin", "origin", source="objects.json")
-        both = (harness.start("relay", f"r{n}", origin=origin) for n in range(2))
-        relays = list(await asyncio.gather(*both))
+        relay_starts = (harness.start("relay", f"r{n}", origin=origin) for n in range(2))
+        relays = list(await asyncio.gather(*relay_starts))
         fleet = {"instances": instances}
         nodes = {"connect_timeout_ms": 1000, **nodes}
-        rig.config.write_text(text_of(relays, QUICK, fleet=fleet, drain={"idle_s": 0.1}, nodes=nodes))
+        rig.config.write_text(
+            configuration_text(relays, QUICK, fleet=fleet, drain={"idle_s": 0.1}, nodes=nodes)
+        )
         harness.fleet = FleetProcess(rig.config, harness.env)
         await (await harness.fleet.start()).ready()
         harness.clients = Clients(harness.fleet.address, CLASSES, rig.ledger, 1)
@@ -163,9 +172,9 @@
         rig.close()
 
 
-def test_drains_relays_killed_and_a_wrong_key_while_traffic_runs(tmp_path: Path) -> None:
+def test_drains_relay_failures_and_a_wrong_key_under_traffic(tmp_path: Path) -> None:
     async def test() -> None:
-        async with delivering(tmp_path, 4, 2) as harness:
+        async with delivery_daemon(tmp_path, 4, 2) as harness:
             ledger = harness.rig.ledger
             first = await harness.source()
             assert (first["source"], first["nodes"], first["old"], first["failure"]) == (
@@ -175,126 +184,146 @@
                 "",
             )
             assert first["delivery"]["relay"] in ("r0", "r1") and first["delivery"]["complaint"] == ""
-            told = await harness.command("nodes", str(harness.rig.config))
-            assert f"{SERVICE}: version {first['version']}, 4 nodes, 0 rejected" in told
-            line = (
+            output = await harness.command("nodes", str(harness.rig.config))
+            assert f"{SERVICE}: version {first['version']}, 4 nodes, 0 rejected" in output
+            expected_line = (
                 rf"revision {first['version']}, at most [0-9.]+ s old, relay {first['delivery']['relay']}\n"
             )
-            assert re.search(line, told), told
+            assert re.search(expected_line, output), output
             traffic = asyncio.create_task(harness.clients.run(100, 60, {"answer": 0.8, "grade": 0.2}))
 
-            # A drain in the origin's file: nothing new at that node past the bound and its grace.
-            harness.row(0, state="draining")
+            # A drain in the origin's file: no new request may reach that node after the stated bound.
+            harness.set_row(0, state="draining")
             bound_s = LOOK_S + RULES.staleness_s(0, 0.0)
             ledger.told_draining["s0"] = now_ms() + 1000 * bound_s
-            await harness.taken(await harness.commit(), bound_s + LOADED_S)
-            assert await harness.states() == {"s0": "leaving", "s1": "active", "s2": "active", "s3": "active"}
-
-            # The relay that it follows at is killed: requests go on, and the next change comes in its bound.
-            lost = (await harness.source())["delivery"]["relay"]
-            answered = harness.clients.statuses[200]
-            await harness.children[lost].end()
-            harness.row(1, state="draining")
-            began, revision = clock(), await harness.commit()
-            await harness.taken(revision, LOOK_S + RULES.staleness_s(1, 0.0) + LOADED_S)
-            print(f"a change with its relay killed came after {clock() - began:.2f} s")
+            await harness.wait_until_taken(await harness.commit(), bound_s + LOAD_MARGIN_S)
+            assert await harness.node_states() == {
+                "s0": "leaving",
+                "s1": "active",
+                "s2": "active",
+                "s3": "active",
+            }
+
+            # The relay that the fleet follows is killed: requests are served, and the next change arrives
+            # within the bound.
+            stopped_relay = (await harness.source())["delivery"]["relay"]
+            answered_before = harness.clients.statuses[200]
+            await harness.children[stopped_relay].end()
+            harness.set_row(1, state="draining")
+            started, revision = clock(), await harness.commit()
+            await harness.wait_until_taken(revision, LOOK_S + RULES.staleness_s(1, 0.0) + LOAD_MARGIN_S)
+            print(f"a change with its relay killed came after {clock() - started:.2f} s")
             ledger.told_draining["s1"] = now_ms()
             source = await harness.source()
-            assert source["version"] == revision and source["delivery"]["relay"] not in ("", lost)
-            assert harness.clients.statuses[200] > answered
-            assert not harness.said("no relay with news")
+            assert source["version"] == revision and source["delivery"]["relay"] not in ("", stopped_relay)
+            assert harness.clients.statuses[200] > answered_before
+            assert not harness.count_logged("no relay with news")
 
-            # Another key: the relay refuses it and tells, and what was taken stands over the reload.
-            left = source["delivery"]["relay"]
+            # Another key: the relay refuses and logs it, and the last accepted version stays over the reload.
+            remaining_relay = source["delivery"]["relay"]
             (tmp_path / "key").write_text("5d" * 32)
             assert (await harness.fleet.ask("reload"))["ok"]
-            await harness.children[left].said("no key of ours sealed")
+            await harness.children[remaining_relay].said("no key of ours sealed")
             await harness.rig.add(Shape())
-            harness.row(4)
-            missed = await harness.commit()
+            harness.set_row(4)
+            later_revision = await harness.commit()
             await harness.fleet.said("no relay with news")
-            assert harness.said("nothing is held by this client; a list taken before stands") == 1
+            assert harness.count_logged("nothing is held by this client; a list taken before stands") == 1
             source = await harness.source()
-            assert source["old"] and source["version"] == revision and "s4" not in await harness.states()
+            assert source["old"] and source["version"] == revision and "s4" not in await harness.node_states()
             assert f"{SERVICE}: no relay with news for" in source["delivery"]["complaint"]
             status = await harness.fleet.status()
-            known = status["generations"][-1]["nodes"]
-            assert "no relay with news" in known["failure"] and known["age_s"] >= 2 * RULES.stale_s
+            list_status = status["generations"][-1]["nodes"]
+            assert (
+                "no relay with news" in list_status["failure"] and list_status["age_s"] >= 2 * RULES.stale_s
+            )
             (tmp_path / "key").write_text(KEY)
             assert (await harness.fleet.ask("reload"))["ok"]
-            await harness.taken(missed, RULES.connect_s + RULES.staleness_s(0, 0.0) + LOADED_S)
-            assert (await harness.states())["s4"] == "active" and not (await harness.source())["old"]
-
-            # No relay at all: serves on, says so once, and keeps what it has over a reload.
-            place = len(harness.fleet.log)
-            await harness.children[left].end()
-            place = await harness.fleet.said("no relay with news", place)
-            assert f"serving on with revision {missed}" in harness.fleet.log[place - 1]
+            await harness.wait_until_taken(
+                later_revision, RULES.connect_s + RULES.staleness_s(0, 0.0) + LOAD_MARGIN_S
+            )
+            assert (await harness.node_states())["s4"] == "active" and not (await harness.source())["old"]
+
+            # No relay left: the fleet serves on, logs that once, and keeps its list over a reload.
+            log_position = len(harness.fleet.log)
+            await harness.children[remaining_relay].end()
+            log_position = await harness.fleet.said("no relay with news", log_position)
+            assert f"serving on with revision {later_revision}" in harness.fleet.log[log_position - 1]
             harness.fleet.signal(signal.SIGHUP)
             await harness.fleet.until(lambda s: s["summary"].startswith("generation 4: 2 of 2"))
-            answered = harness.clients.statuses[200]
-            assert (await harness.states())["s4"] == "active" and (await harness.source())[
+            answered_before = harness.clients.statuses[200]
+            assert (await harness.node_states())["s4"] == "active" and (await harness.source())[
                 "version"
-            ] == missed
+            ] == later_revision
             assert f"relay none; {SERVICE}: no relay with news for" in await harness.command(
                 "nodes", str(harness.rig.config)
             )
             await harness.clients.run(100, 0.5, {"answer": 1})
-            assert harness.clients.statuses[200] > answered
-            assert sum("no relay with news" in line for line in harness.fleet.log[place:]) == 0
+            assert harness.clients.statuses[200] > answered_before
+            assert (
+                sum(
+                    "no relay with news" in expected_line
+                    for expected_line in harness.fleet.log[log_position:]
+                )
+                == 0
+            )
             traffic.cancel()
 
     run(test())
 
 
-def test_bad_rows_and_too_much_at_once_wait_and_a_restart_without_relays_serves_what_was_kept(
+def test_invalid_and_risky_versions_are_stopped_and_the_saved_one_serves_without_relays(
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
-        async with delivering(tmp_path, 4, 1, keep="kept", hold_s=60.0) as harness:
-            good = harness.rows["s1"]
-            harness.row(1, weight=-1)
-            harness.row(0, state="draining")
+        async with delivery_daemon(tmp_path, 4, 1, keep="kept", hold_s=60.0) as harness:
+            valid_row = harness.rows["s1"]
+            harness.set_row(1, weight=-1)
+            harness.set_row(0, state="draining")
             await harness.commit()
             await harness.fleet.said("rejected: item['s1'].weight: found -1, expected a number from 0.01")
-            assert set((await harness.states()).values()) == {"active"}
-            harness.rows["s1"] = good
+            assert set((await harness.node_states()).values()) == {"active"}
+            harness.rows["s1"] = valid_row
             revision = await harness.commit()
-            await harness.taken(revision, LOOK_S + RULES.staleness_s(0, 0.0) + LOADED_S)
-            assert (await harness.states())["s0"] == "leaving"
-            told = (await harness.fleet.status())["generations"][-1]["nodes"]
-            assert told["rejected"] == 1 and "item['s1'].weight" in told["last_rejection"]
+            await harness.wait_until_taken(revision, LOOK_S + RULES.staleness_s(0, 0.0) + LOAD_MARGIN_S)
+            assert (await harness.node_states())["s0"] == "leaving"
+            list_status = (await harness.fleet.status())["generations"][-1]["nodes"]
+            assert list_status["rejected"] == 1 and "item['s1'].weight" in list_status["last_rejection"]
 
-            # Half of the items, so that the origin lets it pass, and two of three active nodes.
+            # This removes half of the items, which the origin allows, and two of three active nodes.
             harness.rows = {"s0": harness.rows["s0"], "s3": harness.rows["s3"]}
-            held = await harness.commit()
-            await harness.fleet.said(f"version {held} held for 60 s: it takes away 2 of 3 active nodes")
-            assert (await harness.source())["held"] == held and len(await harness.states()) == 4
-            # A reload does not let through what is held.
+            held_revision = await harness.commit()
+            await harness.fleet.said(
+                f"version {held_revision} held for 60 s: it takes away 2 of 3 active nodes"
+            )
+            assert (await harness.source())["held"] == held_revision and len(await harness.node_states()) == 4
+            # A reload does not apply a version that is on hold.
             assert (await harness.fleet.ask("reload"))["ok"]
-            await harness.until_source(lambda source: source["held"] == held)
+            await harness.wait_for_source(lambda source: source["held"] == held_revision)
             assert (await harness.source())["version"] == revision
-            await harness.command("nodes", str(harness.rig.config), "--confirm", SERVICE, str(held))
-            await harness.fleet.said(f"version {held} taken")
-            async with asyncio.timeout(LOADED_S):
-                while f'"version":{held},'.encode() not in (tmp_path / "kept.0").read_bytes():
-                    await asyncio.sleep(0.01)  # it is kept off the loop
+            await harness.command("nodes", str(harness.rig.config), "--confirm", SERVICE, str(held_revision))
+            await harness.fleet.said(f"version {held_revision} taken")
+            async with asyncio.timeout(LOAD_MARGIN_S):
+                while f'"version":{held_revision},'.encode() not in (tmp_path / "kept.0").read_bytes():
+                    await asyncio.sleep(0.01)  # saved in a thread
 
-            # The object is gone: told, and nothing of it is taken away.
+            # The object is deleted at the origin: that is logged, and no node is removed.
             (tmp_path / "objects.new").write_text('{"other": {"a": 1}, "$confirm": true}')
             (tmp_path / "objects.new").rename(tmp_path / "objects.json")
             await harness.fleet.said("the origin has no such object; the list held stands")
             assert (await harness.source())["failure"] == "the origin has no such object"
 
-            # No relay, no supervisor of before: the kept one serves.
+            # After a restart without any relay the saved version is used.
             await asyncio.gather(*(harness.children[name].end() for name in ("r0", "r1")))
             await harness.pids_now()
             assert await harness.fleet.stop() == 0
             harness.clients.close()
             harness.fleet = await (await FleetProcess(harness.rig.config, harness.env).start()).ready()
             harness.clients = Clients(harness.fleet.address, CLASSES, harness.rig.ledger, 2)
-            await harness.fleet.said(f"{SERVICE}: version {held} of before, until there is a newer one")
-            assert await harness.states() == {"s0": "leaving", "s3": "active"}
+            await harness.fleet.said(
+                f"{SERVICE}: version {held_revision} of before, until there is a newer one"
+            )
+            assert await harness.node_states() == {"s0": "leaving", "s3": "active"}
             assert (await harness.source())["old"]
             await harness.clients.run(50, 0.3, {"answer": 1})
             assert harness.clients.statuses[200] > 0
@@ -302,135 +331,138 @@
     run(test())
 
 
-class Inside:
-    """A relay and the part of a supervisor that follows, in this process; `news` is what workers are told."""
+class InProcessFeed:
+    """A relay and the feeds of a supervisor in this process; `listings` are those sent to workers."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         (folder / "key").write_text(KEY)
         self.log: list[str] = []
-        self.news: list[Listing] = []
+        self.listings: list[Listing] = []
         self.server = Server(Place("r0"), "127.0.0.1:0", RULES, (bytes.fromhex(KEY),), self.log.append)
-        self.supply = DeliveryFeeds(lambda level, text: self.log.append(f"{level}: {text}"))
-        self.drawn: list[NodeList] = []
+        self.delivery_feeds = DeliveryFeeds(lambda level, text: self.log.append(f"{level}: {text}"))
+        self.node_lists: list[NodeList] = []
 
     async def open(self, count: int) -> NodeList:
         await self.server.open()
         self.commit({f"s{n}": {"address": f"10.0.{n >> 8}.{n & 255}:80", "zone": "a"} for n in range(count)})
-        return await self.draw()
+        return await self.open_nodes()
 
     def commit(
         self, rows: dict[str, Any], removed: tuple[str, ...] = (), name: str = SERVICE, gone: bool = False
     ) -> None:
         items = {uid: json.dumps(row).encode() for uid, row in rows.items()}
-        names = self.server.store.commit([ObjectChange(name, items, removed, gone)])
-        self.server.committed(tuple(names))
+        changed_names = self.server.store.commit([ObjectChange(name, items, removed, gone)])
+        self.server.committed(tuple(changed_names))
 
-    async def draw(
-        self, within_s: float = RULES.staleness_s(0, 0.0) + LOADED_S, service: str = SERVICE
+    async def open_nodes(
+        self, timeout_s: float = RULES.staleness_s(0, 0.0) + LOAD_MARGIN_S, service: str = SERVICE
     ) -> NodeList:
-        """As a reload does. Raises TimeoutError."""
+        """Open a node list as a reload does. Raises TimeoutError."""
         path = str(self.folder / "fleet.toml")
-        config = parse(text_of([self.server.address], QUICK, nodes={"service": service}), path)
-        nodes = NodeList(config, lambda _, news: self.news.append(news), lambda *line: None, self.supply)
-        self.drawn.append(nodes)
-        async with asyncio.timeout(within_s):
-            await nodes.wait_for_first()
-        return nodes
-
-    async def until(self, good: Callable[[], bool]) -> None:
-        async with asyncio.timeout(RULES.detect_s() + 2 * RULES.stale_s + LOADED_S):
-            while not good():
+        config = parse(configuration_text([self.server.address], QUICK, nodes={"service": service}), path)
+        node_list = NodeList(
+            config, lambda _, listing: self.listings.append(listing), lambda *line: None, self.delivery_feeds
+        )
+        self.node_lists.append(node_list)
+        async with asyncio.timeout(timeout_s):
+            await node_list.wait_for_first()
+        return node_list
+
+    async def until(self, condition: Callable[[], bool]) -> None:
+        async with asyncio.timeout(RULES.detect_s() + 2 * RULES.stale_s + LOAD_MARGIN_S):
+            while not condition():
                 await asyncio.sleep(0.01)
 
     def close(self) -> None:
-        for nodes in self.drawn:
-            nodes.close()
-        self.supply.close()
+        for node_list in self.node_lists:
+            node_list.close()
+        self.delivery_feeds.close()
         self.server.close()
 
 
-def test_one_backend_that_changes_reaches_the_module_as_a_change_of_one(tmp_path: Path) -> None:
+def test_change_of_one_backend_reaches_the_decision_module_as_a_delta(tmp_path: Path) -> None:
     async def test() -> None:
-        harness = Inside(tmp_path)
-        nodes = await harness.open(2000)
-        config = parse(text_of(["127.0.0.1:1"], {}), "f.toml")
+        harness = InProcessFeed(tmp_path)
+        node_list = await harness.open(2000)
+        config = parse(configuration_text(["127.0.0.1:1"], {}), "f.toml")
         engine = Engine(config.settings(0), config.wire(), 1, 100)
-        whole = encode_listing(nodes.snapshot())
-        engine.on_list(read_listing(whole, config.wire()))
+        snapshot = encode_listing(node_list.snapshot())
+        engine.on_list(read_listing(snapshot, config.wire()))
         engine.news.clear()
         harness.commit({"s7": {"address": "10.0.0.7:80", "zone": "a", "state": "draining"}})
-        await harness.until(lambda: bool(harness.news))
-        (news,) = harness.news
-        message = json.dumps(encode_listing(news))  # what each worker is sent
-        assert len(message) < 300 < len(json.dumps(whole)) / 500
+        await harness.until(lambda: bool(harness.listings))
+        (delta,) = harness.listings
+        message = json.dumps(encode_listing(delta))  # as sent to each worker
+        assert len(message) < 300 < len(json.dumps(snapshot)) / 500
         engine.on_list(read_listing(json.loads(message), config.wire()))
-        (told,) = engine.news
-        assert told.kind is ListKind.CHANGES and [entry.server for entry in told.entries] == ["s7"]
+        (change,) = engine.news
+        assert change.kind is ListKind.CHANGES and [entry.server for entry in change.entries] == ["s7"]
         assert len(engine.backends.backends) == 2000
         harness.commit({}, ("s9",))
-        await harness.until(lambda: len(harness.news) == 2)
-        assert [(t.uid, t.info.state.name) for t in harness.news[1].targets] == [("s9", "GONE")]
+        await harness.until(lambda: len(harness.listings) == 2)
+        assert [(t.uid, t.info.state.name) for t in harness.listings[1].targets] == [("s9", "GONE")]
         engine.close()
         harness.close()
 
     run(test())
 
 
-def test_reloads_share_a_client_and_a_key_file_gone_bad_leaves_the_keys_of_before(tmp_path: Path) -> None:
+def test_reloads_share_a_client_and_an_invalid_key_file_keeps_the_previous_keys(tmp_path: Path) -> None:
     async def test() -> None:
-        harness = Inside(tmp_path)
+        harness = InProcessFeed(tmp_path)
         first = await harness.open(3)
-        (feed,) = harness.supply.feeds
-        second = await harness.draw()
+        (feed,) = harness.delivery_feeds.feeds
+        second = await harness.open_nodes()
         (tmp_path / "key").write_text("no key")
-        third = await harness.draw()
-        assert harness.supply.feeds == [feed] and len(harness.server.relay.sessions) == 1
+        third = await harness.open_nodes()
+        assert harness.delivery_feeds.feeds == [feed] and len(harness.server.relay.sessions) == 1
         assert any("going on with the keys of before" in line for line in harness.log)
         harness.commit({"s3": {"address": "10.0.0.3:80"}})
-        await harness.until(lambda: all(len(nodes.targets) == 4 for nodes in (first, second, third)))
+        await harness.until(lambda: all(len(node_list.targets) == 4 for node_list in (first, second, third)))
         first.close()
         second.close()
         harness.commit({"s4": {"address": "10.0.0.4:80"}})
         await harness.until(lambda: len(third.targets) == 5)
         assert len(first.targets) == len(second.targets) == 4
-        # A new key that the relay has not: what was taken stands, and the old client goes with its last user.
+        # A key that the relay does not have: the accepted version stays in use, and the previous client is
+        # closed with its last subscription.
         (tmp_path / "key").write_text("5d" * 32)
-        fourth = await harness.draw()
+        fourth = await harness.open_nodes()
         assert fourth.failure == f"{SERVICE}: no relay has answered yet"
-        assert len(fourth.targets) == 5 and len(harness.supply.feeds) == 2
+        assert len(fourth.targets) == 5 and len(harness.delivery_feeds.feeds) == 2
         third.close()
-        assert feed not in harness.supply.feeds
+        assert feed not in harness.delivery_feeds.feeds
         (tmp_path / "key").write_text(KEY)
-        fifth = await harness.draw()
+        fifth = await harness.open_nodes()
         fourth.close()
         await harness.until(lambda: fifth.failure == "")
         harness.commit({"s5": {"address": "10.0.0.5:80"}})
         await harness.until(lambda: len(fifth.targets) == 6)
         fifth.close()
-        assert harness.supply.feeds == []
+        assert harness.delivery_feeds.feeds == []
         await harness.until(lambda: not harness.server.relay.sessions)
-        harness.drawn.clear()
+        harness.node_lists.clear()
         harness.close()
 
     run(test())
 
 
-def test_a_reload_that_names_another_object_follows_it_and_leaves_the_one_before(tmp_path: Path) -> None:
+def test_reload_with_another_object_follows_it_and_unfollows_the_previous_one(tmp_path: Path) -> None:
     async def test() -> None:
-        harness = Inside(tmp_path)
+        harness = InProcessFeed(tmp_path)
         first = await harness.open(2)
         harness.commit({"t0": {"address": "10.0.1.0:80"}}, name="service/other")
-        second = await harness.draw(service="service/other")
+        second = await harness.open_nodes(service="service/other")
         assert (set(first.targets), set(second.targets)) == ({"s0", "s1"}, {"t0"})
-        (feed,) = harness.supply.feeds
+        (feed,) = harness.delivery_feeds.feeds
         assert set(feed.client.subscriber.names) == {SERVICE, "service/other"}
         first.close()
         assert set(feed.client.subscriber.names) == {"service/other"}
-        # Gone and back again: what was taken stands meanwhile.
+        # The object is deleted and created again: the accepted version stays in use meanwhile.
         harness.commit({}, name="service/other", gone=True)
         await harness.until(lambda: second.failure == "the origin has no such object")
-        third = await harness.draw(service="service/other")
+        third = await harness.open_nodes(service="service/other")
         await harness.until(lambda: third.failure == "the origin has no such object")
         assert set(second.targets) == set(third.targets) == {"t0"}
         harness.commit(
@@ -438,43 +470,44 @@
         )
         await harness.until(lambda: set(second.targets) == set(third.targets) == {"t0", "t1"})
         assert second.failure == third.failure == ""
-        # One that the origin has not gives no list, and says why.
+        # An object that the origin does not have gives no list, and the failure says why.
         with pytest.raises(TimeoutError):
-            await harness.draw(RULES.staleness_s(0, 0.0), service="service/none")
-        await harness.until(lambda: harness.drawn[-1].failure == "the origin has no such object")
+            await harness.open_nodes(RULES.staleness_s(0, 0.0), service="service/none")
+        await harness.until(lambda: harness.node_lists[-1].failure == "the origin has no such object")
         harness.close()
 
     run(test())
 
 
-def test_without_a_key_nothing_is_followed_and_it_is_told_at_once(tmp_path: Path) -> None:
+def test_invalid_key_file_at_the_start_is_logged_and_nothing_is_followed(tmp_path: Path) -> None:
     async def test() -> None:
-        harness = Inside(tmp_path)
+        harness = InProcessFeed(tmp_path)
         await harness.server.open()
         (tmp_path / "key").write_text("no key")
         with pytest.raises(TimeoutError):
-            await harness.draw(0.1)
-        (nodes,) = harness.drawn
+            await harness.open_nodes(0.1)
+        (node_list,) = harness.node_lists
         expected = f"{tmp_path / 'key'}: line 1: expected 64 hexadecimal digits"
         assert harness.log == [f"error: delivery: {expected}; nothing is followed until a reload"]
+        # The message never quotes the content of the file, which may be a key.
+        assert node_list.failure == expected and harness.delivery_feeds.feeds == []
         assert (
-            nodes.failure == expected and harness.supply.feeds == []
-        )  # never what stands there: it may be a key
-        assert (
-            nodes.node_sources is not None
-            and nodes.node_sources.report()[0]["delivery"]["complaint"] == expected
+            node_list.node_sources is not None
+            and node_list.node_sources.report()[0]["delivery"]["complaint"] == expected
         )
         harness.close()
 
     run(test())
 
 
-def test_a_fleet_without_the_table_loads_nothing_of_delivery() -> None:
+def test_fleet_without_delivery_does_not_import_it() -> None:
     code = (
         "import sys, flintlatch.cli, flintlatch.fleet.supervisor, flintlatch.fleet.worker\n"
         "from flintlatch.config import load\n"
         f"load({str(ROOT / 'deploy' / 'fleet.toml')!r})\n"
         "print([n for n in sys.modules if 'deliver' in n or n in ('msgspec', 'cryptography')])"
     )
-    done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=30)
-    assert done.stdout == "[]\n", done.stdout + done.stderr
+    completed = subprocess.run(
+        [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=30
+    )
+    assert completed.stdout == "[]\n", completed.stdout + completed.stderr
