--- a/tests/fleet/test_delivered.py
+++ b/tests/fleet/test_delivered.py
@@ -262,8 +262,8 @@
             assert harness.clients.statuses[200] > answered_before
             assert (
                 sum(
-                    "no relay with news" in expected_line
-                    for expected_line in harness.fleet.log[log_position:]
+                    "no relay with news" in line
+                    for line in harness.fleet.log[log_position:]
                 )
                 == 0
             )
--- a/tests/fleet/test_peers.py
+++ b/tests/fleet/test_peers.py
@@ -1,4 +1,5 @@
-"""Several real fleets with relays between them: what they know of each other while links fail."""
+"""Membership of several real fleets that are connected by relays, which delay, drop, copy and cut their
+traffic."""
 
 from __future__ import annotations
 
@@ -29,19 +30,19 @@
 
 
 async def proxies(cluster: Fleets, name: str) -> set[int]:
-    """What its instances count, as they say themselves."""
-    told = (await cluster.processes[name].status())["instances"]
-    return {one["proxies"] for one in told if one["state"] == "serving"}
+    """The numbers of proxies that the instances of a fleet report."""
+    instances = (await cluster.processes[name].status())["instances"]
+    return {instance["proxies"] for instance in instances if instance["state"] == "serving"}
 
 
-async def counted(cluster: Fleets, name: str, number: int) -> None:
-    async def good() -> bool:
-        return await proxies(cluster, name) == {number}
+async def wait_until_counted(cluster: Fleets, name: str, count: int) -> None:
+    async def is_counted() -> bool:
+        return await proxies(cluster, name) == {count}
 
-    await cluster.until(good, f"{name} counting {number}")
+    await cluster.until(is_counted, f"{name} counting {count}")
 
 
-async def say(cluster: Fleets, name: str, text: str, for_s: float) -> None:
+async def publish_note(cluster: Fleets, name: str, text: str, for_s: float) -> None:
     from flintlatch.config import find_control
     from flintlatch.fleet.control import send_control_request
 
@@ -56,74 +57,78 @@
 
 def bugs(cluster: Fleets) -> list[str]:
     return [
-        line for p in cluster.processes.values() for line in p.log if "bug" in line or "Traceback" in line
+        line
+        for process in cluster.processes.values()
+        for line in process.log
+        if "bug" in line or "Traceback" in line
     ]
 
 
-def good(cluster: Fleets) -> None:
-    assert not cluster.rig.ledger.broken(), [str(b) for b in cluster.rig.ledger.broken()[:5]]
+def assert_rules_kept(cluster: Fleets) -> None:
+    assert not cluster.rig.ledger.broken(), [str(broken) for broken in cluster.rig.ledger.broken()[:5]]
     assert not bugs(cluster)
 
 
 @pytest.mark.parametrize("groups", [(("f0", "f1"), ("f2", "f3")), (("f0",), ("f1", "f2"), ("f3",))])
-def test_parts_cut_off_count_as_before_until_in_doubt_no_more_and_agree_again(
+def test_partitions_keep_the_old_count_while_uncertain_and_agree_again_after_healing(
     tmp_path: Path, groups: tuple[tuple[str, ...], ...]
 ) -> None:
     async def test() -> None:
         async with fleets(tmp_path, 4, nodes=3) as cluster:
             clients = cluster.ask_all()
             traffic = asyncio.create_task(clients.run(60, 4.0, MIX))
-            await counted(cluster, "f0", 4)
+            await wait_until_counted(cluster, "f0", 4)
             for group in groups:
                 cluster.links.cut(group, [name for name in names(cluster) if name not in group])
-            began = clock()
+            cut_at = clock()
 
-            async def parted() -> bool:
+            async def partitioned() -> bool:
                 return all([await cluster.agreed(*group) for group in groups])
 
-            while not await parted():
-                # Nobody's part grows while somebody is under suspicion, or lately was.
-                looked, settled = clock(), await cluster.agreed(*groups[0])
-                counts = await proxies(cluster, "f0")
-                assert counts == {4} or settled or clock() - looked > QUICK["hold_s"]
-            assert clock() - began < (await cluster.peers("f0"))["bounds"]["found_dead_s"] + 10
-            await counted(cluster, "f0", len(groups[0]))
+            while not await partitioned():
+                # The count must not fall, which would raise a fleet's share, while a member is suspected or
+                # was recently.
+                looked_at, agreed = clock(), await cluster.agreed(*groups[0])
+                counted = await proxies(cluster, "f0")
+                assert counted == {4} or agreed or clock() - looked_at > QUICK["hold_s"]
+            assert clock() - cut_at < (await cluster.peers("f0"))["bounds"]["found_dead_s"] + 10
+            await wait_until_counted(cluster, "f0", len(groups[0]))
             cluster.links.heal()
             await cluster.until(cluster.agreed, "agreement")
-            await counted(cluster, "f0", 4)
+            await wait_until_counted(cluster, "f0", 4)
             await traffic
-            good(cluster)
+            assert_rules_kept(cluster)
 
     run(test())
 
 
-def test_one_way_that_is_cut_kills_nobody_and_a_star_keeps_its_leaves(tmp_path: Path) -> None:
+def test_one_way_cuts_and_a_star_topology_make_no_member_dead(tmp_path: Path) -> None:
     async def test() -> None:
         async with fleets(tmp_path, 4) as cluster:
             cluster.links.cut("f1", "f2", both=False)
             await asyncio.sleep(20 * QUICK["period_s"])
             assert await cluster.agreed()
-            cluster.links.cut(("f1", "f2", "f3"), ("f1", "f2", "f3"))  # f0 alone sees all
+            cluster.links.cut(("f1", "f2", "f3"), ("f1", "f2", "f3"))  # only f0 reaches all others
             await asyncio.sleep(20 * QUICK["period_s"])
             assert await cluster.alive("f0") == set(names(cluster))
             assert (await cluster.peers("f0"))["counts"]["died"] == 0
             cluster.links.heal()
             await cluster.until(cluster.agreed, "agreement")
-            good(cluster)
+            assert_rules_kept(cluster)
 
     run(test())
 
 
-def test_links_that_flap_and_lose_end_in_agreement_and_carry_words_meanwhile(tmp_path: Path) -> None:
+def test_lossy_and_flapping_links_deliver_entries_and_end_in_agreement(tmp_path: Path) -> None:
     async def test() -> None:
         async with fleets(tmp_path, 4) as cluster:
             cluster.links.usual = Link(0.0, 0.03, 0.2, copies=0.2)
-            await say(cluster, "f3", "through loss", 30.0)
+            await publish_note(cluster, "f3", "through loss", 30.0)
 
-            async def heard() -> bool:
+            async def received() -> bool:
                 return all([await notes(cluster, name) == ["through loss"] for name in names(cluster)])
 
-            await cluster.until(heard, "a note through loss")
+            await cluster.until(received, "a note through loss")
             for _ in range(4):
                 cluster.links.cut(("f0", "f1"), ("f2", "f3"))
                 await asyncio.sleep(0.5)
@@ -132,93 +137,95 @@
             await cluster.until(cluster.agreed, "agreement")
             cluster.links.usual = Link(0.0, 0.0, copies=0.5)
 
-            async def dropped() -> bool:
+            async def copies_dropped() -> bool:
                 return int((await cluster.peers("f0"))["counts"]["replays"]) > 0
 
-            await cluster.until(dropped, "copies dropped")
-            good(cluster)
+            await cluster.until(copies_dropped, "copies dropped")
+            assert_rules_kept(cluster)
 
     run(test())
 
 
-def test_one_that_is_paused_past_the_end_of_words_believes_none_when_it_wakes(tmp_path: Path) -> None:
-    """Old words lie in its buffers. It is accused meanwhile, and refutes."""
+def test_member_paused_past_the_expiry_of_entries_accepts_none_of_them(tmp_path: Path) -> None:
+    """Expired entries lie in its socket buffers. The other members suspect it meanwhile, which it refutes."""
 
     async def test() -> None:
         async with fleets(tmp_path, 3) as cluster:
             cluster.pause("f1")
-            last = clock()
-            for turn in range(10):
-                await say(cluster, "f0", f"note {turn}", 1.0)
-                last = clock()
+            published_at = clock()
+            for index in range(10):
+                await publish_note(cluster, "f0", f"note {index}", 1.0)
+                published_at = clock()
                 await asyncio.sleep(0.2)
-            while clock() < last + 1.0 / (1 - DRIFT):  # the stated bound, by the machine's own clock
+            while clock() < published_at + 1.0 / (
+                1 - DRIFT
+            ):  # the stated bound, measured on the machine's clock
                 await asyncio.sleep(0.02)
             cluster.wake("f1")
-            seen: set[str] = set()
+            received: set[str] = set()
 
-            async def back() -> bool:
-                seen.update(await notes(cluster, "f1"))
+            async def agreed_again() -> bool:
+                received.update(await notes(cluster, "f1"))
                 return await cluster.agreed()
 
-            await cluster.until(back, "its return")
-            assert not seen
-            told = await cluster.peers("f1")
-            assert told["counts"]["words_late"] > 0 or told["counts"]["datagrams_in"] > 0
-            good(cluster)
+            await cluster.until(agreed_again, "its return")
+            assert not received
+            report = await cluster.peers("f1")
+            assert report["counts"]["words_late"] > 0 or report["counts"]["datagrams_in"] > 0
+            assert_rules_kept(cluster)
 
     run(test())
 
 
-def test_instances_whose_supervisor_is_paused_or_dead_are_alone_in_time_and_say_so_once(
+def test_instances_of_a_paused_supervisor_fall_back_to_the_configured_count_and_log_it_once(
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
         async with fleets(tmp_path, 3) as cluster:
-            await counted(cluster, "f2", 3)
+            await wait_until_counted(cluster, "f2", 3)
             process = cluster.processes["f2"]
-            start = len(process.log)
+            log_position = len(process.log)
             cluster.pause("f2", whole=False)
-            began = clock()
-            await process.said("the entry on other fleets has expired: counting 1 proxies", start)
-            assert clock() - began >= QUICK["word_s"] / 2  # not before its end
+            paused_at = clock()
+            await process.said("the entry on other fleets has expired: counting 1 proxies", log_position)
+            assert clock() - paused_at >= QUICK["word_s"] / 2  # not before the entry expires
             cluster.wake("f2")
-            await counted(cluster, "f2", 3)
+            await wait_until_counted(cluster, "f2", 3)
             await process.said("the entry on other fleets has expired")
             assert sum("the entry on other fleets has expired" in line for line in process.log) == 1
 
     run(test())
 
 
-def test_four_become_ten_and_go_back_and_one_has_more_instances(tmp_path: Path) -> None:
+def test_fleets_join_and_leave_and_one_changes_its_number_of_instances(tmp_path: Path) -> None:
     async def test() -> None:
         async with fleets(tmp_path, 4) as cluster:
-            more = [f"f{n}" for n in range(4, 10)]
-            for name in more:
+            joining = [f"f{n}" for n in range(4, 10)]
+            for name in joining:
                 await cluster.place(name)
                 cluster.write(name)
-            await asyncio.gather(*map(cluster.start, more))
+            await asyncio.gather(*map(cluster.start, joining))
             await cluster.until(cluster.agreed, "ten")
-            await counted(cluster, "f0", 10)
+            await wait_until_counted(cluster, "f0", 10)
             cluster.write("f1", fleet={"instances": 3})
             assert (await cluster.processes["f1"].ask("reload"))["ok"]
-            await counted(cluster, "f0", 12)
-            for name in more:  # told to stop: they say that they leave
+            await wait_until_counted(cluster, "f0", 12)
+            for name in joining:  # a fleet that is stopped announces that it leaves
                 assert await cluster.processes.pop(name).stop() == 0
             await cluster.until(cluster.agreed, "four")
             assert (await cluster.peers("f0"))["counts"]["died"] == 0
-            await counted(cluster, "f0", 6)
-            good(cluster)
+            await wait_until_counted(cluster, "f0", 6)
+            assert_rules_kept(cluster)
 
     run(test())
 
 
-def test_all_seeds_dead_at_the_start_then_all_restart_at_once_and_one_within_a_probe(tmp_path: Path) -> None:
+def test_members_agree_after_starts_without_seeds_and_after_restarts(tmp_path: Path) -> None:
     async def test() -> None:
         async with fleets(tmp_path, 4) as cluster:
             for name in names(cluster):
                 await cluster.kill(name)
-            await cluster.start("f3")  # knows none but three seeds, which are gone
+            await cluster.start("f3")  # its three seeds are not running
             assert (await cluster.peers("f3"))["joined"] is False
             await asyncio.gather(*(cluster.start(name) for name in ("f0", "f1", "f2")))
             await cluster.until(cluster.agreed, "agreement of those that came back")
@@ -226,72 +233,76 @@
             await cluster.start("f2")
             await cluster.until(cluster.agreed, "its return under the same name")
             assert len((await cluster.peers("f0"))["members"]) == 4
-            good(cluster)
+            assert_rules_kept(cluster)
 
     run(test())
 
 
-def test_strangers_replays_noise_and_floods_steer_nobody(tmp_path: Path) -> None:
+def test_replayed_corrupted_and_flooded_datagrams_have_no_effect(tmp_path: Path) -> None:
     async def test() -> None:
         async with fleets(tmp_path, 3) as cluster:
             relay = cluster.relays["f0"]
-            taken: list[bytes] = []
+            captured: list[bytes] = []
             deliver = relay._deliver
 
-            def keep(data: bytes) -> None:
-                taken.append(data)
+            def capture(data: bytes) -> None:
+                captured.append(data)
                 deliver(data)
 
-            relay._deliver = keep  # type: ignore[method-assign]
-            await cluster.until(lambda: enough(taken), "datagrams")
-            before = (await cluster.peers("f0"))["members"]
+            relay._deliver = capture  # type: ignore[method-assign]
+            await cluster.until(lambda: enough_captured(captured), "datagrams")
+            members_before = (await cluster.peers("f0"))["members"]
             rng, sock = Random(3), socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
             host, _, port = relay.target.rpartition(":")
-            old = list(taken)
-            for turn in range(3000):
-                one = rng.choice(old)
-                place = rng.randrange(len(one))
-                changed = one[:place] + bytes([one[place] ^ 1 << rng.randrange(8)]) + one[place + 1 :]
+            replayed = list(captured)
+            for number in range(3000):
+                datagram = rng.choice(replayed)
+                index = rng.randrange(len(datagram))
+                corrupted = (
+                    datagram[:index]
+                    + bytes([datagram[index] ^ 1 << rng.randrange(8)])
+                    + datagram[index + 1 :]
+                )
                 noise = rng.randbytes(rng.randrange(2000))
-                sock.sendto((one, changed, noise)[turn % 3], (host, int(port)))
-                if turn % 200 == 0:
+                sock.sendto((datagram, corrupted, noise)[number % 3], (host, int(port)))
+                if number % 200 == 0:
                     await asyncio.sleep(0.02)
 
-            async def dropped() -> bool:
+            async def all_dropped() -> bool:
                 counts = (await cluster.peers("f0"))["counts"]
                 return all(counts[name] > 0 for name in ("replays", "foreign"))
 
-            await cluster.until(dropped, "drops")
+            await cluster.until(all_dropped, "drops")
             assert await cluster.agreed()
-            after = (await cluster.peers("f0"))["members"]
-            assert [(r["name"], r["incarnation"]) for r in after] == [
-                (r["name"], r["incarnation"]) for r in before
+            members_after = (await cluster.peers("f0"))["members"]
+            assert [(member["name"], member["incarnation"]) for member in members_after] == [
+                (member["name"], member["incarnation"]) for member in members_before
             ]
             log = cluster.processes["f0"].log
             assert sum("is not sealed by a key of ours" in line for line in log) == 1
-            # What was taken is of no use to a process that starts later, though the key is the same.
+            # A process that starts later, with the same key, rejects the captured datagrams too.
             await cluster.kill("f0")
             await cluster.kill("f1")
             await cluster.start("f0")
             host, _, port = relay.target.rpartition(":")
-            for one in old:
-                sock.sendto(one, (host, int(port)))
+            for datagram in replayed:
+                sock.sendto(datagram, (host, int(port)))
             await cluster.until(cluster.agreed, "f0 and f2 alone")
             assert await cluster.alive("f0") == {"f0", "f2"}
             sock.close()
-            good(cluster)
+            assert_rules_kept(cluster)
 
-    async def enough(taken: list[bytes]) -> bool:
-        return len(taken) > 30
+    async def enough_captured(captured: list[bytes]) -> bool:
+        return len(captured) > 30
 
     run(test())
 
 
-def test_a_key_is_replaced_while_all_run(tmp_path: Path) -> None:
+def test_key_rotation_without_a_restart(tmp_path: Path) -> None:
     async def test() -> None:
         async with fleets(tmp_path, 3) as cluster:
-            old, new = "4b" * 32, "5c" * 32
-            for text in (f"{old}\n{new}", f"{new}\n{old}", new):
+            old_key, new_key = "4b" * 32, "5c" * 32
+            for text in (f"{old_key}\n{new_key}", f"{new_key}\n{old_key}", new_key):
                 for name in names(cluster):
                     (tmp_path / name / "key").write_text(text)
                     assert (await cluster.processes[name].ask("reload"))["ok"]
@@ -305,10 +316,10 @@
     run(test())
 
 
-def test_an_upgrade_takes_the_place_among_members_over(tmp_path: Path) -> None:
+def test_successor_takes_over_the_membership_at_an_upgrade(tmp_path: Path) -> None:
     async def test() -> None:
         async with fleets(tmp_path, 2) as cluster:
-            bind = (await cluster.peers("f1"))["bound"]  # the successor must come to the same address
+            bind = (await cluster.peers("f1"))["bound"]  # the successor must bind the same address
             cluster.write("f1", peers={"bind": bind})
             process = cluster.processes["f1"]
             assert await cluster.processes["f1"].ask("reload")
@@ -320,17 +331,17 @@
             successor = (await process.status())["pid"]
             os.kill(successor, signal.SIGTERM)
 
-            async def gone() -> bool:
+            async def has_left() -> bool:
                 return await cluster.alive("f0") == {"f0"}
 
-            await cluster.until(gone, "its leaving")
+            await cluster.until(has_left, "its leaving")
             while alive(successor):
                 await asyncio.sleep(0.02)
 
     run(test())
 
 
-def test_a_fleet_whose_log_nobody_reads_any_more_still_ends(tmp_path: Path) -> None:
+def test_fleet_stops_although_its_standard_error_is_closed(tmp_path: Path) -> None:
     async def test() -> None:
         async with fleets(tmp_path, 1) as cluster:
             process = cluster.processes["f0"]
@@ -343,26 +354,26 @@
     run(test())
 
 
-def test_people_see_members_and_tell_notes(tmp_path: Path) -> None:
+def test_peers_command_shows_members_and_publishes_notes(tmp_path: Path) -> None:
     async def test() -> None:
         async with fleets(tmp_path, 2) as cluster:
 
-            async def command(name: str, *more: str) -> tuple[int, str]:
+            async def command(name: str, *options: str) -> tuple[int, str]:
                 config = str(cluster.processes[name].config)
-                call: Any = await asyncio.to_thread(
+                completed: Any = await asyncio.to_thread(
                     subprocess.run,
-                    [sys.executable, "-m", "flintlatch", "peers", config, *more],
+                    [sys.executable, "-m", "flintlatch", "peers", config, *options],
                     capture_output=True,
                     text=True,
                     timeout=30,
                     env=os.environ | cluster.env,
                 )
-                return call.returncode, call.stdout + call.stderr
+                return completed.returncode, completed.stdout + completed.stderr
 
-            async def whole() -> bool:
+            async def succeeds() -> bool:
                 return (await command("f0"))[0] == 0
 
-            await cluster.until(whole, "exit code 0")
+            await cluster.until(succeeds, "exit code 0")
             code, text = await command("f1", "--say", "deploy under way", "--for", "30")
             assert code == 0 and "30.303 s" in text
             await cluster.processes["f0"].said("note of f1, for 30 s: deploy under way")
@@ -370,16 +381,16 @@
             assert (await command("f1", "--say", "x" * 600))[0] == 1
             await cluster.kill("f1")
 
-            async def lacking() -> bool:
+            async def member_missing() -> bool:
                 return (await command("f0"))[0] == 1
 
-            await cluster.until(lacking, "exit code 1")
+            await cluster.until(member_missing, "exit code 1")
             assert (await command("f0", "--share", "0.5"))[0] == 0
 
     run(test())
 
 
-def test_a_schedule_is_drawn_alike_from_one_seed_and_read_as_it_was_written() -> None:
+def test_fault_schedule_is_determined_by_its_seed_and_survives_a_round_trip() -> None:
     schedule = draw(7, ["f0", "f1", "f2"], 40.0)
     assert draw(7, ["f0", "f1", "f2"], 40.0) == schedule != draw(8, ["f0", "f1", "f2"], 40.0)
     assert written(read(written(schedule))) == written(schedule) and schedule[-1].what == "heal"
--- a/tests/fleet/test_verdicts.py
+++ b/tests/fleet/test_verdicts.py
@@ -24,7 +24,7 @@
     return found
 
 
-def good(cluster: Fleets) -> None:
+def assert_rules_kept(cluster: Fleets) -> None:
     assert not cluster.rig.ledger.broken(), [str(b) for b in cluster.rig.ledger.broken()[:5]]
     lines = [line for process in cluster.processes.values() for line in process.log]
     assert not [line for line in lines if "bug" in line or "Traceback" in line]
@@ -62,7 +62,7 @@
 
             await cluster.until(back, "the node's return")
             await traffic
-            good(cluster)
+            assert_rules_kept(cluster)
 
     run(test())
 
@@ -79,7 +79,7 @@
                     assert name == "f1" or not servers, (name, servers)
                 await asyncio.sleep(0.1)
             await traffic
-            good(cluster)
+            assert_rules_kept(cluster)
 
     run(test())
 
@@ -107,6 +107,6 @@
             bound = (await cluster.processes[one].ask("verdicts"))["alone_within_s"]
             assert took <= bound + 2.0  # and what this test takes to look
             await traffic
-            good(cluster)
+            assert_rules_kept(cluster)
 
     run(test())
--- a/tests/fleet/test_whole.py
+++ b/tests/fleet/test_whole.py
@@ -18,7 +18,7 @@
 from tests.fleet.support import run
 
 
-def good(cluster: Fleets) -> None:
+def assert_rules_kept(cluster: Fleets) -> None:
     assert not cluster.rig.ledger.broken(), [str(b) for b in cluster.rig.ledger.broken()[:5]]
     lines = [line for process in cluster.processes.values() for line in process.log]
     assert not [line for line in lines if "bug" in line or "Traceback" in line]
@@ -45,7 +45,7 @@
             # Each is met again; one whose rest has just been doubled comes last.
             assert all(last[uid] for uid in far), last
             assert sum(last[uid] for uid in far) > 0.25 * sum(last.values()), last
-            good(cluster)
+            assert_rules_kept(cluster)
 
     run(test())
 
@@ -58,7 +58,7 @@
             clients = cluster.ask_all()
             await clients.run(80, 2.5, {"answer": 0.4, "purchase": 0.3, "grade": 0.3})
             assert clients.statuses[200] > 100
-            good(cluster)
+            assert_rules_kept(cluster)
 
     run(test())
 
@@ -73,7 +73,7 @@
             await clients.run(100, 5.0, {"answer": 0.4, "purchase": 0.3, "grade": 0.3})
             left = [len(due) for due in cluster.links.resets.values()]
             assert sum(left) < 2 * 258 - 60, left  # most of them happened
-            good(cluster)
+            assert_rules_kept(cluster)
 
     run(test())
 
@@ -90,7 +90,7 @@
             cluster.rig.registry.put("odd", "127.0.0.1:9", "resting")
             await traffic
             assert clients.statuses[200] > 150
-            good(cluster)
+            assert_rules_kept(cluster)
 
     run(test())
 
@@ -124,6 +124,6 @@
             await cluster.until(told, "the new node on the list")
             await clients.run(60, 1.0, MIX)
             assert any(one.node == fresh.uid for one in cluster.rig.ledger.runs)
-            good(cluster)
+            assert_rules_kept(cluster)
 
     run(test())
