--- a/flintlatch/fleet/core.py
+++ b/flintlatch/fleet/core.py
@@ -232,7 +232,7 @@
         self.current: Generation | None = None
         self.preparing: Generation | None = None
         self.queued_reload: ReloadRequested | None = None  # at most one, the latest request
-        self.hurried = False
+        self.drain_shortened = False
         self.handed_over = False
         self.failed = False
         self.last_worker_id = 0
@@ -283,8 +283,8 @@
 
     def _on_stop(self, reason: str, handed_over: bool = False) -> None:
         if self.phase in (Phase.STOPPING, Phase.STOPPED):
-            if not self.hurried:
-                self.hurried = True
+            if not self.drain_shortened:
+                self.drain_shortened = True
                 self._log("warning", "stop: requested again, shortening the drain")
                 for worker in list(self.workers.values()):
                     self._drain(worker, self._limits_of(worker).hurry_s)
