--- a/tests/fleet/test_delivered.py
+++ b/tests/fleet/test_delivered.py
@@ -260,13 +260,7 @@
             )
             await harness.clients.run(100, 0.5, {"answer": 1})
             assert harness.clients.statuses[200] > answered_before
-            assert (
-                sum(
-                    "no relay with news" in line
-                    for line in harness.fleet.log[log_position:]
-                )
-                == 0
-            )
+            assert sum("no relay with news" in line for line in harness.fleet.log[log_position:]) == 0
             traffic.cancel()
 
     run(test())
--- a/tests/limits/test_cores.py
+++ b/tests/limits/test_cores.py
@@ -212,7 +212,9 @@
 
 
 def heard(now: list[float], said: list[str] | None = None) -> ReceivedEntries:
-    return ReceivedEntries(1, Proxies(2, 1), (LIMIT,), lambda: now[0], (said if said is not None else []).append)
+    return ReceivedEntries(
+        1, Proxies(2, 1), (LIMIT,), lambda: now[0], (said if said is not None else []).append
+    )
 
 
 def test_an_instance_goes_by_a_word_until_its_end_and_then_by_what_it_knows_alone() -> None:
