--- a/flintlatch/fleet/core.py
+++ b/flintlatch/fleet/core.py
@@ -319,7 +319,8 @@
                 )
 
     def _on_ready(self, generation: Generation, worker: Worker) -> None:
-        # Replacements, and workers of the first generation, before which none serves, accept once ready.
+        # A replacement accepts once it is ready; so does a worker of the first generation, since none serves
+        # yet.
         first = self.current is None and self.phase is Phase.STARTING
         if first or generation.state is GenerationState.CURRENT:
             self._accept(worker)
