--- a/bench/scale/limits.py
+++ b/bench/scale/limits.py
@@ -19,7 +19,7 @@
 from bench.scale.data import Series, load
 from bench.scale.peers import Got, Hollow, Meter, child
 from flintlatch.fleet import judging, limiting
-from flintlatch.fleet.limiting import Limiting
+from flintlatch.fleet.limiting import Limiter
 from flintlatch.lab.engine import Engine
 from flintlatch.limits.api import (
     LeaseRequest,
@@ -41,7 +41,7 @@
 FLEETS, FLEETS_SMALL = (3, 10, 30, 100, 300), (3, 10)
 FEW, FEW_WHOLE, FEW_SMALL = 20, 10, 5  # holders where rows vary
 TERM_S = 2.0
-SAY_S = TERM_S / limiting.RENEW
+SAY_S = TERM_S / limiting.RENEWALS_PER_TERM
 WARM_S, WINDOW_S = 5.0, SAY_S  # until a seat is taken and settled; a window holds each renewal once
 INSTANCE_S, PER_S = 0.1, 100.0  # between two words of an instance; of each limit
 LONG = Rules(period_s=1e9, sync_s=1e9, forget_s=1e12)  # alone: nobody is there to be probed
@@ -141,7 +141,7 @@
 class Asker:
     """A holder by its asks alone: it follows each grant as soon as it is given."""
 
-    def __init__(self, members: Hollow, record: Record, lessor: Limiting, share: float) -> None:
+    def __init__(self, members: Hollow, record: Record, lessor: Limiter, share: float) -> None:
         self.members, self.record, self.lessor, self.share = members, record, lessor, share
         self.number = self.epoch = 0
 
@@ -150,7 +150,7 @@
         self.epoch += 1
         words, me = list[Entry](), self.record
         for name, row in self.lessor.rows.items():
-            out = row.keeper.ledger.by_holder.get(holder_id(me.name, me.run_id))
+            out = row.lessor.ledger.by_holder.get(holder_id(me.name, me.run_id))
             given = out.grants[-1] if out is not None and out.grants else None
             mark, used = (given.version, given.amount) if given is not None else (LeaseVersion(0, 0), 0.0)
             ask = LeaseRequest(self.share, "f0", "f0" if given else "", mark, used, PER_S, me.run_id)
@@ -167,29 +167,29 @@
     with virtual(members):
         station: Any = Station(members, "f0")
         terms = LeaseSettings(("f0",), holders, TERM_S)
-        made = Limiting(rows_of(rows), terms, lambda: station, lambda worker, told: None, lambda *line: None)
+        made = Limiter(rows_of(rows), terms, lambda: station, lambda worker, told: None, lambda *line: None)
         look = Meter()
         for record in others:
             asker = Asker(members, record, made, PER_S / holders)
             members.engine.after(members.rng.uniform(0, SAY_S), asker.start)
         began = members.engine.now
         while members.engine.now < began + WARM_S:  # few looks until the seat is settled
-            made.look()
+            made.step()
             members.run(SAY_S)
         if traced:
             held = tracemalloc.get_traced_memory()[0]
             tracemalloc.stop()
             return {"memory": float(held)}
-        setattr(made, "look", look.around(made.look))  # noqa: B010
+        setattr(made, "step", look.around(made.step))  # noqa: B010
         members.metered(["f0"])
-        members.news = lambda name, now, words: made.on_news()
+        members.news = lambda name, now, words: made.on_entries_changed()
         made.start()
         members.run(WINDOW_S / 2)  # the window holds what is due once, in its middle
         sent, spent, looks = members.sent_by["f0:7946"], look.spent, look.calls
         posted, at, members.meter.spent = members.network.sent, members.engine.now, 0.0
         members.run(WINDOW_S)
         took = members.engine.now - at
-        granted = sum(len(row.keeper.ledger.by_holder) for row in made.rows.values())
+        granted = sum(len(row.lessor.ledger.by_holder) for row in made.rows.values())
     return {
         "look": 1e3 * (look.spent - spent) / (look.calls - looks),
         "core": (look.spent - spent) / took,
@@ -207,7 +207,7 @@
     def __init__(self, members: Hollow, name: str, rows: int, terms: LeaseSettings) -> None:
         self.members, self.share = members, PER_S / terms.fleets
         station: Any = Station(members, name)
-        self.made = Limiting(rows_of(rows), terms, lambda: station, self.tell, lambda *line: None)
+        self.made = Limiter(rows_of(rows), terms, lambda: station, self.tell, lambda *line: None)
         self.follows: dict[str, list[float]] = {}
         self.began = members.engine.now
 
@@ -222,7 +222,7 @@
         self.members.engine.after(INSTANCE_S, self.report)
         asked = int(self.share * (self.members.engine.now - self.began))
         told = {"asked": dict.fromkeys(self.made.rows, asked), "follows": dict(self.follows)}
-        self.made.on_instance(0, told)
+        self.made.on_instance_report(0, told)
 
 
 def whole(rows: int, n: int, seed: int) -> dict[str, float]:
@@ -233,7 +233,7 @@
     terms = LeaseSettings(tuple(names[:3]), n, TERM_S)
     with virtual(members):
         proxies = {name: Proxy(members, name, rows, terms) for name in names}
-        members.news = lambda name, now, words: proxies[name].made.on_news()
+        members.news = lambda name, now, words: proxies[name].made.on_entries_changed()
         for proxy in proxies.values():
             members.engine.after(members.rng.uniform(0, INSTANCE_S), proxy.start)
         members.run(WARM_S + 1.0)
@@ -254,12 +254,12 @@
     terms, limits = LeaseSettings(("f0",), 1, TERM_S), rows_of(rows)
     if traced:
         tracemalloc.start()
-    made, took = [limiting.Row(limit, terms, 0.0) for limit in limits], 0.0
+    made, took = [limiting.LimitState(limit, terms, 0.0) for limit in limits], 0.0
     for now in (1.0, 1.0 + SAY_S):
         began = time.process_time()
         for row in made:
             ask = row.holder.request(now, "f0")._replace(run_id=1)
-            grants = row.keeper.step(now, "f0", 1, True, row.limit.leasable_per_s(), {"f0/1": ask}, True)
+            grants = row.lessor.step(now, "f0", 1, True, row.limit.leasable_per_s(), {"f0/1": ask}, True)
             row.holder.accept_lease(now, "f0", grants["f0/1"], now + TERM_S)
             row.holder.allocate(now, {}, {"0": 1.0}, TERM_S, True)
         took = time.process_time() - began
--- a/bench/scale/verdicts.py
+++ b/bench/scale/verdicts.py
@@ -14,7 +14,7 @@
 from bench.scale.data import Series, load
 from bench.scale.limits import LONG, Station, alone, arrive, virtual
 from bench.scale.peers import Got, Hollow, Meter, child
-from flintlatch.fleet.judging import RENEW, Judging
+from flintlatch.fleet.judging import RENEWALS_PER_TTL, OutlierEjector
 from flintlatch.peers import Entry, Record, Topic
 from flintlatch.verdicts.api import EjectionRules, observation_topic
 
@@ -26,7 +26,7 @@
 SERVERS = 20_000  # of the own list: what is reported on is a part of it
 LISTED, LISTED_SMALL = (200, 2000, 20_000, 200_000), (20, 200)
 RULES = EjectionRules()
-SAY_S = RULES.life_s / RENEW
+SAY_S = RULES.life_s / RENEWALS_PER_TTL
 SAID, LOOK_S = 5, 0.37  # entries said; between two looks at who believes them: no part of a renewal
 
 
@@ -53,10 +53,10 @@
     )
 
 
-def judging(members: Hollow, name: str, targets: dict[str, None]) -> Judging:
+def judging(members: Hollow, name: str, targets: dict[str, None]) -> OutlierEjector:
     """Its list is a set made anew for each look, as `fleet/supervisor.py` has it."""
     station: Any = Station(members, name)
-    return Judging(RULES, lambda: station, lambda told: None, lambda: set(targets), lambda *line: None)
+    return OutlierEjector(RULES, lambda: station, lambda told: None, lambda: set(targets), lambda *line: None)
 
 
 def fold(rows: int, observers: int, voices: int, listed: int, seed: int, traced: bool) -> dict[str, float]:
@@ -76,15 +76,15 @@
             if named[place]:
                 observer = Observer(members, record, named[place])
                 members.engine.after(members.rng.uniform(0, SAY_S), observer.start)
-        made.on_instance(0, {"bad": dict.fromkeys(named[0], 3), "good": []})
+        made.on_instance_report(0, {"bad": dict.fromkeys(named[0], 3), "good": []})
         members.run(RULES.life_s)
-        made.look()
+        made.step()
         if traced:
             held = tracemalloc.get_traced_memory()[0]
             tracemalloc.stop()
             return {"memory": float(held)}
         look = Meter()
-        setattr(made, "look", look.around(made.look))  # noqa: B010
+        setattr(made, "step", look.around(made.step))  # noqa: B010
         made.start()
         sent, at = members.sent_by["f0:7946"], members.engine.now
         members.run(SAY_S)
@@ -92,7 +92,7 @@
     return {
         "fold": 1e3 * look.spent / look.calls,
         "bytes": (members.sent_by["f0:7946"] - sent) / took,
-        "out": float(len(made.found.ejected)),
+        "out": float(len(made.detected.ejected)),
     }
 
 
@@ -102,21 +102,21 @@
     members = Hollow(seed, topics=(wide(0),))
     names = members.settled(n)
     targets = dict.fromkeys(f"server-{row:06d}" for row in range(WHOLE_LISTED))
-    look, made = Meter(), dict[str, Judging]()
+    look, made = Meter(), dict[str, OutlierEjector]()
     with virtual(members):
         for name in names:
             one = judging(members, name, targets)
-            setattr(one, "look", look.around(one.look))  # noqa: B010
-            one.on_instance(0, {"bad": dict.fromkeys(list(targets)[:FEW_ROWS], 3), "good": []})
+            setattr(one, "step", look.around(one.step))  # noqa: B010
+            one.on_instance_report(0, {"bad": dict.fromkeys(list(targets)[:FEW_ROWS], 3), "good": []})
             made[name] = one
             members.engine.after(members.rng.uniform(0, SAY_S), one.start)
-        members.news = lambda name, now, words: made[name].look()  # each datagram, as fleet/agreed.py has it
+        members.news = lambda name, now, words: made[name].step()  # each datagram, as fleet/agreed.py has it
         members.run(RULES.life_s)
         sent, spent, calls, found, looks = members.bytes, look.spent, look.calls, 0, 0
         while looks < 4:
             members.run(LOOK_S)
             looks += 1
-            found += sum(len(one.found.ejected) for one in made.values())
+            found += sum(len(one.detected.ejected) for one in made.values())
     took = looks * LOOK_S
     return {
         "core": (look.spent - spent) / took / n,
--- a/tests/limits/test_cores.py
+++ b/tests/limits/test_cores.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from flintlatch.api import LimitAllocation, Refuse, TierMembership
-from flintlatch.fleet.heard import Heard
+from flintlatch.fleet.heard import ReceivedEntries
 from flintlatch.lab.explore import Broken, explore, wander
 from flintlatch.limits.api import (
     Leadership,
@@ -274,29 +274,33 @@
 LIMIT = LimitAllocation("l", -1, -1, 5.0, 1.0)
 
 
-def make_instance(now: list[float], log: list[str] | None = None) -> Heard:
-    return Heard(1, TierMembership(2, 1), (LIMIT,), lambda: now[0], (log if log is not None else []).append)
+def make_instance(now: list[float], log: list[str] | None = None) -> ReceivedEntries:
+    return ReceivedEntries(
+        1, TierMembership(2, 1), (LIMIT,), lambda: now[0], (log if log is not None else []).append
+    )
 
 
 def test_an_instance_applies_an_allocation_until_it_expires_and_then_its_fallback() -> None:
     now, log = [0.0], list[str]()
     core = make_instance(now, log)
-    assert core.due(0) == [LIMIT]
-    core.on_word({"about": "proxies", "value": [9, 4], "until": 3.0})
-    core.on_word({"about": "limit", "limit": "l", "value": [50.0, 7.0, 1, 4], "until": 2.0})
+    assert core.pending_events(0) == [LIMIT]
+    core.on_entry({"about": "proxies", "value": [9, 4], "until": 3.0})
+    core.on_entry({"about": "limit", "limit": "l", "value": [50.0, 7.0, 1, 4], "until": 2.0})
     allocated = LIMIT._replace(per_s=50.0, burst=7.0)
-    assert core.due(0) == [allocated, TierMembership(9, 5)] and core.follows == {"l": [1, 4]}
-    assert core.due(0) == []
-    assert core.due(1) == [allocated]  # a module that replaced one after a fault
+    assert core.pending_events(0) == [allocated, TierMembership(9, 5)] and core.applied_leases == {
+        "l": [1, 4]
+    }
+    assert core.pending_events(0) == []
+    assert core.pending_events(1) == [allocated]  # a module that replaced one after a fault
     now[0] = 2.0
-    assert core.due(1) == [LIMIT] and core.follows == {"l": []}
+    assert core.pending_events(1) == [LIMIT] and core.applied_leases == {"l": []}
     now[0] = 3.0
-    assert core.due(1) == [TierMembership(2, 1)] and len(log) == 1
+    assert core.pending_events(1) == [TierMembership(2, 1)] and len(log) == 1
     # Has expired in a buffer.
-    core.on_word({"about": "limit", "limit": "l", "value": [50.0, 7.0, 1, 5], "until": 2.5})
-    core.on_word({"about": "limit", "limit": "unknown", "value": [], "until": 9.0})
-    core.on_word({"about": "weather", "value": "fine"})
-    assert core.due(1) == [] and len(log) == 1
+    core.on_entry({"about": "limit", "limit": "l", "value": [50.0, 7.0, 1, 5], "until": 2.5})
+    core.on_entry({"about": "limit", "limit": "unknown", "value": [], "until": 9.0})
+    core.on_entry({"about": "weather", "value": "fine"})
+    assert core.pending_events(1) == [] and len(log) == 1
 
 
 def test_the_module_admits_no_more_than_its_allocation_and_sends_retry_after() -> None:
--- a/tests/verdicts/test_core.py
+++ b/tests/verdicts/test_core.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from flintlatch.api import Ejection, Result, TierMembership
-from flintlatch.fleet.heard import Heard
+from flintlatch.fleet.heard import ReceivedEntries
 from flintlatch.verdicts.api import EjectionRules, decide_ejections
 from flintlatch.verdicts.core import MAX_COUNTED_FAILURES
 from tests.support import Driver, server_entries
@@ -128,13 +128,13 @@
 
 def test_an_ejection_expires_in_an_instance_that_receives_no_renewal() -> None:
     now = [0.0]
-    core = Heard(0, TierMembership(1, 0), (), lambda: now[0], lambda text: None)
-    core.on_word({"about": "shun", "value": ["s1", "s2"], "accused": [], "until": 2.0})
-    assert core.due(0) == [Ejection("s1", 2000.0), Ejection("s2", 2000.0)]
-    core.on_word({"about": "shun", "value": ["s2"], "accused": ["s2"], "until": 2.5})
-    assert core.due(0) == [Ejection("s1", 0.0), Ejection("s2", 2500.0)]
-    assert core.due(1) == [Ejection("s2", 2500.0)]  # a module that replaced one after a fault
+    core = ReceivedEntries(0, TierMembership(1, 0), (), lambda: now[0], lambda text: None)
+    core.on_entry({"about": "shun", "value": ["s1", "s2"], "accused": [], "until": 2.0})
+    assert core.pending_events(0) == [Ejection("s1", 2000.0), Ejection("s2", 2000.0)]
+    core.on_entry({"about": "shun", "value": ["s2"], "accused": ["s2"], "until": 2.5})
+    assert core.pending_events(0) == [Ejection("s1", 0.0), Ejection("s2", 2500.0)]
+    assert core.pending_events(1) == [Ejection("s2", 2500.0)]  # a module that replaced one after a fault
     now[0] = 3.0
-    assert core.due(1) == [] and not core.shunned
-    core.on_word({"about": "shun", "value": ["s1"], "accused": [], "until": 2.9})  # expired in a buffer
-    assert core.due(1) == []
+    assert core.pending_events(1) == [] and not core.ejected
+    core.on_entry({"about": "shun", "value": ["s1"], "accused": [], "until": 2.9})  # expired in a buffer
+    assert core.pending_events(1) == []
