--- a/flintlatch/fleet/nodes.py
+++ b/flintlatch/fleet/nodes.py
@@ -90,7 +90,7 @@
                 self.targets.pop(target.uid, None)
             else:
                 self.targets[target.uid] = target
-        self.revision, self.updated_ms = listing.revision, now_ms()
+        self.rev, self.updated_ms = listing.revision, now_ms()
         if self.first_received.is_set():
             if listing.is_snapshot or listing.targets:
                 self.on_change(self, listing)
