--- a/flintlatch/fleet/judging.py
+++ b/flintlatch/fleet/judging.py
@@ -139,7 +139,10 @@
         if own_name in self.detected.unreliable - previous.unreliable:
             self.log("warning", "most servers fail here and not elsewhere: our voice counts for nothing")
         if self.detected.suppressed and not previous.suppressed:
-            text = f"{self.detected.suppressed} servers found bad together are more than may be out: all are used"
+            text = (
+                f"{self.detected.suppressed} servers found bad together are more than may be out: "
+                "all are used"
+            )
             self.log("warning", text)
 
     def report(self) -> dict[str, Any]:
