--- a/bench/hollow.py
+++ b/bench/hollow.py
@@ -17,7 +17,7 @@
 
 from bench.audit import Audit, Cost, Minutes
 from flintlatch.delivery import node, relay, subscriber
-from flintlatch.delivery.model import End, Message, ObjectChange, Place, Pong, Rules, size_of
+from flintlatch.delivery.model import End, Message, ObjectChange, Participant, Pong, Rules, size_of
 from flintlatch.delivery.store import Object, Store
 from flintlatch.delivery.subscriber import Tick
 from flintlatch.lab.delivery import TICK_S, Host, Lab, Origin, Proxy, RelayHost, Stream
@@ -96,7 +96,7 @@
 class HollowOrigin(Origin):
     """With a `pump` (bytes a second of its processor) what it sends takes time, and what arrives waits."""
 
-    def __init__(self, lab: Fleet, place: Place, rules: Rules) -> None:
+    def __init__(self, lab: Fleet, place: Participant, rules: Rules) -> None:
         self.fleet, self.ns, self.got = lab, 0, 0
         self.pump, self.waits, self.busy = inf, deque[relay.Event](), False
         super().__init__(lab, place, rules)
@@ -129,7 +129,7 @@
 
 
 class HollowRelay(RelayHost):
-    def __init__(self, lab: Fleet, place: Place, rules: Rules, rng: Random, warm: bool) -> None:
+    def __init__(self, lab: Fleet, place: Participant, rules: Rules, rng: Random, warm: bool) -> None:
         self.fleet, self.ns, self.got = lab, 0, 0
         super().__init__(lab, place, (lab.top.place,), rules, rng)
         if warm:
@@ -152,7 +152,7 @@
 
 class HollowProxy(Proxy):
     def __init__(
-        self, lab: Fleet, place: Place, names: tuple[str, ...], rules: Rules, rng: Random, warm: bool
+        self, lab: Fleet, place: Participant, names: tuple[str, ...], rules: Rules, rng: Random, warm: bool
     ) -> None:
         self.fleet, self.ns, self.got, self.quiet = lab, 0, 0, 0.0
         super().__init__(lab, place, lab.relays, names, rules, rng)
@@ -218,14 +218,14 @@
         self.groups: list[dict[str, Host]] = [{} for _ in range(GROUPS)]
         self.sampled: dict[str, Sampled] = {}
         self.minutes = Minutes()
-        self.top = HollowOrigin(self, Place("origin", "r2"), Rules(rate=20e6, burst=64e6, window=8e6))
+        self.top = HollowOrigin(self, Participant("origin", "r2"), Rules(rate=20e6, burst=64e6, window=8e6))
         self.top.store.commit(self.world.first())
         self.add(self.top)
         self.audit = Audit(self.top.store)
         self.relays = tuple(
-            Place(f"relay{n}", f"r{n % REGIONS}", f"z{n % size.zones}") for n in range(size.relays)
+            Participant(f"relay{n}", f"r{n % REGIONS}", f"z{n % size.zones}") for n in range(size.relays)
         )
-        self.places = [Place(f"p{n}", f"r{n % size.zones % REGIONS}", f"z{n % size.zones}")
+        self.places = [Participant(f"p{n}", f"r{n % size.zones % REGIONS}", f"z{n % size.zones}")
                        for n in range(size.proxies)]  # fmt: skip
         self.names = {place.name: self.world.followed(n) for n, place in enumerate(self.places)}
         for place in self.places:
@@ -250,10 +250,10 @@
         self.skipped = 0
         self.minutes = Minutes()
 
-    def start_relay(self, place: Place, warm: bool = False) -> None:
+    def start_relay(self, place: Participant, warm: bool = False) -> None:
         self.add(HollowRelay(self, place, self.rules, Random(self.rng.random()), warm))
 
-    def start_proxy(self, place: Place, warm: bool = False) -> None:
+    def start_proxy(self, place: Participant, warm: bool = False) -> None:
         names = self.names[place.name]
         self.audit.start(self.engine.now, place.name, warm)
         self.add(HollowProxy(self, place, names, self.rules, Random(self.rng.random()), warm))
--- a/bench/scale/delivery.py
+++ b/bench/scale/delivery.py
@@ -25,8 +25,8 @@
     End,
     Message,
     ObjectChange,
+    Participant,
     PartOf,
-    Place,
     Role,
     Rules,
     size_of,
@@ -75,7 +75,7 @@
         rules = RELAY_RULES if everything else Rules()
         self.relay = relay.Relay("above", store, rules, lambda now: 0.0, authority=True)
         role = Role.RELAY if everything else Role.PROXY
-        me, above = Place("below"), (Place("above"),)
+        me, above = Participant("below"), (Participant("above"),)
         self.subscriber = subscriber.Subscriber(me, role, above, rules, Random(1), 0.0, everything)
         if names is not None:
             self._up(subscriber.Follow(tuple(names)))
--- a/flintlatch/config/delivery.py
+++ b/flintlatch/config/delivery.py
@@ -25,7 +25,7 @@
     read_relay,
     unique,
 )
-from flintlatch.delivery.model import RELAY_RULES, Place, Rules
+from flintlatch.delivery.model import RELAY_RULES, Participant, Rules
 from flintlatch.delivery.wire import FRAME_MOST
 from flintlatch.peers.seal import BadKeys, read_keys
 
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Common:
-    me: Place
+    me: Participant
     keys: tuple[bytes, ...]
     rules: Rules  # of a proxy
     upward: Rules  # of a relay, as it follows the origin
@@ -52,14 +52,14 @@
 class RelayTable:
     common: Common
     bind: str
-    origin: Place
+    origin: Participant
     source_host: str
 
 
 @dataclass(frozen=True, slots=True)
 class FollowTable:
     common: Common
-    relays: tuple[Place, ...]
+    relays: tuple[Participant, ...]
     names: tuple[str, ...]
     source_host: str
 
@@ -118,7 +118,7 @@
 
 
 def _common(reader: Reader) -> Common:
-    me = Place(reader.name("name"), read_region(reader), reader.text("zone", ""))
+    me = Participant(reader.name("name"), read_region(reader), reader.text("zone", ""))
     rules = read_rules(reader.sub("rules"))
     return Common(me, _keys(reader), rules, upward(rules))
 
@@ -128,12 +128,12 @@
     return address(reader, "bind", text) if text else ""
 
 
-def _origin_place(reader: Reader) -> Place:
+def _origin_place(reader: Reader) -> Participant:
     text = reader.text("origin", None, 'the address of the origin such as "10.0.0.2:7950"')
     where = address(reader, "origin", text, "127.0.0.1:1") if text else ""
     if where.endswith(":0"):
         reader.problem("origin", repr(where), "a port from 1 to 65535")
-    return Place("origin", address=where)
+    return Participant("origin", address=where)
 
 
 def _names(reader: Reader, instead: tuple[str, ...], most: int) -> tuple[str, ...]:
@@ -195,7 +195,7 @@
     rows = [read_relay(row) for row in reader.subs("relays", least=1)]
     unique(reader, "relays.name", [row.name for row in rows])
     unique(reader, "relays.address", [row.address for row in rows])
-    relays = tuple(Place(row.name, row.region, row.zone, row.address) for row in rows)
+    relays = tuple(Participant(row.name, row.region, row.zone, row.address) for row in rows)
     followed = _names(reader, names, common.rules.most_names)
     table = FollowTable(common, relays, followed, ip_address_of(reader, "source_host"))
     _end(top, reader, problems)
--- a/flintlatch/delivery/model.py
+++ b/flintlatch/delivery/model.py
@@ -192,7 +192,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class Participant:
     """A process that takes part: a relay, or (without an address) a subscriber."""
 
     name: str
@@ -236,11 +236,11 @@
     return FRAME_BYTES + 40 + sum(len(name.encode()) + 5 for name in names)
 
 
-def rank(me: Place, relays: tuple[Place, ...]) -> tuple[Place, ...]:
+def rank(me: Participant, relays: tuple[Participant, ...]) -> tuple[Participant, ...]:
     """The relays in the order in which `me` would use them: of its own region first, each by rendezvous hash
     (highest random weight), so that the subscribers of a lost relay spread evenly over the others."""
 
-    def weight(relay: Place) -> bytes:
+    def weight(relay: Participant) -> bytes:
         return blake2b(f"{me.name}\0{relay.name}".encode(), digest_size=8).digest()
 
     return tuple(sorted(relays, key=lambda r: (r.region != me.region, weight(r))))
--- a/flintlatch/delivery/node.py
+++ b/flintlatch/delivery/node.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from flintlatch.delivery import relay, subscriber
-from flintlatch.delivery.model import RELAY_RULES, Place, Role, Rules
+from flintlatch.delivery.model import RELAY_RULES, Participant, Role, Rules
 from flintlatch.peers.model import Chance
 
 
@@ -34,8 +34,8 @@
 
     def __init__(
         self,
-        me: Place,
-        origins: tuple[Place, ...],
+        me: Participant,
+        origins: tuple[Participant, ...],
         rules: Rules,
         rng: Chance,
         now: float,
--- a/flintlatch/delivery/run.py
+++ b/flintlatch/delivery/run.py
@@ -14,7 +14,7 @@
 
 import orjson
 
-from flintlatch.delivery.model import Place, Role, Rules
+from flintlatch.delivery.model import Participant, Role, Rules
 from flintlatch.delivery.shell import Client, Server
 from flintlatch.delivery.source import LOOK_S, Source
 from flintlatch.delivery.subscriber import Changed
@@ -61,7 +61,7 @@
 
 
 async def origin(
-    me: Place, bind: str, rules: Rules, keys: tuple[bytes, ...], source_path: str, kept_path: str
+    me: Participant, bind: str, rules: Rules, keys: tuple[bytes, ...], source_path: str, kept_path: str
 ) -> int:
     """The exit code, as of the others."""
     end, tell = ending(), teller("origin", me.name)
@@ -81,11 +81,11 @@
 
 
 async def relay(
-    me: Place,
+    me: Participant,
     bind: str,
     rules: Rules,
     keys: tuple[bytes, ...],
-    origins: tuple[Place, ...],
+    origins: tuple[Participant, ...],
     source_host: str,
     upward: Rules,
 ) -> int:
@@ -182,8 +182,8 @@
 
 
 async def follow(
-    me: Place,
-    relays: tuple[Place, ...],
+    me: Participant,
+    relays: tuple[Participant, ...],
     names: tuple[str, ...],
     rules: Rules,
     keys: tuple[bytes, ...],
--- a/flintlatch/delivery/shell.py
+++ b/flintlatch/delivery/shell.py
@@ -14,7 +14,7 @@
 from typing import Any, Generic, TypeVar
 
 from flintlatch.delivery import node, relay, subscriber
-from flintlatch.delivery.model import RELAY_RULES, Place, Role, Rules
+from flintlatch.delivery.model import RELAY_RULES, Participant, Role, Rules
 from flintlatch.delivery.shell_above import Above
 from flintlatch.delivery.shell_below import Below
 from flintlatch.delivery.store import Store
@@ -67,9 +67,9 @@
 
     def __init__(
         self,
-        me: Place,
+        me: Participant,
         role: Role,
-        relays: tuple[Place, ...],
+        relays: tuple[Participant, ...],
         rules: Rules,
         keys: tuple[bytes, ...],
         on_changed: Callable[[Changed], None],
@@ -129,12 +129,12 @@
 
     def __init__(
         self,
-        me: Place,
+        me: Participant,
         bind: str,
         rules: Rules,
         keys: tuple[bytes, ...],
         on_told: Callable[[str], None],
-        origins: tuple[Place, ...] = (),
+        origins: tuple[Participant, ...] = (),
         local_host: str = "",
         upward: Rules = RELAY_RULES,
     ) -> None:
--- a/flintlatch/delivery/subscriber.py
+++ b/flintlatch/delivery/subscriber.py
@@ -24,9 +24,9 @@
     Hello,
     LeftOut,
     ObjectChange,
+    Participant,
     PartOf,
     Ping,
-    Place,
     Pong,
     Refused,
     Role,
@@ -94,7 +94,7 @@
 
 class Connect(NamedTuple):
     session: int
-    relay: Place
+    relay: Participant
 
 
 class Disconnect(NamedTuple):
@@ -137,7 +137,7 @@
 
 
 class Session:
-    def __init__(self, number: int, relay: Place, now: float) -> None:
+    def __init__(self, number: int, relay: Participant, now: float) -> None:
         self.number, self.relay, self.began = number, relay, now
         self.state = State.OPENING
         self.pings: OrderedDict[int, float] = OrderedDict()  # unanswered, with when they were sent
@@ -154,9 +154,9 @@
 class Subscriber:
     def __init__(
         self,
-        me: Place,
+        me: Participant,
         role: Role,
-        relays: Iterable[Place],
+        relays: Iterable[Participant],
         rules: Rules,
         rng: Chance,
         now: float,
--- a/flintlatch/fleet/delivered.py
+++ b/flintlatch/fleet/delivered.py
@@ -12,7 +12,7 @@
 
 from flintlatch.config import Config, beside
 from flintlatch.config.tables import DeliveryTable
-from flintlatch.delivery.model import Place, Role, Rules
+from flintlatch.delivery.model import Participant, Role, Rules
 from flintlatch.delivery.shell import Client
 from flintlatch.delivery.subscriber import Changed
 from flintlatch.membership import Event, Restored, Version
@@ -40,8 +40,8 @@
         self.drawn: dict[str, list[Followed]] = {}
         self.revisions: dict[str, int] = {}  # of each object's last change
         self.absent: set[str] = set()
-        me = Place(table.name, table.region, table.zone)
-        relays = tuple(Place(row.name, row.region, row.zone, row.address) for row in table.relays)
+        me = Participant(table.name, table.region, table.zone)
+        relays = tuple(Participant(row.name, row.region, row.zone, row.address) for row in table.relays)
         self.client = Client(
             me,
             Role.PROXY,
--- a/flintlatch/lab/delivery.py
+++ b/flintlatch/lab/delivery.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from flintlatch.delivery import node, relay, subscriber
-from flintlatch.delivery.model import RELAY_RULES, Message, ObjectChange, Place, Role, Rules, size_of
+from flintlatch.delivery.model import RELAY_RULES, Message, ObjectChange, Participant, Role, Rules, size_of
 from flintlatch.delivery.store import Store
 from flintlatch.lab.engine import Engine
 
@@ -36,7 +36,7 @@
 class Host:
     """What all processes here share: a name, whether it runs, its streams by its own numbers."""
 
-    def __init__(self, lab: Lab, place: Place) -> None:
+    def __init__(self, lab: Lab, place: Participant) -> None:
         self.lab, self.place = lab, place
         self.up, self.paused = True, False
         self.buffer: list[Callable[[], None]] = []
@@ -89,7 +89,7 @@
 class Origin(Host):
     """`first`: the revision at which it starts; else, by the clock, one above that of any life before."""
 
-    def __init__(self, lab: Lab, place: Place, rules: Rules, first: int | None = None) -> None:
+    def __init__(self, lab: Lab, place: Participant, rules: Rules, first: int | None = None) -> None:
         super().__init__(lab, place)
         self.store = Store()
         self.store.restamp(int(lab.engine.now * 1000) if first is None else first)
@@ -108,7 +108,9 @@
 
 
 class RelayHost(Host):
-    def __init__(self, lab: Lab, place: Place, origins: tuple[Place, ...], rules: Rules, rng: Random) -> None:
+    def __init__(
+        self, lab: Lab, place: Participant, origins: tuple[Participant, ...], rules: Rules, rng: Random
+    ) -> None:
         super().__init__(lab, place)
         self.node = node.Node(place, origins, rules, rng, lab.engine.now)
 
@@ -134,8 +136,8 @@
     def __init__(
         self,
         lab: Lab,
-        place: Place,
-        relays: tuple[Place, ...],
+        place: Participant,
+        relays: tuple[Participant, ...],
         names: tuple[str, ...],
         rules: Rules,
         rng: Random,
@@ -182,17 +184,19 @@
 
         self.engine.after(offset, tick)
 
-    def origin(self, place: Place, rules: Rules = RELAY_RULES, first: int | None = None) -> Origin:
+    def origin(self, place: Participant, rules: Rules = RELAY_RULES, first: int | None = None) -> Origin:
         host = Origin(self, place, rules, first)
         self.add(host)
         return host
 
-    def relay(self, place: Place, origins: tuple[Place, ...], rules: Rules) -> RelayHost:
+    def relay(self, place: Participant, origins: tuple[Participant, ...], rules: Rules) -> RelayHost:
         host = RelayHost(self, place, origins, rules, Random(self.rng.random()))
         self.add(host)
         return host
 
-    def proxy(self, place: Place, relays: tuple[Place, ...], names: tuple[str, ...], rules: Rules) -> Proxy:
+    def proxy(
+        self, place: Participant, relays: tuple[Participant, ...], names: tuple[str, ...], rules: Rules
+    ) -> Proxy:
         host = Proxy(self, place, relays, names, rules, Random(self.rng.random()))
         self.add(host)
         return host
--- a/tests/delivery/loopback.py
+++ b/tests/delivery/loopback.py
@@ -14,7 +14,7 @@
 from flintlatch.delivery.model import (
     Hello,
     Message,
-    Place,
+    Participant,
     Role,
     Rules,
 )
@@ -47,12 +47,14 @@
 class Follower:
     """A client with all that it was told."""
 
-    def __init__(self, name: str, relays: tuple[Place, ...], keys: tuple[bytes, ...], rules: Rules) -> None:
+    def __init__(
+        self, name: str, relays: tuple[Participant, ...], keys: tuple[bytes, ...], rules: Rules
+    ) -> None:
         self.changed: list[Changed] = []
         self.absent: list[str] = []
         self.told: list[str] = []
         self.client = Client(
-            Place(name, "r", "a"),
+            Participant(name, "r", "a"),
             Role.PROXY,
             relays,
             rules,
@@ -76,11 +78,13 @@
         self.followers: list[Follower] = []
         self.wanted: Wanted = {}
 
-    async def serve(self, name: str, origins: tuple[Place, ...] = (), rules: Rules = RULES) -> Place:
-        server = Server(Place(name), "127.0.0.1:0", rules, KEYS, self.told.append, origins)
+    async def serve(
+        self, name: str, origins: tuple[Participant, ...] = (), rules: Rules = RULES
+    ) -> Participant:
+        server = Server(Participant(name), "127.0.0.1:0", rules, KEYS, self.told.append, origins)
         await server.open()
         self.servers.append(server)
-        return Place(name, "r", "a", server.address)
+        return Participant(name, "r", "a", server.address)
 
     def commit(self, **objects: dict[str, bytes]) -> None:
         self.wanted |= objects
@@ -90,7 +94,7 @@
     def follow(
         self,
         *names: str,
-        relays: tuple[Place, ...],
+        relays: tuple[Participant, ...],
         keys: tuple[bytes, ...] = KEYS,
         rules: Rules = RULES,
     ) -> Follower:
--- a/tests/delivery/reference.py
+++ b/tests/delivery/reference.py
@@ -12,7 +12,7 @@
 from typing import Any, NamedTuple
 
 from flintlatch.delivery import relay, subscriber
-from flintlatch.delivery.model import Kind, Message, ObjectChange, PartOf, Place, Rules
+from flintlatch.delivery.model import Kind, Message, ObjectChange, Participant, PartOf, Rules
 from flintlatch.delivery.store import Store
 from flintlatch.delivery.subscriber import Subscriber
 from flintlatch.lab.delivery import Lab, Proxy, RelayHost, Stream
@@ -178,9 +178,10 @@
         self.names: dict[str, tuple[str, ...]] = {}  # by proxy, what it follows
         self.wire = Wire(self.lab)
         self.places = {
-            f"relay{i}": Place(f"relay{i}", f"r{i % regions}", address=f"relay{i}:1") for i in range(relays)
+            f"relay{i}": Participant(f"relay{i}", f"r{i % regions}", address=f"relay{i}:1")
+            for i in range(relays)
         }
-        self.origin = self.lab.origin(Place("origin"), first=0)
+        self.origin = self.lab.origin(Participant("origin"), first=0)
         for name in self.places:
             self.start(name)
 
@@ -225,7 +226,7 @@
     def restart_origin(self, first: int | None = None) -> None:
         """From nothing: it reads all that it is to hold anew."""
         self.lab.kill("origin")
-        self.origin = self.lab.origin(Place("origin"), first=first)
+        self.origin = self.lab.origin(Participant("origin"), first=first)
         self.load()
 
     def load(self) -> None:
@@ -240,14 +241,14 @@
         """A relay, or a proxy again."""
         self.watch.started(name)
         if name in self.places:
-            self.lab.relay(self.places[name], (Place("origin"),), self.rules)
+            self.lab.relay(self.places[name], (Participant("origin"),), self.rules)
         else:
             self.proxy(name, *self.names[name])
 
     def proxy(self, name: str, *names: str, region: int = 0, rules: Rules | None = None) -> Proxy:
         self.names[name] = names
         relays = tuple(self.places.values())
-        return self.lab.proxy(Place(name, f"r{region}"), relays, names, rules or self.rules)
+        return self.lab.proxy(Participant(name, f"r{region}"), relays, names, rules or self.rules)
 
     def follow(self, name: str, *names: str) -> None:
         host = self.lab.hosts[name]
--- a/tests/delivery/test_commands.py
+++ b/tests/delivery/test_commands.py
@@ -17,7 +17,7 @@
 from flintlatch.cli import main
 from flintlatch.config import Unusable
 from flintlatch.config.delivery import load_follow, load_origin, load_relay
-from flintlatch.delivery.model import RELAY_RULES, Place, Rules
+from flintlatch.delivery.model import RELAY_RULES, Participant, Rules
 from flintlatch.standin.delivery import delivered
 
 KEY = "ab" * 32
@@ -37,17 +37,17 @@
 
 def test_good_ones_are_read_as_written(tmp_path: Path) -> None:
     origin = load_origin(write(tmp_path, ORIGIN + "keep = 'k'\n"))
-    assert origin.common.me == Place("o") and origin.common.keys == (bytes.fromhex(KEY),)
+    assert origin.common.me == Participant("o") and origin.common.keys == (bytes.fromhex(KEY),)
     assert (origin.source, origin.kept) == (str(tmp_path / "objects.json"), str(tmp_path / "k"))
     assert load_origin(write(tmp_path, ORIGIN)).kept == str(tmp_path / "objects.json.kept")
     relay = load_relay(
         write(tmp_path, RELAY + 'region = "eu"\n[delivery.rules]\nping_s = 0.5\nburst_bytes = 1e6')
     )
-    assert relay.origin == Place("origin", address="10.0.0.2:7950") and relay.common.me.region == "eu"
+    assert relay.origin == Participant("origin", address="10.0.0.2:7950") and relay.common.me.region == "eu"
     assert (relay.common.rules.ping_s, relay.common.rules.burst) == (0.5, 1e6)
     assert (relay.common.upward.ping_s, relay.common.upward.burst) == (0.5, RELAY_RULES.burst)
     follow = load_follow(write(tmp_path, FOLLOW + ROW))
-    assert follow.relays == (Place("r0", "eu", "z", "10.0.0.3:7950"),) and follow.names == ("a",)
+    assert follow.relays == (Participant("r0", "eu", "z", "10.0.0.3:7950"),) and follow.names == ("a",)
     assert follow.common.rules == Rules() and follow.source_host == ""
     assert load_follow(write(tmp_path, FOLLOW + ROW), ("x", "y")).names == ("x", "y")
 
--- a/tests/delivery/test_hard_cases.py
+++ b/tests/delivery/test_hard_cases.py
@@ -7,7 +7,7 @@
 import pytest
 
 from flintlatch.delivery import subscriber
-from flintlatch.delivery.model import ObjectChange, Place, Rules
+from flintlatch.delivery.model import ObjectChange, Participant, Rules
 from tests.delivery.reference import (
     OBJECTS,
     Fleet,
@@ -275,7 +275,7 @@
 def test_an_origin_that_knows_nothing_yet_empties_nobody() -> None:
     fleet = settled()
     fleet.lab.kill("origin")
-    fleet.origin = fleet.lab.origin(Place("origin"))
+    fleet.origin = fleet.lab.origin(Participant("origin"))
     fleet.run(20)
     assert fleet.right()
     assert fleet.core("relay0").counts["lost: behind"] > 0
--- a/tests/delivery/test_processes.py
+++ b/tests/delivery/test_processes.py
@@ -18,7 +18,7 @@
 
 from flintlatch.config.delivery import read_rules
 from flintlatch.config.reader import Reader
-from flintlatch.delivery.model import Place, rank
+from flintlatch.delivery.model import Participant, rank
 from flintlatch.delivery.source import LOOK_S
 from flintlatch.standin.delivery import QUICK, Delivered, delivered
 
@@ -49,7 +49,7 @@
 
 async def settled(made: Delivered) -> None:
     """Each is at the relay that it likes best."""
-    places = {n: Place(n, p.zone, p.zone) for n, p in made.links.places.items()}
+    places = {n: Participant(n, p.zone, p.zone) for n, p in made.links.places.items()}
     relays = tuple(places[name] for name in RELAYS)
     best = {name: rank(places[name], relays)[0].name for name in made.follows}
     await made.until(
--- a/tests/delivery/test_refusals.py
+++ b/tests/delivery/test_refusals.py
@@ -17,9 +17,9 @@
     Hello,
     LeftOut,
     ObjectChange,
+    Participant,
     PartOf,
     Ping,
-    Place,
     Pong,
     Refused,
     Role,
@@ -33,8 +33,10 @@
 
 
 def test_a_subscriber_refuses_what_comes_before_the_welcome() -> None:
-    one = subscriber.Subscriber(Place("p"), Role.PROXY, (Place("r", address="r:1"),), Rules(), Fixed(), 0.0)
-    assert one.step(0.1, subscriber.Tick()) == [subscriber.Connect(1, Place("r", address="r:1"))]
+    one = subscriber.Subscriber(
+        Participant("p"), Role.PROXY, (Participant("r", address="r:1"),), Rules(), Fixed(), 0.0
+    )
+    assert one.step(0.1, subscriber.Tick()) == [subscriber.Connect(1, Participant("r", address="r:1"))]
     one.step(0.2, subscriber.Connected(1))
     out = one.step(0.3, subscriber.Received(1, Begin(0, 5, False)))
     assert subscriber.Disconnect(1) in out and any(isinstance(a, subscriber.Told) for a in out)
@@ -42,7 +44,9 @@
 
 
 def test_a_subscriber_leaves_a_relay_that_welcomes_it_and_holds_less() -> None:
-    one = subscriber.Subscriber(Place("p"), Role.PROXY, (Place("r", address="r:1"),), Rules(), Fixed(), 0.0)
+    one = subscriber.Subscriber(
+        Participant("p"), Role.PROXY, (Participant("r", address="r:1"),), Rules(), Fixed(), 0.0
+    )
     one.store.revision = 9
     one.step(0.1, subscriber.Tick())
     one.step(0.2, subscriber.Connected(1))
@@ -51,7 +55,9 @@
 
 
 def test_a_subscriber_leaves_a_relay_of_which_an_answer_goes_back() -> None:
-    one = subscriber.Subscriber(Place("p"), Role.PROXY, (Place("r", address="r:1"),), Rules(), Fixed(), 0.0)
+    one = subscriber.Subscriber(
+        Participant("p"), Role.PROXY, (Participant("r", address="r:1"),), Rules(), Fixed(), 0.0
+    )
     one.step(0.1, subscriber.Tick())
     one.step(0.2, subscriber.Connected(1))
     one.step(0.3, subscriber.Received(1, Welcome("r", 8, 0)))
--- a/tests/delivery/test_shell.py
+++ b/tests/delivery/test_shell.py
@@ -10,7 +10,7 @@
 import pytest
 
 from flintlatch.delivery.model import (
-    Place,
+    Participant,
 )
 from flintlatch.delivery.shell import Server, Turns
 from flintlatch.delivery.wire import FRAME_MOST
@@ -141,7 +141,7 @@
         async with fabric() as made:
             origin = await made.serve("origin")
             made.commit(a={"x": b"1"})
-            dead = Place("dead", "r", "a", f"127.0.0.1:{port}")
+            dead = Participant("dead", "r", "a", f"127.0.0.1:{port}")
             some = [made.follow("a", relays=(dead, origin)) for _ in range(6)]
             await until(lambda: all(one.holds(made.wanted) for one in some), "the one that answers")
             assert held  # some had chosen the silent one first
@@ -157,6 +157,6 @@
         async with fabric() as made:
             origin = await made.serve("origin")
             with pytest.raises(NotBound, match="in use"):
-                await Server(Place("x"), origin.address, RULES, KEYS, made.told.append).open()
+                await Server(Participant("x"), origin.address, RULES, KEYS, made.told.append).open()
 
     run(test())
--- a/tests/delivery/test_store.py
+++ b/tests/delivery/test_store.py
@@ -15,8 +15,8 @@
     End,
     Kind,
     ObjectChange,
+    Participant,
     PartOf,
-    Place,
     Rules,
     digest,
     rank,
@@ -363,10 +363,10 @@
 
 
 def test_subscribers_of_one_relay_spread_evenly_over_the_others() -> None:
-    relays = tuple(Place(f"relay{n}", f"r{n % 2}") for n in range(12))
+    relays = tuple(Participant(f"relay{n}", f"r{n % 2}") for n in range(12))
     seconds: dict[str, int] = {}
     for n in range(2200):
-        order = rank(Place(f"proxy{n}", "r0"), relays)
+        order = rank(Participant(f"proxy{n}", "r0"), relays)
         assert {one.region for one in order[:6]} == {"r0"} and len(order) == 12
         if order[0].name == "relay0":
             seconds[order[1].name] = seconds.get(order[1].name, 0) + 1
@@ -374,8 +374,8 @@
 
 
 def test_the_order_does_not_depend_on_how_relays_are_given() -> None:
-    relays = tuple(Place(f"relay{n}", f"r{n % 2}") for n in range(6))
-    assert rank(Place("p", "r1"), relays) == rank(Place("p", "r1"), relays[::-1])
+    relays = tuple(Participant(f"relay{n}", f"r{n % 2}") for n in range(6))
+    assert rank(Participant("p", "r1"), relays) == rank(Participant("p", "r1"), relays[::-1])
 
 
 def test_a_message_is_never_larger_than_what_is_counted_for_it() -> None:
--- a/tests/delivery/test_strangers.py
+++ b/tests/delivery/test_strangers.py
@@ -13,9 +13,9 @@
     Applied,
     Credit,
     End,
+    Participant,
     PartOf,
     Ping,
-    Place,
     Subscribe,
 )
 from flintlatch.delivery.relay import TURN_BYTES
@@ -29,11 +29,11 @@
 def test_a_new_key_is_taken_while_both_are_known_and_a_foreign_one_is_not() -> None:
     async def test() -> None:
         async with fabric() as made:
-            server = Server(Place("origin"), "127.0.0.1:0", RULES, KEYS + OTHER, made.told.append)
+            server = Server(Participant("origin"), "127.0.0.1:0", RULES, KEYS + OTHER, made.told.append)
             await server.open()
             made.servers.append(server)
             made.commit(a={"x": b"1"})
-            place = Place("origin", "r", "a", server.address)
+            place = Participant("origin", "r", "a", server.address)
             old, new = made.follow("a", relays=(place,)), made.follow("a", relays=(place,), keys=OTHER)
             await until(lambda: old.holds(made.wanted) and new.holds(made.wanted), "both keys")
             assert made.told == []
--- a/tests/fleet/test_delivered.py
+++ b/tests/fleet/test_delivered.py
@@ -22,7 +22,7 @@
 from flintlatch.config import parse
 from flintlatch.config.delivery import read_rules
 from flintlatch.config.reader import Reader
-from flintlatch.delivery.model import ObjectChange, Place
+from flintlatch.delivery.model import ObjectChange, Participant
 from flintlatch.delivery.shell import Server
 from flintlatch.delivery.source import LOOK_S
 from flintlatch.fleet.delivered import Supply
@@ -308,7 +308,7 @@
         (folder / "key").write_text(KEY)
         self.log: list[str] = []
         self.news: list[Listing] = []
-        self.server = Server(Place("r0"), "127.0.0.1:0", RULES, (bytes.fromhex(KEY),), self.log.append)
+        self.server = Server(Participant("r0"), "127.0.0.1:0", RULES, (bytes.fromhex(KEY),), self.log.append)
         self.supply = Supply(lambda level, text: self.log.append(f"{level}: {text}"))
         self.drawn: list[Nodes] = []
 
