--- a/bench/scale/delivery.py
+++ b/bench/scale/delivery.py
@@ -25,8 +25,8 @@
     End,
     Message,
     ObjectChange,
+    ObjectPart,
     Participant,
-    PartOf,
     Role,
     Rules,
     size_of,
@@ -189,7 +189,7 @@
     line.got.clear()
     line.commit([ObjectChange("s1", {"b7": rng.randbytes(BACKEND)})])
     line.until(lambda: line.subscriber.store.revision == store.revision)
-    got["change_bytes"] = sum(line.got[kind.__name__] for kind in (Begin, PartOf, End))
+    got["change_bytes"] = sum(line.got[kind.__name__] for kind in (Begin, ObjectPart, End))
     began, spent, due = line.now, line.spent["subscriber"], 0.0
     while line.now - began < rest_s:
         due += 0.1 * OF_DAY * size
@@ -255,7 +255,7 @@
     shut, read = [], []
     for size in sizes:
         items = {f"b{n}": bytes(BACKEND) for n in range(max(1, size // (BACKEND + 12)))}
-        message: Message = PartOf("s1", 1, 1 << 40, items, (), 18, 1 << 60, False)
+        message: Message = ObjectPart("s1", 1, 1 << 40, items, (), 18, 1 << 60, False)
         out, back = [], []
         for _ in range(5):
             ours, theirs = (StreamSeal(bytes(32), b"a" * 16, b"b" * 16, asks) for asks in (True, False))
--- a/flintlatch/delivery/model.py
+++ b/flintlatch/delivery/model.py
@@ -108,7 +108,7 @@
     whole: bool
 
 
-class PartOf(msgspec.Struct, frozen=True, array_like=True, tag=19):
+class ObjectPart(msgspec.Struct, frozen=True, array_like=True, tag=19):
     """Of one object. `more`: its next part follows. `version`: it has not changed after that revision.
     `count` and `checksum` are of the object afterwards."""
 
@@ -146,7 +146,7 @@
 
 
 FromSubscriber = Hello | Subscribe | Unsubscribe | Credit | Ping | Applied | Refused
-FromRelay = Welcome | Turned | Begin | PartOf | End | Pong | LeftOut
+FromRelay = Welcome | Turned | Begin | ObjectPart | End | Pong | LeftOut
 Message = FromSubscriber | FromRelay
 
 
@@ -220,7 +220,7 @@
 
 def size_of(message: Message) -> int:
     """Bytes that a message takes on the wire, at most: both sides count credit by what is sent."""
-    if isinstance(message, PartOf):
+    if isinstance(message, ObjectPart):
         items = sum(len(k.encode()) + len(v) + ITEM_BYTES for k, v in message.items.items())
         gone = sum(len(name.encode()) + 5 for name in message.removed)
         return FRAME_BYTES + len(message.name.encode()) + 30 + items + gone
--- a/flintlatch/delivery/relay.py
+++ b/flintlatch/delivery/relay.py
@@ -24,7 +24,7 @@
     Hello,
     Kind,
     LeftOut,
-    PartOf,
+    ObjectPart,
     Ping,
     Pong,
     Refused,
@@ -398,7 +398,7 @@
         for name, one, since in picked:
             if one is None:
                 count += 1
-                yield PartOf(name, Kind.GONE, to, {}, (), 0, 0, False)
+                yield ObjectPart(name, Kind.GONE, to, {}, (), 0, 0, False)
                 continue
             for part in one.parts(name, since, self.rules.part_bytes):
                 count += 1
--- a/flintlatch/delivery/staging.py
+++ b/flintlatch/delivery/staging.py
@@ -16,7 +16,7 @@
     End,
     Kind,
     ObjectChange,
-    PartOf,
+    ObjectPart,
     Rules,
 )
 from flintlatch.delivery.store import Object, Store
@@ -65,7 +65,7 @@
     parts: int = 0
     size: int = 0
 
-    def add(self, part: PartOf, size: int) -> None:
+    def add(self, part: ObjectPart, size: int) -> None:
         """Raises Torn."""
         name = part.name
         self.parts += 1
--- a/flintlatch/delivery/store.py
+++ b/flintlatch/delivery/store.py
@@ -19,7 +19,7 @@
     OBJECT_MOST,
     Kind,
     ObjectChange,
-    PartOf,
+    ObjectPart,
     digest,
 )
 
@@ -97,7 +97,7 @@
             removed.append(name)
         return ObjectChange("", items, tuple(removed))
 
-    def parts(self, name: str, since: int | None, part_bytes: int) -> Iterator[PartOf]:
+    def parts(self, name: str, since: int | None, part_bytes: int) -> Iterator[ObjectPart]:
         """The object's parts for who holds it as of `since`, or for who holds nothing of it (None)."""
         change = None if since is None else self.since(since)
         kind = Kind.SNAPSHOT if change is None else Kind.DELTA
@@ -110,18 +110,18 @@
         for item in removed:  # a part must fit into the credit that can be had at once
             each = len(item.encode()) + 5
             if gone and size + each > part_bytes:
-                yield PartOf(name, kind, self.version, {}, tuple(gone), count, checksum, True)
+                yield ObjectPart(name, kind, self.version, {}, tuple(gone), count, checksum, True)
                 size, gone = 0, []
             gone.append(item)
             size += each
         for item, value in left.items():
             each = len(item.encode()) + len(value) + ITEM_BYTES
             if (chunk or gone) and size + each > part_bytes:
-                yield PartOf(name, kind, self.version, chunk, tuple(gone), count, checksum, True)
+                yield ObjectPart(name, kind, self.version, chunk, tuple(gone), count, checksum, True)
                 chunk, size, gone = {}, 0, []
             chunk[item] = value
             size += each
-        yield PartOf(name, kind, self.version, chunk, tuple(gone), count, checksum, False)
+        yield ObjectPart(name, kind, self.version, chunk, tuple(gone), count, checksum, False)
 
 
 def difference(held: Object | None, items: Mapping[str, bytes], name: str) -> ObjectChange:
--- a/flintlatch/delivery/subscriber.py
+++ b/flintlatch/delivery/subscriber.py
@@ -24,8 +24,8 @@
     Hello,
     LeftOut,
     ObjectChange,
+    ObjectPart,
     Participant,
-    PartOf,
     Ping,
     Pong,
     Refused,
@@ -381,7 +381,7 @@
         if session is None:
             self.counts["of a session that is over"] += 1
             return
-        if not isinstance(message, Begin | PartOf | End):
+        if not isinstance(message, Begin | ObjectPart | End):
             self._fill(now)
             self.tokens -= size_of(message)
         if session.state is not State.LIVE:
@@ -397,7 +397,7 @@
                 self._refuse_count("a message before the welcome")
                 self._leave(now, session, "out of order")
             return
-        if isinstance(message, Begin | PartOf | End):
+        if isinstance(message, Begin | ObjectPart | End):
             size = size_of(message)
             self.granted = max(0.0, self.granted - size)
             self._batch(now, session, message, size)
@@ -472,7 +472,7 @@
             self.told_stale = False
             self.out.append(Told(f"delivery: revision {self.store.revision} again {age:.1f} s old at most"))
 
-    def _batch(self, now: float, session: Session, message: Begin | PartOf | End, size: int) -> None:
+    def _batch(self, now: float, session: Session, message: Begin | ObjectPart | End, size: int) -> None:
         session.moved = now
         try:
             if isinstance(message, Begin):
@@ -481,11 +481,11 @@
                 session.refusing = not isinstance(message, End)
             elif session.staging is None:
                 # No part is answered: the batch's end is, unless it is one that was taken.
-                if isinstance(message, PartOf) or message.to == session.applied:
+                if isinstance(message, ObjectPart) or message.to == session.applied:
                     self._refuse_count("a part of no batch")
                 else:
                     raise Torn("an end of no batch")
-            elif isinstance(message, PartOf):
+            elif isinstance(message, ObjectPart):
                 session.staging.add(message, size)
             else:
                 self._end(session, session.staging, message)
@@ -532,7 +532,7 @@
         if absent:
             self.out.append(Absent(tuple(absent)))
 
-    def _refuse(self, now: float, session: Session, torn: Torn, message: Begin | PartOf | End) -> None:
+    def _refuse(self, now: float, session: Session, torn: Torn, message: Begin | ObjectPart | End) -> None:
         """The batch is not taken, nothing of it; the objects named come as snapshots."""
         self._refuse_count(torn.why)
         to = session.staging.begin.to if session.staging is not None else self.store.revision
--- a/tests/capacity/test_delivery.py
+++ b/tests/capacity/test_delivery.py
@@ -60,7 +60,7 @@
     line = ready(size)
     line.commit([ObjectChange("s1", {"b7": b"x" * 60})])
     run_s(line, 0.5)
-    of_change = sum(line.got[kind] for kind in ("Begin", "PartOf", "End"))
+    of_change = sum(line.got[kind] for kind in ("Begin", "ObjectPart", "End"))
     assert of_change == BATCH_BYTES + PART_BYTES + len("s1") + len("b7") + 60 + ITEM_BYTES
 
 
@@ -79,7 +79,7 @@
         line.commit([ObjectChange("s1", {"b7": bytes([n]) * 60})])
     run_s(line, 0.5)
     assert line.subscriber.store.objects["s1"].items["b7"] == bytes([9]) * 60
-    assert line.got["PartOf"] == PART_BYTES + len("s1") + len("b7") + 60 + ITEM_BYTES
+    assert line.got["ObjectPart"] == PART_BYTES + len("s1") + len("b7") + 60 + ITEM_BYTES
 
 
 def test_who_does_not_follow_gets_nothing(digests: list[str]) -> None:
@@ -87,7 +87,7 @@
     digests.clear()
     line.commit([ObjectChange("other", {f"b{n}": b"x" * 60 for n in range(18)})])
     run_s(line, 0.5)
-    assert not {"Begin", "PartOf", "End"} & set(line.got)
+    assert not {"Begin", "ObjectPart", "End"} & set(line.got)
     assert len(digests) == 18  # the origin's own
 
 
--- a/tests/delivery/reference.py
+++ b/tests/delivery/reference.py
@@ -12,7 +12,7 @@
 from typing import Any, NamedTuple
 
 from flintlatch.delivery import relay, subscriber
-from flintlatch.delivery.model import Kind, Message, ObjectChange, Participant, PartOf, Rules
+from flintlatch.delivery.model import Kind, Message, ObjectChange, ObjectPart, Participant, Rules
 from flintlatch.delivery.store import Store
 from flintlatch.delivery.subscriber import Subscriber
 from flintlatch.lab.delivery import Lab, Proxy, RelayHost, Stream
@@ -152,7 +152,7 @@
 
     def __call__(self, stream: Stream, target: str, message: Message) -> list[Message]:
         self.sent[target, type(message)] += 1
-        if isinstance(message, PartOf):
+        if isinstance(message, ObjectPart):
             self.parts[target, Kind(message.kind)] += 1
             if not message.more:
                 self.objects[target, message.name, Kind(message.kind)] += 1
--- a/tests/delivery/test_refusals.py
+++ b/tests/delivery/test_refusals.py
@@ -17,8 +17,8 @@
     Hello,
     LeftOut,
     ObjectChange,
+    ObjectPart,
     Participant,
-    PartOf,
     Ping,
     Pong,
     Refused,
@@ -146,7 +146,7 @@
     say(one, HELLO)
     say(one, Subscribe((), ("a",)))
     sent = say(one, Credit(10_000))
-    assert [type(m) for m in answers(sent)] == [Begin, PartOf, End]
+    assert [type(m) for m in answers(sent)] == [Begin, ObjectPart, End]
     say(one, Applied(1))
     assert answers(say(one, answer, now=9.0)) == []
     assert one.counts["refused: an answer to no batch"] == 1
--- a/tests/delivery/test_store.py
+++ b/tests/delivery/test_store.py
@@ -15,8 +15,8 @@
     End,
     Kind,
     ObjectChange,
+    ObjectPart,
     Participant,
-    PartOf,
     Rules,
     digest,
     rank,
@@ -39,18 +39,18 @@
     return {name: one.items for name, one in store.objects.items()}
 
 
-def sent(upper: Store, names: list[str], base: int | None, part_bytes: int = 16384) -> list[PartOf]:
-    out: list[PartOf] = []
+def sent(upper: Store, names: list[str], base: int | None, part_bytes: int = 16384) -> list[ObjectPart]:
+    out: list[ObjectPart] = []
     for name in names:
         one = upper.objects.get(name)
         if one is None:
-            out.append(PartOf(name, Kind.GONE, upper.revision, {}, (), 0, 0, False))
+            out.append(ObjectPart(name, Kind.GONE, upper.revision, {}, (), 0, 0, False))
         else:
             out += one.parts(name, base, part_bytes)
     return out
 
 
-def take(lower: Store, parts: list[PartOf], to: int, whole: bool = False) -> Taken:
+def take(lower: Store, parts: list[ObjectPart], to: int, whole: bool = False) -> Taken:
     staging = Staging(Begin(lower.revision, to, whole), Rules(), lower)
     for part in parts:
         staging.add(part, size_of(part))
@@ -315,7 +315,7 @@
 def test_the_sizes_of_an_object_and_of_a_batch_are_bounded_while_they_come() -> None:
     rules = Rules(object_bytes=1000, batch_bytes=5000)
     staging = Staging(Begin(0, 1, False), rules, Store())
-    part = PartOf("a", Kind.SNAPSHOT, 1, {"x": b""}, (), 1, 0, True)
+    part = ObjectPart("a", Kind.SNAPSHOT, 1, {"x": b""}, (), 1, 0, True)
     staging.add(part, 1999)
     with pytest.raises(Torn, match="object over the size bound"):
         staging.add(part, 2)
@@ -398,7 +398,7 @@
         model.End(2**60, 2**60),
         model.Pong(2**60, 2**60, 2**60, True, 2**60),
         model.LeftOut((long,) * 300),
-        PartOf(
+        ObjectPart(
             long, 1, 2**60, {f"{n}" * 60: bytes(300) for n in range(100)}, (long,) * 100, 2**60, 2**63, True
         ),
     ):
--- a/tests/delivery/test_strangers.py
+++ b/tests/delivery/test_strangers.py
@@ -13,8 +13,8 @@
     Applied,
     Credit,
     End,
+    ObjectPart,
     Participant,
-    PartOf,
     Ping,
     Subscribe,
 )
@@ -175,7 +175,7 @@
             raw.writer.transport.resume_reading()  # type: ignore[attr-defined]
             got = 0
             while not isinstance(message := await raw.hear(), End):
-                got += len(message.items) if isinstance(message, PartOf) else 0
+                got += len(message.items) if isinstance(message, ObjectPart) else 0
             assert got == 24 * 90 and number in server.relay.sessions
             assert server.below.counts.overfull == 0
             raw.writer.close()
--- a/tests/delivery/test_tampered.py
+++ b/tests/delivery/test_tampered.py
@@ -15,7 +15,7 @@
     Kind,
     Message,
     ObjectChange,
-    PartOf,
+    ObjectPart,
     Rules,
 )
 from flintlatch.lab.delivery import Stream
@@ -24,8 +24,8 @@
 Change = Callable[[Message], list[Message]]
 
 
-def part(name: str, change: Callable[[PartOf], list[Message]]) -> Change:
-    return lambda m: change(m) if isinstance(m, PartOf) and m.name == name else [m]
+def part(name: str, change: Callable[[ObjectPart], list[Message]]) -> Change:
+    return lambda m: change(m) if isinstance(m, ObjectPart) and m.name == name else [m]
 
 
 def begin(change: Callable[[Begin], list[Message]]) -> Change:
@@ -60,7 +60,7 @@
 
 
 def last_part(message: Message) -> bool:
-    return isinstance(message, PartOf) and message.name == "b"
+    return isinstance(message, ObjectPart) and message.name == "b"
 
 
 # What is done to the frames of one batch that changes `a` (an item put, one taken away) and `b`, what is
@@ -156,7 +156,7 @@
             lambda m: [
                 m,
                 *(
-                    PartOf(
+                    ObjectPart(
                         f"x{n}", Kind.SNAPSHOT, 1, {f"{k}": bytes(16000) for k in range(60)}, (), 0, 0, False
                     )
                     for n in range(9)
@@ -193,7 +193,7 @@
     change, at = made(), [0]
 
     def alter(stream: Stream, to: str, message: Message) -> list[Message]:
-        if to != target or not isinstance(message, Begin | PartOf | End) or at[0] > 1:
+        if to != target or not isinstance(message, Begin | ObjectPart | End) or at[0] > 1:
             return [message]
         at[0] += isinstance(message, Begin) + 2 * isinstance(message, End)
         return change(message) if at[0] < 4 else [message]
@@ -275,7 +275,7 @@
 
 def test_what_nobody_named_is_not_taken() -> None:
     fleet = settled()
-    foreign = PartOf("foreign", Kind.GONE, 1, {}, (), 0, 0, False)
+    foreign = ObjectPart("foreign", Kind.GONE, 1, {}, (), 0, 0, False)
     alter_batch(
         fleet,
         "p",
--- a/tests/delivery/test_wire.py
+++ b/tests/delivery/test_wire.py
@@ -25,7 +25,7 @@
     Kind,
     LeftOut,
     ObjectChange,
-    PartOf,
+    ObjectPart,
     Ping,
     Pong,
     Refused,
@@ -55,7 +55,7 @@
 small = st.integers(0, 1 << 32)
 items = st.dictionaries(text(ITEM_NAME_MOST), st.binary(max_size=300), max_size=30)
 part = st.builds(
-    PartOf,
+    ObjectPart,
     name,
     st.sampled_from(list(Kind)).map(int),
     number,
@@ -117,7 +117,7 @@
     full = {f"{n:0200d}": bytes(100) for n in range(Rules().part_bytes // 312)} | item
     longest = tuple(f"{n:0{NAME_MOST}d}" for n in range(wire.NAMES_MOST))
     for message in (
-        PartOf(big, Kind.DELTA, revision, full, (), 1 << 32, checksum, True),
+        ObjectPart(big, Kind.DELTA, revision, full, (), 1 << 32, checksum, True),
         Begin(revision, revision, True),
         End(revision, 1 << 32),
         LeftOut(longest),
