--- a/bench/delivery.py
+++ b/bench/delivery.py
@@ -22,7 +22,7 @@
 from bench.scale import data
 from bench.scale.data import Series
 from flintlatch.delivery.model import ObjectChange
-from flintlatch.delivery.store import Object
+from flintlatch.delivery.store import StoredObject
 
 QUIET_S = 10.0  # before the fault
 REPLACED_S = 1.0  # from a machine's going to the next in its place
@@ -216,7 +216,7 @@
     names = [*world.services[:: size.cells], *world.rows[: 2 * size.tenants]]
 
     def rewrite() -> None:
-        objects: dict[str, Object] = fleet.top.store.objects
+        objects: dict[str, StoredObject] = fleet.top.store.objects
         before = {n: dict(objects[n].items) for n in names}
         new = [{k: world.rng.randbytes(BYTES[k[0] == "r"] if k != "row" else ROW)
                 for k in before[n] if backends or k[0] == "r"} for n in names]  # fmt: skip
--- a/bench/hollow.py
+++ b/bench/hollow.py
@@ -18,7 +18,7 @@
 from bench.audit import Audit, Cost, Minutes
 from flintlatch.delivery import node, relay, subscriber
 from flintlatch.delivery.model import End, Message, ObjectChange, Participant, Pong, Rules, size_of
-from flintlatch.delivery.store import Object, Store
+from flintlatch.delivery.store import Store, StoredObject
 from flintlatch.delivery.subscriber import Tick
 from flintlatch.lab.delivery import TICK_S, Host, Lab, Origin, Proxy, RelayHost, Stream
 
@@ -281,7 +281,7 @@
         """The newest objects, in place of what is like them at the origin. Relays hand theirs on by their
         stamps: there all must be alike."""
         top = self.top.store.objects
-        found: list[tuple[str, Object]] = []
+        found: list[tuple[str, StoredObject]] = []
         for name in reversed(store.objects):
             mine, other = store.objects[name], top.get(name)
             if mine is other:
--- a/flintlatch/delivery/relay.py
+++ b/flintlatch/delivery/relay.py
@@ -37,7 +37,7 @@
     Why,
     size_of,
 )
-from flintlatch.delivery.store import Object, Store
+from flintlatch.delivery.store import Store, StoredObject
 
 TURN_BYTES = 256 * 1024  # sent in one step, of all subscribers: the loop is held for no longer
 GO_S = 1.0  # after which an `Again` without its `Go` is said anew
@@ -382,7 +382,7 @@
     def _plan(self, session: Session) -> Iterator[FromRelay]:
         store, base, whole = self.store, session.cut, session.whole
         names = list(store.objects) if whole else list(session.dirty)
-        picked: list[tuple[str, Object | None, int | None]] = []
+        picked: list[tuple[str, StoredObject | None, int | None]] = []
         for name in names:
             since = None if whole or name in session.fresh else base
             picked.append((name, store.objects.get(name), since))
@@ -391,7 +391,7 @@
         return self._messages(base, store.revision, whole, picked)
 
     def _messages(
-        self, base: int, to: int, whole: bool, picked: list[tuple[str, Object | None, int | None]]
+        self, base: int, to: int, whole: bool, picked: list[tuple[str, StoredObject | None, int | None]]
     ) -> Iterator[FromRelay]:
         yield Begin(base, to, whole)
         count = 0
--- a/flintlatch/delivery/staging.py
+++ b/flintlatch/delivery/staging.py
@@ -19,7 +19,7 @@
     ObjectPart,
     Rules,
 )
-from flintlatch.delivery.store import Object, Store
+from flintlatch.delivery.store import Store, StoredObject
 
 
 class Torn(Exception):
@@ -41,8 +41,8 @@
     count: int = 0
     checksum: int = 0
     size: int = 0
-    held: Object | None = None
-    made: Object | None = None
+    held: StoredObject | None = None
+    made: StoredObject | None = None
     change: ObjectChange | None = None
     torn: str = ""
 
@@ -51,7 +51,7 @@
 class Taken:
     """What to put into the store, and what that changes for who uses it."""
 
-    objects: list[tuple[str, Object | None]]
+    objects: list[tuple[str, StoredObject | None]]
     changes: tuple[ObjectChange, ...]
 
 
@@ -116,7 +116,7 @@
         """Raises Torn. Nothing of the store is changed here."""
         if end.to != self.begin.to or end.parts != self.parts or self.open_name:
             raise Torn("a batch without all of its parts")
-        objects: list[tuple[str, Object | None]] = []
+        objects: list[tuple[str, StoredObject | None]] = []
         changes: list[ObjectChange] = []
         torn: dict[str, str] = {}
         for name, one in sorted(self.gathered.items(), key=lambda pair: pair[1].version):
@@ -153,10 +153,10 @@
         if change.items or change.removed or held is None:
             one.change = change
 
-    def _made(self, held: Object | None, one: Gathered) -> Object:
+    def _made(self, held: StoredObject | None, one: Gathered) -> StoredObject:
         version = min(one.version, self.begin.to)
         if one.kind is Kind.SNAPSHOT:
-            made = Object(version, version).changed(ObjectChange("", one.items), version)
+            made = StoredObject(version, version).changed(ObjectChange("", one.items), version)
         elif held is None:
             raise Torn("a delta of an unknown object")
         else:
@@ -170,7 +170,7 @@
         return made
 
 
-def compare(held: Object | None, one: Gathered, name: str) -> ObjectChange:
+def compare(held: StoredObject | None, one: Gathered, name: str) -> ObjectChange:
     """What is new to who holds `held`."""
     before = held.items if held is not None else {}
     items = {k: v for k, v in one.items.items() if before.get(k) != v}
--- a/flintlatch/delivery/store.py
+++ b/flintlatch/delivery/store.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Object:
+class StoredObject:
     """`stamps` and `removed` are ordered by stamp. Nothing is known of changes before `floor`."""
 
     version: int
@@ -48,7 +48,7 @@
     checksum: int = 0
     size: int = 0  # bytes of names and values
 
-    def changed(self, change: ObjectChange, revision: int) -> Object:
+    def changed(self, change: ObjectChange, revision: int) -> StoredObject:
         items, stamps, removed = self.items.copy(), self.stamps.copy(), self.removed.copy()
         checksum, size, floor = self.checksum, self.size, self.floor
         for name in change.removed:
@@ -74,12 +74,12 @@
         while len(removed) > most:
             oldest = next(iter(removed))
             floor = max(floor, removed.pop(oldest))
-        return Object(revision, floor, items, stamps, removed, checksum & MASK, size)
+        return StoredObject(revision, floor, items, stamps, removed, checksum & MASK, size)
 
-    def stamped(self, revision: int) -> Object:
+    def stamped(self, revision: int) -> StoredObject:
         """As if all of it had come with that revision: safe wherever less is known."""
         stamps = dict.fromkeys(self.items, revision)
-        return Object(revision, revision, self.items, stamps, {}, self.checksum, self.size)
+        return StoredObject(revision, revision, self.items, stamps, {}, self.checksum, self.size)
 
     def since(self, revision: int) -> ObjectChange | None:
         """What has changed after `revision`; None where that is not known any more."""
@@ -124,7 +124,7 @@
         yield ObjectPart(name, kind, self.version, chunk, tuple(gone), count, checksum, False)
 
 
-def difference(held: Object | None, items: Mapping[str, bytes], name: str) -> ObjectChange:
+def difference(held: StoredObject | None, items: Mapping[str, bytes], name: str) -> ObjectChange:
     """What turns the one held into one that has just these items."""
     if held is None:
         return ObjectChange(name, dict(items))
@@ -132,7 +132,7 @@
     return ObjectChange(name, changed, tuple(k for k in held.items if k not in items))
 
 
-def check(change: ObjectChange, made: Object | None) -> None:
+def check(change: ObjectChange, made: StoredObject | None) -> None:
     """Raises OutOfBounds."""
     if not 0 < len(change.name.encode()) <= NAME_MOST:
         raise OutOfBounds(f"an object's name of {len(change.name.encode())} bytes, at most {NAME_MOST}")
@@ -148,7 +148,7 @@
 class Store:
     def __init__(self) -> None:
         self.revision = 0
-        self.objects: dict[str, Object] = {}  # ordered by version
+        self.objects: dict[str, StoredObject] = {}  # ordered by version
         self.gone: dict[str, int] = {}  # ordered by stamp
         self.gone_floor = 0  # of what was gone before nothing is known
         self.latest = 0  # the highest version of an object
@@ -159,10 +159,10 @@
         to = revision or self.revision + 1
         if to <= self.revision:
             raise OutOfOrder(f"a commit of revision {to} after {self.revision}")
-        new: dict[str, Object | None] = {}
+        new: dict[str, StoredObject | None] = {}
         for change in changes:
             held = new.get(change.name, self.objects.get(change.name))
-            new[change.name] = None if change.gone else (held or Object(to, to)).changed(change, to)
+            new[change.name] = None if change.gone else (held or StoredObject(to, to)).changed(change, to)
             check(change, new[change.name])
         return self.put(new.items(), to)
 
@@ -176,7 +176,7 @@
         changes += [ObjectChange(name, gone=True) for name in self.objects if name not in wanted]
         return self.commit(changes) if changes else []
 
-    def put(self, new: Iterable[tuple[str, Object | None]], revision: int) -> list[str]:
+    def put(self, new: Iterable[tuple[str, StoredObject | None]], revision: int) -> list[str]:
         """Objects made from those held, None for one that is no more."""
         names = []
         for name, one in new:
--- a/tests/delivery/test_store.py
+++ b/tests/delivery/test_store.py
@@ -26,10 +26,10 @@
 from flintlatch.delivery.store import (
     GONE_MOST,
     TOMBSTONES_LEAST,
-    Object,
     OutOfBounds,
     OutOfOrder,
     Store,
+    StoredObject,
 )
 
 State = dict[str, dict[str, bytes]]
@@ -270,7 +270,7 @@
 
 def test_of_what_is_gone_only_so_much_is_remembered_and_then_all_of_before_is_doubtful() -> None:
     store = Store()
-    store.put([(f"{n}", Object(1, 1)) for n in range(GONE_MOST + 1)], 1)
+    store.put([(f"{n}", StoredObject(1, 1)) for n in range(GONE_MOST + 1)], 1)
     store.put([("0", None)], 2)
     store.put([(f"{n}", None) for n in range(1, GONE_MOST + 1)], 3)
     assert len(store.gone) == GONE_MOST and store.gone_floor == 2
@@ -292,7 +292,7 @@
 
 def test_an_older_object_put_late_stands_in_order() -> None:
     store = Store()
-    store.put([("a", Object(9, 9)), ("b", Object(4, 4))], 9)
+    store.put([("a", StoredObject(9, 9)), ("b", StoredObject(4, 4))], 9)
     assert set(store.newer(8)) == {"a", "b"} and store.newer(9) == []
 
 
@@ -328,7 +328,7 @@
 
 def test_an_object_over_its_bound_is_not_taken() -> None:
     items = {f"{n}": bytes(100) for n in range(11)}
-    made = Object(1, 1).changed(ObjectChange("", items), 1)
+    made = StoredObject(1, 1).changed(ObjectChange("", items), 1)
     staging = Staging(Begin(0, 1, False), Rules(object_bytes=1000), Store())
     staging.add(next(made.parts("a", None, 16384)), 1200)
     with pytest.raises(Torn, match="object over the size bound"):
@@ -337,7 +337,7 @@
 
 def test_a_whole_batch_takes_away_what_it_does_not_name() -> None:
     upper, lower = Store(), Store()
-    lower.put([("old", Object(1, 1))], 1)
+    lower.put([("old", StoredObject(1, 1))], 1)
     upper.commit([ObjectChange("new")], 5)
     taken = take(lower, sent(upper, ["new"], None), 5, whole=True)
     assert state_of(lower) == {"new": {}}
@@ -353,7 +353,7 @@
         staging.add(part, size_of(part))
     made = {name: one.made for name, one in staging.gathered.items()}
     assert all(one is not None for one in made.values())
-    lower.put([("b", Object(1, 1).changed(ObjectChange("", {"x": b"1"}), 1))], 1)  # as if followed anew
+    lower.put([("b", StoredObject(1, 1).changed(ObjectChange("", {"x": b"1"}), 1))], 1)  # as if followed anew
     taken = staging.end(End(1, 3))
     assert {name for name, one in taken.objects if one is made[name]} == {"a", "c"}
     assert [change.name for change in taken.changes] == ["a", "c"]  # of b nothing is new
--- a/tests/delivery/test_wire.py
+++ b/tests/delivery/test_wire.py
@@ -36,7 +36,7 @@
     Welcome,
     size_of,
 )
-from flintlatch.delivery.store import Object
+from flintlatch.delivery.store import StoredObject
 from flintlatch.delivery.stream import LENGTH
 from flintlatch.delivery.wire import FRAME_MOST, Unreadable, encode, from_relay, from_subscriber
 from flintlatch.peers.seal import StreamSeal
@@ -138,7 +138,7 @@
     made = {
         f"{n:06d}" + letters * rng.randint(0, width): rng.randbytes(rng.randint(0, 60)) for n in range(4000)
     }
-    one = Object(1, 1).changed(ObjectChange("", made), 1)
+    one = StoredObject(1, 1).changed(ObjectChange("", made), 1)
     later = one.changed(ObjectChange("", {"new": b"1"}, tuple(list(made)[:2000])), 2)
     for thing, since in ((one, None), (later, 1), (later, None)):
         for message in thing.parts("object", since, rules.part_bytes):
