--- a/flintlatch/delivery/node.py
+++ b/flintlatch/delivery/node.py
@@ -29,7 +29,7 @@
     action: relay.Action
 
 
-class Node:
+class RelayNode:
     """`rules`: of those below; it follows its origins by `upward`."""
 
     def __init__(
--- a/flintlatch/delivery/shell.py
+++ b/flintlatch/delivery/shell.py
@@ -143,12 +143,12 @@
         self.below = Below(bind, keys, lambda event: self.turns.take(node.Below(event)))
         self.above = Above(keys, local_host, lambda event: self.turns.take(node.Above(event)))
         self.ticking = Ticking(self._tick)
-        self.node: node.Node | None = None
+        self.node: node.RelayNode | None = None
         self.filled = False  # the origin's store holds what its owner wants
         self.told_held = False
         if origins:
             rng: Any = random.SystemRandom()
-            self.node = node.Node(me, origins, rules, rng, clock(), upward)
+            self.node = node.RelayNode(me, origins, rules, rng, clock(), upward)
             self.relay, self.store = self.node.relay, self.node.subscriber.store
         else:
             self.store = Store()
--- a/flintlatch/lab/delivery.py
+++ b/flintlatch/lab/delivery.py
@@ -112,7 +112,7 @@
         self, lab: Lab, place: Participant, origins: tuple[Participant, ...], rules: Rules, rng: Random
     ) -> None:
         super().__init__(lab, place)
-        self.node = node.Node(place, origins, rules, rng, lab.engine.now)
+        self.node = node.RelayNode(place, origins, rules, rng, lab.engine.now)
 
     def tick(self) -> None:
         self.from_above(subscriber.Tick())
