--- a/bench/hollow.py
+++ b/bench/hollow.py
@@ -135,7 +135,7 @@
         if warm:
             self.fleet.fill(self.node.subscriber.store, None)
 
-    def _step(self, event: node.Above | node.Below) -> None:
+    def _step(self, event: node.SubscriberEvent | node.Below) -> None:
         began = process_time_ns()
         actions = self.node.step(self.lab.engine.now, event)
         self.ns += self.fleet.spent("relay", began)
@@ -145,7 +145,7 @@
         self._step(node.Below(event))
 
     def from_above(self, event: subscriber.Event) -> None:
-        self._step(node.Above(event))
+        self._step(node.SubscriberEvent(event))
         if isinstance(event, subscriber.Received) and isinstance(event.message, End):
             self.fleet.share(self.node.subscriber.store, exact=True)
 
--- a/flintlatch/delivery/node.py
+++ b/flintlatch/delivery/node.py
@@ -9,7 +9,7 @@
 from flintlatch.peers.model import Chance
 
 
-class Above(NamedTuple):
+class SubscriberEvent(NamedTuple):
     """An event of its own subscription."""
 
     event: subscriber.Event
@@ -47,7 +47,7 @@
     def age(self, now: float) -> float | None:
         return self.subscriber.age(now) if self.subscriber.ready() else None
 
-    def step(self, now: float, event: Above | Below) -> list[Upward | Downward]:
+    def step(self, now: float, event: SubscriberEvent | Below) -> list[Upward | Downward]:
         if isinstance(event, Below):
             return [Downward(action) for action in self.relay.step(now, event.event)]
         out: list[Upward | Downward] = []
--- a/flintlatch/delivery/shell.py
+++ b/flintlatch/delivery/shell.py
@@ -139,9 +139,9 @@
         upward: Rules = RELAY_RULES,
     ) -> None:
         self.me, self.on_told = me, on_told
-        self.turns: Turns[node.Above | node.Below] = Turns(self._step)
+        self.turns: Turns[node.SubscriberEvent | node.Below] = Turns(self._step)
         self.below = Below(bind, keys, lambda event: self.turns.take(node.Below(event)))
-        self.above = Above(keys, local_host, lambda event: self.turns.take(node.Above(event)))
+        self.above = Above(keys, local_host, lambda event: self.turns.take(node.SubscriberEvent(event)))
         self.ticking = Ticking(self._tick)
         self.node: node.RelayNode | None = None
         self.filled = False  # the origin's store holds what its owner wants
@@ -197,14 +197,14 @@
 
     def _tick(self) -> None:
         if self.node is not None:
-            self.turns.take(node.Above(subscriber.Tick()))
+            self.turns.take(node.SubscriberEvent(subscriber.Tick()))
             if not self.told_held and self.age() is not None:
                 self.told_held = True
                 count = len(self.store.objects)
                 self.on_told(f"delivery: holds revision {self.store.revision}, {count} objects; serving")
         self.turns.take(node.Below(relay.Tick()))
 
-    def _step(self, event: node.Above | node.Below) -> None:
+    def _step(self, event: node.SubscriberEvent | node.Below) -> None:
         now = clock()
         if self.node is not None:
             for action in self.node.step(now, event):
--- a/flintlatch/lab/delivery.py
+++ b/flintlatch/lab/delivery.py
@@ -122,7 +122,7 @@
         self._out(self.node.step(self.lab.engine.now, node.Below(event)))
 
     def from_above(self, event: subscriber.Event) -> None:
-        self._out(self.node.step(self.lab.engine.now, node.Above(event)))
+        self._out(self.node.step(self.lab.engine.now, node.SubscriberEvent(event)))
 
     def _out(self, actions: list[node.Upward | node.Downward]) -> None:
         for action in actions:
