--- a/bench/hollow.py
+++ b/bench/hollow.py
@@ -135,14 +135,14 @@
         if warm:
             self.fleet.fill(self.node.subscriber.store, None)
 
-    def _step(self, event: node.SubscriberEvent | node.Below) -> None:
+    def _step(self, event: node.SubscriberEvent | node.RelayEvent) -> None:
         began = process_time_ns()
         actions = self.node.step(self.lab.engine.now, event)
         self.ns += self.fleet.spent("relay", began)
         self._out(actions)
 
     def from_below(self, event: relay.Event) -> None:
-        self._step(node.Below(event))
+        self._step(node.RelayEvent(event))
 
     def from_above(self, event: subscriber.Event) -> None:
         self._step(node.SubscriberEvent(event))
--- a/flintlatch/delivery/node.py
+++ b/flintlatch/delivery/node.py
@@ -15,7 +15,7 @@
     event: subscriber.Event
 
 
-class Below(NamedTuple):
+class RelayEvent(NamedTuple):
     """An event of those that it serves."""
 
     event: relay.Event
@@ -47,8 +47,8 @@
     def age(self, now: float) -> float | None:
         return self.subscriber.age(now) if self.subscriber.ready() else None
 
-    def step(self, now: float, event: SubscriberEvent | Below) -> list[Upward | Downward]:
-        if isinstance(event, Below):
+    def step(self, now: float, event: SubscriberEvent | RelayEvent) -> list[Upward | Downward]:
+        if isinstance(event, RelayEvent):
             return [Downward(action) for action in self.relay.step(now, event.event)]
         out: list[Upward | Downward] = []
         for action in self.subscriber.step(now, event.event):
--- a/flintlatch/delivery/shell.py
+++ b/flintlatch/delivery/shell.py
@@ -139,8 +139,8 @@
         upward: Rules = RELAY_RULES,
     ) -> None:
         self.me, self.on_told = me, on_told
-        self.turns: Turns[node.SubscriberEvent | node.Below] = Turns(self._step)
-        self.below = Below(bind, keys, lambda event: self.turns.take(node.Below(event)))
+        self.turns: Turns[node.SubscriberEvent | node.RelayEvent] = Turns(self._step)
+        self.below = Below(bind, keys, lambda event: self.turns.take(node.RelayEvent(event)))
         self.above = Above(keys, local_host, lambda event: self.turns.take(node.SubscriberEvent(event)))
         self.ticking = Ticking(self._tick)
         self.node: node.RelayNode | None = None
@@ -175,7 +175,7 @@
     def committed(self, names: tuple[str, ...]) -> None:
         """The origin's store holds news of these objects."""
         self.filled = True
-        self.turns.take(node.Below(relay.Committed(names)))
+        self.turns.take(node.RelayEvent(relay.Committed(names)))
 
     def age(self) -> float | None:
         return self.relay.age(clock())
@@ -202,9 +202,9 @@
                 self.told_held = True
                 count = len(self.store.objects)
                 self.on_told(f"delivery: holds revision {self.store.revision}, {count} objects; serving")
-        self.turns.take(node.Below(relay.Tick()))
+        self.turns.take(node.RelayEvent(relay.Tick()))
 
-    def _step(self, event: node.SubscriberEvent | node.Below) -> None:
+    def _step(self, event: node.SubscriberEvent | node.RelayEvent) -> None:
         now = clock()
         if self.node is not None:
             for action in self.node.step(now, event):
@@ -212,7 +212,7 @@
                     self._serve(action.action)
                 else:
                     self._follow(action.action)
-        elif isinstance(event, node.Below):
+        elif isinstance(event, node.RelayEvent):
             for downward in self.relay.step(now, event.event):
                 self._serve(downward)
 
--- a/flintlatch/lab/delivery.py
+++ b/flintlatch/lab/delivery.py
@@ -119,7 +119,7 @@
         self.from_below(relay.Tick())
 
     def from_below(self, event: relay.Event) -> None:
-        self._out(self.node.step(self.lab.engine.now, node.Below(event)))
+        self._out(self.node.step(self.lab.engine.now, node.RelayEvent(event)))
 
     def from_above(self, event: subscriber.Event) -> None:
         self._out(self.node.step(self.lab.engine.now, node.SubscriberEvent(event)))
