--- a/flintlatch/delivery/node.py
+++ b/flintlatch/delivery/node.py
@@ -21,7 +21,7 @@
     event: relay.Event
 
 
-class Upward(NamedTuple):
+class SubscriberAction(NamedTuple):
     action: subscriber.Action
 
 
@@ -47,14 +47,14 @@
     def age(self, now: float) -> float | None:
         return self.subscriber.age(now) if self.subscriber.ready() else None
 
-    def step(self, now: float, event: SubscriberEvent | RelayEvent) -> list[Upward | Downward]:
+    def step(self, now: float, event: SubscriberEvent | RelayEvent) -> list[SubscriberAction | Downward]:
         if isinstance(event, RelayEvent):
             return [Downward(action) for action in self.relay.step(now, event.event)]
-        out: list[Upward | Downward] = []
+        out: list[SubscriberAction | Downward] = []
         for action in self.subscriber.step(now, event.event):
             if isinstance(action, subscriber.Changed):
                 names = tuple(change.name for change in action.changes)
                 out += [Downward(a) for a in self.relay.step(now, relay.Committed(names))]
             else:
-                out.append(Upward(action))
+                out.append(SubscriberAction(action))
         return out
