--- a/flintlatch/delivery/node.py
+++ b/flintlatch/delivery/node.py
@@ -25,7 +25,7 @@
     action: subscriber.Action
 
 
-class Downward(NamedTuple):
+class RelayAction(NamedTuple):
     action: relay.Action
 
 
@@ -47,14 +47,14 @@
     def age(self, now: float) -> float | None:
         return self.subscriber.age(now) if self.subscriber.ready() else None
 
-    def step(self, now: float, event: SubscriberEvent | RelayEvent) -> list[SubscriberAction | Downward]:
+    def step(self, now: float, event: SubscriberEvent | RelayEvent) -> list[SubscriberAction | RelayAction]:
         if isinstance(event, RelayEvent):
-            return [Downward(action) for action in self.relay.step(now, event.event)]
-        out: list[SubscriberAction | Downward] = []
+            return [RelayAction(action) for action in self.relay.step(now, event.event)]
+        out: list[SubscriberAction | RelayAction] = []
         for action in self.subscriber.step(now, event.event):
             if isinstance(action, subscriber.Changed):
                 names = tuple(change.name for change in action.changes)
-                out += [Downward(a) for a in self.relay.step(now, relay.Committed(names))]
+                out += [RelayAction(a) for a in self.relay.step(now, relay.Committed(names))]
             else:
                 out.append(SubscriberAction(action))
         return out
--- a/flintlatch/delivery/shell.py
+++ b/flintlatch/delivery/shell.py
@@ -208,7 +208,7 @@
         now = clock()
         if self.node is not None:
             for action in self.node.step(now, event):
-                if isinstance(action, node.Downward):
+                if isinstance(action, node.RelayAction):
                     self._serve(action.action)
                 else:
                     self._follow(action.action)
--- a/flintlatch/lab/delivery.py
+++ b/flintlatch/lab/delivery.py
@@ -124,7 +124,7 @@
     def from_above(self, event: subscriber.Event) -> None:
         self._out(self.node.step(self.lab.engine.now, node.SubscriberEvent(event)))
 
-    def _out(self, actions: list[node.SubscriberAction | node.Downward]) -> None:
+    def _out(self, actions: list[node.SubscriberAction | node.RelayAction]) -> None:
         for action in actions:
             if isinstance(action, node.SubscriberAction):
                 self._follow([action.action])
