--- a/bench/hollow.py
+++ b/bench/hollow.py
@@ -121,8 +121,8 @@
             return
         actions = self._step(self.waits.popleft())
         sent = sum(size_of(a.message) for a in actions if isinstance(a, relay.Transmit))
-        self._serve(a for a in actions if not isinstance(a, relay.Again))
-        wanted = any(isinstance(a, relay.Again) for a in actions)
+        self._serve(a for a in actions if not isinstance(a, relay.RequestTurn))
+        wanted = any(isinstance(a, relay.RequestTurn) for a in actions)
         if wanted and not any(isinstance(event, relay.Go) for event in self.waits):
             self.waits.append(relay.Go())
         self.lab.engine.after(sent / self.pump, self._next)
--- a/bench/scale/delivery.py
+++ b/bench/scale/delivery.py
@@ -97,7 +97,7 @@
                 self.got[kind] = self.got.get(kind, 0) + size_of(action.message)
                 self.encoded += len(data) + wire.SEAL_BYTES
                 self.waits.append(partial(self._read, data))
-            elif isinstance(action, relay.Again):
+            elif isinstance(action, relay.RequestTurn):
                 self.waits.append(partial(self._down, relay.Go()))
             else:
                 raise RuntimeError(str(action))
--- a/flintlatch/delivery/relay.py
+++ b/flintlatch/delivery/relay.py
@@ -108,7 +108,7 @@
     session: int
 
 
-class Again(NamedTuple):
+class RequestTurn(NamedTuple):
     """There is more to send: step with `Go` once others have had their turn."""
 
 
@@ -116,7 +116,7 @@
     text: str
 
 
-Action = Transmit | Disconnect | Again | Told
+Action = Transmit | Disconnect | RequestTurn | Told
 
 
 class Session:
@@ -195,7 +195,7 @@
             self._pump(now)
         if self.busy and now - self.asked_at > GO_S:
             self.asked_at = now
-            self.out.append(Again())
+            self.out.append(RequestTurn())
         return self.out
 
     def _send(self, session: Session, message: FromRelay) -> None:
--- a/flintlatch/delivery/shell_below.py
+++ b/flintlatch/delivery/shell_below.py
@@ -97,7 +97,7 @@
         if number not in self.half_open:
             self.on_event(relay.Paused(number) if paused else relay.Drained(number))
 
-    def carry_out(self, action: relay.Transmit | relay.Disconnect | relay.Again) -> None:
+    def carry_out(self, action: relay.Transmit | relay.Disconnect | relay.RequestTurn) -> None:
         if isinstance(action, relay.Transmit):
             if (stream := self.streams.get(action.session)) is not None:
                 stream.send(action.message)
--- a/tests/delivery/test_refusals.py
+++ b/tests/delivery/test_refusals.py
@@ -99,8 +99,8 @@
 def say(one: relay.Relay, message: FromSubscriber, session: int = 1, now: float = 0.0) -> list[relay.Action]:
     """With the turns of sending that it asks for."""
     out = one.step(now, relay.Received(session, message))
-    while relay.Again() in out:
-        out.remove(relay.Again())
+    while relay.RequestTurn() in out:
+        out.remove(relay.RequestTurn())
         out += one.step(now, relay.Go())
     return out
 
