--- a/bench/hollow.py
+++ b/bench/hollow.py
@@ -123,8 +123,8 @@
         sent = sum(size_of(a.message) for a in actions if isinstance(a, relay.Transmit))
         self._serve(a for a in actions if not isinstance(a, relay.RequestTurn))
         wanted = any(isinstance(a, relay.RequestTurn) for a in actions)
-        if wanted and not any(isinstance(event, relay.Go) for event in self.waits):
-            self.waits.append(relay.Go())
+        if wanted and not any(isinstance(event, relay.SendTurn) for event in self.waits):
+            self.waits.append(relay.SendTurn())
         self.lab.engine.after(sent / self.pump, self._next)
 
 
--- a/bench/scale/delivery.py
+++ b/bench/scale/delivery.py
@@ -98,7 +98,7 @@
                 self.encoded += len(data) + wire.SEAL_BYTES
                 self.waits.append(partial(self._read, data))
             elif isinstance(action, relay.RequestTurn):
-                self.waits.append(partial(self._down, relay.Go()))
+                self.waits.append(partial(self._down, relay.SendTurn()))
             else:
                 raise RuntimeError(str(action))
 
--- a/flintlatch/delivery/relay.py
+++ b/flintlatch/delivery/relay.py
@@ -89,11 +89,11 @@
     """At least every 0.1 s."""
 
 
-class Go(NamedTuple):
+class SendTurn(NamedTuple):
     """What `Again` asked for."""
 
 
-Event = Accepted | Closed | Received | Unreadable | Paused | Drained | Committed | Tick | Go
+Event = Accepted | Closed | Received | Unreadable | Paused | Drained | Committed | Tick | SendTurn
 
 
 # Actions
@@ -190,7 +190,7 @@
             self.busy[session.number] = None
         # One turn of sending for each `Go`, whatever else happens meanwhile: were each event a turn, a relay
         # with much to send would fall behind what it hears, and all would find it silent.
-        if isinstance(event, Go):
+        if isinstance(event, SendTurn):
             self.asked_at = -inf
             self._pump(now)
         if self.busy and now - self.asked_at > GO_S:
--- a/flintlatch/delivery/shell_below.py
+++ b/flintlatch/delivery/shell_below.py
@@ -110,4 +110,4 @@
     def _go(self) -> None:
         self.again = False
         if not self.closed:
-            self.on_event(relay.Go())
+            self.on_event(relay.SendTurn())
--- a/flintlatch/lab/delivery.py
+++ b/flintlatch/lab/delivery.py
@@ -66,7 +66,7 @@
                 if (stream := self.below.pop(action.session, None)) is not None:
                     self.lab.close(stream, self.place.name)
             elif isinstance(action, relay.RequestTurn):
-                self.lab.engine.after(0.0, lambda: self.later(lambda: self.from_below(relay.Go())))
+                self.lab.engine.after(0.0, lambda: self.later(lambda: self.from_below(relay.SendTurn())))
             else:
                 self.lab.told.append((self.lab.engine.now, self.place.name, action.text))
 
--- a/tests/delivery/test_bounds.py
+++ b/tests/delivery/test_bounds.py
@@ -253,7 +253,7 @@
     greeted = made.step(0.0, relay.Received(1, hello))
     assert [type(a.message) for a in sent(greeted)] == [Welcome] and greeted[-1] == relay.RequestTurn()
     assert made.step(0.0, relay.Received(1, Credit(1 << 30))) == []  # a turn is asked for already
-    first = made.step(0.0, relay.Go())
+    first = made.step(0.0, relay.SendTurn())
     assert len(sent(first)) > 10 and first[-1] == relay.RequestTurn()  # a turn, and more to send
     for message, answer in ((hello, Welcome), (Ping(1), Pong)):
         (action,) = made.step(0.1, relay.Received(2, message))  # and no second turn is asked for
@@ -262,7 +262,7 @@
     for event in (relay.Tick(), relay.Committed(("s1",)), relay.Received(2, Credit(1 << 30))):
         assert made.step(0.1, event) == []
     assert made.step(1.2, relay.Tick()) == [relay.RequestTurn()]  # one whose turn never came asks anew
-    assert sent(made.step(1.3, relay.Go()))  # and then the rest goes on
+    assert sent(made.step(1.3, relay.SendTurn()))  # and then the rest goes on
 
 
 def sent(actions: list[relay.Action]) -> list[relay.Transmit]:
--- a/tests/delivery/test_refusals.py
+++ b/tests/delivery/test_refusals.py
@@ -101,7 +101,7 @@
     out = one.step(now, relay.Received(session, message))
     while relay.RequestTurn() in out:
         out.remove(relay.RequestTurn())
-        out += one.step(now, relay.Go())
+        out += one.step(now, relay.SendTurn())
     return out
 
 
