--- a/flintlatch/delivery/relay.py
+++ b/flintlatch/delivery/relay.py
@@ -112,11 +112,11 @@
     """There is more to send: step with `Go` once others have had their turn."""
 
 
-class Told(NamedTuple):
+class LogLine(NamedTuple):
     text: str
 
 
-Action = Transmit | Disconnect | RequestTurn | Told
+Action = Transmit | Disconnect | RequestTurn | LogLine
 
 
 class Session:
@@ -204,7 +204,7 @@
     def _count(self, why: str) -> None:
         self.counts[f"refused: {why}"] += 1
         if self.counts[f"refused: {why}"] == 1:
-            self.out.append(Told(f"delivery: refused {why}; told once, then counted"))
+            self.out.append(LogLine(f"delivery: refused {why}; told once, then counted"))
 
     # Sessions
 
@@ -288,7 +288,7 @@
     def _go_on_above(self, held: int) -> None:
         """Far above: another relay may hold more than this one, of a time that we know nothing of."""
         self.store.restamp(held + LEAP)
-        self.out.append(Told(f"delivery: a relay holds revision {held}; going on from {held + LEAP}"))
+        self.out.append(LogLine(f"delivery: a relay holds revision {held}; going on from {held + LEAP}"))
         for session in self.sessions.values():
             if session.greeted:
                 self._find_lack(session)
--- a/flintlatch/delivery/shell.py
+++ b/flintlatch/delivery/shell.py
@@ -117,7 +117,7 @@
                 self.on_changed(action)
             elif isinstance(action, subscriber.Absent):
                 self.on_absent(action.names)
-            elif isinstance(action, subscriber.Told):
+            elif isinstance(action, subscriber.LogLine):
                 self.on_told(action.text)
             else:
                 self.above.carry_out(action)
@@ -217,13 +217,13 @@
                 self._serve(downward)
 
     def _serve(self, action: relay.Action) -> None:
-        if isinstance(action, relay.Told):
+        if isinstance(action, relay.LogLine):
             self.on_told(action.text)
         else:
             self.below.carry_out(action)
 
     def _follow(self, action: subscriber.Action) -> None:
-        if isinstance(action, subscriber.Told):
+        if isinstance(action, subscriber.LogLine):
             self.on_told(action.text)
         elif isinstance(action, subscriber.Connect | subscriber.Disconnect | subscriber.Transmit):
             self.above.carry_out(action)
--- a/flintlatch/delivery/subscriber.py
+++ b/flintlatch/delivery/subscriber.py
@@ -119,13 +119,13 @@
     names: tuple[str, ...]
 
 
-class Told(NamedTuple):
+class LogLine(NamedTuple):
     """A line for the log."""
 
     text: str
 
 
-Action = Connect | Disconnect | Transmit | Changed | Absent | Told
+Action = Connect | Disconnect | Transmit | Changed | Absent | LogLine
 
 
 class State(Enum):
@@ -281,7 +281,7 @@
         if not self.told_stale and self.age(now) > 2 * rules.stale_s and not self._loading(now):
             self.told_stale = True
             held = f"serving on with revision {self.store.revision}" if self.as_of >= 0 else "nothing is held"
-            self.out.append(Told(f"delivery: no relay with news for {self.age(now):.0f} s; {held}"))
+            self.out.append(LogLine(f"delivery: no relay with news for {self.age(now):.0f} s; {held}"))
 
     def _loading(self, now: float) -> bool:
         """What is held is old, but the relay's state is young and on its way."""
@@ -470,7 +470,9 @@
         age = self.age(now)
         if self.told_stale and age <= self.rules.stale_s:
             self.told_stale = False
-            self.out.append(Told(f"delivery: revision {self.store.revision} again {age:.1f} s old at most"))
+            self.out.append(
+                LogLine(f"delivery: revision {self.store.revision} again {age:.1f} s old at most")
+            )
 
     def _batch(self, now: float, session: Session, message: Begin | ObjectPart | End, size: int) -> None:
         session.moved = now
@@ -551,9 +553,9 @@
     def _refuse_count(self, why: str) -> None:
         self.counts[f"refused: {why}"] += 1
         if self.counts[f"refused: {why}"] == 1:
-            self.out.append(Told(f"delivery: refused {why}; told once, then counted"))
+            self.out.append(LogLine(f"delivery: refused {why}; told once, then counted"))
 
     def _tell_once(self, text: str) -> None:
         self.counts[text] += 1
         if self.counts[text] == 1:
-            self.out.append(Told(text))
+            self.out.append(LogLine(text))
--- a/flintlatch/lab/delivery.py
+++ b/flintlatch/lab/delivery.py
@@ -80,7 +80,7 @@
             elif isinstance(action, subscriber.Disconnect):
                 if (stream := self.above.pop(action.session, None)) is not None:
                     self.lab.close(stream, self.place.name)
-            elif isinstance(action, subscriber.Told):
+            elif isinstance(action, subscriber.LogLine):
                 self.lab.told.append((self.lab.engine.now, self.place.name, action.text))
             else:
                 self.lab.on_force(self.lab.engine.now, self.place.name, action)
--- a/tests/delivery/test_refusals.py
+++ b/tests/delivery/test_refusals.py
@@ -39,7 +39,7 @@
     assert one.step(0.1, subscriber.Tick()) == [subscriber.Connect(1, Participant("r", address="r:1"))]
     one.step(0.2, subscriber.Connected(1))
     out = one.step(0.3, subscriber.Received(1, Begin(0, 5, False)))
-    assert subscriber.Disconnect(1) in out and any(isinstance(a, subscriber.Told) for a in out)
+    assert subscriber.Disconnect(1) in out and any(isinstance(a, subscriber.LogLine) for a in out)
     assert one.counts["refused: a message before the welcome"] == 1
 
 
@@ -122,7 +122,7 @@
     one.step(0.0, relay.Accepted(2))
     again = say(one, message, 2)
     assert one.counts["refused: a message before the hello"] == 2
-    assert [isinstance(a, relay.Told) for a in out + again].count(True) == 1
+    assert [isinstance(a, relay.LogLine) for a in out + again].count(True) == 1
 
 
 @pytest.mark.parametrize(
