--- a/bench/hollow.py
+++ b/bench/hollow.py
@@ -172,7 +172,7 @@
         main, rules = core.main, core.rules
         if main is None or main.state is not subscriber.State.LIVE or main.pings or main.staging is not None:
             return 0.0
-        if core.trial is not None or rules.window - core.granted >= subscriber.CREDIT_LEAST:
+        if core.trial is not None or rules.window - core.granted >= subscriber.MIN_CREDIT_BYTES:
             return 0.0
         return main.pinged + rules.ping_s
 
--- a/flintlatch/delivery/subscriber.py
+++ b/flintlatch/delivery/subscriber.py
@@ -47,7 +47,7 @@
 TRIES_AT_ONCE = 3  # relays tried one behind the other; then there are pauses
 PINGS_KEPT = 8
 NAMES_A_MESSAGE = 256
-CREDIT_LEAST = 1024  # bytes: less is not worth a message
+MIN_CREDIT_BYTES = 1024  # bytes: less is not worth a message
 CONTROL_BYTES = 2048  # of tokens that are never granted: answers to pings and the like come without credit
 
 
@@ -367,7 +367,7 @@
     def _grant(self, now: float, session: Session) -> None:
         """All that may come within the bound, up to a window: what one that is lost leaves unsent is lost."""
         spare = int(min(self.tokens - CONTROL_BYTES, self.rules.window - self.granted))
-        if spare >= CREDIT_LEAST:
+        if spare >= MIN_CREDIT_BYTES:
             if self.granted < self.rules.part_bytes + ITEM_MOST:  # until now it may have had too little
                 session.moved = now
             self.tokens -= spare
