--- a/flintlatch/delivery/model.py
+++ b/flintlatch/delivery/model.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-FRAME_BYTES = 34  # of a frame beside its items: length, seal, kind, counts, checksum
+FRAME_OVERHEAD_BYTES = 34  # of a frame beside its items: length, seal, kind, counts, checksum
 ITEM_BYTES = 12  # of an item beside its name and value: at most what MessagePack puts before both
 NAME_MOST, ITEM_NAME_MOST = 200, 200  # bytes
 ITEM_MOST = 16 * 1024  # bytes of one item's value
@@ -223,7 +223,7 @@
     if isinstance(message, ObjectPart):
         items = sum(len(k.encode()) + len(v) + ITEM_BYTES for k, v in message.items.items())
         gone = sum(len(name.encode()) + 5 for name in message.removed)
-        return FRAME_BYTES + len(message.name.encode()) + 30 + items + gone
+        return FRAME_OVERHEAD_BYTES + len(message.name.encode()) + 30 + items + gone
     names: tuple[str, ...] = ()
     if isinstance(message, LeftOut | Unsubscribe | Refused):
         names = message.names
@@ -233,7 +233,7 @@
         names = (message.name, message.region, message.zone)
     elif isinstance(message, Welcome):
         names = (message.name,)
-    return FRAME_BYTES + 40 + sum(len(name.encode()) + 5 for name in names)
+    return FRAME_OVERHEAD_BYTES + 40 + sum(len(name.encode()) + 5 for name in names)
 
 
 def rank(me: Participant, relays: tuple[Participant, ...]) -> tuple[Participant, ...]:
--- a/tests/capacity/test_delivery.py
+++ b/tests/capacity/test_delivery.py
@@ -14,12 +14,12 @@
 from bench.hollow import ALLOWED, WITHIN_S, Fleet, HollowProxy, Size
 from bench.scale import delivery
 from bench.scale.delivery import Line, services
-from flintlatch.delivery.model import FRAME_BYTES, ITEM_BYTES, ObjectChange, Rules, digest
+from flintlatch.delivery.model import FRAME_OVERHEAD_BYTES, ITEM_BYTES, ObjectChange, Rules, digest
 from flintlatch.delivery.store import Store
 
 FEW = Size.of(20, services=50, cells=2, follows=10, tenants=4)
-BATCH_BYTES = 2 * (FRAME_BYTES + 40)  # where it begins and ends
-PART_BYTES = FRAME_BYTES + 30  # beside the object's name and its items
+BATCH_BYTES = 2 * (FRAME_OVERHEAD_BYTES + 40)  # where it begins and ends
+PART_BYTES = FRAME_OVERHEAD_BYTES + 30  # beside the object's name and its items
 TIMED = ("_core", "_step_ms")
 
 
@@ -96,7 +96,7 @@
     line = ready(size)
     run_s(line, 20.0)
     assert set(line.got) == {"Pong"}
-    assert line.got["Pong"] <= 20 * (FRAME_BYTES + 40)
+    assert line.got["Pong"] <= 20 * (FRAME_OVERHEAD_BYTES + 40)
 
 
 def test_a_snapshot_keeps_within_the_bytes_of_a_minute() -> None:
@@ -108,7 +108,7 @@
         before = line.bytes()
         run_s(line, 60.0)
         minute = max(minute, line.bytes() - before)
-    pongs = 61 * (FRAME_BYTES + 40)
+    pongs = 61 * (FRAME_OVERHEAD_BYTES + 40)
     assert Rules().burst < minute <= Rules().minute_bytes() + pongs
     assert minute <= 60 * ALLOWED
 
