--- a/flintlatch/delivery/model.py
+++ b/flintlatch/delivery/model.py
@@ -14,7 +14,7 @@
 import msgspec
 
 FRAME_OVERHEAD_BYTES = 34  # of a frame beside its items: length, seal, kind, counts, checksum
-ITEM_BYTES = 12  # of an item beside its name and value: at most what MessagePack puts before both
+ITEM_OVERHEAD_BYTES = 12  # of an item beside its name and value: at most what MessagePack puts before both
 NAME_MOST, ITEM_NAME_MOST = 200, 200  # bytes
 ITEM_MOST = 16 * 1024  # bytes of one item's value
 OBJECT_MOST = 1024 * 1024  # bytes of one object's item names and values
@@ -221,7 +221,7 @@
 def size_of(message: Message) -> int:
     """Bytes that a message takes on the wire, at most: both sides count credit by what is sent."""
     if isinstance(message, ObjectPart):
-        items = sum(len(k.encode()) + len(v) + ITEM_BYTES for k, v in message.items.items())
+        items = sum(len(k.encode()) + len(v) + ITEM_OVERHEAD_BYTES for k, v in message.items.items())
         gone = sum(len(name.encode()) + 5 for name in message.removed)
         return FRAME_OVERHEAD_BYTES + len(message.name.encode()) + 30 + items + gone
     names: tuple[str, ...] = ()
--- a/flintlatch/delivery/store.py
+++ b/flintlatch/delivery/store.py
@@ -12,9 +12,9 @@
 from dataclasses import dataclass, field
 
 from flintlatch.delivery.model import (
-    ITEM_BYTES,
     ITEM_MOST,
     ITEM_NAME_MOST,
+    ITEM_OVERHEAD_BYTES,
     NAME_MOST,
     OBJECT_MOST,
     Kind,
@@ -115,7 +115,7 @@
             gone.append(item)
             size += each
         for item, value in left.items():
-            each = len(item.encode()) + len(value) + ITEM_BYTES
+            each = len(item.encode()) + len(value) + ITEM_OVERHEAD_BYTES
             if (chunk or gone) and size + each > part_bytes:
                 yield ObjectPart(name, kind, self.version, chunk, tuple(gone), count, checksum, True)
                 chunk, size, gone = {}, 0, []
--- a/tests/capacity/test_delivery.py
+++ b/tests/capacity/test_delivery.py
@@ -14,7 +14,7 @@
 from bench.hollow import ALLOWED, WITHIN_S, Fleet, HollowProxy, Size
 from bench.scale import delivery
 from bench.scale.delivery import Line, services
-from flintlatch.delivery.model import FRAME_OVERHEAD_BYTES, ITEM_BYTES, ObjectChange, Rules, digest
+from flintlatch.delivery.model import FRAME_OVERHEAD_BYTES, ITEM_OVERHEAD_BYTES, ObjectChange, Rules, digest
 from flintlatch.delivery.store import Store
 
 FEW = Size.of(20, services=50, cells=2, follows=10, tenants=4)
@@ -61,7 +61,7 @@
     line.commit([ObjectChange("s1", {"b7": b"x" * 60})])
     run_s(line, 0.5)
     of_change = sum(line.got[kind] for kind in ("Begin", "ObjectPart", "End"))
-    assert of_change == BATCH_BYTES + PART_BYTES + len("s1") + len("b7") + 60 + ITEM_BYTES
+    assert of_change == BATCH_BYTES + PART_BYTES + len("s1") + len("b7") + 60 + ITEM_OVERHEAD_BYTES
 
 
 @pytest.mark.parametrize("size", [2, 20, 200])
@@ -79,7 +79,7 @@
         line.commit([ObjectChange("s1", {"b7": bytes([n]) * 60})])
     run_s(line, 0.5)
     assert line.subscriber.store.objects["s1"].items["b7"] == bytes([9]) * 60
-    assert line.got["ObjectPart"] == PART_BYTES + len("s1") + len("b7") + 60 + ITEM_BYTES
+    assert line.got["ObjectPart"] == PART_BYTES + len("s1") + len("b7") + 60 + ITEM_OVERHEAD_BYTES
 
 
 def test_who_does_not_follow_gets_nothing(digests: list[str]) -> None:
