--- a/flintlatch/delivery/model.py
+++ b/flintlatch/delivery/model.py
@@ -15,7 +15,7 @@
 
 FRAME_OVERHEAD_BYTES = 34  # of a frame beside its items: length, seal, kind, counts, checksum
 ITEM_OVERHEAD_BYTES = 12  # of an item beside its name and value: at most what MessagePack puts before both
-NAME_MOST, ITEM_NAME_MOST = 200, 200  # bytes
+MAX_NAME_BYTES, ITEM_NAME_MOST = 200, 200  # bytes
 ITEM_MOST = 16 * 1024  # bytes of one item's value
 OBJECT_MOST = 1024 * 1024  # bytes of one object's item names and values
 REVISION_MOST = 1 << 62
--- a/flintlatch/delivery/relay.py
+++ b/flintlatch/delivery/relay.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 
 from flintlatch.delivery.model import (
-    NAME_MOST,
+    MAX_NAME_BYTES,
     REVISION_MOST,
     Applied,
     Begin,
@@ -257,7 +257,11 @@
 
     def _hello(self, now: float, session: Session, hello: Hello) -> None:
         why = None
-        if session.greeted or not 0 <= hello.held < REVISION_MOST or len(hello.name.encode()) > NAME_MOST:
+        if (
+            session.greeted
+            or not 0 <= hello.held < REVISION_MOST
+            or len(hello.name.encode()) > MAX_NAME_BYTES
+        ):
             self._count("a hello out of bounds")
             self._drop(session.number)
             return
@@ -310,7 +314,7 @@
         for name, fresh in [(n, False) for n in message.held] + [(n, True) for n in message.fresh]:
             if name in session.names:
                 continue
-            if len(session.names) >= self.rules.most_names or not 0 < len(name.encode()) <= NAME_MOST:
+            if len(session.names) >= self.rules.most_names or not 0 < len(name.encode()) <= MAX_NAME_BYTES:
                 left_out.append(name)
                 continue
             session.names.add(name)
--- a/flintlatch/delivery/source.py
+++ b/flintlatch/delivery/source.py
@@ -21,7 +21,7 @@
 
 import orjson
 
-from flintlatch.delivery.model import ITEM_MOST, ITEM_NAME_MOST, NAME_MOST, ObjectChange, Rules
+from flintlatch.delivery.model import ITEM_MOST, ITEM_NAME_MOST, MAX_NAME_BYTES, ObjectChange, Rules
 from flintlatch.delivery.store import Store, difference
 
 LOOK_S = 0.25  # between two looks at the file
@@ -48,8 +48,8 @@
 def _items(name: str, raw: object) -> dict[str, bytes]:
     if not isinstance(raw, dict):
         raise Unusable(f"{name!r}: found {kind(raw)}, expected a table of items")
-    if not 0 < len(name.encode()) <= NAME_MOST:
-        raise Unusable(f"{name[:40]!r}: a name of {len(name.encode())} bytes, expected 1 to {NAME_MOST}")
+    if not 0 < len(name.encode()) <= MAX_NAME_BYTES:
+        raise Unusable(f"{name[:40]!r}: a name of {len(name.encode())} bytes, expected 1 to {MAX_NAME_BYTES}")
     made, size = {}, 0
     for item, value in raw.items():
         data = canonical(value)
--- a/flintlatch/delivery/staging.py
+++ b/flintlatch/delivery/staging.py
@@ -11,7 +11,7 @@
 from flintlatch.delivery.model import (
     ITEM_MOST,
     ITEM_NAME_MOST,
-    NAME_MOST,
+    MAX_NAME_BYTES,
     Begin,
     End,
     Kind,
@@ -72,7 +72,7 @@
         self.size += size
         if self.size > self.rules.batch_bytes:
             raise Torn(f"a batch of over {self.rules.batch_bytes} bytes")
-        if not 0 < len(name.encode()) <= NAME_MOST:
+        if not 0 < len(name.encode()) <= MAX_NAME_BYTES:
             raise Torn("an object's name out of bounds")
         if part.kind not in (Kind.SNAPSHOT, Kind.DELTA, Kind.GONE):
             raise Torn("a part of unknown kind", (name,))
--- a/flintlatch/delivery/store.py
+++ b/flintlatch/delivery/store.py
@@ -15,7 +15,7 @@
     ITEM_MOST,
     ITEM_NAME_MOST,
     ITEM_OVERHEAD_BYTES,
-    NAME_MOST,
+    MAX_NAME_BYTES,
     OBJECT_MOST,
     Kind,
     ObjectChange,
@@ -134,8 +134,8 @@
 
 def check(change: ObjectChange, made: StoredObject | None) -> None:
     """Raises OutOfBounds."""
-    if not 0 < len(change.name.encode()) <= NAME_MOST:
-        raise OutOfBounds(f"an object's name of {len(change.name.encode())} bytes, at most {NAME_MOST}")
+    if not 0 < len(change.name.encode()) <= MAX_NAME_BYTES:
+        raise OutOfBounds(f"an object's name of {len(change.name.encode())} bytes, at most {MAX_NAME_BYTES}")
     for name, value in change.items.items():
         if not 0 < len(name.encode()) <= ITEM_NAME_MOST:
             raise OutOfBounds(f"{change.name}: an item's name of {len(name.encode())} bytes")
--- a/flintlatch/delivery/wire.py
+++ b/flintlatch/delivery/wire.py
@@ -13,7 +13,7 @@
     ITEM_MOST,
     ITEM_NAME_MOST,
     ITEM_OVERHEAD_BYTES,
-    NAME_MOST,
+    MAX_NAME_BYTES,
     FromRelay,
     FromSubscriber,
     Message,
@@ -26,7 +26,7 @@
 # bytes; the largest list of names: 256 x (200 + 3). Both with slack for names in UTF-8 counted as
 # characters. No more than a subscriber's window (64 KiB): what is larger could never be sent.
 LARGEST_PART = Rules().part_bytes + ITEM_MOST + ITEM_NAME_MOST + ITEM_OVERHEAD_BYTES
-LARGEST_NAMES = NAMES_MOST * (NAME_MOST + 3)
+LARGEST_NAMES = NAMES_MOST * (MAX_NAME_BYTES + 3)
 FRAME_MOST = 64 * 1024
 assert max(LARGEST_PART, LARGEST_NAMES) + 4096 < FRAME_MOST <= Rules().window
 
--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -14,7 +14,7 @@
 from flintlatch.cli import main
 from flintlatch.config import Unusable, load, parse
 from flintlatch.config.tables import SERVICE_MOST, RelayRow
-from flintlatch.delivery.model import NAME_MOST, Rules
+from flintlatch.delivery.model import MAX_NAME_BYTES, Rules
 from flintlatch.standin.rig import toml
 
 EXAMPLE = Path(__file__).parent.parent.parent / "deploy" / "fleet.toml"
@@ -292,7 +292,7 @@
     assert table.rules is None
     quick = parse(DELIVERY.replace("relays =", "rules = { stale_s = 1, ping_s = 0.5 }\nrelays ="), "f.toml")
     assert quick.delivery is not None and quick.delivery.rules == replace(Rules(), stale_s=1.0, ping_s=0.5)
-    assert SERVICE_MOST == NAME_MOST  # said twice, as a configuration loads nothing of delivery
+    assert SERVICE_MOST == MAX_NAME_BYTES  # said twice, as a configuration loads nothing of delivery
 
 
 @pytest.mark.parametrize(
--- a/tests/delivery/test_store.py
+++ b/tests/delivery/test_store.py
@@ -9,7 +9,7 @@
 
 from flintlatch.delivery.model import (
     ITEM_MOST,
-    NAME_MOST,
+    MAX_NAME_BYTES,
     OBJECT_MOST,
     Begin,
     End,
@@ -220,7 +220,7 @@
     "change",
     [
         ObjectChange("", {"a": b""}),
-        ObjectChange("n" * (NAME_MOST + 1), {"a": b""}),
+        ObjectChange("n" * (MAX_NAME_BYTES + 1), {"a": b""}),
         ObjectChange("t", {"": b""}),
         ObjectChange("t", {"ä" * 101: b""}),
         ObjectChange("t", {"a": bytes(ITEM_MOST + 1)}),
--- a/tests/delivery/test_wire.py
+++ b/tests/delivery/test_wire.py
@@ -13,7 +13,7 @@
 from flintlatch.delivery.model import (
     ITEM_MOST,
     ITEM_NAME_MOST,
-    NAME_MOST,
+    MAX_NAME_BYTES,
     REVISION_MOST,
     Applied,
     Begin,
@@ -49,7 +49,7 @@
     return st.text(max_size=most).map(lambda s: s.encode("utf-8", "ignore")[:most].decode("utf-8", "ignore"))
 
 
-name = text(NAME_MOST)
+name = text(MAX_NAME_BYTES)
 names = st.lists(name, max_size=20).map(tuple)
 number = st.integers(0, REVISION_MOST)
 small = st.integers(0, 1 << 32)
@@ -112,10 +112,10 @@
 
 
 def test_the_largest_of_each_kind_fit_both_the_size_and_the_frame() -> None:
-    big, revision, checksum = "n" * NAME_MOST, REVISION_MOST, (1 << 64) - 1
+    big, revision, checksum = "n" * MAX_NAME_BYTES, REVISION_MOST, (1 << 64) - 1
     item = {"i" * ITEM_NAME_MOST: bytes(ITEM_MOST)}
     full = {f"{n:0200d}": bytes(100) for n in range(Rules().part_bytes // 312)} | item
-    longest = tuple(f"{n:0{NAME_MOST}d}" for n in range(wire.NAMES_MOST))
+    longest = tuple(f"{n:0{MAX_NAME_BYTES}d}" for n in range(wire.NAMES_MOST))
     for message in (
         ObjectPart(big, Kind.DELTA, revision, full, (), 1 << 32, checksum, True),
         Begin(revision, revision, True),
