--- a/flintlatch/config/delivery.py
+++ b/flintlatch/config/delivery.py
@@ -26,7 +26,7 @@
     unique,
 )
 from flintlatch.delivery.model import RELAY_RULES, Participant, Rules
-from flintlatch.delivery.wire import FRAME_MOST
+from flintlatch.delivery.wire import MAX_FRAME_BYTES
 from flintlatch.peers.seal import BadKeys, read_keys
 
 KEY_MOST = 65_536  # bytes of a key file
@@ -80,8 +80,8 @@
         stale_s=reader.number("stale_s", 0.2, 600, usual.stale_s),
         return_s=reader.number("return_s", 0.5, DAY_S, usual.return_s),
         rate=reader.number("bytes_per_s", 100, 1e9, usual.rate),
-        burst=reader.number("burst_bytes", FRAME_MOST, 1e10, usual.burst),
-        window=reader.number("window_bytes", FRAME_MOST, 1e9, usual.window),
+        burst=reader.number("burst_bytes", MAX_FRAME_BYTES, 1e10, usual.burst),
+        window=reader.number("window_bytes", MAX_FRAME_BYTES, 1e9, usual.window),
         most_names=reader.whole("most_names", 1, 1_000_000, usual.most_names),
         most_sessions=reader.whole("most_sessions", 1, 100_000, usual.most_sessions),
     )
--- a/flintlatch/delivery/stream.py
+++ b/flintlatch/delivery/stream.py
@@ -15,7 +15,7 @@
 from typing import cast
 
 from flintlatch.delivery.model import Message
-from flintlatch.delivery.wire import FRAME_MOST, Unreadable, encode
+from flintlatch.delivery.wire import MAX_FRAME_BYTES, Unreadable, encode
 from flintlatch.peers.seal import HELLO, NONCE_BYTES, VERSION, Foreign, StreamSeal, named
 
 LENGTH = struct.Struct(">I")
@@ -100,7 +100,7 @@
         at, buffer = 0, self.buffer
         while len(buffer) - at >= LENGTH.size:
             (length,) = LENGTH.unpack_from(buffer, at)
-            if length > FRAME_MOST:
+            if length > MAX_FRAME_BYTES:
                 raise Unreadable(f"a frame of {length} bytes")
             end = at + LENGTH.size + length
             if len(buffer) < end:
--- a/flintlatch/delivery/wire.py
+++ b/flintlatch/delivery/wire.py
@@ -27,8 +27,8 @@
 # characters. No more than a subscriber's window (64 KiB): what is larger could never be sent.
 LARGEST_PART = Rules().part_bytes + ITEM_MOST + ITEM_NAME_MOST + ITEM_OVERHEAD_BYTES
 LARGEST_NAMES = NAMES_MOST * (MAX_NAME_BYTES + 3)
-FRAME_MOST = 64 * 1024
-assert max(LARGEST_PART, LARGEST_NAMES) + 4096 < FRAME_MOST <= Rules().window
+MAX_FRAME_BYTES = 64 * 1024
+assert max(LARGEST_PART, LARGEST_NAMES) + 4096 < MAX_FRAME_BYTES <= Rules().window
 
 Kind = TypeVar("Kind")
 
@@ -45,7 +45,7 @@
 def encode(message: Message) -> bytes:
     """Raises Unreadable where the other side could not read it for its size."""
     data = _encoder.encode(message)
-    if len(data) + SEAL_BYTES > FRAME_MOST:
+    if len(data) + SEAL_BYTES > MAX_FRAME_BYTES:
         raise Unreadable(f"a message of {len(data)} bytes, more than a frame holds")
     return data
 
--- a/tests/delivery/test_shell.py
+++ b/tests/delivery/test_shell.py
@@ -13,7 +13,7 @@
     Participant,
 )
 from flintlatch.delivery.shell import Server, Turns
-from flintlatch.delivery.wire import FRAME_MOST
+from flintlatch.delivery.wire import MAX_FRAME_BYTES
 from flintlatch.peers.clock import clock
 from flintlatch.peers.shell import NotBound
 from tests.delivery.loopback import KEYS, LIMIT_S, RULES, fabric, run, until
@@ -95,7 +95,7 @@
         async with fabric() as made:
             origin = await made.serve("origin", rules=replace(RULES, rate=1e9, burst=1e9, window=1e9))
             made.commit(**{f"o{n}": {f"i{k}": os.urandom(1000) for k in range(20)} for n in range(20)})
-            mine = replace(RULES, rate=150_000.0, burst=80_000.0, window=FRAME_MOST)
+            mine = replace(RULES, rate=150_000.0, burst=80_000.0, window=MAX_FRAME_BYTES)
             one = made.follow(*made.wanted, relays=(origin,), rules=mine)
             began, unpaid = clock(), 4096  # welcome and pongs are answers, and not on credit
             worst = 0.0
--- a/tests/delivery/test_strangers.py
+++ b/tests/delivery/test_strangers.py
@@ -21,7 +21,7 @@
 from flintlatch.delivery.relay import TURN_BYTES
 from flintlatch.delivery.shell import Server
 from flintlatch.delivery.stream import FOREIGN, LENGTH, UNREADABLE
-from flintlatch.delivery.wire import FRAME_MOST, encode
+from flintlatch.delivery.wire import MAX_FRAME_BYTES, encode
 from flintlatch.peers.shell import split
 from tests.delivery.loopback import HELLO_AS_PROXY, KEYS, LIMIT_S, OTHER, RULES, Raw, fabric, run, until
 
@@ -68,7 +68,7 @@
                 elif fault == "no message":
                     raw.writer.write(raw.frame(b"\x93\x05"))
                 elif fault == "too long":
-                    raw.writer.write(LENGTH.pack(FRAME_MOST + 1))
+                    raw.writer.write(LENGTH.pack(MAX_FRAME_BYTES + 1))
                 elif fault == "stranger":
                     raw.writer.write(LENGTH.pack(40) + os.urandom(40))
                 else:
@@ -142,7 +142,7 @@
                         break
             await until(lambda: number not in server.relay.sessions, "its end")
             assert server.below.counts.overfull == 1
-            assert most <= stream.UNSENT_MOST + FRAME_MOST
+            assert most <= stream.UNSENT_MOST + MAX_FRAME_BYTES
             raw.writer.close()
 
     run(test())
@@ -169,7 +169,7 @@
                 await asyncio.sleep(0.01)
                 quiet = quiet + 1 if server.below.counts.bytes_out == sent else 0
                 sent = server.below.counts.bytes_out
-                most = stream.HIGH_WATER + TURN_BYTES + FRAME_MOST
+                most = stream.HIGH_WATER + TURN_BYTES + MAX_FRAME_BYTES
                 assert one.transport.get_write_buffer_size() <= most
             assert sent < 20 * 900_000
             raw.writer.transport.resume_reading()  # type: ignore[attr-defined]
--- a/tests/delivery/test_wire.py
+++ b/tests/delivery/test_wire.py
@@ -38,7 +38,7 @@
 )
 from flintlatch.delivery.store import StoredObject
 from flintlatch.delivery.stream import LENGTH
-from flintlatch.delivery.wire import FRAME_MOST, Unreadable, encode, from_relay, from_subscriber
+from flintlatch.delivery.wire import MAX_FRAME_BYTES, Unreadable, encode, from_relay, from_subscriber
 from flintlatch.peers.seal import StreamSeal
 
 KEY = bytes(range(32))
@@ -125,7 +125,7 @@
         Unsubscribe(longest),
     ):
         sealed = frame(encode(message))
-        assert len(sealed) <= FRAME_MOST
+        assert len(sealed) <= MAX_FRAME_BYTES
         assert len(sealed) <= size_of(message)
 
 
@@ -142,7 +142,7 @@
     later = one.changed(ObjectChange("", {"new": b"1"}, tuple(list(made)[:2000])), 2)
     for thing, since in ((one, None), (later, 1), (later, None)):
         for message in thing.parts("object", since, rules.part_bytes):
-            assert len(frame(encode(message))) <= min(FRAME_MOST, rules.window)
+            assert len(frame(encode(message))) <= min(MAX_FRAME_BYTES, rules.window)
             assert size_of(message) <= rules.window
 
 
