--- a/bench/scale/delivery.py
+++ b/bench/scale/delivery.py
@@ -95,7 +95,7 @@
                 data = wire.encode(action.message)
                 kind = type(action.message).__name__
                 self.got[kind] = self.got.get(kind, 0) + size_of(action.message)
-                self.encoded += len(data) + wire.SEAL_BYTES
+                self.encoded += len(data) + wire.SEAL_OVERHEAD_BYTES
                 self.waits.append(partial(self._read, data))
             elif isinstance(action, relay.RequestTurn):
                 self.waits.append(partial(self._down, relay.SendTurn()))
--- a/flintlatch/delivery/wire.py
+++ b/flintlatch/delivery/wire.py
@@ -20,7 +20,7 @@
     Rules,
 )
 
-SEAL_BYTES = 4 + 16  # before a frame its length, behind it what ChaCha20-Poly1305 adds
+SEAL_OVERHEAD_BYTES = 4 + 16  # before a frame its length, behind it what ChaCha20-Poly1305 adds
 NAMES_MOST = 256  # of one message
 # The largest part: its items up to the bound, one item more that is as large as any, 16 KiB + 16 KiB + 212
 # bytes; the largest list of names: 256 x (200 + 3). Both with slack for names in UTF-8 counted as
@@ -45,7 +45,7 @@
 def encode(message: Message) -> bytes:
     """Raises Unreadable where the other side could not read it for its size."""
     data = _encoder.encode(message)
-    if len(data) + SEAL_BYTES > MAX_FRAME_BYTES:
+    if len(data) + SEAL_OVERHEAD_BYTES > MAX_FRAME_BYTES:
         raise Unreadable(f"a message of {len(data)} bytes, more than a frame holds")
     return data
 
