--- a/bench/delivery_processes.py
+++ b/bench/delivery_processes.py
@@ -25,7 +25,7 @@
 import uvloop
 
 from flintlatch.delivery.model import Rules
-from flintlatch.delivery.source import LOOK_S
+from flintlatch.delivery.source import POLL_INTERVAL_S
 from flintlatch.peers.clock import clock
 from flintlatch.standin.delivery import Delivered, delivered
 from flintlatch.standin.links import Trouble, draw, written
@@ -42,7 +42,7 @@
     is under way that fails, and the longest wait before the next."""
     base = rules.staleness_s(0, 0.0, HOP_S)
     cut = EACH_S + rules.connect_s + rules.retry_s[1] + base
-    return max(rules.staleness_s(relays // 2, 0.0, HOP_S), cut) + LOOK_S
+    return max(rules.staleness_s(relays // 2, 0.0, HOP_S), cut) + POLL_INTERVAL_S
 
 
 def schedule(seed: int, relays: list[str], followers: list[str], seconds: float) -> list[Trouble]:
--- a/flintlatch/delivery/run.py
+++ b/flintlatch/delivery/run.py
@@ -16,7 +16,7 @@
 
 from flintlatch.delivery.model import Participant, Role, Rules
 from flintlatch.delivery.shell import Client, Server
-from flintlatch.delivery.source import LOOK_S, Source
+from flintlatch.delivery.source import POLL_INTERVAL_S, Source
 from flintlatch.delivery.subscriber import Changed
 from flintlatch.peers.clock import clock
 from flintlatch.peers.shell import NotBound
@@ -74,7 +74,7 @@
         if found is not None and (names := source.commit(*found)) is not None:
             server.committed(names)
             tell(f"revision {server.store.revision}: {len(names)} of {len(found[0])} objects changed")
-        await within(end, LOOK_S)
+        await within(end, POLL_INTERVAL_S)
     server.close()
     tell("ended")
     return 0
--- a/flintlatch/delivery/source.py
+++ b/flintlatch/delivery/source.py
@@ -24,7 +24,7 @@
 from flintlatch.delivery.model import ITEM_MOST, ITEM_NAME_MOST, MAX_NAME_BYTES, ObjectChange, Rules
 from flintlatch.delivery.store import Store, difference
 
-LOOK_S = 0.25  # between two looks at the file
+POLL_INTERVAL_S = 0.25  # between two looks at the file
 SETTLED_NS = 50_000_000  # a file changed so lately may change again within the same tick of its clock
 FILE_MOST = 256 * 1024 * 1024  # bytes: half of what a relay stages of one batch
 KEPT_MOST = 4096  # bytes of the file that keeps the counts
--- a/tests/delivery/test_processes.py
+++ b/tests/delivery/test_processes.py
@@ -19,7 +19,7 @@
 from flintlatch.config.delivery import read_rules
 from flintlatch.config.reader import Reader
 from flintlatch.delivery.model import Participant, rank
-from flintlatch.delivery.source import LOOK_S
+from flintlatch.delivery.source import POLL_INTERVAL_S
 from flintlatch.standin.delivery import QUICK, Delivered, delivered
 
 LIMIT_S = 90.0  # far beyond what any of these needs; only a hang comes near it
@@ -35,7 +35,7 @@
 
 def bound(dead: int = 0) -> float:
     """From the file's replacement until the change is in force, with so many relays lost just then."""
-    return RULES.staleness_s(dead, 0.0) + LOOK_S + LOADED_S
+    return RULES.staleness_s(dead, 0.0) + POLL_INTERVAL_S + LOADED_S
 
 
 def at(made: Delivered, relay: str) -> tuple[str, ...]:
--- a/tests/fleet/test_delivered.py
+++ b/tests/fleet/test_delivered.py
@@ -24,7 +24,7 @@
 from flintlatch.config.reader import Reader
 from flintlatch.delivery.model import ObjectChange, Participant
 from flintlatch.delivery.shell import Server
-from flintlatch.delivery.source import LOOK_S
+from flintlatch.delivery.source import POLL_INTERVAL_S
 from flintlatch.fleet.delivered import Supply
 from flintlatch.fleet.nodes import Nodes, described
 from flintlatch.net.clock import now_ms
@@ -185,7 +185,7 @@
 
             # A drain in the origin's file: nothing new at that node past the bound and its grace.
             made.row(0, state="draining")
-            bound_s = LOOK_S + RULES.staleness_s(0, 0.0)
+            bound_s = POLL_INTERVAL_S + RULES.staleness_s(0, 0.0)
             ledger.told_draining["s0"] = now_ms() + 1000 * bound_s
             await made.taken(await made.commit(), bound_s + LOADED_S)
             assert await made.states() == {"s0": "leaving", "s1": "active", "s2": "active", "s3": "active"}
@@ -196,7 +196,7 @@
             await made.children[lost].end()
             made.row(1, state="draining")
             began, revision = clock(), await made.commit()
-            await made.taken(revision, LOOK_S + RULES.staleness_s(1, 0.0) + LOADED_S)
+            await made.taken(revision, POLL_INTERVAL_S + RULES.staleness_s(1, 0.0) + LOADED_S)
             print(f"a change with its relay killed came after {clock() - began:.2f} s")
             ledger.told_draining["s1"] = now_ms()
             source = await made.source()
@@ -258,7 +258,7 @@
             assert set((await made.states()).values()) == {"active"}
             made.rows["s1"] = good
             revision = await made.commit()
-            await made.taken(revision, LOOK_S + RULES.staleness_s(0, 0.0) + LOADED_S)
+            await made.taken(revision, POLL_INTERVAL_S + RULES.staleness_s(0, 0.0) + LOADED_S)
             assert (await made.states())["s0"] == "leaving"
             told = (await made.fleet.status())["generations"][-1]["nodes"]
             assert told["rejected"] == 1 and "item['s1'].weight" in told["last_rejection"]
