--- a/bench/hollow.py
+++ b/bench/hollow.py
@@ -17,7 +17,7 @@
 
 from bench.audit import Audit, Cost, Minutes
 from flintlatch.delivery import node, relay, subscriber
-from flintlatch.delivery.model import End, Message, ObjectChange, Participant, Pong, Rules, size_of
+from flintlatch.delivery.model import End, Message, ObjectChange, Participant, Pong, Rules, wire_size
 from flintlatch.delivery.store import Store, StoredObject
 from flintlatch.delivery.subscriber import Tick
 from flintlatch.lab.delivery import TICK_S, Host, Lab, Origin, Proxy, RelayHost, Stream
@@ -120,7 +120,7 @@
         if not self.busy:
             return
         actions = self._step(self.waits.popleft())
-        sent = sum(size_of(a.message) for a in actions if isinstance(a, relay.Transmit))
+        sent = sum(wire_size(a.message) for a in actions if isinstance(a, relay.Transmit))
         self._serve(a for a in actions if not isinstance(a, relay.RequestTurn))
         wanted = any(isinstance(a, relay.RequestTurn) for a in actions)
         if wanted and not any(isinstance(event, relay.SendTurn) for event in self.waits):
--- a/bench/scale/delivery.py
+++ b/bench/scale/delivery.py
@@ -29,7 +29,7 @@
     Participant,
     Role,
     Rules,
-    size_of,
+    wire_size,
 )
 from flintlatch.delivery.store import Store
 from flintlatch.peers.seal import StreamSeal
@@ -94,7 +94,7 @@
             if isinstance(action, relay.Transmit):
                 data = wire.encode(action.message)
                 kind = type(action.message).__name__
-                self.got[kind] = self.got.get(kind, 0) + size_of(action.message)
+                self.got[kind] = self.got.get(kind, 0) + wire_size(action.message)
                 self.encoded += len(data) + wire.SEAL_OVERHEAD_BYTES
                 self.waits.append(partial(self._read, data))
             elif isinstance(action, relay.RequestTurn):
--- a/flintlatch/delivery/model.py
+++ b/flintlatch/delivery/model.py
@@ -218,7 +218,7 @@
     return int.from_bytes(blake2b(key + b"\0" + value, digest_size=8).digest(), "big")
 
 
-def size_of(message: Message) -> int:
+def wire_size(message: Message) -> int:
     """Bytes that a message takes on the wire, at most: both sides count credit by what is sent."""
     if isinstance(message, ObjectPart):
         items = sum(len(k.encode()) + len(v) + ITEM_OVERHEAD_BYTES for k, v in message.items.items())
--- a/flintlatch/delivery/relay.py
+++ b/flintlatch/delivery/relay.py
@@ -35,7 +35,7 @@
     Unsubscribe,
     Welcome,
     Why,
-    size_of,
+    wire_size,
 )
 from flintlatch.delivery.store import Store, StoredObject
 
@@ -425,7 +425,7 @@
                 session.planned_at = None if age is None else now - age
                 session.plan = self._plan(session)
             message = session.next or next(session.plan)
-            size = size_of(message)
+            size = wire_size(message)
             if size > session.credit:
                 session.next = message
                 continue
--- a/flintlatch/delivery/subscriber.py
+++ b/flintlatch/delivery/subscriber.py
@@ -37,7 +37,7 @@
     Welcome,
     Why,
     rank,
-    size_of,
+    wire_size,
 )
 from flintlatch.delivery.staging import Staging, Torn
 from flintlatch.delivery.store import Store
@@ -383,7 +383,7 @@
             return
         if not isinstance(message, Begin | ObjectPart | End):
             self._fill(now)
-            self.tokens -= size_of(message)
+            self.tokens -= wire_size(message)
         if session.state is not State.LIVE:
             if isinstance(message, Welcome) and session.state is State.GREETING:
                 self._welcome(now, session, message)
@@ -398,7 +398,7 @@
                 self._leave(now, session, "out of order")
             return
         if isinstance(message, Begin | ObjectPart | End):
-            size = size_of(message)
+            size = wire_size(message)
             self.granted = max(0.0, self.granted - size)
             self._batch(now, session, message, size)
             if self.granted < self.rules.window / 2 and self.main is session:
--- a/flintlatch/lab/delivery.py
+++ b/flintlatch/lab/delivery.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from flintlatch.delivery import node, relay, subscriber
-from flintlatch.delivery.model import RELAY_RULES, Message, ObjectChange, Participant, Role, Rules, size_of
+from flintlatch.delivery.model import RELAY_RULES, Message, ObjectChange, Participant, Role, Rules, wire_size
 from flintlatch.delivery.store import Store
 from flintlatch.lab.engine import Engine
 
@@ -311,7 +311,7 @@
             if len(stream.held) < HELD_FRAMES:
                 stream.held.append((target, message))
             return
-        size = size_of(message)
+        size = wire_size(message)
         sender = self.hosts[source]
         sender.sent_bytes += size
         sender.messages += 1
--- a/tests/delivery/test_bounds.py
+++ b/tests/delivery/test_bounds.py
@@ -17,7 +17,7 @@
     Role,
     Rules,
     Welcome,
-    size_of,
+    wire_size,
 )
 from flintlatch.delivery.store import Store
 from flintlatch.lab.delivery import RelayHost, Stream
@@ -239,7 +239,7 @@
     before, pong = core.tokens, Pong(0, 1, 1, False)
     for _ in range(100):
         core.step(fleet.now, subscriber.Received(core.main.number, pong))
-    assert core.tokens == pytest.approx(before - 100 * size_of(pong))
+    assert core.tokens == pytest.approx(before - 100 * wire_size(pong))
 
 
 def test_who_asks_is_answered_before_more_is_sent_to_others() -> None:
--- a/tests/delivery/test_store.py
+++ b/tests/delivery/test_store.py
@@ -20,7 +20,7 @@
     Rules,
     digest,
     rank,
-    size_of,
+    wire_size,
 )
 from flintlatch.delivery.staging import Staging, Taken, Torn
 from flintlatch.delivery.store import (
@@ -53,7 +53,7 @@
 def take(lower: Store, parts: list[ObjectPart], to: int, whole: bool = False) -> Taken:
     staging = Staging(Begin(lower.revision, to, whole), Rules(), lower)
     for part in parts:
-        staging.add(part, size_of(part))
+        staging.add(part, wire_size(part))
     taken = staging.end(End(to, len(parts)))
     lower.put(taken.objects, to)
     return taken
@@ -164,7 +164,7 @@
     one = store.objects["s"]
     for since in (None, 1):
         parts = list(one.parts("s", since, 4096))
-        assert max(size_of(part) for part in parts) <= 4096 + 200
+        assert max(wire_size(part) for part in parts) <= 4096 + 200
         assert [part.more for part in parts] == [True] * (len(parts) - 1) + [False]
         assert {part.kind for part in parts} == {Kind.SNAPSHOT if since is None else Kind.DELTA}
 
@@ -350,7 +350,7 @@
     upper.commit([ObjectChange(name, {"x": b"1"}) for name in "abc"])
     staging = Staging(Begin(0, 1, True), Rules(), lower)
     for part in sent(upper, ["a", "b", "c"], None):
-        staging.add(part, size_of(part))
+        staging.add(part, wire_size(part))
     made = {name: one.made for name, one in staging.gathered.items()}
     assert all(one is not None for one in made.values())
     lower.put([("b", StoredObject(1, 1).changed(ObjectChange("", {"x": b"1"}), 1))], 1)  # as if followed anew
@@ -402,4 +402,4 @@
             long, 1, 2**60, {f"{n}" * 60: bytes(300) for n in range(100)}, (long,) * 100, 2**60, 2**63, True
         ),
     ):
-        assert len(msgspec.msgpack.encode(message)) <= size_of(message) - 10  # length, seal
+        assert len(msgspec.msgpack.encode(message)) <= wire_size(message) - 10  # length, seal
--- a/tests/delivery/test_wire.py
+++ b/tests/delivery/test_wire.py
@@ -34,7 +34,7 @@
     Turned,
     Unsubscribe,
     Welcome,
-    size_of,
+    wire_size,
 )
 from flintlatch.delivery.store import StoredObject
 from flintlatch.delivery.stream import LENGTH
@@ -108,7 +108,7 @@
 def test_no_frame_is_larger_than_the_size_that_credit_is_counted_by(
     message: FromRelay | FromSubscriber,
 ) -> None:
-    assert len(frame(encode(message))) <= size_of(message)
+    assert len(frame(encode(message))) <= wire_size(message)
 
 
 def test_the_largest_of_each_kind_fit_both_the_size_and_the_frame() -> None:
@@ -126,7 +126,7 @@
     ):
         sealed = frame(encode(message))
         assert len(sealed) <= MAX_FRAME_BYTES
-        assert len(sealed) <= size_of(message)
+        assert len(sealed) <= wire_size(message)
 
 
 @pytest.mark.parametrize("seed", range(5))
@@ -143,7 +143,7 @@
     for thing, since in ((one, None), (later, 1), (later, None)):
         for message in thing.parts("object", since, rules.part_bytes):
             assert len(frame(encode(message))) <= min(MAX_FRAME_BYTES, rules.window)
-            assert size_of(message) <= rules.window
+            assert wire_size(message) <= rules.window
 
 
 def test_a_message_larger_than_a_frame_is_not_sent() -> None:
