--- a/flintlatch/delivery/model.py
+++ b/flintlatch/delivery/model.py
@@ -211,11 +211,11 @@
     gone: bool = False
 
 
-def digest(name: str, value: bytes) -> int:
+def item_digest(name: str, value: bytes) -> int:
     """Of one item, 64 bits. An object's checksum is the sum of its items', modulo 2^64, so that a delta can
     be counted in without the rest."""
     key = name.encode()
-    return int.from_bytes(blake2b(key + b"\0" + value, digest_size=8).digest(), "big")
+    return int.from_bytes(blake2b(key + b"\0" + value, digest_size=8).item_digest(), "big")
 
 
 def wire_size(message: Message) -> int:
@@ -241,6 +241,6 @@
     (highest random weight), so that the subscribers of a lost relay spread evenly over the others."""
 
     def weight(relay: Participant) -> bytes:
-        return blake2b(f"{me.name}\0{relay.name}".encode(), digest_size=8).digest()
+        return blake2b(f"{me.name}\0{relay.name}".encode(), digest_size=8).item_digest()
 
     return tuple(sorted(relays, key=lambda r: (r.region != me.region, weight(r))))
--- a/flintlatch/delivery/store.py
+++ b/flintlatch/delivery/store.py
@@ -20,7 +20,7 @@
     Kind,
     ObjectChange,
     ObjectPart,
-    digest,
+    item_digest,
 )
 
 TOMBSTONES_LEAST = 64  # items taken away that an object remembers, or as many as it has items
@@ -54,7 +54,7 @@
         for name in change.removed:
             value = items.pop(name, None)
             if value is not None:
-                checksum -= digest(name, value)
+                checksum -= item_digest(name, value)
                 size -= len(name.encode()) + len(value)
             stamps.pop(name, None)
             removed.pop(name, None)
@@ -62,10 +62,10 @@
         for name, value in change.items.items():
             before = items.get(name)
             if before is not None:
-                checksum -= digest(name, before)
+                checksum -= item_digest(name, before)
                 size -= len(name.encode()) + len(before)
             items[name] = value
-            checksum += digest(name, value)
+            checksum += item_digest(name, value)
             size += len(name.encode()) + len(value)
             stamps.pop(name, None)
             stamps[name] = revision
--- a/tests/capacity/test_delivery.py
+++ b/tests/capacity/test_delivery.py
@@ -14,7 +14,13 @@
 from bench.hollow import ALLOWED, WITHIN_S, Fleet, HollowProxy, Size
 from bench.scale import delivery
 from bench.scale.delivery import Line, services
-from flintlatch.delivery.model import FRAME_OVERHEAD_BYTES, ITEM_OVERHEAD_BYTES, ObjectChange, Rules, digest
+from flintlatch.delivery.model import (
+    FRAME_OVERHEAD_BYTES,
+    ITEM_OVERHEAD_BYTES,
+    ObjectChange,
+    Rules,
+    item_digest,
+)
 from flintlatch.delivery.store import Store
 
 FEW = Size.of(20, services=50, cells=2, follows=10, tenants=4)
@@ -49,9 +55,9 @@
 
     def counting(name: str, value: bytes) -> int:
         seen.append(name)
-        return digest(name, value)
+        return item_digest(name, value)
 
-    monkeypatch.setattr("flintlatch.delivery.store.digest", counting)
+    monkeypatch.setattr("flintlatch.delivery.store.item_digest", counting)
     return seen
 
 
--- a/tests/delivery/test_store.py
+++ b/tests/delivery/test_store.py
@@ -18,7 +18,7 @@
     ObjectPart,
     Participant,
     Rules,
-    digest,
+    item_digest,
     rank,
     wire_size,
 )
@@ -102,7 +102,7 @@
         upper.commit([change_of(*edit) for edit in commit])
         assert state_of(upper) == model
         for one in upper.objects.values():
-            assert one.checksum == sum(digest(k, v) for k, v in one.items.items()) % 2**64
+            assert one.checksum == sum(item_digest(k, v) for k, v in one.items.items()) % 2**64
             assert one.size == sum(len(k) + len(v) for k, v in one.items.items())
             assert len(one.removed) <= max(TOMBSTONES_LEAST, len(one.items))
         if n % 3 == 0:
