--- a/flintlatch/delivery/model.py
+++ b/flintlatch/delivery/model.py
@@ -175,7 +175,7 @@
     def minute_bytes(self) -> float:
         return self.burst + 60 * self.rate
 
-    def detect_s(self) -> float:
+    def failure_detection_s(self) -> float:
         """From a relay's silence until it is given up: a ping goes out within `ping_s` of the last answer."""
         return self.ping_s + self.silence_s
 
@@ -184,7 +184,7 @@
         choices are lost at that moment: both gather, both links take `hop_s`, the loss is found, the
         subscriber waits its turn, each further dead choice takes a whole attempt. `transfer_s`: of the batch
         at `rate`, once `burst` is used up."""
-        lost = self.detect_s() + self.spread_s + dead * self.connect_s if dead else 0.0
+        lost = self.failure_detection_s() + self.spread_s + dead * self.connect_s if dead else 0.0
         return 2 * (self.gather_s + hop_s) + lost + transfer_s
 
 
--- a/tests/delivery/test_processes.py
+++ b/tests/delivery/test_processes.py
@@ -28,7 +28,7 @@
 # From a relay that is up but cut off from the origin: its age is seen, then one after the other is tried.
 STALE_S = RULES.stale_s + 2 * (RULES.stale_s + RULES.ping_s + RULES.connect_s)
 # After relays have come back: an attempt that just failed, the wait before the next, and the way down.
-BACK_S = RULES.detect_s() + RULES.connect_s + RULES.retry_s[1]
+BACK_S = RULES.failure_detection_s() + RULES.connect_s + RULES.retry_s[1]
 RELAYS = ("r0", "r1", "r2")
 NO_NEWS = "delivery: no relay with news"
 
@@ -206,7 +206,7 @@
         await made.all_hold(STALE_S + bound(1))
         await asyncio.gather(made.kill("r0"), made.kill("r2"))  # now there is only the one that holds less
         held = {name: len(made.children[name].rows) for name in made.follows}
-        rows = RULES.detect_s() + 3 * RULES.retry_s[1]  # one a second
+        rows = RULES.failure_detection_s() + 3 * RULES.retry_s[1]  # one a second
         await made.until(lambda: all(len(made.children[n].rows) > held[n] + rows for n in held), "attempts")
         assert all(made.holds(name, last) for name in made.follows)  # and the audit: none went back
         assert not any(made.relay_of(name) for name in made.follows)
--- a/tests/delivery/test_property.py
+++ b/tests/delivery/test_property.py
@@ -126,7 +126,9 @@
         if not fleet.lab.hosts[name].up:
             start(name)
     fleet.until(lambda: fleet.right() and fleet.young(), QUIET_S)
-    run(fleet.rules.detect_s() + fleet.rules.spread_s + 3)  # also who had not found out that its relay died
+    run(
+        fleet.rules.failure_detection_s() + fleet.rules.spread_s + 3
+    )  # also who had not found out that its relay died
     assert fleet.right() and fleet.young()
     return fleet
 
--- a/tests/fleet/test_delivered.py
+++ b/tests/fleet/test_delivered.py
@@ -108,7 +108,7 @@
         return {target["uid"]: target["state"] for target in listed}
 
     async def until_source(self, good: Callable[[dict[str, Any]], bool]) -> dict[str, Any]:
-        async with asyncio.timeout(RULES.detect_s() + 2 * RULES.stale_s + 4 * LOADED_S):
+        async with asyncio.timeout(RULES.failure_detection_s() + 2 * RULES.stale_s + 4 * LOADED_S):
             while not good(source := await self.source()):
                 await asyncio.sleep(0.02)
             return source
@@ -337,7 +337,7 @@
         return nodes
 
     async def until(self, good: Callable[[], bool]) -> None:
-        async with asyncio.timeout(RULES.detect_s() + 2 * RULES.stale_s + LOADED_S):
+        async with asyncio.timeout(RULES.failure_detection_s() + 2 * RULES.stale_s + LOADED_S):
             while not good():
                 await asyncio.sleep(0.01)
 
