--- a/bench/delivery_processes.py
+++ b/bench/delivery_processes.py
@@ -40,9 +40,9 @@
 def bound(rules: Rules, relays: int) -> float:
     """Half of the relays are lost; or they have no way to the origin for the longest fault, then an attempt
     is under way that fails, and the longest wait before the next."""
-    base = rules.staleness_s(0, 0.0, HOP_S)
+    base = rules.staleness_bound_s(0, 0.0, HOP_S)
     cut = EACH_S + rules.connect_s + rules.retry_s[1] + base
-    return max(rules.staleness_s(relays // 2, 0.0, HOP_S), cut) + POLL_INTERVAL_S
+    return max(rules.staleness_bound_s(relays // 2, 0.0, HOP_S), cut) + POLL_INTERVAL_S
 
 
 def schedule(seed: int, relays: list[str], followers: list[str], seconds: float) -> list[Trouble]:
--- a/flintlatch/delivery/model.py
+++ b/flintlatch/delivery/model.py
@@ -179,7 +179,7 @@
         """From a relay's silence until it is given up: a ping goes out within `ping_s` of the last answer."""
         return self.ping_s + self.silence_s
 
-    def staleness_s(self, dead: int, transfer_s: float, hop_s: float = 0.25) -> float:
+    def staleness_bound_s(self, dead: int, transfer_s: float, hop_s: float = 0.25) -> float:
         """Bound on a change's way from the origin through one relay to a subscriber of which the first `dead`
         choices are lost at that moment: both gather, both links take `hop_s`, the loss is found, the
         subscriber waits its turn, each further dead choice takes a whole attempt. `transfer_s`: of the batch
--- a/tests/delivery/test_bounds.py
+++ b/tests/delivery/test_bounds.py
@@ -105,7 +105,7 @@
             (fleet.lab.kill if how == "kill" else fleet.lab.pause)(place.name)
         changed(fleet, "new")
         worst = max(worst, fleet.until(lambda fleet=fleet: fleet.right("p0"), 60, step=0.02))  # type: ignore[misc]
-    assert worst <= Rules().staleness_s(dead, 0.0)
+    assert worst <= Rules().staleness_bound_s(dead, 0.0)
     assert dead == 0 or how == "kill" or worst > Rules().silence_s  # it was put to the test
 
 
--- a/tests/delivery/test_hard_cases.py
+++ b/tests/delivery/test_hard_cases.py
@@ -27,7 +27,7 @@
     fleet = settled(seed=seed)
     fleet.lab.kill(most_served(fleet))
     changed(fleet, "new")
-    assert fleet.settle(10) <= fleet.rules.staleness_s(1, 0.0)
+    assert fleet.settle(10) <= fleet.rules.staleness_bound_s(1, 0.0)
     assert snapshots(fleet) == 0
 
 
@@ -73,7 +73,7 @@
     its = served_by(fleet, one)
     fleet.lab.cut(*((its, [one]) if up else ([one], its)), both=False)
     changed(fleet, "new")
-    assert fleet.settle(10) <= fleet.rules.staleness_s(1, 0.0)
+    assert fleet.settle(10) <= fleet.rules.staleness_bound_s(1, 0.0)
     fleet.run(6)
     assert not set(served_by(fleet, one)) & set(its)
     changed(fleet, "newer")
--- a/tests/delivery/test_large.py
+++ b/tests/delivery/test_large.py
@@ -51,7 +51,7 @@
         fleet.lab.kill(name)
         fleet.run(1 / len(lost))
     fleet.put("s0", new="x")
-    took = fleet.settle(fleet.rules.staleness_s(6, 0.0))
+    took = fleet.settle(fleet.rules.staleness_bound_s(6, 0.0))
     others = served(fleet)
     assert set(others) == {f"relay{n}" for n in range(1, RELAYS, 2)} and sum(others.values()) == PROXIES
     largest = max(others.values())
@@ -81,7 +81,7 @@
     for n in range(6):
         fleet.lab.kill(f"relay{n}")
     fleet.put("s0", new="x")
-    fleet.settle(fleet.rules.staleness_s(3, 0.0))
+    fleet.settle(fleet.rules.staleness_bound_s(3, 0.0))
     fleet.run(2)
     others = served(fleet)
     assert set(others) == {f"relay{n}" for n in range(6, 12)} and max(others.values()) <= 1.4 * 150 / 6
--- a/tests/delivery/test_processes.py
+++ b/tests/delivery/test_processes.py
@@ -35,7 +35,7 @@
 
 def bound(dead: int = 0) -> float:
     """From the file's replacement until the change is in force, with so many relays lost just then."""
-    return RULES.staleness_s(dead, 0.0) + POLL_INTERVAL_S + LOADED_S
+    return RULES.staleness_bound_s(dead, 0.0) + POLL_INTERVAL_S + LOADED_S
 
 
 def at(made: Delivered, relay: str) -> tuple[str, ...]:
--- a/tests/fleet/test_delivered.py
+++ b/tests/fleet/test_delivered.py
@@ -185,7 +185,7 @@
 
             # A drain in the origin's file: nothing new at that node past the bound and its grace.
             made.row(0, state="draining")
-            bound_s = POLL_INTERVAL_S + RULES.staleness_s(0, 0.0)
+            bound_s = POLL_INTERVAL_S + RULES.staleness_bound_s(0, 0.0)
             ledger.told_draining["s0"] = now_ms() + 1000 * bound_s
             await made.taken(await made.commit(), bound_s + LOADED_S)
             assert await made.states() == {"s0": "leaving", "s1": "active", "s2": "active", "s3": "active"}
@@ -196,7 +196,7 @@
             await made.children[lost].end()
             made.row(1, state="draining")
             began, revision = clock(), await made.commit()
-            await made.taken(revision, POLL_INTERVAL_S + RULES.staleness_s(1, 0.0) + LOADED_S)
+            await made.taken(revision, POLL_INTERVAL_S + RULES.staleness_bound_s(1, 0.0) + LOADED_S)
             print(f"a change with its relay killed came after {clock() - began:.2f} s")
             ledger.told_draining["s1"] = now_ms()
             source = await made.source()
@@ -222,7 +222,7 @@
             assert "no relay with news" in known["failure"] and known["age_s"] >= 2 * RULES.stale_s
             (tmp_path / "key").write_text(KEY)
             assert (await made.fleet.ask("reload"))["ok"]
-            await made.taken(missed, RULES.connect_s + RULES.staleness_s(0, 0.0) + LOADED_S)
+            await made.taken(missed, RULES.connect_s + RULES.staleness_bound_s(0, 0.0) + LOADED_S)
             assert (await made.states())["s4"] == "active" and not (await made.source())["old"]
 
             # No relay at all: serves on, says so once, and keeps what it has over a reload.
@@ -258,7 +258,7 @@
             assert set((await made.states()).values()) == {"active"}
             made.rows["s1"] = good
             revision = await made.commit()
-            await made.taken(revision, POLL_INTERVAL_S + RULES.staleness_s(0, 0.0) + LOADED_S)
+            await made.taken(revision, POLL_INTERVAL_S + RULES.staleness_bound_s(0, 0.0) + LOADED_S)
             assert (await made.states())["s0"] == "leaving"
             told = (await made.fleet.status())["generations"][-1]["nodes"]
             assert told["rejected"] == 1 and "item['s1'].weight" in told["last_rejection"]
@@ -325,7 +325,7 @@
         self.server.committed(tuple(names))
 
     async def draw(
-        self, within_s: float = RULES.staleness_s(0, 0.0) + LOADED_S, service: str = SERVICE
+        self, within_s: float = RULES.staleness_bound_s(0, 0.0) + LOADED_S, service: str = SERVICE
     ) -> Nodes:
         """As a reload does. Raises TimeoutError."""
         path = str(self.folder / "fleet.toml")
@@ -438,7 +438,7 @@
         assert second.failure == third.failure == ""
         # One that the origin has not gives no list, and says why.
         with pytest.raises(TimeoutError):
-            await made.draw(RULES.staleness_s(0, 0.0), service="service/none")
+            await made.draw(RULES.staleness_bound_s(0, 0.0), service="service/none")
         await made.until(lambda: made.drawn[-1].failure == "the origin has no such object")
         made.close()
 
