--- a/bench/delivery_processes.py
+++ b/bench/delivery_processes.py
@@ -137,14 +137,16 @@
         print(f"{len(made.audit.commits)} commits, {len(faults)} steps of faults, {len(delays)} arrivals")
         figures = " ".join(f"{quantile(delays, p):.2f}" for p in (0.5, 0.99, 1.0))
         print(f"staleness s, median 99% worst: {figures}; bound {most:.2f}")
-        print(f"bytes of a follower in its worst minute: {bytes_in}; bound {rules.minute_bytes():.0f}")
+        print(
+            f"bytes of a follower in its worst minute: {bytes_in}; bound {rules.max_bytes_per_minute():.0f}"
+        )
         print(f"processor, worst relay {max(relay, default=0):.2%}, worst follower {max(follower):.2%}")
         print(f"followers that told of no news: {told}")
         print(f"load {os.getloadavg()[0]:.1f} at the end")
         if max(delays) > most:
             broke.append(f"a change came after {max(delays):.2f} s, bound {most:.2f}")
-        if bytes_in > rules.minute_bytes():
-            broke.append(f"{bytes_in} bytes in a minute, bound {rules.minute_bytes():.0f}")
+        if bytes_in > rules.max_bytes_per_minute():
+            broke.append(f"{bytes_in} bytes in a minute, bound {rules.max_bytes_per_minute():.0f}")
     return broke
 
 
--- a/flintlatch/delivery/model.py
+++ b/flintlatch/delivery/model.py
@@ -172,7 +172,7 @@
     object_bytes: int = OBJECT_MOST
     batch_bytes: int = 8 * 1024 * 1024  # that a subscriber stages
 
-    def minute_bytes(self) -> float:
+    def max_bytes_per_minute(self) -> float:
         return self.burst + 60 * self.rate
 
     def failure_detection_s(self) -> float:
--- a/flintlatch/delivery/run.py
+++ b/flintlatch/delivery/run.py
@@ -109,7 +109,7 @@
     least, one, most = (rules.staleness_bound_s(dead, 0.0) for dead in (0, 1, max(1, relays - 1)))
     return (
         f"bounds: a change is here within {least:.1f} s, {one:.1f} s if the first relay is lost just then, "
-        f"{most:.1f} s with {max(1, relays - 1)} lost; at most {rules.minute_bytes():,.0f} bytes in a minute"
+        f"{most:.1f} s with {max(1, relays - 1)} lost; at most {rules.max_bytes_per_minute():,.0f} bytes in a minute"
     )
 
 
@@ -138,7 +138,7 @@
             more = {
                 f"within_s_{dead}_lost": self.rules.staleness_bound_s(dead, 0.0) for dead in (0, 1, worst)
             }
-            self.row("bounds", minute_bytes=self.rules.minute_bytes(), **more)
+            self.row("bounds", minute_bytes=self.rules.max_bytes_per_minute(), **more)
         else:
             self.out(bounds(self.rules, self.relays))
 
--- a/tests/delivery/test_bounds.py
+++ b/tests/delivery/test_bounds.py
@@ -49,7 +49,7 @@
     worst = 0
     for values in series.values():
         worst = max(worst, *(b - a for a, b in zip(values, values[width:], strict=False)))
-    assert worst <= fleet.rules.minute_bytes()
+    assert worst <= fleet.rules.max_bytes_per_minute()
     return worst
 
 
@@ -70,7 +70,7 @@
         for name in fleet.names:
             series[name].append(fleet.lab.hosts[name].got_bytes)
     worst = minute_bound_holds(fleet, 0.1, series)
-    assert worst > 0.5 * TIGHT.minute_bytes()  # it was put to the test
+    assert worst > 0.5 * TIGHT.max_bytes_per_minute()  # it was put to the test
     for name in fleet.places:
         if not fleet.lab.hosts[name].up:
             fleet.start(name)
@@ -88,7 +88,7 @@
         fleet.run(0.1)
         series["p0"].append(fleet.lab.hosts["p0"].got_bytes)
     worst = minute_bound_holds(fleet, 0.1, series)
-    assert worst > 0.9 * TIGHT.minute_bytes()
+    assert worst > 0.9 * TIGHT.max_bytes_per_minute()
     assert fleet.core("p0").counts["lost: sends nothing"] == 0
 
 
--- a/tests/delivery/test_commands.py
+++ b/tests/delivery/test_commands.py
@@ -182,7 +182,7 @@
             rules = made.rules
             bounds = (await lines.stdout.readline()).decode()
             assert bounds.startswith("bounds: a change is here within 0.6 s, ")
-            assert f"at most {Rules().minute_bytes():,.0f} bytes in a minute" in bounds and rules
+            assert f"at most {Rules().max_bytes_per_minute():,.0f} bytes in a minute" in bounds and rules
             assert "mark: 1 items put, 0 taken away" in (await lines.stdout.readline()).decode()
             await made.commit("s0")
             assert "mark: 1 items put, 0 taken away" in (await lines.stdout.readline()).decode()
