--- a/bench/hollow.py
+++ b/bench/hollow.py
@@ -218,7 +218,9 @@
         self.groups: list[dict[str, Host]] = [{} for _ in range(GROUPS)]
         self.sampled: dict[str, Sampled] = {}
         self.minutes = Minutes()
-        self.top = HollowOrigin(self, Participant("origin", "r2"), Rules(rate=20e6, burst=64e6, window=8e6))
+        self.top = HollowOrigin(
+            self, Participant("origin", "r2"), Rules(bytes_per_s=20e6, burst=64e6, window=8e6)
+        )
         self.top.store.commit(self.world.first())
         self.add(self.top)
         self.audit = Audit(self.top.store)
--- a/flintlatch/config/delivery.py
+++ b/flintlatch/config/delivery.py
@@ -79,7 +79,7 @@
         ),
         stale_s=reader.number("stale_s", 0.2, 600, usual.stale_s),
         return_s=reader.number("return_s", 0.5, DAY_S, usual.return_s),
-        rate=reader.number("bytes_per_s", 100, 1e9, usual.rate),
+        bytes_per_s=reader.number("bytes_per_s", 100, 1e9, usual.bytes_per_s),
         burst=reader.number("burst_bytes", MAX_FRAME_BYTES, 1e10, usual.burst),
         window=reader.number("window_bytes", MAX_FRAME_BYTES, 1e9, usual.window),
         most_names=reader.whole("most_names", 1, 1_000_000, usual.most_names),
@@ -96,7 +96,7 @@
 def upward(rules: Rules) -> Rules:
     """A relay's way to the origin: the same times, its own amounts."""
     usual = RELAY_RULES
-    return replace(rules, rate=usual.rate, burst=usual.burst, window=usual.window,
+    return replace(rules, bytes_per_s=usual.bytes_per_s, burst=usual.burst, window=usual.window,
                    batch_bytes=usual.batch_bytes)  # fmt: skip
 
 
--- a/flintlatch/delivery/subscriber.py
+++ b/flintlatch/delivery/subscriber.py
@@ -361,7 +361,7 @@
     def _fill(self, now: float) -> None:
         rules = self.rules
         full = rules.burst - self.granted  # what is granted may come later than what is spared
-        self.tokens = min(full, self.tokens + (now - self.filled) * rules.rate)
+        self.tokens = min(full, self.tokens + (now - self.filled) * rules.bytes_per_s)
         self.filled = now
 
     def _grant(self, now: float, session: Session) -> None:
--- a/tests/delivery/test_large.py
+++ b/tests/delivery/test_large.py
@@ -115,7 +115,7 @@
     fleet.commit(ObjectChange("s", backends), ObjectChange("t", {"n": b"z"}))
     back_s = fleet.settle(20)
     bytes_ = sum(len(name) + 12 + 60 for name in backends)
-    assert gone_s < 1.5 and back_s < 1.5 + bytes_ / fleet.rules.rate
+    assert gone_s < 1.5 and back_s < 1.5 + bytes_ / fleet.rules.bytes_per_s
 
 
 def test_five_hundred_changes_in_a_second_go_out_in_few_batches() -> None:
