--- a/bench/hollow.py
+++ b/bench/hollow.py
@@ -219,7 +219,7 @@
         self.sampled: dict[str, Sampled] = {}
         self.minutes = Minutes()
         self.top = HollowOrigin(
-            self, Participant("origin", "r2"), Rules(bytes_per_s=20e6, burst=64e6, window=8e6)
+            self, Participant("origin", "r2"), Rules(bytes_per_s=20e6, burst_bytes=64e6, window=8e6)
         )
         self.top.store.commit(self.world.first())
         self.add(self.top)
--- a/flintlatch/delivery/model.py
+++ b/flintlatch/delivery/model.py
@@ -164,7 +164,7 @@
     stale_s: float = 5.0  # an age of the relay's state for which another is tried
     return_s: float = 60.0  # mean time until a better choice is tried again
     bytes_per_s: float = 12_000.0  # bytes a second
-    burst: float = 300_000.0  # bytes
+    burst_bytes: float = 300_000.0  # bytes
     window: float = 64 * 1024  # bytes that one relay may send before it is granted more; lost with it
     most_names: int = 4096  # of one subscription
     most_sessions: int = 512  # of one relay
@@ -173,7 +173,7 @@
     batch_bytes: int = 8 * 1024 * 1024  # that a subscriber stages
 
     def max_bytes_per_minute(self) -> float:
-        return self.burst + 60 * self.bytes_per_s
+        return self.burst_bytes + 60 * self.bytes_per_s
 
     def failure_detection_s(self) -> float:
         """From a relay's silence until it is given up: a ping goes out within `ping_s` of the last answer."""
@@ -188,7 +188,7 @@
         return 2 * (self.gather_s + hop_s) + lost + transfer_s
 
 
-RELAY_RULES = Rules(bytes_per_s=20e6, burst=64e6, window=8e6, batch_bytes=512 * 1024 * 1024)
+RELAY_RULES = Rules(bytes_per_s=20e6, burst_bytes=64e6, window=8e6, batch_bytes=512 * 1024 * 1024)
 
 
 @dataclass(frozen=True, slots=True)
--- a/flintlatch/delivery/subscriber.py
+++ b/flintlatch/delivery/subscriber.py
@@ -175,7 +175,7 @@
         self.trial_at = now + self._return_s()  # of a better choice
         self.other_at = now  # of any other, while this one's state is old
         self.number = self.pings = 0
-        self.tokens, self.filled = rules.burst, now  # bytes that may yet be granted
+        self.tokens, self.filled = rules.burst_bytes, now  # bytes that may yet be granted
         self.granted = 0.0  # bytes granted to the main session that have not come
         self.as_of = -1.0  # a moment at which the state held was the origin's; below 0: none yet
         self.began = now
@@ -360,7 +360,7 @@
 
     def _fill(self, now: float) -> None:
         rules = self.rules
-        full = rules.burst - self.granted  # what is granted may come later than what is spared
+        full = rules.burst_bytes - self.granted  # what is granted may come later than what is spared
         self.tokens = min(full, self.tokens + (now - self.filled) * rules.bytes_per_s)
         self.filled = now
 
--- a/tests/capacity/test_delivery.py
+++ b/tests/capacity/test_delivery.py
@@ -115,7 +115,7 @@
         run_s(line, 60.0)
         minute = max(minute, line.bytes() - before)
     pongs = 61 * (FRAME_OVERHEAD_BYTES + 40)
-    assert Rules().burst < minute <= Rules().max_bytes_per_minute() + pongs
+    assert Rules().burst_bytes < minute <= Rules().max_bytes_per_minute() + pongs
     assert minute <= 60 * ALLOWED
 
 
--- a/tests/delivery/test_commands.py
+++ b/tests/delivery/test_commands.py
@@ -44,8 +44,8 @@
         write(tmp_path, RELAY + 'region = "eu"\n[delivery.rules]\nping_s = 0.5\nburst_bytes = 1e6')
     )
     assert relay.origin == Participant("origin", address="10.0.0.2:7950") and relay.common.me.region == "eu"
-    assert (relay.common.rules.ping_s, relay.common.rules.burst) == (0.5, 1e6)
-    assert (relay.common.upward.ping_s, relay.common.upward.burst) == (0.5, RELAY_RULES.burst)
+    assert (relay.common.rules.ping_s, relay.common.rules.burst_bytes) == (0.5, 1e6)
+    assert (relay.common.upward.ping_s, relay.common.upward.burst_bytes) == (0.5, RELAY_RULES.burst_bytes)
     follow = load_follow(write(tmp_path, FOLLOW + ROW))
     assert follow.relays == (Participant("r0", "eu", "z", "10.0.0.3:7950"),) and follow.names == ("a",)
     assert follow.common.rules == Rules() and follow.source_host == ""
--- a/tests/delivery/test_shell.py
+++ b/tests/delivery/test_shell.py
@@ -76,7 +76,7 @@
     async def test() -> None:
         async with fabric() as made:
             origin = await made.serve("origin")
-            rules = replace(RULES, bytes_per_s=50e6, burst=50e6)
+            rules = replace(RULES, bytes_per_s=50e6, burst_bytes=50e6)
             relay = await made.serve("r0", (origin,), rules)
             large = {f"o{n}": {f"i{k}": os.urandom(1000) for k in range(100)} for n in range(20)}
             made.commit(**large)
@@ -93,21 +93,24 @@
 
     async def test() -> None:
         async with fabric() as made:
-            origin = await made.serve("origin", rules=replace(RULES, bytes_per_s=1e9, burst=1e9, window=1e9))
+            origin = await made.serve(
+                "origin", rules=replace(RULES, bytes_per_s=1e9, burst_bytes=1e9, window=1e9)
+            )
             made.commit(**{f"o{n}": {f"i{k}": os.urandom(1000) for k in range(20)} for n in range(20)})
-            mine = replace(RULES, bytes_per_s=150_000.0, burst=80_000.0, window=MAX_FRAME_BYTES)
+            mine = replace(RULES, bytes_per_s=150_000.0, burst_bytes=80_000.0, window=MAX_FRAME_BYTES)
             one = made.follow(*made.wanted, relays=(origin,), rules=mine)
             began, unpaid = clock(), 4096  # welcome and pongs are answers, and not on credit
             worst = 0.0
             while not one.holds(made.wanted):
                 worst = max(
-                    worst, one.client.counts.bytes_in - mine.burst - mine.bytes_per_s * (clock() - began)
+                    worst,
+                    one.client.counts.bytes_in - mine.burst_bytes - mine.bytes_per_s * (clock() - began),
                 )
                 assert clock() - began < LIMIT_S
                 await asyncio.sleep(0.002)
             assert worst <= unpaid
             assert (
-                clock() - began >= (400_000 - mine.burst) / mine.bytes_per_s
+                clock() - began >= (400_000 - mine.burst_bytes) / mine.bytes_per_s
             )  # and it was the bound that held it
 
     run(test())
