--- a/bench/hollow.py
+++ b/bench/hollow.py
@@ -172,7 +172,7 @@
         main, rules = core.main, core.rules
         if main is None or main.state is not subscriber.State.LIVE or main.pings or main.staging is not None:
             return 0.0
-        if core.trial is not None or rules.window - core.granted >= subscriber.MIN_CREDIT_BYTES:
+        if core.trial is not None or rules.window_bytes - core.granted >= subscriber.MIN_CREDIT_BYTES:
             return 0.0
         return main.pinged + rules.ping_s
 
@@ -219,7 +219,7 @@
         self.sampled: dict[str, Sampled] = {}
         self.minutes = Minutes()
         self.top = HollowOrigin(
-            self, Participant("origin", "r2"), Rules(bytes_per_s=20e6, burst_bytes=64e6, window=8e6)
+            self, Participant("origin", "r2"), Rules(bytes_per_s=20e6, burst_bytes=64e6, window_bytes=8e6)
         )
         self.top.store.commit(self.world.first())
         self.add(self.top)
--- a/flintlatch/config/delivery.py
+++ b/flintlatch/config/delivery.py
@@ -81,12 +81,14 @@
         return_s=reader.number("return_s", 0.5, DAY_S, usual.return_s),
         bytes_per_s=reader.number("bytes_per_s", 100, 1e9, usual.bytes_per_s),
         burst_bytes=reader.number("burst_bytes", MAX_FRAME_BYTES, 1e10, usual.burst_bytes),
-        window=reader.number("window_bytes", MAX_FRAME_BYTES, 1e9, usual.window),
+        window_bytes=reader.number("window_bytes", MAX_FRAME_BYTES, 1e9, usual.window_bytes),
         most_names=reader.whole("most_names", 1, 1_000_000, usual.most_names),
         most_sessions=reader.whole("most_sessions", 1, 100_000, usual.most_sessions),
     )
-    if rules.burst_bytes < rules.window:
-        reader.problem("burst_bytes", f"{rules.burst_bytes:g}", f"at least window_bytes, {rules.window:g}")
+    if rules.burst_bytes < rules.window_bytes:
+        reader.problem(
+            "burst_bytes", f"{rules.burst_bytes:g}", f"at least window_bytes, {rules.window_bytes:g}"
+        )
     if rules.retry_s[1] < rules.retry_s[0]:
         reader.problem("retry_most_s", f"{rules.retry_s[1]:g}", "at least retry_first_s")
     reader.done()
@@ -96,8 +98,8 @@
 def upward(rules: Rules) -> Rules:
     """A relay's way to the origin: the same times, its own amounts."""
     usual = RELAY_RULES
-    return replace(rules, bytes_per_s=usual.bytes_per_s, burst_bytes=usual.burst_bytes, window=usual.window,
-                   batch_bytes=usual.batch_bytes)  # fmt: skip
+    return replace(rules, bytes_per_s=usual.bytes_per_s, burst_bytes=usual.burst_bytes,
+                   window_bytes=usual.window_bytes, batch_bytes=usual.batch_bytes)  # fmt: skip
 
 
 def _keys(reader: Reader) -> tuple[bytes, ...]:
--- a/flintlatch/delivery/model.py
+++ b/flintlatch/delivery/model.py
@@ -165,7 +165,7 @@
     return_s: float = 60.0  # mean time until a better choice is tried again
     bytes_per_s: float = 12_000.0  # bytes a second
     burst_bytes: float = 300_000.0  # bytes
-    window: float = 64 * 1024  # bytes that one relay may send before it is granted more; lost with it
+    window_bytes: float = 64 * 1024  # bytes that one relay may send before it is granted more; lost with it
     most_names: int = 4096  # of one subscription
     most_sessions: int = 512  # of one relay
     part_bytes: int = 16 * 1024  # of one part's items
@@ -188,7 +188,7 @@
         return 2 * (self.gather_s + hop_s) + lost + transfer_s
 
 
-RELAY_RULES = Rules(bytes_per_s=20e6, burst_bytes=64e6, window=8e6, batch_bytes=512 * 1024 * 1024)
+RELAY_RULES = Rules(bytes_per_s=20e6, burst_bytes=64e6, window_bytes=8e6, batch_bytes=512 * 1024 * 1024)
 
 
 @dataclass(frozen=True, slots=True)
--- a/flintlatch/delivery/subscriber.py
+++ b/flintlatch/delivery/subscriber.py
@@ -366,7 +366,7 @@
 
     def _grant(self, now: float, session: Session) -> None:
         """All that may come within the bound, up to a window: what one that is lost leaves unsent is lost."""
-        spare = int(min(self.tokens - CONTROL_BYTES, self.rules.window - self.granted))
+        spare = int(min(self.tokens - CONTROL_BYTES, self.rules.window_bytes - self.granted))
         if spare >= MIN_CREDIT_BYTES:
             if self.granted < self.rules.part_bytes + ITEM_MOST:  # until now it may have had too little
                 session.moved = now
@@ -401,7 +401,7 @@
             size = wire_size(message)
             self.granted = max(0.0, self.granted - size)
             self._batch(now, session, message, size)
-            if self.granted < self.rules.window / 2 and self.main is session:
+            if self.granted < self.rules.window_bytes / 2 and self.main is session:
                 self._fill(now)
                 self._grant(now, session)
         elif isinstance(message, Pong):
--- a/flintlatch/delivery/wire.py
+++ b/flintlatch/delivery/wire.py
@@ -28,7 +28,7 @@
 LARGEST_PART = Rules().part_bytes + ITEM_MOST + ITEM_NAME_MOST + ITEM_OVERHEAD_BYTES
 LARGEST_NAMES = NAMES_MOST * (MAX_NAME_BYTES + 3)
 MAX_FRAME_BYTES = 64 * 1024
-assert max(LARGEST_PART, LARGEST_NAMES) + 4096 < MAX_FRAME_BYTES <= Rules().window
+assert max(LARGEST_PART, LARGEST_NAMES) + 4096 < MAX_FRAME_BYTES <= Rules().window_bytes
 
 Kind = TypeVar("Kind")
 
--- a/tests/delivery/test_bounds.py
+++ b/tests/delivery/test_bounds.py
@@ -53,7 +53,7 @@
     return worst
 
 
-TIGHT = Rules(bytes_per_s=500.0, burst_bytes=60_000.0, window=40_000.0)
+TIGHT = Rules(bytes_per_s=500.0, burst_bytes=60_000.0, window_bytes=40_000.0)
 
 
 def test_the_bytes_of_a_minute_are_bounded_while_relays_flap() -> None:
@@ -161,7 +161,7 @@
 
 def test_a_flood_of_changes_while_a_batch_is_on_its_way_keeps_the_batch_whole() -> None:
     """Objects are replaced, never altered: what is sent late is what it was when the batch began."""
-    rules = Rules(bytes_per_s=20_000.0, burst_bytes=45_000.0, window=40_000.0)
+    rules = Rules(bytes_per_s=20_000.0, burst_bytes=45_000.0, window_bytes=40_000.0)
     fleet = settled(relays=1, rules=rules, proxies=2)
     for _ in range(60):
         big = {f"n{k}": fleet.lab.rng.randbytes(1200) for k in range(8)}
@@ -174,7 +174,7 @@
 
 
 def test_a_first_snapshot_that_takes_long_is_not_told_as_a_lack_of_relays() -> None:
-    fleet = Fleet(1, relays=2, rules=Rules(bytes_per_s=1000.0, burst_bytes=30_000.0, window=20_000.0))
+    fleet = Fleet(1, relays=2, rules=Rules(bytes_per_s=1000.0, burst_bytes=30_000.0, window_bytes=20_000.0))
     fleet.commit(*(ObjectChange(name, {f"n{k}": bytes(900) for k in range(8)}) for name in OBJECTS))
     fleet.proxy("p", *OBJECTS)
     took = fleet.settle(100)
--- a/tests/delivery/test_property.py
+++ b/tests/delivery/test_property.py
@@ -17,7 +17,7 @@
 CHECK_S = 0.25  # between two comparisons beside those at each change
 QUIET_S = 90.0  # in which all must have become right
 # So little credit, and such small parts, that a batch is on its way for seconds: much happens meanwhile.
-SLOW = Rules(bytes_per_s=600.0, burst_bytes=6000.0, window=2500.0, part_bytes=200)
+SLOW = Rules(bytes_per_s=600.0, burst_bytes=6000.0, window_bytes=2500.0, part_bytes=200)
 
 edits = st.lists(
     st.tuples(
--- a/tests/delivery/test_shell.py
+++ b/tests/delivery/test_shell.py
@@ -94,10 +94,10 @@
     async def test() -> None:
         async with fabric() as made:
             origin = await made.serve(
-                "origin", rules=replace(RULES, bytes_per_s=1e9, burst_bytes=1e9, window=1e9)
+                "origin", rules=replace(RULES, bytes_per_s=1e9, burst_bytes=1e9, window_bytes=1e9)
             )
             made.commit(**{f"o{n}": {f"i{k}": os.urandom(1000) for k in range(20)} for n in range(20)})
-            mine = replace(RULES, bytes_per_s=150_000.0, burst_bytes=80_000.0, window=MAX_FRAME_BYTES)
+            mine = replace(RULES, bytes_per_s=150_000.0, burst_bytes=80_000.0, window_bytes=MAX_FRAME_BYTES)
             one = made.follow(*made.wanted, relays=(origin,), rules=mine)
             began, unpaid = clock(), 4096  # welcome and pongs are answers, and not on credit
             worst = 0.0
--- a/tests/delivery/test_wire.py
+++ b/tests/delivery/test_wire.py
@@ -142,8 +142,8 @@
     later = one.changed(ObjectChange("", {"new": b"1"}, tuple(list(made)[:2000])), 2)
     for thing, since in ((one, None), (later, 1), (later, None)):
         for message in thing.parts("object", since, rules.part_bytes):
-            assert len(frame(encode(message))) <= min(MAX_FRAME_BYTES, rules.window)
-            assert wire_size(message) <= rules.window
+            assert len(frame(encode(message))) <= min(MAX_FRAME_BYTES, rules.window_bytes)
+            assert wire_size(message) <= rules.window_bytes
 
 
 def test_a_message_larger_than_a_frame_is_not_sent() -> None:
