--- a/bench/hollow.py
+++ b/bench/hollow.py
@@ -169,7 +169,7 @@
     def _quiet(self) -> float:
         """Until when a step brings nothing, if nothing arrives."""
         core = self.subscriber
-        main, rules = core.main, core.rules
+        main, rules = core.active_session, core.rules
         if main is None or main.state is not subscriber.State.LIVE or main.pings or main.staging is not None:
             return 0.0
         if core.trial is not None or rules.window_bytes - core.granted >= subscriber.MIN_CREDIT_BYTES:
--- a/flintlatch/delivery/shell.py
+++ b/flintlatch/delivery/shell.py
@@ -108,7 +108,7 @@
 
     def relay(self) -> str:
         """The name of the one that it follows at, or is about to; empty: none."""
-        main = self.subscriber.main
+        main = self.subscriber.active_session
         return main.relay.name if main is not None and main.state is subscriber.State.LIVE else ""
 
     def _step(self, event: subscriber.Event) -> None:
@@ -184,7 +184,7 @@
         sessions = [s for s in self.relay.sessions.values() if s.greeted]
         lacking = sum(not s.current() for s in sessions)
         age, up, down = self.age(), self.above.counts, self.below.counts
-        main = self.node.subscriber.main if self.node is not None else None
+        main = self.node.subscriber.active_session if self.node is not None else None
         at = f" at {main.relay.name}" if main is not None else ""
         known = "nothing held yet" if age is None else f"at most {age:.1f} s old"
         return (
--- a/flintlatch/delivery/subscriber.py
+++ b/flintlatch/delivery/subscriber.py
@@ -167,7 +167,7 @@
         self.store = Store()
         self.names: dict[str, bool] = {}  # followed; whether what is held of it is of the store's revision
         self.doubtful: set[str] = set()  # which did not add up: the next relay sends them whole
-        self.main: Session | None = None
+        self.active_session: Session | None = None
         self.trial: Session | None = None  # another relay that is tried while the main one lasts
         self.choice = 0  # of the main session or of the next attempt
         self.tried = 0  # choices that failed in a row
@@ -216,7 +216,7 @@
 
     def _session(self, number: int) -> Session | None:
         """None: of a session that is over, whose frames count for nothing."""
-        for session in (self.main, self.trial):
+        for session in (self.active_session, self.trial):
             if session is not None and session.number == number:
                 return session
         return None
@@ -237,17 +237,17 @@
                 continue
             self.names[name] = False
             fresh.append(name)
-        if fresh and self.main is not None and self.main.state is State.LIVE:
-            self._subscribe(self.main, [], fresh)
+        if fresh and self.active_session is not None and self.active_session.state is State.LIVE:
+            self._subscribe(self.active_session, [], fresh)
 
     def _unfollow(self, now: float, names: tuple[str, ...]) -> None:
         mine = tuple(n for n in names if self.names.pop(n, None) is not None)
         for name in mine:
             self.store.forget(name)
             self.doubtful.discard(name)
-        if mine and self.main is not None and self.main.state is State.LIVE:
-            self.main.left.update((name, now) for name in mine)
-            self._send(self.main, Unsubscribe(mine))
+        if mine and self.active_session is not None and self.active_session.state is State.LIVE:
+            self.active_session.left.update((name, now) for name in mine)
+            self._send(self.active_session, Unsubscribe(mine))
 
     def _subscribe(self, session: Session, held: list[str], fresh: list[str]) -> None:
         for at in range(0, max(len(held), len(fresh)), NAMES_A_MESSAGE):
@@ -259,7 +259,7 @@
     def _tick(self, now: float) -> None:
         rules = self.rules
         self._fill(now)
-        for session in (self.main, self.trial):
+        for session in (self.active_session, self.trial):
             if session is None:
                 continue
             if session.state is not State.LIVE:
@@ -268,16 +268,18 @@
                 continue
             if session.pings and now - next(iter(session.pings.values())) > rules.silence_s:
                 self._leave(now, session, "fell silent")
-            elif now - session.moved > 2 * rules.stale_s and session is self.main:
+            elif now - session.moved > 2 * rules.stale_s and session is self.active_session:
                 self._leave(now, session, "sends nothing")
             elif now - session.pinged >= rules.ping_s and len(session.pings) < PINGS_KEPT:
                 self._ping(now, session)
-        if self.main is None and now >= self.next_at and self.choices:
-            self.main = self._open(now, self.choice % len(self.choices))
-        elif self.main is not None and self.main.state is State.LIVE and self.trial is None:
+        if self.active_session is None and now >= self.next_at and self.choices:
+            self.active_session = self._open(now, self.choice % len(self.choices))
+        elif (
+            self.active_session is not None and self.active_session.state is State.LIVE and self.trial is None
+        ):
             self._try_another(now)
-        if self.main is not None and self.main.state is State.LIVE:
-            self._grant(now, self.main)
+        if self.active_session is not None and self.active_session.state is State.LIVE:
+            self._grant(now, self.active_session)
         if not self.told_stale and self.age(now) > 2 * rules.stale_s and not self._loading(now):
             self.told_stale = True
             held = f"serving on with revision {self.store.revision}" if self.as_of >= 0 else "nothing is held"
@@ -285,12 +287,12 @@
 
     def _loading(self, now: float) -> bool:
         """What is held is old, but the relay's state is young and on its way."""
-        main = self.main
+        main = self.active_session
         return main is not None and main.state is State.LIVE and now - main.as_of <= 2 * self.rules.stale_s
 
     def _try_another(self, now: float) -> None:
         """A better choice in turn, or any other where this relay's own state is old."""
-        main = self.main
+        main = self.active_session
         assert main is not None
         if len(self.choices) < 2 or main.staging is not None:
             return
@@ -334,10 +336,10 @@
             self.trial = None
             return
         self.granted = 0.0  # it may be on its way still: the tokens for it do not come back
-        was_live, self.main = session.state is State.LIVE, None
+        was_live, self.active_session = session.state is State.LIVE, None
         if self.trial is not None:  # what was being tried is the next choice
-            self.main, self.trial = self.trial, None
-            self.choice = self.choices.index(self.main.relay)
+            self.active_session, self.trial = self.trial, None
+            self.choice = self.choices.index(self.active_session.relay)
             return
         self.choice = (self.choices.index(session.relay) + 1) % len(self.choices)
         if was_live:
@@ -401,7 +403,7 @@
             size = wire_size(message)
             self.granted = max(0.0, self.granted - size)
             self._batch(now, session, message, size)
-            if self.granted < self.rules.window_bytes / 2 and self.main is session:
+            if self.granted < self.rules.window_bytes / 2 and self.active_session is session:
                 self._fill(now)
                 self._grant(now, session)
         elif isinstance(message, Pong):
@@ -419,7 +421,7 @@
             self._leave(now, session, "behind")
             return
         if session is self.trial:
-            before = self.main
+            before = self.active_session
             assert before is not None
             age = now - before.as_of
             if age > self.rules.stale_s and welcome.age_ms / 1000 + self.rules.ping_s >= age:
@@ -430,7 +432,7 @@
             self.granted = 0.0
         session.state, session.moved = State.LIVE, now
         session.as_of = session.began - welcome.age_ms / 1000
-        self.main = session
+        self.active_session = session
         self.choice, self.tried = self.choices.index(session.relay), 0
         self.trial_at = now + self._return_s()
         if not self.everything:
--- a/tests/delivery/reference.py
+++ b/tests/delivery/reference.py
@@ -275,7 +275,7 @@
 
     def relay_of(self, name: str) -> str:
         """Of a proxy that has a live session."""
-        main = self.core(name).main
+        main = self.core(name).active_session
         assert main is not None
         return main.relay.name
 
@@ -316,7 +316,7 @@
 
 
 def served_by(fleet: Fleet, name: str) -> list[str]:
-    return [one for one in fleet.names if fleet.core(one).main and fleet.relay_of(one) == name]
+    return [one for one in fleet.names if fleet.core(one).active_session and fleet.relay_of(one) == name]
 
 
 def most_served(fleet: Fleet) -> str:
--- a/tests/delivery/test_bounds.py
+++ b/tests/delivery/test_bounds.py
@@ -235,10 +235,10 @@
     fleet = settled(proxies=1)
     core = fleet.core("p0")
     core.step(fleet.now, subscriber.Tick())
-    assert core.main is not None
+    assert core.active_session is not None
     before, pong = core.tokens, Pong(0, 1, 1, False)
     for _ in range(100):
-        core.step(fleet.now, subscriber.Received(core.main.number, pong))
+        core.step(fleet.now, subscriber.Received(core.active_session.number, pong))
     assert core.tokens == pytest.approx(before - 100 * wire_size(pong))
 
 
--- a/tests/delivery/test_large.py
+++ b/tests/delivery/test_large.py
@@ -38,7 +38,9 @@
 
 
 def served(fleet: Fleet) -> Counter[str]:
-    return Counter(fleet.relay_of(name) for name in fleet.names if fleet.core(name).main is not None)
+    return Counter(
+        fleet.relay_of(name) for name in fleet.names if fleet.core(name).active_session is not None
+    )
 
 
 def test_a_region_that_loses_all_relays_in_a_second_spreads_evenly_and_comes_back_in_turns() -> None:
--- a/tests/delivery/test_refusals.py
+++ b/tests/delivery/test_refusals.py
@@ -51,7 +51,7 @@
     one.step(0.1, subscriber.Tick())
     one.step(0.2, subscriber.Connected(1))
     assert one.step(0.3, subscriber.Received(1, Welcome("r", 8, 0))) == [subscriber.Disconnect(1)]
-    assert one.main is None and one.counts["lost: behind"] == 1
+    assert one.active_session is None and one.counts["lost: behind"] == 1
 
 
 def test_a_subscriber_leaves_a_relay_of_which_an_answer_goes_back() -> None:
