--- a/bench/hollow.py
+++ b/bench/hollow.py
@@ -172,7 +172,10 @@
         main, rules = core.active_session, core.rules
         if main is None or main.state is not subscriber.State.LIVE or main.pings or main.staging is not None:
             return 0.0
-        if core.trial is not None or rules.window_bytes - core.granted >= subscriber.MIN_CREDIT_BYTES:
+        if (
+            core.candidate_session is not None
+            or rules.window_bytes - core.granted >= subscriber.MIN_CREDIT_BYTES
+        ):
             return 0.0
         return main.pinged + rules.ping_s
 
--- a/flintlatch/delivery/subscriber.py
+++ b/flintlatch/delivery/subscriber.py
@@ -168,7 +168,7 @@
         self.names: dict[str, bool] = {}  # followed; whether what is held of it is of the store's revision
         self.doubtful: set[str] = set()  # which did not add up: the next relay sends them whole
         self.active_session: Session | None = None
-        self.trial: Session | None = None  # another relay that is tried while the main one lasts
+        self.candidate_session: Session | None = None  # another relay that is tried while the main one lasts
         self.choice = 0  # of the main session or of the next attempt
         self.tried = 0  # choices that failed in a row
         self.next_at = now  # an attempt is not made before
@@ -216,7 +216,7 @@
 
     def _session(self, number: int) -> Session | None:
         """None: of a session that is over, whose frames count for nothing."""
-        for session in (self.active_session, self.trial):
+        for session in (self.active_session, self.candidate_session):
             if session is not None and session.number == number:
                 return session
         return None
@@ -259,7 +259,7 @@
     def _tick(self, now: float) -> None:
         rules = self.rules
         self._fill(now)
-        for session in (self.active_session, self.trial):
+        for session in (self.active_session, self.candidate_session):
             if session is None:
                 continue
             if session.state is not State.LIVE:
@@ -275,7 +275,9 @@
         if self.active_session is None and now >= self.next_at and self.choices:
             self.active_session = self._open(now, self.choice % len(self.choices))
         elif (
-            self.active_session is not None and self.active_session.state is State.LIVE and self.trial is None
+            self.active_session is not None
+            and self.active_session.state is State.LIVE
+            and self.candidate_session is None
         ):
             self._try_another(now)
         if self.active_session is not None and self.active_session.state is State.LIVE:
@@ -300,12 +302,12 @@
         if now - main.as_of > self.rules.stale_s and now >= self.other_at:
             self.other_at = now + self.rules.stale_s * (0.5 + self.rng.random() / 2)
             self.tried += 1
-            self.trial = self._open(
+            self.candidate_session = self._open(
                 now, (place + 1 + self.tried % (len(self.choices) - 1)) % len(self.choices)
             )
         elif place and now >= self.trial_at:
             self.trial_at = now + self._return_s()
-            self.trial = self._open(now, int(self.rng.random() * place))
+            self.candidate_session = self._open(now, int(self.rng.random() * place))
 
     def _return_s(self) -> float:
         return self.rules.return_s * (0.5 + self.rng.random())
@@ -332,13 +334,13 @@
 
     def _lost(self, now: float, session: Session, why: str) -> None:
         self.counts[f"lost: {why}"] += 1
-        if session is self.trial:
-            self.trial = None
+        if session is self.candidate_session:
+            self.candidate_session = None
             return
         self.granted = 0.0  # it may be on its way still: the tokens for it do not come back
         was_live, self.active_session = session.state is State.LIVE, None
-        if self.trial is not None:  # what was being tried is the next choice
-            self.active_session, self.trial = self.trial, None
+        if self.candidate_session is not None:  # what was being tried is the next choice
+            self.active_session, self.candidate_session = self.candidate_session, None
             self.choice = self.choices.index(self.active_session.relay)
             return
         self.choice = (self.choices.index(session.relay) + 1) % len(self.choices)
@@ -420,14 +422,14 @@
         if welcome.revision < self.store.revision:
             self._leave(now, session, "behind")
             return
-        if session is self.trial:
+        if session is self.candidate_session:
             before = self.active_session
             assert before is not None
             age = now - before.as_of
             if age > self.rules.stale_s and welcome.age_ms / 1000 + self.rules.ping_s >= age:
                 self._leave(now, session, "no younger")
                 return
-            self.trial = None
+            self.candidate_session = None
             self.out.append(Disconnect(before.number))
             self.granted = 0.0
         session.state, session.moved = State.LIVE, now
