--- a/bench/hollow.py
+++ b/bench/hollow.py
@@ -174,7 +174,7 @@
             return 0.0
         if (
             core.candidate_session is not None
-            or rules.window_bytes - core.granted >= subscriber.MIN_CREDIT_BYTES
+            or rules.window_bytes - core.outstanding_credit >= subscriber.MIN_CREDIT_BYTES
         ):
             return 0.0
         return main.pinged + rules.ping_s
--- a/flintlatch/delivery/subscriber.py
+++ b/flintlatch/delivery/subscriber.py
@@ -176,7 +176,7 @@
         self.other_at = now  # of any other, while this one's state is old
         self.number = self.pings = 0
         self.tokens, self.filled = rules.burst_bytes, now  # bytes that may yet be granted
-        self.granted = 0.0  # bytes granted to the main session that have not come
+        self.outstanding_credit = 0.0  # bytes granted to the main session that have not come
         self.as_of = -1.0  # a moment at which the state held was the origin's; below 0: none yet
         self.began = now
         self.told_stale = False
@@ -337,7 +337,7 @@
         if session is self.candidate_session:
             self.candidate_session = None
             return
-        self.granted = 0.0  # it may be on its way still: the tokens for it do not come back
+        self.outstanding_credit = 0.0  # it may be on its way still: the tokens for it do not come back
         was_live, self.active_session = session.state is State.LIVE, None
         if self.candidate_session is not None:  # what was being tried is the next choice
             self.active_session, self.candidate_session = self.candidate_session, None
@@ -364,18 +364,22 @@
 
     def _fill(self, now: float) -> None:
         rules = self.rules
-        full = rules.burst_bytes - self.granted  # what is granted may come later than what is spared
+        full = (
+            rules.burst_bytes - self.outstanding_credit
+        )  # what is granted may come later than what is spared
         self.tokens = min(full, self.tokens + (now - self.filled) * rules.bytes_per_s)
         self.filled = now
 
     def _grant(self, now: float, session: Session) -> None:
         """All that may come within the bound, up to a window: what one that is lost leaves unsent is lost."""
-        spare = int(min(self.tokens - CONTROL_BYTES, self.rules.window_bytes - self.granted))
+        spare = int(min(self.tokens - CONTROL_BYTES, self.rules.window_bytes - self.outstanding_credit))
         if spare >= MIN_CREDIT_BYTES:
-            if self.granted < self.rules.part_bytes + ITEM_MOST:  # until now it may have had too little
+            if (
+                self.outstanding_credit < self.rules.part_bytes + ITEM_MOST
+            ):  # until now it may have had too little
                 session.moved = now
             self.tokens -= spare
-            self.granted += spare
+            self.outstanding_credit += spare
             self._send(session, Credit(spare))
 
     # What relays say
@@ -403,9 +407,9 @@
             return
         if isinstance(message, Begin | ObjectPart | End):
             size = wire_size(message)
-            self.granted = max(0.0, self.granted - size)
+            self.outstanding_credit = max(0.0, self.outstanding_credit - size)
             self._batch(now, session, message, size)
-            if self.granted < self.rules.window_bytes / 2 and self.active_session is session:
+            if self.outstanding_credit < self.rules.window_bytes / 2 and self.active_session is session:
                 self._fill(now)
                 self._grant(now, session)
         elif isinstance(message, Pong):
@@ -431,7 +435,7 @@
                 return
             self.candidate_session = None
             self.out.append(Disconnect(before.number))
-            self.granted = 0.0
+            self.outstanding_credit = 0.0
         session.state, session.moved = State.LIVE, now
         session.as_of = session.began - welcome.age_ms / 1000
         self.active_session = session
