--- a/bench/hollow.py
+++ b/bench/hollow.py
@@ -177,7 +177,7 @@
             or rules.window_bytes - core.outstanding_credit >= subscriber.MIN_CREDIT_BYTES
         ):
             return 0.0
-        return main.pinged + rules.ping_s
+        return main.last_ping_at + rules.ping_s
 
     def from_above(self, event: subscriber.Event) -> None:
         began = process_time_ns()
--- a/flintlatch/delivery/subscriber.py
+++ b/flintlatch/delivery/subscriber.py
@@ -141,7 +141,7 @@
         self.number, self.relay, self.began = number, relay, now
         self.state = State.OPENING
         self.pings: OrderedDict[int, float] = OrderedDict()  # unanswered, with when they were sent
-        self.pinged = now
+        self.last_ping_at = now
         self.staging: Staging | None = None
         self.refusing = False  # what comes of a batch refused, up to its end
         self.refusals = 0  # on end
@@ -270,7 +270,7 @@
                 self._leave(now, session, "fell silent")
             elif now - session.moved > 2 * rules.stale_s and session is self.active_session:
                 self._leave(now, session, "sends nothing")
-            elif now - session.pinged >= rules.ping_s and len(session.pings) < PINGS_KEPT:
+            elif now - session.last_ping_at >= rules.ping_s and len(session.pings) < PINGS_KEPT:
                 self._ping(now, session)
         if self.active_session is None and now >= self.next_at and self.choices:
             self.active_session = self._open(now, self.choice % len(self.choices))
@@ -356,7 +356,7 @@
 
     def _ping(self, now: float, session: Session) -> None:
         self.pings += 1
-        session.pinged = now
+        session.last_ping_at = now
         session.pings[self.pings] = now
         self._send(session, Ping(self.pings))
 
