--- a/flintlatch/delivery/subscriber.py
+++ b/flintlatch/delivery/subscriber.py
@@ -138,7 +138,7 @@
 
 class Session:
     def __init__(self, number: int, relay: Participant, now: float) -> None:
-        self.number, self.relay, self.began = number, relay, now
+        self.number, self.relay, self.started_at = number, relay, now
         self.state = State.OPENING
         self.pings: OrderedDict[int, float] = OrderedDict()  # unanswered, with when they were sent
         self.last_ping_at = now
@@ -178,7 +178,7 @@
         self.tokens, self.filled = rules.burst_bytes, now  # bytes that may yet be granted
         self.outstanding_credit = 0.0  # bytes granted to the main session that have not come
         self.as_of = -1.0  # a moment at which the state held was the origin's; below 0: none yet
-        self.began = now
+        self.started_at = now
         self.told_stale = False
         self.counts: Counter[str] = Counter()
         self.out: list[Action] = []
@@ -187,7 +187,7 @@
 
     def age(self, now: float) -> float:
         """Seconds since the state held was surely the origin's."""
-        return now - (self.as_of if self.as_of >= 0 else self.began)
+        return now - (self.as_of if self.as_of >= 0 else self.started_at)
 
     def ready(self) -> bool:
         """All that is followed has been answered at least once."""
@@ -263,7 +263,7 @@
             if session is None:
                 continue
             if session.state is not State.LIVE:
-                if now - session.began > rules.connect_s:
+                if now - session.started_at > rules.connect_s:
                     self._leave(now, session, "did not answer")
                 continue
             if session.pings and now - next(iter(session.pings.values())) > rules.silence_s:
@@ -437,7 +437,7 @@
             self.out.append(Disconnect(before.number))
             self.outstanding_credit = 0.0
         session.state, session.moved = State.LIVE, now
-        session.as_of = session.began - welcome.age_ms / 1000
+        session.as_of = session.started_at - welcome.age_ms / 1000
         self.active_session = session
         self.choice, self.tried = self.choices.index(session.relay), 0
         self.trial_at = now + self._return_s()
--- a/flintlatch/fleet/delivered.py
+++ b/flintlatch/fleet/delivered.py
@@ -61,7 +61,7 @@
     def age_s(self) -> float:
         """Since what is held was surely the origin's; while nothing is, since it was first asked for."""
         as_of = self.as_of()
-        return clock() - (as_of if as_of >= 0 else self.client.subscriber.began)
+        return clock() - (as_of if as_of >= 0 else self.client.subscriber.started_at)
 
     def _on_changed(self, changed: Changed) -> None:
         for change in changed.changes:
