--- a/bench/hollow.py
+++ b/bench/hollow.py
@@ -280,7 +280,11 @@
     def fill(self, store: Store, names: tuple[str, ...] | None) -> None:
         top = self.top.store
         store.objects = dict(top.objects) if names is None else {n: top.objects[n] for n in names}
-        store.revision, store.latest, store.gone_floor = top.revision, top.latest, top.revision
+        store.revision, store.latest_version, store.gone_floor = (
+            top.revision,
+            top.latest_version,
+            top.revision,
+        )
 
     def share(self, store: Store, exact: bool) -> None:
         """The newest objects, in place of what is like them at the origin. Relays hand theirs on by their
--- a/flintlatch/delivery/store.py
+++ b/flintlatch/delivery/store.py
@@ -151,7 +151,7 @@
         self.objects: dict[str, StoredObject] = {}  # ordered by version
         self.gone: dict[str, int] = {}  # ordered by stamp
         self.gone_floor = 0  # of what was gone before nothing is known
-        self.latest = 0  # the highest version of an object
+        self.latest_version = 0  # the highest version of an object
 
     def commit(self, changes: Iterable[ObjectChange], revision: int = 0) -> list[str]:
         """All of it at once; the names that have changed. Without a revision it is the next one. Raises
@@ -181,9 +181,9 @@
         names = []
         for name, one in new:
             if one is not None:
-                if one.version < self.latest:  # it would stand out of order
-                    one = one.stamped(self.latest)
-                self.latest = one.version
+                if one.version < self.latest_version:  # it would stand out of order
+                    one = one.stamped(self.latest_version)
+                self.latest_version = one.version
                 self.objects.pop(name, None)
                 self.objects[name] = one
                 self.gone.pop(name, None)
@@ -207,7 +207,7 @@
         for name, one in self.objects.items():
             self.objects[name] = one.stamped(revision)
         self.gone.clear()
-        self.gone_floor = self.revision = self.latest = revision
+        self.gone_floor = self.revision = self.latest_version = revision
 
     def newer(self, revision: int) -> list[str]:
         """Objects that have changed, or are no more, after `revision`."""
--- a/tests/delivery/test_store.py
+++ b/tests/delivery/test_store.py
@@ -118,14 +118,22 @@
                 between.gone_floor = upper.revision
             assert state_of(between) == model
         kept = Store()
-        kept.objects, kept.revision, kept.latest = dict(upper.objects), upper.revision, upper.latest
+        kept.objects, kept.revision, kept.latest_version = (
+            dict(upper.objects),
+            upper.revision,
+            upper.latest_version,
+        )
         history.append((upper.revision, kept))
     for above in (upper, between):
         for revision, old in history:
             if revision > above.revision:
                 continue
             lower = Store()
-            lower.objects, lower.revision, lower.latest = dict(old.objects), revision, old.latest
+            lower.objects, lower.revision, lower.latest_version = (
+                dict(old.objects),
+                revision,
+                old.latest_version,
+            )
             names = [name for name in "abc" if above.changed_since(name, revision)]
             parts = sent(above, names, revision, part_bytes)
             take(lower, parts, above.revision)
