--- a/bench/hollow.py
+++ b/bench/hollow.py
@@ -280,7 +280,7 @@
     def fill(self, store: Store, names: tuple[str, ...] | None) -> None:
         top = self.top.store
         store.objects = dict(top.objects) if names is None else {n: top.objects[n] for n in names}
-        store.revision, store.latest_version, store.gone_floor = (
+        store.revision, store.latest_version, store.deletion_floor = (
             top.revision,
             top.latest_version,
             top.revision,
--- a/flintlatch/delivery/relay.py
+++ b/flintlatch/delivery/relay.py
@@ -267,7 +267,7 @@
             return
         knows = self.age(now) is not None
         if self.authority:
-            knows = bool(self.store.objects) or self.store.revision > self.store.gone_floor
+            knows = bool(self.store.objects) or self.store.revision > self.store.deletion_floor
             if knows and hello.role == Role.RELAY and hello.held > self.store.revision:
                 self._go_on_above(hello.held)
         if not knows or hello.held > self.store.revision:
@@ -302,7 +302,7 @@
         store = self.store
         if not session.everything:
             session.dirty.update((n, None) for n in session.names if store.changed_since(n, session.cut))
-        elif session.cut < store.gone_floor or not session.cut:
+        elif session.cut < store.deletion_floor or not session.cut:
             session.whole = True
         else:
             session.dirty.update((n, None) for n in store.newer(session.cut))
--- a/flintlatch/delivery/store.py
+++ b/flintlatch/delivery/store.py
@@ -150,7 +150,7 @@
         self.revision = 0
         self.objects: dict[str, StoredObject] = {}  # ordered by version
         self.gone: dict[str, int] = {}  # ordered by stamp
-        self.gone_floor = 0  # of what was gone before nothing is known
+        self.deletion_floor = 0  # of what was gone before nothing is known
         self.latest_version = 0  # the highest version of an object
 
     def commit(self, changes: Iterable[ObjectChange], revision: int = 0) -> list[str]:
@@ -192,7 +192,7 @@
                 self.gone.pop(name, None)
                 self.gone[name] = revision
                 if len(self.gone) > GONE_MOST:
-                    self.gone_floor = max(self.gone_floor, self.gone.pop(next(iter(self.gone))))
+                    self.deletion_floor = max(self.deletion_floor, self.gone.pop(next(iter(self.gone))))
             names.append(name)
         self.revision = max(self.revision, revision)
         return names
@@ -207,7 +207,7 @@
         for name, one in self.objects.items():
             self.objects[name] = one.stamped(revision)
         self.gone.clear()
-        self.gone_floor = self.revision = self.latest_version = revision
+        self.deletion_floor = self.revision = self.latest_version = revision
 
     def newer(self, revision: int) -> list[str]:
         """Objects that have changed, or are no more, after `revision`."""
@@ -227,4 +227,4 @@
         one = self.objects.get(name)
         if one is not None:
             return one.version > revision
-        return self.gone.get(name, self.gone_floor) > revision
+        return self.gone.get(name, self.deletion_floor) > revision
--- a/flintlatch/delivery/subscriber.py
+++ b/flintlatch/delivery/subscriber.py
@@ -527,7 +527,7 @@
         self.store.put(taken.objects, end.to)
         if staging.begin.whole:  # of what was gone before, this relay has said nothing
             self.store.gone.clear()
-            self.store.gone_floor = end.to
+            self.store.deletion_floor = end.to
         self.doubtful.difference_update(name for name, _ in taken.objects)
         absent = []
         if not self.everything:
--- a/tests/delivery/test_source.py
+++ b/tests/delivery/test_source.py
@@ -169,7 +169,7 @@
         assert store.revision > last
         # Whoever comes with a revision of a life before is to hear of all, also of what is gone.
         assert all(store.changed_since(name, last) for name in (*store.objects, "gone meanwhile"))
-        assert store.gone_floor > last
+        assert store.deletion_floor > last
         last = store.revision
 
 
--- a/tests/delivery/test_store.py
+++ b/tests/delivery/test_store.py
@@ -115,7 +115,7 @@
                 whole,
             )
             if whole:
-                between.gone_floor = upper.revision
+                between.deletion_floor = upper.revision
             assert state_of(between) == model
         kept = Store()
         kept.objects, kept.revision, kept.latest_version = (
@@ -281,7 +281,7 @@
     store.put([(f"{n}", StoredObject(1, 1)) for n in range(GONE_MOST + 1)], 1)
     store.put([("0", None)], 2)
     store.put([(f"{n}", None) for n in range(1, GONE_MOST + 1)], 3)
-    assert len(store.gone) == GONE_MOST and store.gone_floor == 2
+    assert len(store.gone) == GONE_MOST and store.deletion_floor == 2
     assert store.changed_since("0", 1) and not store.changed_since("0", 2)
     assert store.changed_since("1", 2)
 
