--- a/bench/scale/delivery.py
+++ b/bench/scale/delivery.py
@@ -73,7 +73,7 @@
         self.waits: deque[Callable[[], None]] = deque()  # on their way
         everything = names is None
         rules = RELAY_RULES if everything else Rules()
-        self.relay = relay.Relay("above", store, rules, lambda now: 0.0, authority=True)
+        self.relay = relay.Relay("above", store, rules, lambda now: 0.0, is_origin=True)
         role = Role.RELAY if everything else Role.PROXY
         me, above = Participant("below"), (Participant("above"),)
         self.subscriber = subscriber.Subscriber(me, role, above, rules, Random(1), 0.0, everything)
--- a/flintlatch/delivery/relay.py
+++ b/flintlatch/delivery/relay.py
@@ -156,9 +156,9 @@
         store: Store,
         rules: Rules,
         age: Callable[[float], float | None],
-        authority: bool = False,
+        is_origin: bool = False,
     ) -> None:
-        self.name, self.store, self.rules, self.age, self.authority = name, store, rules, age, authority
+        self.name, self.store, self.rules, self.age, self.is_origin = name, store, rules, age, is_origin
         self.sessions: dict[int, Session] = {}
         self.followers: dict[str, set[int]] = {}
         self.busy: dict[int, None] = {}  # sessions that may have something to send, in turn
@@ -266,7 +266,7 @@
             self._drop(session.number)
             return
         knows = self.age(now) is not None
-        if self.authority:
+        if self.is_origin:
             knows = bool(self.store.objects) or self.store.revision > self.store.deletion_floor
             if knows and hello.role == Role.RELAY and hello.held > self.store.revision:
                 self._go_on_above(hello.held)
--- a/flintlatch/delivery/shell.py
+++ b/flintlatch/delivery/shell.py
@@ -152,7 +152,7 @@
             self.relay, self.store = self.node.relay, self.node.subscriber.store
         else:
             self.store = Store()
-            self.relay = relay.Relay(me.name, self.store, rules, self._age, authority=True)
+            self.relay = relay.Relay(me.name, self.store, rules, self._age, is_origin=True)
 
     def _age(self, now: float) -> float | None:
         return 0.0 if self.filled else None
--- a/flintlatch/lab/delivery.py
+++ b/flintlatch/lab/delivery.py
@@ -93,7 +93,7 @@
         super().__init__(lab, place)
         self.store = Store()
         self.store.restamp(int(lab.engine.now * 1000) if first is None else first)
-        self.relay = relay.Relay(place.name, self.store, rules, lambda now: 0.0, authority=True)
+        self.relay = relay.Relay(place.name, self.store, rules, lambda now: 0.0, is_origin=True)
 
     def commit(self, changes: Iterable[ObjectChange]) -> int:
         names = self.store.commit(changes)
--- a/tests/delivery/test_refusals.py
+++ b/tests/delivery/test_refusals.py
@@ -186,7 +186,7 @@
     nothing = relay.Relay("r", Store(), Rules(), lambda now: None)
     nothing.step(0.0, relay.Accepted(1))
     assert answers(say(nothing, HELLO)) == [Turned(Why.BEHIND, 0)]
-    origin = relay.Relay("o", Store(), Rules(), lambda now: 0.0, authority=True)
+    origin = relay.Relay("o", Store(), Rules(), lambda now: 0.0, is_origin=True)
     origin.step(0.0, relay.Accepted(1))
     assert answers(say(origin, replace(HELLO, role=Role.RELAY, held=7))) == [Turned(Why.BEHIND, 0)]
     origin.store.commit([])  # it knows that there is nothing
