--- a/flintlatch/delivery/model.py
+++ b/flintlatch/delivery/model.py
@@ -203,12 +203,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ObjectChange:
-    """What came into force of one object: items put and taken away. `gone`: it is no more."""
+    """What came into force of one object: items put and taken away. `deleted`: it is no more."""
 
     name: str
     items: dict[str, bytes] = field(default_factory=dict)
     removed: tuple[str, ...] = ()
-    gone: bool = False
+    deleted: bool = False
 
 
 def item_digest(name: str, value: bytes) -> int:
--- a/flintlatch/delivery/run.py
+++ b/flintlatch/delivery/run.py
@@ -144,12 +144,12 @@
 
     def changed(self, change: Changed) -> None:
         held = self.client.subscriber.store.objects
-        digests = {c.name: None if c.gone else digest(held[c.name].items) for c in change.changes}
+        digests = {c.name: None if c.deleted else digest(held[c.name].items) for c in change.changes}
         if self.as_json:
             self.row("changed", objects=digests)
             return
         for one in change.changes:
-            if one.gone:
+            if one.deleted:
                 self.out(f"revision {change.revision}: {one.name} is no more")
             else:
                 parts = f"{len(one.items)} items put, {len(one.removed)} taken away"
--- a/flintlatch/delivery/source.py
+++ b/flintlatch/delivery/source.py
@@ -176,7 +176,7 @@
             change = difference(held := store.objects.get(name), one, name)
             if held is None or change.items or change.removed:
                 changes.append(change)
-        changes += [ObjectChange(name, gone=True) for name in store.objects if name not in wanted]
+        changes += [ObjectChange(name, deleted=True) for name in store.objects if name not in wanted]
         if self.taken and not changes:
             return None
         revision = max(store.revision + 2, self.kept.revision + 2, self.now_us())
--- a/flintlatch/delivery/staging.py
+++ b/flintlatch/delivery/staging.py
@@ -134,7 +134,7 @@
             for name, held in self.store.objects.items():
                 if name not in self.gathered:
                     objects.append((name, None))
-                    changes.append(ObjectChange(name, removed=tuple(held.items), gone=True))
+                    changes.append(ObjectChange(name, removed=tuple(held.items), deleted=True))
         return Taken(objects, tuple(changes))
 
     def _make(self, name: str, one: Gathered) -> None:
@@ -142,7 +142,7 @@
         one.torn, one.made, one.change = "", None, None
         if one.kind is Kind.GONE:
             if held is not None:
-                one.change = ObjectChange(name, removed=tuple(held.items), gone=True)
+                one.change = ObjectChange(name, removed=tuple(held.items), deleted=True)
             return
         try:
             one.made = self._made(held, one)
--- a/flintlatch/delivery/store.py
+++ b/flintlatch/delivery/store.py
@@ -162,7 +162,7 @@
         new: dict[str, StoredObject | None] = {}
         for change in changes:
             held = new.get(change.name, self.objects.get(change.name))
-            new[change.name] = None if change.gone else (held or StoredObject(to, to)).changed(change, to)
+            new[change.name] = None if change.deleted else (held or StoredObject(to, to)).changed(change, to)
             check(change, new[change.name])
         return self.put(new.items(), to)
 
@@ -173,7 +173,7 @@
             change = difference(held := self.objects.get(name), items, name)
             if held is None or change.items or change.removed:
                 changes.append(change)
-        changes += [ObjectChange(name, gone=True) for name in self.objects if name not in wanted]
+        changes += [ObjectChange(name, deleted=True) for name in self.objects if name not in wanted]
         return self.commit(changes) if changes else []
 
     def put(self, new: Iterable[tuple[str, StoredObject | None]], revision: int) -> list[str]:
--- a/flintlatch/fleet/delivered.py
+++ b/flintlatch/fleet/delivered.py
@@ -65,7 +65,7 @@
 
     def _on_changed(self, changed: Changed) -> None:
         for change in changed.changes:
-            if change.gone:
+            if change.deleted:
                 continue  # `_on_absent` hears of it too
             self.revisions[change.name] = changed.revision
             self.absent.discard(change.name)
--- a/tests/delivery/reference.py
+++ b/tests/delivery/reference.py
@@ -94,7 +94,7 @@
             return
         mirror = self.mirrors.setdefault(name, {})
         for change in action.changes:
-            if change.gone:
+            if change.deleted:
                 mirror.pop(change.name, None)
                 continue
             items = mirror.setdefault(change.name, {})
@@ -204,7 +204,7 @@
 
     def commit(self, *changes: ObjectChange) -> None:
         for change in changes:
-            if change.gone:
+            if change.deleted:
                 self.wanted.pop(change.name, None)
                 continue
             items = dict(self.wanted.get(change.name, {}))
--- a/tests/delivery/test_hard_cases.py
+++ b/tests/delivery/test_hard_cases.py
@@ -183,7 +183,7 @@
     fleet.put("short", n="x")
     fleet.settle(2)
     fleet.lab.kill(one)
-    fleet.commit(ObjectChange("short", gone=True))
+    fleet.commit(ObjectChange("short", deleted=True))
     fleet.run(4)
     fleet.lab.heal()
     fleet.settle(10)
@@ -202,7 +202,7 @@
     for n in range(40):
         fleet.commit(
             ObjectChange("s1", {"n1": f"{n}".encode()}),
-            ObjectChange(f"s{n % 12}", gone=True)
+            ObjectChange(f"s{n % 12}", deleted=True)
             if n % 3 == 2 and n % 12 != 1
             else ObjectChange("s1", {"m": b""}),
             ObjectChange(f"s{(n + 1) % 12}", {f"m{n}": b"x"}),
@@ -332,7 +332,7 @@
     assert absent == ["nowhere"] and fleet.core("p0").ready()
     fleet.put("nowhere", n="now")
     fleet.settle(2)
-    fleet.commit(ObjectChange("nowhere", gone=True))
+    fleet.commit(ObjectChange("nowhere", deleted=True))
     fleet.settle(2)
     assert absent == ["nowhere"] * 2
     fleet.put("nowhere", n="again")
--- a/tests/delivery/test_property.py
+++ b/tests/delivery/test_property.py
@@ -51,9 +51,9 @@
         elif what == "take":
             changes.append(ObjectChange(name, removed=(key,)))
         elif what == "gone":
-            changes.append(ObjectChange(name, gone=True))
+            changes.append(ObjectChange(name, deleted=True))
         elif what == "anew":
-            changes += [ObjectChange(name, gone=True), ObjectChange(name, {key: data})]
+            changes += [ObjectChange(name, deleted=True), ObjectChange(name, {key: data})]
         else:  # there and back: nothing has changed, and yet it has
             before = fleet.wanted.get(name, {}).get(key)
             changes.append(ObjectChange(name, {key: b"for a moment"}))
--- a/tests/delivery/test_store.py
+++ b/tests/delivery/test_store.py
@@ -73,7 +73,7 @@
 
 def change_of(name: str, what: str, item: int, value: bytes) -> ObjectChange:
     if what == "gone":
-        return ObjectChange(name, gone=True)
+        return ObjectChange(name, deleted=True)
     if what == "take":
         return ObjectChange(name, removed=tuple(f"{n}" for n in range(item)))
     return ObjectChange(name, {f"{n}": value for n in range(item)})
@@ -92,7 +92,7 @@
         model = {name: dict(items) for name, items in state_of(upper).items()}
         for edit in commit:
             change = change_of(*edit)
-            if change.gone:
+            if change.deleted:
                 model.pop(change.name, None)
                 continue
             items = model.setdefault(change.name, {})
@@ -149,7 +149,7 @@
         upper.commit([change_of(*edit) for edit in commit])
         names = [name for name in "abc" if upper.changed_since(name, lower.revision)]
         for change in take(lower, sent(upper, names, lower.revision), upper.revision).changes:
-            if change.gone:
+            if change.deleted:
                 del mirror[change.name]
                 continue
             items = mirror.setdefault(change.name, {})
@@ -207,7 +207,7 @@
 def test_an_object_made_anew_is_a_snapshot_for_who_held_the_one_before() -> None:
     store = Store()
     store.commit([ObjectChange("s", {"a": b""})])
-    store.commit([ObjectChange("s", gone=True)])
+    store.commit([ObjectChange("s", deleted=True)])
     store.commit([ObjectChange("s", {"b": b""})])
     assert [part.kind for part in store.objects["s"].parts("s", 1, 16384)] == [Kind.SNAPSHOT]
 
@@ -266,8 +266,8 @@
 def test_newer_and_changed_since_know_of_what_is_gone() -> None:
     store = Store()
     store.commit([ObjectChange(name) for name in "abc"])
-    store.commit([ObjectChange("a", {"x": b""}), ObjectChange("never", gone=True)])
-    store.commit([ObjectChange("b", gone=True)])
+    store.commit([ObjectChange("a", {"x": b""}), ObjectChange("never", deleted=True)])
+    store.commit([ObjectChange("b", deleted=True)])
     assert set(store.newer(1)) == {"a", "b", "never"} and store.newer(2) == ["b"] and store.newer(3) == []
     assert store.changed_since("b", 2) and not store.changed_since("b", 3)
     assert store.changed_since("never", 1) and not store.changed_since("never", 2)
@@ -289,7 +289,7 @@
 def test_a_restamp_makes_all_of_before_unknown() -> None:
     store = Store()
     store.commit([ObjectChange("a", {"x": b""}), ObjectChange("b")])
-    store.commit([ObjectChange("b", gone=True)])
+    store.commit([ObjectChange("b", deleted=True)])
     store.restamp(100)
     assert store.changed_since("a", 99) and store.changed_since("b", 99) and store.changed_since("c", 99)
     assert store.objects["a"].since(99) is None
@@ -349,7 +349,7 @@
     upper.commit([ObjectChange("new")], 5)
     taken = take(lower, sent(upper, ["new"], None), 5, whole=True)
     assert state_of(lower) == {"new": {}}
-    assert {(c.name, c.gone) for c in taken.changes} == {("new", False), ("old", True)}
+    assert {(c.name, c.deleted) for c in taken.changes} == {("new", False), ("old", True)}
 
 
 def test_objects_are_made_as_they_come_and_the_end_is_a_short_step() -> None:
