--- a/flintlatch/delivery/run.py
+++ b/flintlatch/delivery/run.py
@@ -125,7 +125,7 @@
         one = self.client.subscriber
         now, counts = clock(), self.client.counts
         row = {"at": now, "what": what, "revision": one.store.revision, "age_s": round(one.age(now), 3),
-               "ready": one.ready(), "relay": self.client.relay(), "bytes_in": counts.bytes_in,
+               "ready": one.ready(), "relay": self.client.relay_name(), "bytes_in": counts.bytes_in,
                "bytes_out": counts.bytes_out, **more}  # fmt: skip
         self.out(orjson.dumps(row).decode())
 
@@ -175,7 +175,7 @@
             self.row("held", objects=objects)
             return
         self.out(
-            f"revision {one.store.revision}, at most {one.age(clock()):.1f} s old, from {self.client.relay()}"
+            f"revision {one.store.revision}, at most {one.age(clock()):.1f} s old, from {self.client.relay_name()}"
         )
         for name, thing in sorted(held.items()):
             self.out(f"{name}: {len(thing.items)} items, {digest(thing.items)}")
--- a/flintlatch/delivery/shell.py
+++ b/flintlatch/delivery/shell.py
@@ -106,7 +106,7 @@
         """For connections from now on."""
         self.above.keys = keys
 
-    def relay(self) -> str:
+    def relay_name(self) -> str:
         """The name of the one that it follows at, or is about to; empty: none."""
         main = self.subscriber.active_session
         return main.relay.name if main is not None and main.state is subscriber.State.LIVE else ""
--- a/flintlatch/fleet/delivered.py
+++ b/flintlatch/fleet/delivered.py
@@ -147,7 +147,7 @@
             return {"relay": "", "revision": 0, "age_s": None, "complaint": self.complaint}
         client = self.feed.client
         return {
-            "relay": client.relay(),
+            "relay": client.relay_name(),
             "revision": client.subscriber.store.revision,
             "age_s": round(self.feed.age_s(), 1),
             "complaint": self.failure(),
--- a/tests/delivery/test_shell.py
+++ b/tests/delivery/test_shell.py
@@ -42,7 +42,7 @@
             made.wanted.pop("b")
             made.commit()
             await until(lambda: one.holds({}) and "b" in one.absent, "its end")
-            assert one.client.subscriber.ready() and one.client.relay() == "r0"
+            assert one.client.subscriber.ready() and one.client.relay_name() == "r0"
             assert one.told == []
             assert made.told == [f"delivery: holds revision {first}, 2 objects; serving"]
             assert "1 subscribers" in made.servers[1].status()
@@ -60,11 +60,11 @@
             one = made.follow("a", relays=relays)
             await until(lambda: one.holds({"a": {"x": b"1"}}))
             await until(lambda: all(server.age() is not None for server in made.servers))
-            first = one.client.relay()
+            first = one.client.relay_name()
             made.servers[1 + int(first[1])].close()
             made.commit(a={"x": b"2"})
             await until(lambda: one.holds({"a": {"x": b"2"}}), "the change at the other")
-            assert one.client.relay() not in ("", first)
+            assert one.client.relay_name() not in ("", first)
             assert [c.changes[0].items for c in one.changed] == [{"x": b"1"}, {"x": b"2"}]
 
     run(test())
--- a/tests/delivery/test_strangers.py
+++ b/tests/delivery/test_strangers.py
@@ -110,7 +110,7 @@
             for reader, writer in silent:
                 assert await asyncio.wait_for(reader.read(), LIMIT_S) == b""
                 writer.close()
-            assert good.client.relay() == "origin"  # it was open, and stays
+            assert good.client.relay_name() == "origin"  # it was open, and stays
 
     run(test())
 
