--- a/flintlatch/delivery/demand.py
+++ b/flintlatch/delivery/demand.py
@@ -1,6 +1,6 @@
-"""Requests for objects that are not followed yet: they wait within their deadline and are answered once.
+"""Requests for objects that are not followed yet: each waits until its deadline and is answered exactly once.
 
-An object asked for by name is followed from then on, until nobody has asked for it for a while.
+An object that is requested by name is followed from then on, until it has not been requested for a while.
 """
 
 from __future__ import annotations
@@ -9,16 +9,16 @@
 from enum import Enum
 from typing import NamedTuple
 
-IDLE_S = 600.0  # without a request after which an object is followed no more
-WAITING_MOST = 1024  # requests that wait at once
-ABSENT_S = 5.0  # for which "there is none" is not asked anew: unknown names must not cost a message each
+IDLE_TIMEOUT_S = 600.0  # without a request, after which an object is unfollowed
+MAX_WAITING = 1024  # waiting requests
+ABSENT_TTL_S = 5.0  # negative cache: requests for unknown names must not cost a message each
 
 
-class Verdict(Enum):
-    HELD = "held"  # go on
-    WAITS = "waits"  # `Answer` will come
+class LookupResult(Enum):
+    HELD = "held"
+    WAITING = "waits"  # an `Answer` follows
     ABSENT = "absent"  # there is no such object
-    FULL = "full"  # too many wait, or too much is followed
+    FULL = "full"  # too many requests wait, or too many objects are followed
 
 
 class Follow(NamedTuple):
@@ -30,7 +30,7 @@
 
 
 class Answer(NamedTuple):
-    """Of a request that waited. `found`: the object is here; otherwise there is none, or its time is over."""
+    """The answer to a waiting request. `found` is False if there is no such object or the deadline passed."""
 
     request: str
     found: bool
@@ -39,103 +39,110 @@
 Action = Follow | Unfollow | Answer
 
 
-class Demand:
-    """`most`: names that are followed at once because they were asked for. Those in `always` are no matter of
-    demand."""
+class OnDemandFollows:
+    """At most `max_names` objects are followed on demand at a time. The names in `permanent` are followed in
+    any case, and do not count."""
 
-    def __init__(self, most: int, always: tuple[str, ...] = (), idle_s: float = IDLE_S) -> None:
-        self.most, self.idle_s = most, idle_s
-        self.always = frozenset(always)
-        self.used: OrderedDict[str, float] = OrderedDict()  # followed on demand, by last use
+    def __init__(
+        self, max_names: int, permanent: tuple[str, ...] = (), idle_timeout_s: float = IDLE_TIMEOUT_S
+    ) -> None:
+        self.max_names, self.idle_timeout_s = max_names, idle_timeout_s
+        self.permanent = frozenset(permanent)
+        self.last_used_at: OrderedDict[str, float] = OrderedDict()  # names followed on demand, in LRU order
         self.held: set[str] = set()
-        self.absent: OrderedDict[str, float] = OrderedDict()
-        self.missing: set[str] = set()  # of `always`: there is none until one arrives
-        self.waiting: dict[str, dict[str, float]] = {}  # by object, requests with their deadlines
-        self.waits = 0
-        self.out: list[Action] = []
-
-    def take(self) -> list[Action]:
-        out, self.out = self.out, []
-        return out
-
-    def ask(self, now: float, request: str, name: str, deadline: float) -> Verdict:
-        if name in self.used:
-            self.used[name] = now
-            self.used.move_to_end(name)
+        self.absent_since: OrderedDict[str, float] = OrderedDict()
+        self.missing_permanent: set[str] = set()  # permanent names without an object at present
+        self.waiting: dict[str, dict[str, float]] = {}  # by name: deadlines of the waiting requests
+        self.waiting_count = 0
+        self.actions: list[Action] = []
+
+    def take_actions(self) -> list[Action]:
+        actions, self.actions = self.actions, []
+        return actions
+
+    def look_up(self, now: float, request: str, name: str, deadline: float) -> LookupResult:
+        if name in self.last_used_at:
+            self.last_used_at[name] = now
+            self.last_used_at.move_to_end(name)
         if name in self.held:
-            return Verdict.HELD
-        if name in self.missing or name in self.absent and now - self.absent[name] < ABSENT_S:
-            return Verdict.ABSENT
-        if self.waits >= WAITING_MOST:
-            return Verdict.FULL
-        if name not in self.used and name not in self.always and not self._add(now, name):
-            return Verdict.FULL
+            return LookupResult.HELD
+        if (
+            name in self.missing_permanent
+            or name in self.absent_since
+            and now - self.absent_since[name] < ABSENT_TTL_S
+        ):
+            return LookupResult.ABSENT
+        if self.waiting_count >= MAX_WAITING:
+            return LookupResult.FULL
+        if name not in self.last_used_at and name not in self.permanent and not self._follow(now, name):
+            return LookupResult.FULL
         requests = self.waiting.setdefault(name, {})
-        self.waits += request not in requests
+        self.waiting_count += request not in requests
         requests[request] = deadline
-        return Verdict.WAITS
+        return LookupResult.WAITING
 
-    def _add(self, now: float, name: str) -> bool:
-        if len(self.used) >= self.most:
-            oldest = next((one for one in self.used if one not in self.waiting), None)
+    def _follow(self, now: float, name: str) -> bool:
+        """False if the limit is reached and requests wait for every followed object."""
+        if len(self.last_used_at) >= self.max_names:
+            oldest = next((followed for followed in self.last_used_at if followed not in self.waiting), None)
             if oldest is None:
                 return False
-            self._drop(oldest)
-        self.used[name] = now
-        self.out.append(Follow(name))
+            self._unfollow(oldest)
+        self.last_used_at[name] = now
+        self.actions.append(Follow(name))
         return True
 
-    def _drop(self, name: str) -> None:
-        del self.used[name]
+    def _unfollow(self, name: str) -> None:
+        del self.last_used_at[name]
         self.held.discard(name)
-        self.out.append(Unfollow(name))
+        self.actions.append(Unfollow(name))
 
-    def arrived(self, name: str) -> None:
-        """The object is here."""
-        self.absent.pop(name, None)
-        self.missing.discard(name)
-        if name in self.used or name in self.always:
+    def on_arrived(self, name: str) -> None:
+        """The object is held from now on."""
+        self.absent_since.pop(name, None)
+        self.missing_permanent.discard(name)
+        if name in self.last_used_at or name in self.permanent:
             self.held.add(name)
-        self._answer(name, True)
+        self._answer_all(name, True)
 
-    def gone(self, now: float, name: str) -> None:
-        """There is none, or no more."""
+    def on_absent(self, now: float, name: str) -> None:
+        """The object does not exist or was deleted."""
         self.held.discard(name)
-        if name in self.always:
-            self.missing.add(name)
+        if name in self.permanent:
+            self.missing_permanent.add(name)
         else:
-            if name in self.used:
-                self._drop(name)
-            self.absent.pop(name, None)
-            self.absent[name] = now
-            while len(self.absent) > self.most:
-                self.absent.popitem(last=False)
-        self._answer(name, False)
+            if name in self.last_used_at:
+                self._unfollow(name)
+            self.absent_since.pop(name, None)
+            self.absent_since[name] = now
+            while len(self.absent_since) > self.max_names:
+                self.absent_since.popitem(last=False)
+        self._answer_all(name, False)
 
     def cancel(self, request: str, name: str) -> None:
-        """Its client has gone."""
+        """The request's client has disconnected."""
         if self.waiting.get(name, {}).pop(request, None) is not None:
-            self.waits -= 1
-            self._tidy(name)
+            self.waiting_count -= 1
+            self._remove_if_empty(name)
 
     def tick(self, now: float) -> None:
         for name, requests in list(self.waiting.items()):
             for request in [r for r, deadline in requests.items() if deadline <= now]:
                 del requests[request]
-                self.waits -= 1
-                self.out.append(Answer(request, False))
-            self._tidy(name)
-        while self.used:
-            name, used = next(iter(self.used.items()))
-            if now - used < self.idle_s or name in self.waiting:
+                self.waiting_count -= 1
+                self.actions.append(Answer(request, False))
+            self._remove_if_empty(name)
+        while self.last_used_at:
+            name, used_at = next(iter(self.last_used_at.items()))
+            if now - used_at < self.idle_timeout_s or name in self.waiting:
                 return
-            self._drop(name)
+            self._unfollow(name)
 
-    def _answer(self, name: str, found: bool) -> None:
+    def _answer_all(self, name: str, found: bool) -> None:
         for request in self.waiting.pop(name, {}):
-            self.waits -= 1
-            self.out.append(Answer(request, found))
+            self.waiting_count -= 1
+            self.actions.append(Answer(request, found))
 
-    def _tidy(self, name: str) -> None:
+    def _remove_if_empty(self, name: str) -> None:
         if not self.waiting.get(name, True):
             del self.waiting[name]
--- a/flintlatch/delivery/node.py
+++ b/flintlatch/delivery/node.py
@@ -1,4 +1,4 @@
-"""A relay as a whole: it follows everything above it and serves what it holds to those below."""
+"""A relay process: subscribes to all objects at the origin and serves them to its own subscribers."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 
 class SubscriberEvent(NamedTuple):
-    """An event of its own subscription."""
+    """An event of the relay's own subscription."""
 
     event: subscriber.Event
 
 
 class RelayEvent(NamedTuple):
-    """An event of those that it serves."""
+    """An event of the subscribers that it serves."""
 
     event: relay.Event
 
@@ -30,19 +30,21 @@
 
 
 class RelayNode:
-    """`rules`: of those below; it follows its origins by `upward`."""
+    """`rules` apply to the subscribers that it serves, `upstream_rules` to its own subscription."""
 
     def __init__(
         self,
-        me: Participant,
+        identity: Participant,
         origins: tuple[Participant, ...],
         rules: Rules,
         rng: Chance,
         now: float,
-        upward: Rules = RELAY_RULES,
+        upstream_rules: Rules = RELAY_RULES,
     ) -> None:
-        self.subscriber = subscriber.Subscriber(me, Role.RELAY, origins, upward, rng, now, everything=True)
-        self.relay = relay.Relay(me.name, self.subscriber.store, rules, self.age)
+        self.subscriber = subscriber.Subscriber(
+            identity, Role.RELAY, origins, upstream_rules, rng, now, all_objects=True
+        )
+        self.relay = relay.Relay(identity.name, self.subscriber.store, rules, self.age)
 
     def age(self, now: float) -> float | None:
         return self.subscriber.age(now) if self.subscriber.ready() else None
@@ -50,11 +52,11 @@
     def step(self, now: float, event: SubscriberEvent | RelayEvent) -> list[SubscriberAction | RelayAction]:
         if isinstance(event, RelayEvent):
             return [RelayAction(action) for action in self.relay.step(now, event.event)]
-        out: list[SubscriberAction | RelayAction] = []
+        actions: list[SubscriberAction | RelayAction] = []
         for action in self.subscriber.step(now, event.event):
             if isinstance(action, subscriber.Changed):
                 names = tuple(change.name for change in action.changes)
-                out += [RelayAction(a) for a in self.relay.step(now, relay.Committed(names))]
+                actions += [RelayAction(a) for a in self.relay.step(now, relay.Committed(names))]
             else:
-                out.append(SubscriberAction(action))
-        return out
+                actions.append(SubscriberAction(action))
+        return actions
--- a/flintlatch/delivery/relay.py
+++ b/flintlatch/delivery/relay.py
@@ -1,8 +1,9 @@
-"""What a relay, or the origin, does for its subscribers: batches of what each follows, within its credit.
+"""The state machine of a relay or the origin: sends each subscriber batches of changes, within its credit.
 
-Nothing waits for a subscriber but the names of what it lacks: of a slow one no queue grows, and an object
-that has changed ten times goes out once. A batch holds the objects as they were when it began, so it is never
-torn. One batch at a time is on its way to each; the next one begins once it was applied or refused.
+Per subscriber only the names of outdated objects are kept, so a slow subscriber does not build up a queue,
+and an object that changed ten times is sent once. A batch contains the objects as they were when it began,
+so its content is consistent. Each subscriber has at most one batch in flight; the next one begins after the
+subscriber applied or refused it.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 from flintlatch.delivery.model import (
     MAX_NAME_BYTES,
-    REVISION_MOST,
+    REVISION_LIMIT,
     Applied,
     Begin,
     Credit,
@@ -23,29 +24,29 @@
     FromSubscriber,
     Hello,
     Kind,
-    LeftOut,
+    NamesRejected,
     ObjectPart,
     Ping,
     Pong,
     Refused,
+    Rejected,
+    RejectReason,
     Role,
     Rules,
     Subscribe,
-    Turned,
     Unsubscribe,
     Welcome,
-    Why,
     wire_size,
 )
 from flintlatch.delivery.store import Store, StoredObject
 
-TURN_BYTES = 256 * 1024  # sent in one step, of all subscribers: the loop is held for no longer
-GO_S = 1.0  # after which an `Again` without its `Go` is said anew
-QUIET = 4.0  # times the time of silence without a message after which a subscriber has gone
-CREDIT_MOST = 1 << 30
-LEAP = (
-    1 << 32
-)  # revisions that other relays may be ahead of the one that an origin hears first after a restart
+TURN_BYTES = 256 * 1024  # sent to all subscribers in one step; bounds how long the event loop is blocked
+TURN_TIMEOUT_S = 1.0  # a RequestTurn without its SendTurn is repeated after this time
+IDLE_TIMEOUT_FACTOR = 4.0  # times `silence_s` without a message, after which a session is ended
+MAX_CREDIT_BYTES = 1 << 30
+# After an origin restart: other relays may hold revisions above that of the relay that connects first, by
+# fewer than this.
+REVISION_LEAP = 1 << 32
 
 
 # Events
@@ -64,36 +65,40 @@
     message: FromSubscriber
 
 
-class Unreadable(NamedTuple):
+class ProtocolError(NamedTuple):
+    """The connection was ended because of a frame that is invalid, forged or too large."""
+
     session: int
-    why: str
+    reason: str
 
 
 class Paused(NamedTuple):
-    """Its socket takes no more for now."""
+    """The socket's write buffer is full."""
 
     session: int
 
 
-class Drained(NamedTuple):
+class Writable(NamedTuple):
+    """The socket's write buffer has drained."""
+
     session: int
 
 
 class Committed(NamedTuple):
-    """The store holds news of these objects."""
+    """The store has new versions of these objects."""
 
     names: tuple[str, ...]
 
 
 class Tick(NamedTuple):
-    """At least every 0.1 s."""
+    """Expected at least every 0.1 s."""
 
 
 class SendTurn(NamedTuple):
-    """What `Again` asked for."""
+    """The answer to RequestTurn."""
 
 
-Event = Accepted | Closed | Received | Unreadable | Paused | Drained | Committed | Tick | SendTurn
+Event = Accepted | Closed | Received | ProtocolError | Paused | Writable | Committed | Tick | SendTurn
 
 
 # Actions
@@ -109,7 +114,7 @@
 
 
 class RequestTurn(NamedTuple):
-    """There is more to send: step with `Go` once others have had their turn."""
+    """There may be more to send: the caller handles other events first and then steps with SendTurn."""
 
 
 class LogLine(NamedTuple):
@@ -121,33 +126,39 @@
 
 class Session:
     def __init__(self, number: int, now: float) -> None:
-        self.number, self.heard = number, now
+        self.number, self.last_received_at = number, now
         self.name = ""
-        self.greeted = self.everything = self.paused = False
+        self.welcomed = self.all_objects = self.paused = False
         self.names: set[str] = set()
-        self.cut = 0  # the revision whose state it holds, by its own word
-        self.dirty: dict[str, None] = {}  # names of which it may lack something, in their order
-        self.fresh: set[str] = set()  # of those, the ones of which it holds nothing
-        self.whole = False  # it lacks all
-        self.credit = 0  # no batch begins before there is some: all names of the first subscription are here
-        self.held_at: float | None = None  # a moment at which the state at `cut` was the origin's
-        self.planned_at: float | None = None  # the same of the batch that is on its way
-        self.due = now  # no batch before
-        self.plan: Iterator[FromRelay] | None = None
-        self.next: FromRelay | None = None  # of the plan: made, and too large for the credit
-        self.unproven: set[str] = set()  # fresh names of the batch that is on its way
-        self.awaits: int | None = None  # the revision of a batch that was sent whole and is not answered
-
-    def current(self) -> bool:
-        return not (self.dirty or self.whole or self.awaits is not None or self.plan is not None)
+        self.held_revision = 0  # of the state that the subscriber holds, as it reported
+        self.dirty: dict[str, None] = {}  # names of objects of which it may lack a change, in order
+        self.needs_snapshot: set[str] = set()  # those of the dirty names that it does not hold
+        self.needs_full_batch = False
+        # No batch begins without credit. The first Credit message follows the whole first subscription.
+        self.credit = 0
+        self.held_as_of: float | None = None  # a time at which the origin's state was that at `held_revision`
+        self.batch_as_of: float | None = None  # the same for the state that the current batch leads to
+        self.next_batch_at = now
+        self.batch: Iterator[FromRelay] | None = None  # the messages of the batch in progress
+        self.next_message: FromRelay | None = None  # taken from the batch, but larger than the credit
+        self.unconfirmed: set[str] = set()  # names whose snapshots are in the current batch
+        self.pending_ack: int | None = None  # revision of a batch that was sent in full and is unanswered
+
+    def up_to_date(self) -> bool:
+        return not (
+            self.dirty or self.needs_full_batch or self.pending_ack is not None or self.batch is not None
+        )
 
 
 class Relay:
-    """`age`: seconds since its store was surely the origin's; None: never yet. An `authority` has no relay
-    above it: where a relay holds more than it does, it was restarted, and goes on above that. It serves
-    nobody before its first commit, which must be of all that it knows: it would empty the fleet. Its store
-    should start (`Store.restamp`) at a revision that no life before can have had, as one counted from the
-    time of day.
+    """`age` returns an upper bound, in seconds, on the time since the store equalled the origin's state, or
+    None if it never did.
+
+    With `is_origin` there is no relay above. If a relay holds a higher revision than the origin, the origin
+    was restarted, and it continues above that revision. It serves nobody before its first commit, which has
+    to contain all objects: an empty store would make the fleet delete everything. Its store should start
+    (`Store.restamp`) at a revision that no earlier run can have reached, for example one derived from the
+    wall clock.
     """
 
     def __init__(
@@ -161,16 +172,18 @@
         self.name, self.store, self.rules, self.age, self.is_origin = name, store, rules, age, is_origin
         self.sessions: dict[int, Session] = {}
         self.followers: dict[str, set[int]] = {}
-        self.busy: dict[int, None] = {}  # sessions that may have something to send, in turn
-        self.asked_at = -inf  # when `Again` was said, while no `Go` has come since
+        self.send_queue: dict[
+            int, None
+        ] = {}  # sessions that may have something to send, in round-robin order
+        self.turn_requested_at = -inf  # of a RequestTurn that has not been answered by a SendTurn
         self.counts: Counter[str] = Counter()
-        self.out: list[Action] = []
+        self.actions: list[Action] = []
 
     def step(self, now: float, event: Event) -> list[Action]:
-        self.out = []
+        self.actions = []
         if isinstance(event, Received):
             if (session := self.sessions.get(event.session)) is not None:
-                session.heard = now
+                session.last_received_at = now
                 self._received(now, session, event.message)
         elif isinstance(event, Committed):
             self._committed(now, event.names)
@@ -180,158 +193,166 @@
             self.sessions[event.session] = Session(event.session, now)
         elif isinstance(event, Closed):
             self._end(event.session)
-        elif isinstance(event, Unreadable):
-            self._count(event.why)
+        elif isinstance(event, ProtocolError):
+            self._count_refusal(event.reason)
             self._drop(event.session)
         elif (
-            isinstance(event, Paused | Drained) and (session := self.sessions.get(event.session)) is not None
+            isinstance(event, Paused | Writable) and (session := self.sessions.get(event.session)) is not None
         ):
             session.paused = isinstance(event, Paused)
-            self.busy[session.number] = None
-        # One turn of sending for each `Go`, whatever else happens meanwhile: were each event a turn, a relay
-        # with much to send would fall behind what it hears, and all would find it silent.
+            self.send_queue[session.number] = None
+        # Data is sent only on SendTurn. If every event triggered a turn of sending, a relay with much to send
+        # would fall behind in reading, and its subscribers would consider it lost.
         if isinstance(event, SendTurn):
-            self.asked_at = -inf
-            self._pump(now)
-        if self.busy and now - self.asked_at > GO_S:
-            self.asked_at = now
-            self.out.append(RequestTurn())
-        return self.out
+            self.turn_requested_at = -inf
+            self._send_turn(now)
+        if self.send_queue and now - self.turn_requested_at > TURN_TIMEOUT_S:
+            self.turn_requested_at = now
+            self.actions.append(RequestTurn())
+        return self.actions
 
     def _send(self, session: Session, message: FromRelay) -> None:
-        self.out.append(Transmit(session.number, message))
+        self.actions.append(Transmit(session.number, message))
 
-    def _count(self, why: str) -> None:
-        self.counts[f"refused: {why}"] += 1
-        if self.counts[f"refused: {why}"] == 1:
-            self.out.append(LogLine(f"delivery: refused {why}; told once, then counted"))
+    def _count_refusal(self, reason: str) -> None:
+        self.counts[f"refused: {reason}"] += 1
+        if self.counts[f"refused: {reason}"] == 1:
+            self.actions.append(LogLine(f"delivery: refused {reason}; told once, then counted"))
 
     # Sessions
 
     def _end(self, number: int) -> None:
         session = self.sessions.pop(number, None)
-        self.busy.pop(number, None)
+        self.send_queue.pop(number, None)
         if session is not None:
             self._unfollow(session, tuple(session.names))
 
     def _drop(self, number: int) -> None:
         if number in self.sessions:
-            self.out.append(Disconnect(number))
+            self.actions.append(Disconnect(number))
             self._end(number)
 
     def _tick(self, now: float) -> None:
-        quiet = QUIET * self.rules.silence_s
-        for session in [s for s in self.sessions.values() if now - s.heard > quiet]:
+        idle_timeout_s = IDLE_TIMEOUT_FACTOR * self.rules.silence_s
+        for session in [s for s in self.sessions.values() if now - s.last_received_at > idle_timeout_s]:
             self.counts["quiet"] += 1
             self._drop(session.number)
         for session in self.sessions.values():
-            if session.dirty or session.whole:
-                self.busy[session.number] = None
+            if session.dirty or session.needs_full_batch:
+                self.send_queue[session.number] = None
 
     def _received(self, now: float, session: Session, message: FromSubscriber) -> None:
         if isinstance(message, Hello):
             self._hello(now, session, message)
-        elif not session.greeted:
-            self._count("a message before the hello")
+        elif not session.welcomed:
+            self._count_refusal("a message before the hello")
             self._drop(session.number)
         elif isinstance(message, Ping):
             age_ms = self._age_ms(now)
-            revision = self.store.revision if session.current() else session.cut
-            held_ms = -1 if session.held_at is None else int((now - session.held_at) * 1000) + 1
-            self._send(session, Pong(message.number, revision, age_ms, session.current(), held_ms))
+            revision = self.store.revision if session.up_to_date() else session.held_revision
+            held_age_ms = -1 if session.held_as_of is None else int((now - session.held_as_of) * 1000) + 1
+            self._send(session, Pong(message.number, revision, age_ms, session.up_to_date(), held_age_ms))
         elif isinstance(message, Credit):
-            session.credit = min(CREDIT_MOST, session.credit + max(0, message.bytes))
-            self.busy[session.number] = None
+            session.credit = min(MAX_CREDIT_BYTES, session.credit + max(0, message.bytes))
+            self.send_queue[session.number] = None
         elif isinstance(message, Subscribe):
             self._subscribe(now, session, message)
         elif isinstance(message, Unsubscribe):
             self._unfollow(session, message.names)
         elif isinstance(message, Applied):
-            self._answered(now, session, message.revision)
+            self._applied(now, session, message.revision)
         else:
             self._refused(now, session, message)
 
     def _age_ms(self, now: float) -> int:
         age = self.age(now)
-        return min(int((age or 0.0) * 1000) + 1, REVISION_MOST)
+        return min(int((age or 0.0) * 1000) + 1, REVISION_LIMIT)
 
     def _hello(self, now: float, session: Session, hello: Hello) -> None:
-        why = None
+        reason = None
         if (
-            session.greeted
-            or not 0 <= hello.held < REVISION_MOST
+            session.welcomed
+            or not 0 <= hello.held_revision < REVISION_LIMIT
             or len(hello.name.encode()) > MAX_NAME_BYTES
         ):
-            self._count("a hello out of bounds")
+            self._count_refusal("a hello out of bounds")
             self._drop(session.number)
             return
-        knows = self.age(now) is not None
+        has_state = self.age(now) is not None
         if self.is_origin:
-            knows = bool(self.store.objects) or self.store.revision > self.store.deletion_floor
-            if knows and hello.role == Role.RELAY and hello.held > self.store.revision:
-                self._go_on_above(hello.held)
-        if not knows or hello.held > self.store.revision:
-            why = Why.BEHIND
-        elif hello.everything and hello.role != Role.RELAY:
-            why = Why.EVERYTHING
-            self._count("a proxy that follows everything")
-        elif sum(s.greeted for s in self.sessions.values()) >= self.rules.most_sessions:
-            why = Why.BUSY
-        if why is not None:
-            self.counts[f"turned away: {why.name.lower()}"] += 1
-            self._send(session, Turned(why, self.store.revision))
+            has_state = bool(self.store.objects) or self.store.revision > self.store.deletion_floor
+            if has_state and hello.role == Role.RELAY and hello.held_revision > self.store.revision:
+                self._leap_above(hello.held_revision)
+        if not has_state or hello.held_revision > self.store.revision:
+            reason = RejectReason.BEHIND
+        elif hello.all_objects and hello.role != Role.RELAY:
+            reason = RejectReason.EVERYTHING
+            self._count_refusal("a proxy that follows everything")
+        elif sum(s.welcomed for s in self.sessions.values()) >= self.rules.most_sessions:
+            reason = RejectReason.BUSY
+        if reason is not None:
+            self.counts[f"turned away: {reason.name.lower()}"] += 1
+            self._send(session, Rejected(reason, self.store.revision))
             self._drop(session.number)
             return
-        session.name, session.everything, session.greeted = hello.name, hello.everything, True
-        session.cut, session.due = hello.held, now
+        session.name, session.all_objects, session.welcomed = hello.name, hello.all_objects, True
+        session.held_revision, session.next_batch_at = hello.held_revision, now
         self._send(session, Welcome(self.name, self.store.revision, self._age_ms(now)))
-        if session.everything:
-            self._find_lack(session)
-            self.busy[session.number] = None
-
-    def _go_on_above(self, held: int) -> None:
-        """Far above: another relay may hold more than this one, of a time that we know nothing of."""
-        self.store.restamp(held + LEAP)
-        self.out.append(LogLine(f"delivery: a relay holds revision {held}; going on from {held + LEAP}"))
+        if session.all_objects:
+            self._mark_outdated(session)
+            self.send_queue[session.number] = None
+
+    def _leap_above(self, held_revision: int) -> None:
+        """Continues far above this revision: other relays may hold even higher ones of the origin's earlier
+        run, whose content is not known here."""
+        self.store.restamp(held_revision + REVISION_LEAP)
+        self.actions.append(
+            LogLine(
+                f"delivery: a relay holds revision {held_revision}; "
+                f"going on from {held_revision + REVISION_LEAP}"
+            )
+        )
         for session in self.sessions.values():
-            if session.greeted:
-                self._find_lack(session)
+            if session.welcomed:
+                self._mark_outdated(session)
 
-    def _find_lack(self, session: Session) -> None:
-        """All of its scope that has changed since its cut."""
+    def _mark_outdated(self, session: Session) -> None:
+        """Marks all objects in the session's scope that have changed since its held revision."""
         store = self.store
-        if not session.everything:
-            session.dirty.update((n, None) for n in session.names if store.changed_since(n, session.cut))
-        elif session.cut < store.deletion_floor or not session.cut:
-            session.whole = True
+        if not session.all_objects:
+            session.dirty.update(
+                (n, None) for n in session.names if store.has_changed_since(n, session.held_revision)
+            )
+        elif session.held_revision < store.deletion_floor or not session.held_revision:
+            session.needs_full_batch = True
         else:
-            session.dirty.update((n, None) for n in store.newer(session.cut))
+            session.dirty.update((n, None) for n in store.names_changed_since(session.held_revision))
 
     # Names
 
     def _subscribe(self, now: float, session: Session, message: Subscribe) -> None:
-        left_out = []
-        for name, fresh in [(n, False) for n in message.held] + [(n, True) for n in message.fresh]:
+        rejected = []
+        for name, new in [(n, False) for n in message.resumed] + [(n, True) for n in message.new]:
             if name in session.names:
                 continue
             if len(session.names) >= self.rules.most_names or not 0 < len(name.encode()) <= MAX_NAME_BYTES:
-                left_out.append(name)
+                rejected.append(name)
                 continue
             session.names.add(name)
             self.followers.setdefault(name, set()).add(session.number)
-            if fresh:
-                session.fresh.add(name)
-            if fresh or self.store.changed_since(name, session.cut):
+            if new:
+                session.needs_snapshot.add(name)
+            if new or self.store.has_changed_since(name, session.held_revision):
                 session.dirty[name] = None
-        if left_out:
-            self._count("a subscription over its bound")
-            self._send(session, LeftOut(tuple(left_out)))
-        self.busy[session.number] = None
+        if rejected:
+            self._count_refusal("a subscription over its bound")
+            self._send(session, NamesRejected(tuple(rejected)))
+        self.send_queue[session.number] = None
 
     def _unfollow(self, session: Session, names: tuple[str, ...]) -> None:
         for name in names:
             session.names.discard(name)
-            session.fresh.discard(name)
+            session.needs_snapshot.discard(name)
             session.dirty.pop(name, None)
             followers = self.followers.get(name)
             if followers is not None:
@@ -342,100 +363,112 @@
     # Batches
 
     def _committed(self, now: float, names: tuple[str, ...]) -> None:
-        everyone = [s for s in self.sessions.values() if s.everything and s.greeted]
-        for session in everyone:
-            self._soil(now, session, names)
+        for_all_objects = [s for s in self.sessions.values() if s.all_objects and s.welcomed]
+        for session in for_all_objects:
+            self._mark_dirty(now, session, names)
         for name in names:
             for number in self.followers.get(name, ()):
-                self._soil(now, self.sessions[number], (name,))
+                self._mark_dirty(now, self.sessions[number], (name,))
 
-    def _soil(self, now: float, session: Session, names: tuple[str, ...]) -> None:
-        if session.current():  # the first news for a while: more of it may come
-            session.due = now + self.rules.gather_s
+    def _mark_dirty(self, now: float, session: Session, names: tuple[str, ...]) -> None:
+        if session.up_to_date():  # the first change in a while: waits for others to join the batch
+            session.next_batch_at = now + self.rules.gather_s
         for name in names:
             session.dirty[name] = None
-        self.busy[session.number] = None
+        self.send_queue[session.number] = None
 
-    def _answered(self, now: float, session: Session, revision: int) -> None:
-        if revision != session.awaits:
-            self._count("an answer to no batch")
+    def _applied(self, now: float, session: Session, revision: int) -> None:
+        if revision != session.pending_ack:
+            self._count_refusal("an answer to no batch")
             return
-        session.awaits, session.cut, session.held_at = None, revision, session.planned_at
-        session.unproven.clear()
-        session.due = now + self.rules.gather_s
-        self.busy[session.number] = None
+        session.pending_ack, session.held_revision, session.held_as_of = None, revision, session.batch_as_of
+        session.unconfirmed.clear()
+        session.next_batch_at = now + self.rules.gather_s
+        self.send_queue[session.number] = None
 
     def _refused(self, now: float, session: Session, message: Refused) -> None:
-        if session.plan is None and session.awaits is None:
-            self._count("an answer to no batch")
+        if session.batch is None and session.pending_ack is None:
+            self._count_refusal("an answer to no batch")
             return
         self.counts["batches refused"] += 1
-        if not 0 <= message.held <= self.store.revision:
+        if not 0 <= message.held_revision <= self.store.revision:
             self._drop(session.number)
             return
-        session.plan = session.next = None
-        session.awaits, session.cut, session.due = None, message.held, now + self.rules.gather_s
-        for name in (*message.names, *session.unproven):
-            if session.everything or name in session.names:
-                session.fresh.add(name)
+        session.batch = session.next_message = None
+        session.pending_ack, session.held_revision, session.next_batch_at = (
+            None,
+            message.held_revision,
+            now + self.rules.gather_s,
+        )
+        for name in (*message.names, *session.unconfirmed):
+            if session.all_objects or name in session.names:
+                session.needs_snapshot.add(name)
                 session.dirty[name] = None
-        session.unproven.clear()
-        self._find_lack(session)
-        self.busy[session.number] = None
-
-    def _plan(self, session: Session) -> Iterator[FromRelay]:
-        store, base, whole = self.store, session.cut, session.whole
-        names = list(store.objects) if whole else list(session.dirty)
-        picked: list[tuple[str, StoredObject | None, int | None]] = []
+        session.unconfirmed.clear()
+        self._mark_outdated(session)
+        self.send_queue[session.number] = None
+
+    def _start_batch(self, session: Session) -> Iterator[FromRelay]:
+        store, base_revision, full = self.store, session.held_revision, session.needs_full_batch
+        names = list(store.objects) if full else list(session.dirty)
+        selected: list[tuple[str, StoredObject | None, int | None]] = []
         for name in names:
-            since = None if whole or name in session.fresh else base
-            picked.append((name, store.objects.get(name), since))
-        session.unproven, session.fresh = session.fresh, set()
-        session.dirty, session.whole = {}, False
-        return self._messages(base, store.revision, whole, picked)
+            since = None if full or name in session.needs_snapshot else base_revision
+            selected.append((name, store.objects.get(name), since))
+        session.unconfirmed, session.needs_snapshot = session.needs_snapshot, set()
+        session.dirty, session.needs_full_batch = {}, False
+        return self._messages(base_revision, store.revision, full, selected)
 
     def _messages(
-        self, base: int, to: int, whole: bool, picked: list[tuple[str, StoredObject | None, int | None]]
+        self,
+        base_revision: int,
+        target_revision: int,
+        full: bool,
+        selected: list[tuple[str, StoredObject | None, int | None]],
     ) -> Iterator[FromRelay]:
-        yield Begin(base, to, whole)
-        count = 0
-        for name, one, since in picked:
-            if one is None:
-                count += 1
-                yield ObjectPart(name, Kind.GONE, to, {}, (), 0, 0, False)
+        yield Begin(base_revision, target_revision, full)
+        part_count = 0
+        for name, stored, since in selected:
+            if stored is None:
+                part_count += 1
+                yield ObjectPart(name, Kind.DELETED, target_revision, {}, (), 0, 0, False)
                 continue
-            for part in one.parts(name, since, self.rules.part_bytes):
-                count += 1
+            for part in stored.to_parts(name, since, self.rules.part_bytes):
+                part_count += 1
                 yield part
-        yield End(to, count)
-
-    def _pump(self, now: float) -> None:
-        """Each in turn, a frame at a time and no more than the turn allows."""
-        left = TURN_BYTES
-        while self.busy and left > 0:
-            number = next(iter(self.busy))
-            del self.busy[number]
+        yield End(target_revision, part_count)
+
+    def _send_turn(self, now: float) -> None:
+        """Sends one message to each queued session in turn, until the turn's bytes are used up."""
+        remaining_bytes = TURN_BYTES
+        while self.send_queue and remaining_bytes > 0:
+            number = next(iter(self.send_queue))
+            del self.send_queue[number]
             session = self.sessions.get(number)
-            if session is None or session.paused or session.awaits is not None:
+            if session is None or session.paused or session.pending_ack is not None:
                 continue
-            if session.plan is None:
-                if now < session.due or not (session.dirty or session.whole) or not session.credit:
+            if session.batch is None:
+                if (
+                    now < session.next_batch_at
+                    or not (session.dirty or session.needs_full_batch)
+                    or not session.credit
+                ):
                     continue
                 age = self.age(now)
-                session.planned_at = None if age is None else now - age
-                session.plan = self._plan(session)
-            message = session.next or next(session.plan)
+                session.batch_as_of = None if age is None else now - age
+                session.batch = self._start_batch(session)
+            message = session.next_message or next(session.batch)
             size = wire_size(message)
             if size > session.credit:
-                session.next = message
+                session.next_message = message
                 continue
-            session.next = None
+            session.next_message = None
             session.credit -= size
-            left -= size
+            remaining_bytes -= size
             self._send(session, message)
             self.counts["frames"] += 1
             if isinstance(message, End):
-                session.plan, session.awaits = None, message.to
+                session.batch, session.pending_ack = None, message.target_revision
                 self.counts["batches"] += 1
             else:
-                self.busy[number] = None
+                self.send_queue[number] = None
--- a/flintlatch/delivery/run.py
+++ b/flintlatch/delivery/run.py
@@ -1,6 +1,6 @@
-"""Delivery's processes in the foreground: the origin, a relay, and a follower that shows what is in force.
+"""Delivery's foreground processes: the origin, a relay, and a follower that prints the state in force.
 
-TERM and INT end them; USR1 has the origin or a relay write its status as a line.
+SIGTERM and SIGINT end them. On SIGUSR1 the origin or a relay logs its status in one line.
 """
 
 from __future__ import annotations
@@ -21,170 +21,180 @@
 from flintlatch.peers.clock import clock
 from flintlatch.peers.shell import NotBound
 
-PULSE_S = 1.0  # between two lines on how things stand
-ONCE_S = 10.0  # that `--once` waits for all of it: a few relays that are dead, and the transfer
+PULSE_INTERVAL_S = 1.0  # between two rows that only tell the current state
+ONCE_TIMEOUT_S = 10.0  # of `--once`: enough for a few dead relays and the transfer
 
 
-def teller(command: str, name: str) -> Callable[[str], None]:
-    def tell(text: str) -> None:
+def make_logger(command: str, name: str) -> Callable[[str], None]:
+    def log(text: str) -> None:
         print(f"flintlatch {command} {name}: {text}", file=sys.stderr, flush=True)
 
-    return tell
+    return log
 
 
-def ending() -> asyncio.Event:
-    """Set by TERM or INT."""
-    end = asyncio.Event()
+def stop_event() -> asyncio.Event:
+    """An event that SIGTERM and SIGINT set."""
+    stopped = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
-        asyncio.get_running_loop().add_signal_handler(number, end.set)
-    return end
+        asyncio.get_running_loop().add_signal_handler(number, stopped.set)
+    return stopped
 
 
-async def within(event: asyncio.Event, seconds: float) -> bool:
-    """Whether it was set in that time."""
+async def wait_for_event(event: asyncio.Event, timeout_s: float) -> bool:
+    """Whether the event was set within the timeout."""
     try:
-        async with asyncio.timeout(seconds):
+        async with asyncio.timeout(timeout_s):
             return await event.wait()
     except TimeoutError:
         return event.is_set()
 
 
-async def _opened(server: Server, tell: Callable[[str], None]) -> bool:
+async def _open(server: Server, log: Callable[[str], None]) -> bool:
     try:
         await server.open()
     except NotBound as error:
-        tell(str(error))
+        log(str(error))
         return False
-    asyncio.get_running_loop().add_signal_handler(signal.SIGUSR1, lambda: tell(server.status()))
-    tell(f"listens on {server.address}")
+    asyncio.get_running_loop().add_signal_handler(signal.SIGUSR1, lambda: log(server.status()))
+    log(f"listens on {server.address}")
     return True
 
 
 async def origin(
-    me: Participant, bind: str, rules: Rules, keys: tuple[bytes, ...], source_path: str, kept_path: str
+    identity: Participant,
+    bind: str,
+    rules: Rules,
+    keys: tuple[bytes, ...],
+    source_path: str,
+    record_path: str,
 ) -> int:
-    """The exit code, as of the others."""
-    end, tell = ending(), teller("origin", me.name)
-    server = Server(me, bind, rules, keys, tell)
-    source = Source(source_path, kept_path, server.store, tell)
-    if not await _opened(server, tell):
+    """Runs the origin until it is stopped and returns the exit code."""
+    stopped, log = stop_event(), make_logger("origin", identity.name)
+    server = Server(identity, bind, rules, keys, log)
+    source = Source(source_path, record_path, server.store, log)
+    if not await _open(server, log):
         return 1
-    while not end.is_set():
-        found = await asyncio.to_thread(source.load)
-        if found is not None and (names := source.commit(*found)) is not None:
+    while not stopped.is_set():
+        loaded = await asyncio.to_thread(source.load)
+        if loaded is not None and (names := source.commit(*loaded)) is not None:
             server.committed(names)
-            tell(f"revision {server.store.revision}: {len(names)} of {len(found[0])} objects changed")
-        await within(end, POLL_INTERVAL_S)
+            log(f"revision {server.store.revision}: {len(names)} of {len(loaded[0])} objects changed")
+        await wait_for_event(stopped, POLL_INTERVAL_S)
     server.close()
-    tell("ended")
+    log("ended")
     return 0
 
 
 async def relay(
-    me: Participant,
+    identity: Participant,
     bind: str,
     rules: Rules,
     keys: tuple[bytes, ...],
     origins: tuple[Participant, ...],
     source_host: str,
-    upward: Rules,
+    upstream_rules: Rules,
 ) -> int:
-    end, tell = ending(), teller("relay", me.name)
-    server = Server(me, bind, rules, keys, tell, origins, source_host, upward)
-    if not await _opened(server, tell):
+    """Runs a relay until it is stopped and returns the exit code."""
+    stopped, log = stop_event(), make_logger("relay", identity.name)
+    server = Server(identity, bind, rules, keys, log, origins, source_host, upstream_rules)
+    if not await _open(server, log):
         return 1
-    await end.wait()
+    await stopped.wait()
     server.close()
-    tell("ended")
+    log("ended")
     return 0
 
 
-def digest(items: dict[str, bytes]) -> str:
-    """Of an object: SHA-256 of its canonical JSON, the first 16 digits."""
+def object_digest(items: dict[str, bytes]) -> str:
+    """The first 16 hexadecimal digits of the SHA-256 of an object's canonical JSON."""
     row = b",".join(orjson.dumps(name) + b":" + items[name] for name in sorted(items))
     return hashlib.sha256(b"{" + row + b"}").hexdigest()[:16]
 
 
-def bounds(rules: Rules, relays: int) -> str:
-    least, one, most = (rules.staleness_bound_s(dead, 0.0) for dead in (0, 1, max(1, relays - 1)))
+def describe_bounds(rules: Rules, relays: int) -> str:
+    least, one_lost, most = (rules.staleness_bound_s(lost, 0.0) for lost in (0, 1, max(1, relays - 1)))
     return (
-        f"bounds: a change is here within {least:.1f} s, {one:.1f} s if the first relay is lost just then, "
-        f"{most:.1f} s with {max(1, relays - 1)} lost; at most {rules.max_bytes_per_minute():,.0f} bytes in a minute"
+        f"bounds: a change is here within {least:.1f} s, "
+        f"{one_lost:.1f} s if the first relay is lost just then, "
+        f"{most:.1f} s with {max(1, relays - 1)} lost; "
+        f"at most {rules.max_bytes_per_minute():,.0f} bytes in a minute"
     )
 
 
-class View:
-    """Lines about one follower, for a person or as JSON, a row each."""
+class FollowerOutput:
+    """Prints what one follower receives, as text for people or as one JSON row per line."""
 
     def __init__(self, rules: Rules, relays: int, as_json: bool) -> None:
         self.rules, self.relays, self.as_json = rules, relays, as_json
         self.client: Client
 
     def row(self, what: str, **more: Any) -> None:
-        """The time is the machine's: the same clock for all of its processes."""
-        one = self.client.subscriber
+        """Prints a JSON row. `at` is the machine's clock, which is the same for all of its processes."""
+        subscriber = self.client.subscriber
         now, counts = clock(), self.client.counts
-        row = {"at": now, "what": what, "revision": one.store.revision, "age_s": round(one.age(now), 3),
-               "ready": one.ready(), "relay": self.client.relay_name(), "bytes_in": counts.bytes_in,
+        row = {"at": now, "what": what, "revision": subscriber.store.revision,
+               "age_s": round(subscriber.age(now), 3), "ready": subscriber.ready(),
+               "relay": self.client.relay_name(), "bytes_in": counts.bytes_in,
                "bytes_out": counts.bytes_out, **more}  # fmt: skip
-        self.out(orjson.dumps(row).decode())
+        self.line(orjson.dumps(row).decode())
 
-    def out(self, line: str) -> None:
-        print(line, flush=True)
+    def line(self, text: str) -> None:
+        print(text, flush=True)
 
-    def start(self) -> None:
+    def print_bounds(self) -> None:
         if self.as_json:
-            worst = max(0, self.relays - 1)
+            most_lost = max(0, self.relays - 1)
             more = {
-                f"within_s_{dead}_lost": self.rules.staleness_bound_s(dead, 0.0) for dead in (0, 1, worst)
+                f"within_s_{lost}_lost": self.rules.staleness_bound_s(lost, 0.0) for lost in (0, 1, most_lost)
             }
             self.row("bounds", minute_bytes=self.rules.max_bytes_per_minute(), **more)
         else:
-            self.out(bounds(self.rules, self.relays))
+            self.line(describe_bounds(self.rules, self.relays))
 
-    def changed(self, change: Changed) -> None:
+    def changed(self, batch: Changed) -> None:
         held = self.client.subscriber.store.objects
-        digests = {c.name: None if c.deleted else digest(held[c.name].items) for c in change.changes}
+        digests = {c.name: None if c.deleted else object_digest(held[c.name].items) for c in batch.changes}
         if self.as_json:
             self.row("changed", objects=digests)
             return
-        for one in change.changes:
-            if one.deleted:
-                self.out(f"revision {change.revision}: {one.name} is no more")
+        for change in batch.changes:
+            if change.deleted:
+                self.line(f"revision {batch.revision}: {change.name} deleted")
             else:
-                parts = f"{len(one.items)} items put, {len(one.removed)} taken away"
-                now = f"{len(held[one.name].items)} held, {digests[one.name]}"
-                self.out(f"revision {change.revision}: {one.name}: {parts}; {now}")
+                delta = f"{len(change.items)} items put, {len(change.removed)} removed"
+                state = f"{len(held[change.name].items)} held, {digests[change.name]}"
+                self.line(f"revision {batch.revision}: {change.name}: {delta}; {state}")
 
     def absent(self, names: tuple[str, ...]) -> None:
         if self.as_json:
             self.row("absent", names=names)
         else:
-            self.out(f"not there: {', '.join(names)}")
+            self.line(f"not found: {', '.join(names)}")
 
     def pulse(self) -> None:
         if self.as_json:
             self.row("pulse")
 
-    def whole(self) -> None:
-        """All that is in force."""
-        one, held = self.client.subscriber, self.client.subscriber.store.objects
+    def print_all(self) -> None:
+        """Prints all objects in force."""
+        subscriber, held = self.client.subscriber, self.client.subscriber.store.objects
         if self.as_json:
             objects = {name: {item: orjson.loads(v) for item, v in o.items.items()}
                        for name, o in sorted(held.items())}  # fmt: skip
             self.row("held", objects=objects)
             return
-        self.out(
-            f"revision {one.store.revision}, at most {one.age(clock()):.1f} s old, from {self.client.relay_name()}"
+        self.line(
+            f"revision {subscriber.store.revision}, at most {subscriber.age(clock()):.1f} s old, "
+            f"from {self.client.relay_name()}"
         )
-        for name, thing in sorted(held.items()):
-            self.out(f"{name}: {len(thing.items)} items, {digest(thing.items)}")
-            for item, value in sorted(thing.items.items()):
-                self.out(f"  {item} = {value.decode()}")
+        for name, stored in sorted(held.items()):
+            self.line(f"{name}: {len(stored.items)} items, {object_digest(stored.items)}")
+            for item, value in sorted(stored.items.items()):
+                self.line(f"  {item} = {value.decode()}")
 
 
 async def follow(
-    me: Participant,
+    identity: Participant,
     relays: tuple[Participant, ...],
     names: tuple[str, ...],
     rules: Rules,
@@ -193,32 +203,40 @@
     as_json: bool,
     once: bool,
 ) -> int:
-    end, view, tell = ending(), View(rules, len(relays), as_json), teller("follow", me.name)
+    """Prints changes of `names` until it is stopped, or with `once` the complete state. Returns the exit
+    code, which is 1 if that state did not arrive in time."""
+    stopped, output, log = (
+        stop_event(),
+        FollowerOutput(rules, len(relays), as_json),
+        make_logger("follow", identity.name),
+    )
 
-    def told(text: str) -> None:
-        tell(text)
+    def on_log(text: str) -> None:
+        log(text)
         if as_json and not once:
-            view.row("told", text=text)
+            output.row("told", text=text)
 
-    nothing: Callable[[Any], None] = lambda what: None  # noqa: E731
-    changed, absent = (nothing, nothing) if once else (view.changed, view.absent)
-    client = view.client = Client(me, Role.PROXY, relays, rules, keys, changed, absent, told, source_host)
+    ignore: Callable[[Any], None] = lambda argument: None  # noqa: E731
+    on_changed, on_absent = (ignore, ignore) if once else (output.changed, output.absent)
+    client = output.client = Client(
+        identity, Role.PROXY, relays, rules, keys, on_changed, on_absent, on_log, source_host
+    )
     client.follow(names)
     if not once:
-        view.start()
+        output.print_bounds()
     client.open()
-    began, done = clock(), False
-    while not end.is_set() and not done:
-        await within(end, 0.05 if once else PULSE_S)
+    started_at, done = clock(), False
+    while not stopped.is_set() and not done:
+        await wait_for_event(stopped, 0.05 if once else PULSE_INTERVAL_S)
         if not once:
-            view.pulse()
+            output.pulse()
         else:
-            done = client.subscriber.ready() or clock() - began > ONCE_S
+            done = client.subscriber.ready() or clock() - started_at > ONCE_TIMEOUT_S
     client.close()
     if not once:
         return 0
     if client.subscriber.ready():
-        view.whole()
+        output.print_all()
         return 0
-    tell(f"no relay has answered for all names within {ONCE_S:g} s")
+    log(f"no relay has answered for all names within {ONCE_TIMEOUT_S:g} s")
     return 1
--- a/flintlatch/delivery/shell.py
+++ b/flintlatch/delivery/shell.py
@@ -1,8 +1,8 @@
-"""Delivery on real sockets: a client follows names at relays; a server is the origin or a relay.
+"""Delivery over real sockets: a client follows names at relays, a server is the origin or a relay.
 
-The cores decide; here are the sockets, the clock and the ticks. What comes of carrying out an action (a full
-socket, an end) is a further event, taken once all actions of the one before are carried out: so no frame
-overtakes another.
+The state machines decide; this module has the sockets, the clock and the ticks. An event that results from
+executing an action (a full socket, a lost connection) is queued until all actions of the current event are
+executed, so frames are never reordered.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 
 from flintlatch.delivery import node, relay, subscriber
 from flintlatch.delivery.model import RELAY_RULES, Participant, Role, Rules
-from flintlatch.delivery.shell_above import Above
-from flintlatch.delivery.shell_below import Below
+from flintlatch.delivery.shell_above import RelayConnections
+from flintlatch.delivery.shell_below import SubscriberListener
 from flintlatch.delivery.store import Store
-from flintlatch.delivery.stream import Counts
+from flintlatch.delivery.stream import StreamCounts
 from flintlatch.delivery.subscriber import Changed
 from flintlatch.peers.clock import clock
 
@@ -26,28 +26,28 @@
 Event = TypeVar("Event")
 
 
-class Turns(Generic[Event]):
-    """One event after the other: those that come while one is worked on wait, at most some for each open
-    connection."""
+class EventQueue(Generic[Event]):
+    """Handles one event at a time. Events submitted while another is being handled wait; there are at most a
+    few per open connection."""
 
     def __init__(self, step: Callable[[Event], None]) -> None:
         self.step = step
-        self.waiting: deque[Event] = deque()
-        self.working = False
+        self.pending: deque[Event] = deque()
+        self.running = False
 
-    def take(self, event: Event) -> None:
-        self.waiting.append(event)
-        if self.working:
+    def submit(self, event: Event) -> None:
+        self.pending.append(event)
+        if self.running:
             return
-        self.working = True
+        self.running = True
         try:
-            while self.waiting:
-                self.step(self.waiting.popleft())
+            while self.pending:
+                self.step(self.pending.popleft())
         finally:
-            self.working = False
+            self.running = False
 
 
-class Ticking:
+class Ticker:
     def __init__(self, tick: Callable[[], None]) -> None:
         self.tick = tick
         self.timer: asyncio.TimerHandle | None = None
@@ -62,54 +62,55 @@
 
 
 class Client:
-    """`on_changed` hears what has come into force, `on_absent` of names that the origin has not, `on_told` of
-    lines for the log. `local_host`: the address that connections come from, empty for the system's choice."""
+    """`on_changed` gets the changes that took effect, `on_absent` names that the origin does not have,
+    `on_log` lines for the log. `local_host` is the source address of connections; empty leaves the choice to
+    the system."""
 
     def __init__(
         self,
-        me: Participant,
+        identity: Participant,
         role: Role,
         relays: tuple[Participant, ...],
         rules: Rules,
         keys: tuple[bytes, ...],
         on_changed: Callable[[Changed], None],
         on_absent: Callable[[tuple[str, ...]], None],
-        on_told: Callable[[str], None],
+        on_log: Callable[[str], None],
         local_host: str = "",
     ) -> None:
         rng: Any = random.SystemRandom()
-        everything = role is Role.RELAY
-        self.subscriber = subscriber.Subscriber(me, role, relays, rules, rng, clock(), everything)
-        self.on_changed, self.on_absent, self.on_told = on_changed, on_absent, on_told
-        self.turns: Turns[subscriber.Event] = Turns(self._step)
-        self.above = Above(keys, local_host, self.turns.take)
-        self.ticking = Ticking(lambda: self.turns.take(subscriber.Tick()))
+        all_objects = role is Role.RELAY
+        self.subscriber = subscriber.Subscriber(identity, role, relays, rules, rng, clock(), all_objects)
+        self.on_changed, self.on_absent, self.on_log = on_changed, on_absent, on_log
+        self.queue: EventQueue[subscriber.Event] = EventQueue(self._step)
+        self.connections = RelayConnections(keys, local_host, self.queue.submit)
+        self.ticker = Ticker(lambda: self.queue.submit(subscriber.Tick()))
 
     @property
-    def counts(self) -> Counts:
-        return self.above.counts
+    def counts(self) -> StreamCounts:
+        return self.connections.counts
 
     def open(self) -> None:
-        self.ticking.start()
+        self.ticker.start()
 
     def close(self) -> None:
-        self.ticking.stop()
-        self.above.close()
+        self.ticker.stop()
+        self.connections.close()
 
     def follow(self, names: tuple[str, ...]) -> None:
-        self.turns.take(subscriber.Follow(names))
+        self.queue.submit(subscriber.Follow(names))
 
     def unfollow(self, names: tuple[str, ...]) -> None:
-        self.turns.take(subscriber.Unfollow(names))
+        self.queue.submit(subscriber.Unfollow(names))
 
     def change_keys(self, keys: tuple[bytes, ...]) -> None:
-        """For connections from now on."""
-        self.above.keys = keys
+        """Takes effect for new connections."""
+        self.connections.keys = keys
 
     def relay_name(self) -> str:
-        """The name of the one that it follows at, or is about to; empty: none."""
-        main = self.subscriber.active_session
-        return main.relay.name if main is not None and main.state is subscriber.State.LIVE else ""
+        """The relay that it follows at present; empty without a live session."""
+        active = self.subscriber.active_session
+        return active.relay.name if active is not None and active.state is subscriber.State.LIVE else ""
 
     def _step(self, event: subscriber.Event) -> None:
         for action in self.subscriber.step(clock(), event):
@@ -118,112 +119,117 @@
             elif isinstance(action, subscriber.Absent):
                 self.on_absent(action.names)
             elif isinstance(action, subscriber.LogLine):
-                self.on_told(action.text)
+                self.on_log(action.text)
             else:
-                self.above.carry_out(action)
+                self.connections.execute(action)
 
 
 class Server:
-    """With `origins` a relay below them; without it is the origin, whose `store` its owner fills and then
-    calls `committed`. `rules`: of those that it serves, `upward`: by which it follows."""
+    """A relay if there are `origins`, else the origin: its owner then fills `store` and calls `committed`.
+    `rules` apply to the subscribers that it serves, `upstream_rules` to a relay's own subscription."""
 
     def __init__(
         self,
-        me: Participant,
+        identity: Participant,
         bind: str,
         rules: Rules,
         keys: tuple[bytes, ...],
-        on_told: Callable[[str], None],
+        on_log: Callable[[str], None],
         origins: tuple[Participant, ...] = (),
         local_host: str = "",
-        upward: Rules = RELAY_RULES,
+        upstream_rules: Rules = RELAY_RULES,
     ) -> None:
-        self.me, self.on_told = me, on_told
-        self.turns: Turns[node.SubscriberEvent | node.RelayEvent] = Turns(self._step)
-        self.below = Below(bind, keys, lambda event: self.turns.take(node.RelayEvent(event)))
-        self.above = Above(keys, local_host, lambda event: self.turns.take(node.SubscriberEvent(event)))
-        self.ticking = Ticking(self._tick)
-        self.node: node.RelayNode | None = None
-        self.filled = False  # the origin's store holds what its owner wants
-        self.told_held = False
+        self.identity, self.on_log = identity, on_log
+        self.queue: EventQueue[node.SubscriberEvent | node.RelayEvent] = EventQueue(self._step)
+        self.listener = SubscriberListener(
+            bind, keys, lambda event: self.queue.submit(node.RelayEvent(event))
+        )
+        self.connections = RelayConnections(
+            keys, local_host, lambda event: self.queue.submit(node.SubscriberEvent(event))
+        )
+        self.ticker = Ticker(self._tick)
+        self.relay_node: node.RelayNode | None = None
+        self.has_state = False  # the origin's owner has committed its objects
+        self.ready_logged = False
         if origins:
             rng: Any = random.SystemRandom()
-            self.node = node.RelayNode(me, origins, rules, rng, clock(), upward)
-            self.relay, self.store = self.node.relay, self.node.subscriber.store
+            self.relay_node = node.RelayNode(identity, origins, rules, rng, clock(), upstream_rules)
+            self.relay, self.store = self.relay_node.relay, self.relay_node.subscriber.store
         else:
             self.store = Store()
-            self.relay = relay.Relay(me.name, self.store, rules, self._age, is_origin=True)
+            self.relay = relay.Relay(identity.name, self.store, rules, self._origin_age, is_origin=True)
 
-    def _age(self, now: float) -> float | None:
-        return 0.0 if self.filled else None
+    def _origin_age(self, now: float) -> float | None:
+        return 0.0 if self.has_state else None
 
     @property
     def address(self) -> str:
-        """host:port that was bound."""
-        return self.below.address
+        """The host:port that the server listens on."""
+        return self.listener.address
 
     async def open(self) -> None:
         """Raises NotBound."""
-        await self.below.open()
-        self.ticking.start()
+        await self.listener.open()
+        self.ticker.start()
 
     def close(self) -> None:
-        self.ticking.stop()
-        self.above.close()
-        self.below.close()
+        self.ticker.stop()
+        self.connections.close()
+        self.listener.close()
 
     def committed(self, names: tuple[str, ...]) -> None:
-        """The origin's store holds news of these objects."""
-        self.filled = True
-        self.turns.take(node.RelayEvent(relay.Committed(names)))
+        """To be called when the origin's store has new versions of these objects."""
+        self.has_state = True
+        self.queue.submit(node.RelayEvent(relay.Committed(names)))
 
     def age(self) -> float | None:
         return self.relay.age(clock())
 
     def status(self) -> str:
-        sessions = [s for s in self.relay.sessions.values() if s.greeted]
-        lacking = sum(not s.current() for s in sessions)
-        age, up, down = self.age(), self.above.counts, self.below.counts
-        main = self.node.subscriber.active_session if self.node is not None else None
-        at = f" at {main.relay.name}" if main is not None else ""
+        sessions = [s for s in self.relay.sessions.values() if s.welcomed]
+        outdated = sum(not s.up_to_date() for s in sessions)
+        age, upstream, downstream = self.age(), self.connections.counts, self.listener.counts
+        active = self.relay_node.subscriber.active_session if self.relay_node is not None else None
+        at = f" at {active.relay.name}" if active is not None else ""
         known = "nothing held yet" if age is None else f"at most {age:.1f} s old"
         return (
             f"revision {self.store.revision}{at}, {known}; {len(self.store.objects)} objects; "
-            f"{len(sessions)} subscribers, {lacking} of them to be sent something; bytes from above "
-            f"{up.bytes_in}, to below {down.bytes_out}, from below {down.bytes_in}; ended: "
-            f"{up.foreign + down.foreign} foreign, {up.unreadable + down.unreadable} unreadable, "
-            f"{down.half_open} half open, {up.overfull + down.overfull} overfull"
+            f"{len(sessions)} subscribers, {outdated} of them to be sent something; bytes from above "
+            f"{upstream.bytes_in}, to below {downstream.bytes_out}, from below {downstream.bytes_in}; ended: "
+            f"{upstream.foreign + downstream.foreign} foreign, "
+            f"{upstream.unreadable + downstream.unreadable} unreadable, "
+            f"{downstream.half_open} half open, {upstream.overfull + downstream.overfull} overfull"
         )
 
     def _tick(self) -> None:
-        if self.node is not None:
-            self.turns.take(node.SubscriberEvent(subscriber.Tick()))
-            if not self.told_held and self.age() is not None:
-                self.told_held = True
+        if self.relay_node is not None:
+            self.queue.submit(node.SubscriberEvent(subscriber.Tick()))
+            if not self.ready_logged and self.age() is not None:
+                self.ready_logged = True
                 count = len(self.store.objects)
-                self.on_told(f"delivery: holds revision {self.store.revision}, {count} objects; serving")
-        self.turns.take(node.RelayEvent(relay.Tick()))
+                self.on_log(f"delivery: holds revision {self.store.revision}, {count} objects; serving")
+        self.queue.submit(node.RelayEvent(relay.Tick()))
 
     def _step(self, event: node.SubscriberEvent | node.RelayEvent) -> None:
         now = clock()
-        if self.node is not None:
-            for action in self.node.step(now, event):
+        if self.relay_node is not None:
+            for action in self.relay_node.step(now, event):
                 if isinstance(action, node.RelayAction):
-                    self._serve(action.action)
+                    self._execute_relay_action(action.action)
                 else:
-                    self._follow(action.action)
+                    self._execute_subscriber_action(action.action)
         elif isinstance(event, node.RelayEvent):
-            for downward in self.relay.step(now, event.event):
-                self._serve(downward)
+            for relay_action in self.relay.step(now, event.event):
+                self._execute_relay_action(relay_action)
 
-    def _serve(self, action: relay.Action) -> None:
+    def _execute_relay_action(self, action: relay.Action) -> None:
         if isinstance(action, relay.LogLine):
-            self.on_told(action.text)
+            self.on_log(action.text)
         else:
-            self.below.carry_out(action)
+            self.listener.execute(action)
 
-    def _follow(self, action: subscriber.Action) -> None:
+    def _execute_subscriber_action(self, action: subscriber.Action) -> None:
         if isinstance(action, subscriber.LogLine):
-            self.on_told(action.text)
+            self.on_log(action.text)
         elif isinstance(action, subscriber.Connect | subscriber.Disconnect | subscriber.Transmit):
-            self.above.carry_out(action)
+            self.connections.execute(action)
--- a/flintlatch/delivery/staging.py
+++ b/flintlatch/delivery/staging.py
@@ -1,6 +1,6 @@
-"""A batch on its way in: its objects wait here until the last has come and every one adds up.
+"""Assembles an incoming batch: its objects are staged until the last one is complete and all are verified.
 
-Each object is made as its last part comes, so that a large batch's end is no long step.
+Each object is built as soon as its last part arrives, so the end of a large batch is not one long step.
 """
 
 from __future__ import annotations
@@ -9,8 +9,8 @@
 from dataclasses import dataclass, field
 
 from flintlatch.delivery.model import (
-    ITEM_MOST,
-    ITEM_NAME_MOST,
+    MAX_ITEM_BYTES,
+    MAX_ITEM_NAME_BYTES,
     MAX_NAME_BYTES,
     Begin,
     End,
@@ -22,34 +22,35 @@
 from flintlatch.delivery.store import Store, StoredObject
 
 
-class Torn(Exception):
-    """The batch can't be taken: why, and the objects that need a snapshot."""
+class BatchError(Exception):
+    """A batch that cannot be applied: the reason, and the objects that need a snapshot."""
 
-    def __init__(self, why: str, names: tuple[str, ...] = ()) -> None:
-        super().__init__(why)
-        self.why, self.names = why, names
+    def __init__(self, reason: str, names: tuple[str, ...] = ()) -> None:
+        super().__init__(reason)
+        self.reason, self.names = reason, names
 
 
 @dataclass(slots=True)
-class Gathered:
-    """Of one object. `made` from `held` once its last part is here, or why that can't be."""
+class StagedObject:
+    """The parts of one object so far. Once the last has arrived, `result` is built from `base`, or `error`
+    tells why that is not possible."""
 
     kind: Kind
     items: dict[str, bytes]
     removed: list[str]
     version: int = 0
-    count: int = 0
+    item_count: int = 0
     checksum: int = 0
     size: int = 0
-    held: StoredObject | None = None
-    made: StoredObject | None = None
+    base: StoredObject | None = None
+    result: StoredObject | None = None
     change: ObjectChange | None = None
-    torn: str = ""
+    error: str = ""
 
 
 @dataclass(frozen=True, slots=True)
-class Taken:
-    """What to put into the store, and what that changes for who uses it."""
+class CompletedBatch:
+    """The objects to put into the store, and the resulting changes for its users."""
 
     objects: list[tuple[str, StoredObject | None]]
     changes: tuple[ObjectChange, ...]
@@ -60,120 +61,136 @@
     begin: Begin
     rules: Rules
     store: Store
-    gathered: dict[str, Gathered] = field(default_factory=dict)
-    open_name: str = ""  # of an object of which a part is still to come
-    parts: int = 0
+    staged: dict[str, StagedObject] = field(default_factory=dict)
+    incomplete_name: str = ""  # the object of which more parts are expected
+    part_count: int = 0
     size: int = 0
 
     def add(self, part: ObjectPart, size: int) -> None:
-        """Raises Torn."""
+        """Raises BatchError if the part is invalid or exceeds a limit."""
         name = part.name
-        self.parts += 1
+        self.part_count += 1
         self.size += size
         if self.size > self.rules.batch_bytes:
-            raise Torn(f"a batch of over {self.rules.batch_bytes} bytes")
+            raise BatchError(f"a batch of over {self.rules.batch_bytes} bytes")
         if not 0 < len(name.encode()) <= MAX_NAME_BYTES:
-            raise Torn("an object's name out of bounds")
-        if part.kind not in (Kind.SNAPSHOT, Kind.DELTA, Kind.GONE):
-            raise Torn("a part of unknown kind", (name,))
-        if self.begin.whole and part.kind != Kind.SNAPSHOT:  # then what it does not name is not gone
-            raise Torn("a whole batch with less than whole objects")
-        if self.open_name and name != self.open_name or not self.open_name and name in self.gathered:
-            raise Torn("parts out of order", (name,))
+            raise BatchError("an object's name out of bounds")
+        if part.kind not in (Kind.SNAPSHOT, Kind.DELTA, Kind.DELETED):
+            raise BatchError("a part of unknown kind", (name,))
+        # A full batch deletes what it does not name, so it consists of snapshots only.
+        if self.begin.full and part.kind != Kind.SNAPSHOT:
+            raise BatchError("a whole batch with less than whole objects")
+        if (
+            self.incomplete_name
+            and name != self.incomplete_name
+            or not self.incomplete_name
+            and name in self.staged
+        ):
+            raise BatchError("parts out of order", (name,))
         if any(
-            len(v) > ITEM_MOST or not 0 < len(k.encode()) <= ITEM_NAME_MOST for k, v in part.items.items()
+            len(v) > MAX_ITEM_BYTES or not 0 < len(k.encode()) <= MAX_ITEM_NAME_BYTES
+            for k, v in part.items.items()
         ):
-            raise Torn("an item over the size bound", (name,))
-        one = self.gathered.get(name)
-        if one is None:
-            one = self.gathered[name] = Gathered(Kind(part.kind), {}, [])
-        elif one.kind != part.kind:
-            raise Torn("parts of two kinds", (name,))
-        one.items.update(part.items)
-        one.removed.extend(part.removed)
-        one.version, one.count, one.checksum = part.version, part.count, part.checksum
-        one.size += size
-        if one.size > 2 * self.rules.object_bytes:
-            raise Torn("an object over the size bound", (name,))
-        self.open_name = name if part.more else ""
-        if not part.more:
-            self._make(name, one)
+            raise BatchError("an item over the size bound", (name,))
+        staged = self.staged.get(name)
+        if staged is None:
+            staged = self.staged[name] = StagedObject(Kind(part.kind), {}, [])
+        elif staged.kind != part.kind:
+            raise BatchError("parts of two kinds", (name,))
+        staged.items.update(part.items)
+        staged.removed.extend(part.removed)
+        staged.version, staged.item_count, staged.checksum = part.version, part.item_count, part.checksum
+        staged.size += size
+        if staged.size > 2 * self.rules.object_bytes:
+            raise BatchError("an object over the size bound", (name,))
+        self.incomplete_name = name if part.has_more else ""
+        if not part.has_more:
+            self._build(name, staged)
 
     def drop_unknown(self, followed: Container[str]) -> int:
-        """What nobody here named, or names no more; how many."""
-        unknown = [name for name in self.gathered if name not in followed]
+        """Drops the objects that are not followed (any more) and returns their number."""
+        unknown = [name for name in self.staged if name not in followed]
         for name in unknown:
-            del self.gathered[name]
+            del self.staged[name]
         return len(unknown)
 
-    def drop_left(self, names: Iterable[str]) -> None:
-        """Deltas of objects that were not followed for a while, and of which nothing is held now."""
+    def drop_stale_deltas(self, names: Iterable[str]) -> None:
+        """Drops deltas of objects that were unfollowed and followed again: their base is no longer held."""
         for name in names:
-            if name in self.gathered and self.gathered[name].kind is Kind.DELTA:
-                del self.gathered[name]
-
-    def end(self, end: End) -> Taken:
-        """Raises Torn. Nothing of the store is changed here."""
-        if end.to != self.begin.to or end.parts != self.parts or self.open_name:
-            raise Torn("a batch without all of its parts")
+            if name in self.staged and self.staged[name].kind is Kind.DELTA:
+                del self.staged[name]
+
+    def finish(self, end: End) -> CompletedBatch:
+        """Verifies the batch and returns its effect; the store is not changed. Raises BatchError."""
+        if (
+            end.target_revision != self.begin.target_revision
+            or end.parts != self.part_count
+            or self.incomplete_name
+        ):
+            raise BatchError("a batch without all of its parts")
         objects: list[tuple[str, StoredObject | None]] = []
         changes: list[ObjectChange] = []
-        torn: dict[str, str] = {}
-        for name, one in sorted(self.gathered.items(), key=lambda pair: pair[1].version):
-            if one.held is not self.store.objects.get(name):  # left, and followed anew, since it was made
-                self._make(name, one)
-            if one.torn:
-                torn[name] = one.torn
+        errors: dict[str, str] = {}
+        for name, staged in sorted(self.staged.items(), key=lambda pair: pair[1].version):
+            # The object was unfollowed and followed again since its result was built.
+            if staged.base is not self.store.objects.get(name):
+                self._build(name, staged)
+            if staged.error:
+                errors[name] = staged.error
                 continue
-            objects.append((name, one.made))
-            if one.change is not None:
-                changes.append(one.change)
-        if torn:
-            raise Torn(next(iter(torn.values())), tuple(torn))
-        if self.begin.whole:
+            objects.append((name, staged.result))
+            if staged.change is not None:
+                changes.append(staged.change)
+        if errors:
+            raise BatchError(next(iter(errors.values())), tuple(errors))
+        if self.begin.full:
             for name, held in self.store.objects.items():
-                if name not in self.gathered:
+                if name not in self.staged:
                     objects.append((name, None))
                     changes.append(ObjectChange(name, removed=tuple(held.items), deleted=True))
-        return Taken(objects, tuple(changes))
-
-    def _make(self, name: str, one: Gathered) -> None:
-        held = one.held = self.store.objects.get(name)
-        one.torn, one.made, one.change = "", None, None
-        if one.kind is Kind.GONE:
-            if held is not None:
-                one.change = ObjectChange(name, removed=tuple(held.items), deleted=True)
+        return CompletedBatch(objects, tuple(changes))
+
+    def _build(self, name: str, staged: StagedObject) -> None:
+        base = staged.base = self.store.objects.get(name)
+        staged.error, staged.result, staged.change = "", None, None
+        if staged.kind is Kind.DELETED:
+            if base is not None:
+                staged.change = ObjectChange(name, removed=tuple(base.items), deleted=True)
             return
         try:
-            one.made = self._made(held, one)
-        except Torn as fault:
-            one.torn = fault.why
+            staged.result = self._apply(base, staged)
+        except BatchError as error:
+            staged.error = error.reason
             return
-        change = compare(held, one, name)
-        if change.items or change.removed or held is None:
-            one.change = change
-
-    def _made(self, held: StoredObject | None, one: Gathered) -> StoredObject:
-        version = min(one.version, self.begin.to)
-        if one.kind is Kind.SNAPSHOT:
-            made = StoredObject(version, version).changed(ObjectChange("", one.items), version)
-        elif held is None:
-            raise Torn("a delta of an unknown object")
+        change = effective_change(base, staged, name)
+        if change.items or change.removed or base is None:
+            staged.change = change
+
+    def _apply(self, base: StoredObject | None, staged: StagedObject) -> StoredObject:
+        """The object after the staged change, verified. Raises BatchError."""
+        version = min(staged.version, self.begin.target_revision)
+        if staged.kind is Kind.SNAPSHOT:
+            result = StoredObject(version, version).with_change(ObjectChange("", staged.items), version)
+        elif base is None:
+            raise BatchError("a delta of an unknown object")
         else:
-            # Also what is as it was gets the stamp: meanwhile it may have been otherwise elsewhere.
-            change = ObjectChange("", one.items, tuple(one.removed))
-            made = held.changed(change, max(version, held.version))
-        if len(made.items) != one.count or made.checksum != one.checksum:
-            raise Torn("an object that does not add up")
-        if made.size > self.rules.object_bytes:
-            raise Torn("an object over the size bound")
-        return made
-
-
-def compare(held: StoredObject | None, one: Gathered, name: str) -> ObjectChange:
-    """What is new to who holds `held`."""
-    before = held.items if held is not None else {}
-    items = {k: v for k, v in one.items.items() if before.get(k) != v}
-    if one.kind is Kind.SNAPSHOT:
-        return ObjectChange(name, items, tuple(k for k in before if k not in one.items))
-    return ObjectChange(name, items, tuple(k for k in one.removed if k in before and k not in one.items))
+            # Items with an unchanged value are stamped too: in between, other subscribers may have received
+            # another value.
+            change = ObjectChange("", staged.items, tuple(staged.removed))
+            result = base.with_change(change, max(version, base.version))
+        if len(result.items) != staged.item_count or result.checksum != staged.checksum:
+            raise BatchError("an object that does not add up")
+        if result.size > self.rules.object_bytes:
+            raise BatchError("an object over the size bound")
+        return result
+
+
+def effective_change(base: StoredObject | None, staged: StagedObject, name: str) -> ObjectChange:
+    """The staged change without what a holder of `base` already has."""
+    before = base.items if base is not None else {}
+    items = {k: v for k, v in staged.items.items() if before.get(k) != v}
+    if staged.kind is Kind.SNAPSHOT:
+        return ObjectChange(name, items, tuple(k for k in before if k not in staged.items))
+    return ObjectChange(
+        name, items, tuple(k for k in staged.removed if k in before and k not in staged.items)
+    )
--- a/flintlatch/delivery/store.py
+++ b/flintlatch/delivery/store.py
@@ -1,9 +1,9 @@
-"""Objects at one revision: commits are taken whole, and what has changed since an older one is known.
+"""Objects as of one revision: commits are atomic, and changes since an older revision can be queried.
 
-Each object is replaced, never altered: who is being sent one keeps what it was. Each item has the stamp of
-the commit with which it came here; what was taken away is kept as a tombstone within a bound. A stamp is
-never below the revision in which the origin made the change, so "all with a stamp above R" holds all that
-has changed since R.
+Objects are immutable: a change replaces the object, so one that is being sent keeps its content. Each item
+carries the stamp of the commit in which it arrived here, and removed items are kept as tombstones up to a
+limit. A stamp is never lower than the revision in which the origin made the change, so the items with a stamp
+above R include every change since R.
 """
 
 from __future__ import annotations
@@ -12,44 +12,45 @@
 from dataclasses import dataclass, field
 
 from flintlatch.delivery.model import (
-    ITEM_MOST,
-    ITEM_NAME_MOST,
     ITEM_OVERHEAD_BYTES,
+    MAX_ITEM_BYTES,
+    MAX_ITEM_NAME_BYTES,
     MAX_NAME_BYTES,
-    OBJECT_MOST,
+    MAX_OBJECT_BYTES,
     Kind,
     ObjectChange,
     ObjectPart,
     item_digest,
 )
 
-TOMBSTONES_LEAST = 64  # items taken away that an object remembers, or as many as it has items
-GONE_MOST = 65_536  # objects that are no more, remembered for those who follow everything
-MASK = (1 << 64) - 1
+MIN_TOMBSTONE_LIMIT = 64  # an object keeps this many tombstones, or as many as it has items
+MAX_DELETED_OBJECTS = 65_536  # names of deleted objects kept for subscribers of all objects
+CHECKSUM_MASK = (1 << 64) - 1
 
 
 class OutOfOrder(Exception):
-    """A commit that is not above the revision held."""
+    """A commit whose revision is not above the store's."""
 
 
 class OutOfBounds(Exception):
-    """A commit with an object that every subscriber would refuse."""
+    """A commit with an object that exceeds a limit, so every subscriber would refuse it."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoredObject:
-    """`stamps` and `removed` are ordered by stamp. Nothing is known of changes before `floor`."""
+    """`stamps` and `tombstones` map item names to revisions, in ascending order of revision. Removals before
+    `floor` are not known."""
 
     version: int
     floor: int
     items: dict[str, bytes] = field(default_factory=dict)
     stamps: dict[str, int] = field(default_factory=dict)
-    removed: dict[str, int] = field(default_factory=dict)
+    tombstones: dict[str, int] = field(default_factory=dict)
     checksum: int = 0
-    size: int = 0  # bytes of names and values
+    size: int = 0  # bytes of all item names and values
 
-    def changed(self, change: ObjectChange, revision: int) -> StoredObject:
-        items, stamps, removed = self.items.copy(), self.stamps.copy(), self.removed.copy()
+    def with_change(self, change: ObjectChange, revision: int) -> StoredObject:
+        items, stamps, tombstones = self.items.copy(), self.stamps.copy(), self.tombstones.copy()
         checksum, size, floor = self.checksum, self.size, self.floor
         for name in change.removed:
             value = items.pop(name, None)
@@ -57,8 +58,8 @@
                 checksum -= item_digest(name, value)
                 size -= len(name.encode()) + len(value)
             stamps.pop(name, None)
-            removed.pop(name, None)
-            removed[name] = revision
+            tombstones.pop(name, None)
+            tombstones[name] = revision
         for name, value in change.items.items():
             before = items.get(name)
             if before is not None:
@@ -69,20 +70,21 @@
             size += len(name.encode()) + len(value)
             stamps.pop(name, None)
             stamps[name] = revision
-            removed.pop(name, None)
-        most = max(TOMBSTONES_LEAST, len(items))
-        while len(removed) > most:
-            oldest = next(iter(removed))
-            floor = max(floor, removed.pop(oldest))
-        return StoredObject(revision, floor, items, stamps, removed, checksum & MASK, size)
-
-    def stamped(self, revision: int) -> StoredObject:
-        """As if all of it had come with that revision: safe wherever less is known."""
+            tombstones.pop(name, None)
+        max_tombstones = max(MIN_TOMBSTONE_LIMIT, len(items))
+        while len(tombstones) > max_tombstones:
+            oldest = next(iter(tombstones))
+            floor = max(floor, tombstones.pop(oldest))
+        return StoredObject(revision, floor, items, stamps, tombstones, checksum & CHECKSUM_MASK, size)
+
+    def restamped(self, revision: int) -> StoredObject:
+        """A copy in which every item has this stamp. That is always safe: subscribers only receive more than
+        they need."""
         stamps = dict.fromkeys(self.items, revision)
         return StoredObject(revision, revision, self.items, stamps, {}, self.checksum, self.size)
 
-    def since(self, revision: int) -> ObjectChange | None:
-        """What has changed after `revision`; None where that is not known any more."""
+    def changes_since(self, revision: int) -> ObjectChange | None:
+        """The changes after `revision`, or None if the removals since then are not all known."""
         if revision < self.floor:
             return None
         items: dict[str, bytes] = {}
@@ -91,140 +93,157 @@
                 break
             items[name] = self.items[name]
         removed = []
-        for name in reversed(self.removed):
-            if self.removed[name] <= revision:
+        for name in reversed(self.tombstones):
+            if self.tombstones[name] <= revision:
                 break
             removed.append(name)
         return ObjectChange("", items, tuple(removed))
 
-    def parts(self, name: str, since: int | None, part_bytes: int) -> Iterator[ObjectPart]:
-        """The object's parts for who holds it as of `since`, or for who holds nothing of it (None)."""
-        change = None if since is None else self.since(since)
+    def to_parts(self, name: str, since: int | None, part_bytes: int) -> Iterator[ObjectPart]:
+        """The object in parts, for a subscriber that holds it as of `since`, or (None) does not hold it."""
+        change = None if since is None else self.changes_since(since)
         kind = Kind.SNAPSHOT if change is None else Kind.DELTA
-        left = self.items if change is None else change.items
+        remaining = self.items if change is None else change.items
         removed = () if change is None else change.removed
-        count, checksum = len(self.items), self.checksum
-        chunk: dict[str, bytes] = {}
-        gone: list[str] = []
+        item_count, checksum = len(self.items), self.checksum
+        part_items: dict[str, bytes] = {}
+        part_removed: list[str] = []
         size = 0
-        for item in removed:  # a part must fit into the credit that can be had at once
-            each = len(item.encode()) + 5
-            if gone and size + each > part_bytes:
-                yield ObjectPart(name, kind, self.version, {}, tuple(gone), count, checksum, True)
-                size, gone = 0, []
-            gone.append(item)
-            size += each
-        for item, value in left.items():
-            each = len(item.encode()) + len(value) + ITEM_OVERHEAD_BYTES
-            if (chunk or gone) and size + each > part_bytes:
-                yield ObjectPart(name, kind, self.version, chunk, tuple(gone), count, checksum, True)
-                chunk, size, gone = {}, 0, []
-            chunk[item] = value
-            size += each
-        yield ObjectPart(name, kind, self.version, chunk, tuple(gone), count, checksum, False)
-
-
-def difference(held: StoredObject | None, items: Mapping[str, bytes], name: str) -> ObjectChange:
-    """What turns the one held into one that has just these items."""
+        for item in removed:  # removals are split too: every part has to fit into one credit window
+            item_size = len(item.encode()) + 5
+            if part_removed and size + item_size > part_bytes:
+                yield ObjectPart(
+                    name, kind, self.version, {}, tuple(part_removed), item_count, checksum, True
+                )
+                size, part_removed = 0, []
+            part_removed.append(item)
+            size += item_size
+        for item, value in remaining.items():
+            item_size = len(item.encode()) + len(value) + ITEM_OVERHEAD_BYTES
+            if (part_items or part_removed) and size + item_size > part_bytes:
+                yield ObjectPart(
+                    name, kind, self.version, part_items, tuple(part_removed), item_count, checksum, True
+                )
+                part_items, size, part_removed = {}, 0, []
+            part_items[item] = value
+            size += item_size
+        yield ObjectPart(
+            name, kind, self.version, part_items, tuple(part_removed), item_count, checksum, False
+        )
+
+
+def diff_object(held: StoredObject | None, items: Mapping[str, bytes], name: str) -> ObjectChange:
+    """The change that turns `held` into an object with exactly these items."""
     if held is None:
         return ObjectChange(name, dict(items))
     changed = {k: v for k, v in items.items() if held.items.get(k) != v}
     return ObjectChange(name, changed, tuple(k for k in held.items if k not in items))
 
 
-def check(change: ObjectChange, made: StoredObject | None) -> None:
-    """Raises OutOfBounds."""
+def check_bounds(change: ObjectChange, result: StoredObject | None) -> None:
+    """Raises OutOfBounds if a name, an item or the resulting object exceeds its limit."""
     if not 0 < len(change.name.encode()) <= MAX_NAME_BYTES:
-        raise OutOfBounds(f"an object's name of {len(change.name.encode())} bytes, at most {MAX_NAME_BYTES}")
+        raise OutOfBounds(
+            f"object name has {len(change.name.encode())} bytes, expected 1 to {MAX_NAME_BYTES}"
+        )
     for name, value in change.items.items():
-        if not 0 < len(name.encode()) <= ITEM_NAME_MOST:
-            raise OutOfBounds(f"{change.name}: an item's name of {len(name.encode())} bytes")
-        if len(value) > ITEM_MOST:
-            raise OutOfBounds(f"{change.name}: {name} has {len(value)} bytes, at most {ITEM_MOST}")
-    if made is not None and made.size > OBJECT_MOST:
-        raise OutOfBounds(f"{change.name} has {made.size} bytes, at most {OBJECT_MOST}")
+        if not 0 < len(name.encode()) <= MAX_ITEM_NAME_BYTES:
+            raise OutOfBounds(
+                f"{change.name}: item name has {len(name.encode())} bytes, "
+                f"expected 1 to {MAX_ITEM_NAME_BYTES}"
+            )
+        if len(value) > MAX_ITEM_BYTES:
+            raise OutOfBounds(
+                f"{change.name}: item {name} has {len(value)} bytes, expected at most {MAX_ITEM_BYTES}"
+            )
+    if result is not None and result.size > MAX_OBJECT_BYTES:
+        raise OutOfBounds(f"{change.name} has {result.size} bytes, expected at most {MAX_OBJECT_BYTES}")
 
 
 class Store:
     def __init__(self) -> None:
         self.revision = 0
-        self.objects: dict[str, StoredObject] = {}  # ordered by version
-        self.gone: dict[str, int] = {}  # ordered by stamp
-        self.deletion_floor = 0  # of what was gone before nothing is known
-        self.latest_version = 0  # the highest version of an object
+        self.objects: dict[str, StoredObject] = {}  # in ascending order of version
+        self.deleted: dict[str, int] = {}  # name to revision of deletion, in ascending order of revision
+        self.deletion_floor = 0  # deletions before this revision may be forgotten
+        self.latest_version = 0  # highest version of all objects
 
     def commit(self, changes: Iterable[ObjectChange], revision: int = 0) -> list[str]:
-        """All of it at once; the names that have changed. Without a revision it is the next one. Raises
-        OutOfOrder and OutOfBounds, and then nothing is changed."""
-        to = revision or self.revision + 1
-        if to <= self.revision:
-            raise OutOfOrder(f"a commit of revision {to} after {self.revision}")
+        """Applies all changes atomically, as `revision` or the next one, and returns the changed names.
+        Raises OutOfOrder and OutOfBounds, in which case nothing is changed."""
+        target = revision or self.revision + 1
+        if target <= self.revision:
+            raise OutOfOrder(f"commit of revision {target}, expected one above {self.revision}")
         new: dict[str, StoredObject | None] = {}
         for change in changes:
             held = new.get(change.name, self.objects.get(change.name))
-            new[change.name] = None if change.deleted else (held or StoredObject(to, to)).changed(change, to)
-            check(change, new[change.name])
-        return self.put(new.items(), to)
+            new[change.name] = (
+                None if change.deleted else (held or StoredObject(target, target)).with_change(change, target)
+            )
+            check_bounds(change, new[change.name])
+        return self.put(new.items(), target)
 
     def replace(self, wanted: Mapping[str, Mapping[str, bytes]]) -> list[str]:
-        """As a commit of all that differs from these objects; no commit where nothing does."""
+        """Commits the difference to these objects, if there is any, and returns the changed names."""
         changes = []
         for name, items in wanted.items():
-            change = difference(held := self.objects.get(name), items, name)
+            change = diff_object(held := self.objects.get(name), items, name)
             if held is None or change.items or change.removed:
                 changes.append(change)
         changes += [ObjectChange(name, deleted=True) for name in self.objects if name not in wanted]
         return self.commit(changes) if changes else []
 
     def put(self, new: Iterable[tuple[str, StoredObject | None]], revision: int) -> list[str]:
-        """Objects made from those held, None for one that is no more."""
+        """Replaces objects by new versions built from them, None for a deleted one."""
         names = []
-        for name, one in new:
-            if one is not None:
-                if one.version < self.latest_version:  # it would stand out of order
-                    one = one.stamped(self.latest_version)
-                self.latest_version = one.version
+        for name, stored in new:
+            if stored is not None:
+                if stored.version < self.latest_version:  # keeps `objects` in ascending order of version
+                    stored = stored.restamped(self.latest_version)
+                self.latest_version = stored.version
                 self.objects.pop(name, None)
-                self.objects[name] = one
-                self.gone.pop(name, None)
-            else:  # also where it was never held: others held it, and may ask here what became of it
+                self.objects[name] = stored
+                self.deleted.pop(name, None)
+            else:
+                # Recorded even for an object never held here: a subscriber that holds it may come with it.
                 self.objects.pop(name, None)
-                self.gone.pop(name, None)
-                self.gone[name] = revision
-                if len(self.gone) > GONE_MOST:
-                    self.deletion_floor = max(self.deletion_floor, self.gone.pop(next(iter(self.gone))))
+                self.deleted.pop(name, None)
+                self.deleted[name] = revision
+                if len(self.deleted) > MAX_DELETED_OBJECTS:
+                    self.deletion_floor = max(self.deletion_floor, self.deleted.pop(next(iter(self.deleted))))
             names.append(name)
         self.revision = max(self.revision, revision)
         return names
 
     def forget(self, name: str) -> None:
-        """One that is not followed any more: nothing is remembered of it."""
+        """Drops an object that is no longer followed, without recording a deletion."""
         self.objects.pop(name, None)
-        self.gone.pop(name, None)
+        self.deleted.pop(name, None)
 
     def restamp(self, revision: int) -> None:
-        """All of it at a revision above one that others hold of a time that we know nothing of."""
-        for name, one in self.objects.items():
-            self.objects[name] = one.stamped(revision)
-        self.gone.clear()
+        """Moves the whole store to a revision above one of unknown content that others hold, so that they
+        receive everything anew."""
+        for name, stored in self.objects.items():
+            self.objects[name] = stored.restamped(revision)
+        self.deleted.clear()
         self.deletion_floor = self.revision = self.latest_version = revision
 
-    def newer(self, revision: int) -> list[str]:
-        """Objects that have changed, or are no more, after `revision`."""
+    def names_changed_since(self, revision: int) -> list[str]:
+        """Names of the objects that were changed or deleted after `revision`."""
         names = []
         for name in reversed(self.objects):
             if self.objects[name].version <= revision:
                 break
             names.append(name)
-        for name in reversed(self.gone):
-            if self.gone[name] <= revision:
+        for name in reversed(self.deleted):
+            if self.deleted[name] <= revision:
                 break
             names.append(name)
         return names
 
-    def changed_since(self, name: str, revision: int) -> bool:
-        """Whether who holds what there was of it at `revision` lacks anything."""
-        one = self.objects.get(name)
-        if one is not None:
-            return one.version > revision
-        return self.gone.get(name, self.deletion_floor) > revision
+    def has_changed_since(self, name: str, revision: int) -> bool:
+        """Whether a holder of the object as of `revision` lacks a change or its deletion."""
+        stored = self.objects.get(name)
+        if stored is not None:
+            return stored.version > revision
+        return self.deleted.get(name, self.deletion_floor) > revision
--- a/flintlatch/delivery/stream.py
+++ b/flintlatch/delivery/stream.py
@@ -1,7 +1,7 @@
-"""One connection of delivery: the numbers that both sides draw, then sealed frames, each a message.
+"""One encrypted delivery connection: an exchange of nonces, then sealed frames with one message each.
 
-Who connects sends its hello (version, key, number), the other side its number; then each frame is a length
-and what `StreamSeal` made. Nothing is read ahead: a frame is handed on as soon as it is whole.
+The connecting side sends a hello (version, key id, nonce) and the accepting side answers with its nonce. Each
+frame is a length followed by the output of `StreamSeal`. A frame is handed on as soon as it is complete.
 """
 
 from __future__ import annotations
@@ -15,14 +15,15 @@
 from typing import cast
 
 from flintlatch.delivery.model import Message
-from flintlatch.delivery.wire import MAX_FRAME_BYTES, Unreadable, encode
+from flintlatch.delivery.wire import MAX_FRAME_BYTES, MessageError, encode
 from flintlatch.peers.seal import HELLO, NONCE_BYTES, VERSION, Foreign, StreamSeal, named
 
 LENGTH = struct.Struct(">I")
-HIGH_WATER = 64 * 1024  # bytes unsent with which a socket is paused, as one window is
-UNSENT_MOST = 1024 * 1024  # bytes: high water, a turn of the relay (256 KiB), and what it answers meanwhile
-CLOSE_S = 2.0  # in which what was said last may still go out; then the connection is cut
-# Reasons, few and fixed: each is told once and counted.
+WRITE_HIGH_WATER_BYTES = 64 * 1024  # unsent bytes at which a session is paused; the size of one window
+# The high-water mark, one turn of the relay (256 KiB), and its answers in the meantime fit into this.
+MAX_UNSENT_BYTES = 1024 * 1024
+CLOSE_TIMEOUT_S = 2.0  # for sending what is still buffered; then the connection is aborted
+# Reasons for ending a session. Each is logged once and counted, so the set is small and fixed.
 FOREIGN = "a frame that no key of ours sealed"
 UNREADABLE = "a frame that is no message of ours"
 UNSENDABLE = "to send a message too large for a frame"
@@ -30,46 +31,46 @@
 
 
 @dataclass(slots=True)
-class Counts:
+class StreamCounts:
     bytes_in: int = 0
     bytes_out: int = 0
     frames_in: int = 0
     frames_out: int = 0
-    foreign: int = 0  # sessions ended for a frame that was changed, or by a stranger
-    unreadable: int = 0  # sessions ended for bytes that are no message, or too many
-    half_open: int = 0  # connections closed before they had said who they are
-    overfull: int = 0  # sessions ended as the other side did not read
-    unsendable: int = 0  # sessions ended for a message too large for a frame
-    last_unreadable: str = ""  # what was found
+    foreign: int = 0  # sessions ended by a frame that failed authentication, or by an unknown key or version
+    unreadable: int = 0  # sessions ended by an invalid message or an oversized frame
+    half_open: int = 0  # connections closed before their first authenticated frame
+    overfull: int = 0  # sessions ended because the other side did not read
+    unsendable: int = 0  # sessions ended because a message was too large for a frame
+    last_unreadable: str = ""  # description of the last such message
 
 
 class Stream(asyncio.Protocol):
-    """`on_open`: both numbers are here. `on_frame` gets what was sealed, and may raise Unreadable. `on_lost`
-    hears once of the end that we did not ask for, with the reason, empty if the other side closed.
-    `on_paused`: whether the socket takes no more for now."""
+    """`on_open` is called once both nonces are exchanged, `on_frame` with each decrypted frame; it may raise
+    MessageError. `on_lost` is called once when the connection ends without a call of `close`, with the
+    reason, which is empty if the other side closed it. `on_paused` tells whether the write buffer is full."""
 
-    def __init__(self, keys: tuple[bytes, ...], asks: bool, counts: Counts) -> None:
-        self.keys, self.asks, self.counts = keys, asks, counts
+    def __init__(self, keys: tuple[bytes, ...], is_client: bool, counts: StreamCounts) -> None:
+        self.keys, self.is_client, self.counts = keys, is_client, counts
         self.on_open: Callable[[], None] = lambda: None
         self.on_frame: Callable[[bytes], None] = lambda plain: None
-        self.on_lost: Callable[[str], None] = lambda why: None
+        self.on_lost: Callable[[str], None] = lambda reason: None
         self.on_paused: Callable[[bool], None] = lambda paused: None
         self.transport: asyncio.Transport | None = None
         self.seal: StreamSeal | None = None
         self.nonce = os.urandom(NONCE_BYTES)
-        self.buffer = bytearray()  # at most a frame and what one read brings
-        self.over = False
+        self.buffer = bytearray()  # holds at most one incomplete frame and the data of one read
+        self.closed = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        if self.over:  # given up while it was on its way
+        if self.closed:  # while the connection was being established
             self.transport.abort()
             return
-        self.transport.set_write_buffer_limits(high=HIGH_WATER)
+        self.transport.set_write_buffer_limits(high=WRITE_HIGH_WATER_BYTES)
         sock = self.transport.get_extra_info("socket")
         if sock is not None:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        if self.asks:
+        if self.is_client:
             self._write(HELLO.pack(VERSION, named(self.keys[0]), self.nonce))
 
     def _write(self, data: bytes) -> None:
@@ -78,95 +79,95 @@
         self.transport.write(data)
 
     def data_received(self, data: bytes) -> None:
-        if self.over:
+        if self.closed:
             return
         self.counts.bytes_in += len(data)
         self.buffer += data
         try:
-            self._take()
+            self._process_buffer()
         except Foreign:
             self.counts.foreign += 1
-            self._lose(FOREIGN)
-        except Unreadable as error:
+            self._abort(FOREIGN)
+        except MessageError as error:
             self.counts.unreadable += 1
             self.counts.last_unreadable = str(error)
-            self._lose(UNREADABLE)
+            self._abort(UNREADABLE)
 
-    def _take(self) -> None:
-        """Raises Foreign, Unreadable."""
-        if self.seal is None and not self._greeted():
+    def _process_buffer(self) -> None:
+        """Raises Foreign and MessageError."""
+        if self.seal is None and not self._complete_handshake():
             return
         assert self.seal is not None
-        at, buffer = 0, self.buffer
-        while len(buffer) - at >= LENGTH.size:
-            (length,) = LENGTH.unpack_from(buffer, at)
+        start, buffer = 0, self.buffer
+        while len(buffer) - start >= LENGTH.size:
+            (length,) = LENGTH.unpack_from(buffer, start)
             if length > MAX_FRAME_BYTES:
-                raise Unreadable(f"a frame of {length} bytes")
-            end = at + LENGTH.size + length
+                raise MessageError(f"frame has {length} bytes, expected at most {MAX_FRAME_BYTES}")
+            end = start + LENGTH.size + length
             if len(buffer) < end:
                 break
-            plain = self.seal.open(bytes(buffer[at + LENGTH.size : end]))
-            at = end
+            plain = self.seal.open(bytes(buffer[start + LENGTH.size : end]))
+            start = end
             self.counts.frames_in += 1
             self.on_frame(plain)
-            if self.over:
+            if self.closed:
                 return
-        del buffer[:at]
+        del buffer[:start]
 
-    def _greeted(self) -> bool:
-        """Whether both numbers are here. Raises Foreign."""
-        size = NONCE_BYTES if self.asks else HELLO.size
+    def _complete_handshake(self) -> bool:
+        """Whether both nonces are exchanged and the stream is still open. Raises Foreign."""
+        size = NONCE_BYTES if self.is_client else HELLO.size
         if len(self.buffer) < size:
             return False
-        theirs = bytes(self.buffer[:size])
+        peer_nonce = bytes(self.buffer[:size])
         del self.buffer[:size]
-        if self.asks:
-            self.seal = StreamSeal(self.keys[0], self.nonce, theirs, True)
+        if self.is_client:
+            self.seal = StreamSeal(self.keys[0], self.nonce, peer_nonce, True)
         else:
-            version, name, theirs = HELLO.unpack(theirs)
-            key = next((key for key in self.keys if named(key) == name), None)
+            version, key_id, peer_nonce = HELLO.unpack(peer_nonce)
+            key = next((key for key in self.keys if named(key) == key_id), None)
             if version != VERSION or key is None:
-                raise Foreign("another version or key")
+                raise Foreign("hello has an unknown version or key")
             self._write(self.nonce)
-            self.seal = StreamSeal(key, theirs, self.nonce, False)
+            self.seal = StreamSeal(key, peer_nonce, self.nonce, False)
         self.on_open()
-        return not self.over
+        return not self.closed
 
     def send(self, message: Message) -> None:
-        if self.over or self.seal is None or self.transport is None:
+        if self.closed or self.seal is None or self.transport is None:
             return
         try:
             plain = encode(message)
-        except Unreadable:
+        except MessageError:
             self.counts.unsendable += 1
-            self._lose(UNSENDABLE)
+            self._abort(UNSENDABLE)
             return
         sealed = self.seal.close(plain)
         self.counts.frames_out += 1
         self._write(LENGTH.pack(len(sealed)) + sealed)
-        if self.transport.get_write_buffer_size() > UNSENT_MOST:
+        if self.transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
             self.counts.overfull += 1
-            self._lose(OVERFULL)
+            self._abort(OVERFULL)
 
     def pause_writing(self) -> None:
-        if not self.over:
+        if not self.closed:
             self.on_paused(True)
 
     def resume_writing(self) -> None:
-        if not self.over:
+        if not self.closed:
             self.on_paused(False)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        if not self.over:
-            self._lose("")
+        if not self.closed:
+            self._abort("")
 
-    def _lose(self, why: str) -> None:
+    def _abort(self, reason: str) -> None:
         self.close(at_once=True)
-        self.on_lost(why)
+        self.on_lost(reason)
 
     def close(self, at_once: bool = False) -> None:
-        """Without a word to `on_lost`. What was sent before goes out, unless `at_once`."""
-        self.over = True
+        """Closes the connection without a call of `on_lost`. Buffered data is still sent unless `at_once`."""
+        self.closed = True
         self.buffer.clear()
         if self.transport is None:
             return
@@ -174,4 +175,4 @@
             self.transport.abort()
             return
         self.transport.close()
-        asyncio.get_running_loop().call_later(CLOSE_S, self.transport.abort)
+        asyncio.get_running_loop().call_later(CLOSE_TIMEOUT_S, self.transport.abort)
--- a/flintlatch/delivery/subscriber.py
+++ b/flintlatch/delivery/subscriber.py
@@ -1,8 +1,9 @@
-"""A subscriber: follows names at one relay after another, and holds them as of one revision.
+"""The subscriber's state machine: follows names at one relay at a time and holds them as of one revision.
 
-Events and a time in, actions out. It never goes back: a relay that holds less is left for another. What it
-takes in any minute is bounded by the credit that it gives, whichever relay sends. Where no relay can be had
-it keeps what it has, knows how old that may be, and says so once.
+`step` takes an event and the current time and returns actions; there is no I/O here. The revision held never
+decreases: a relay that holds an older one is left for another. The bytes received in any minute are bounded
+by the credit that the subscriber grants, over all relays together. While no relay can be reached, the
+subscriber keeps its state, tracks how old that may be, and logs the outage once.
 """
 
 from __future__ import annotations
@@ -13,8 +14,8 @@
 from typing import NamedTuple
 
 from flintlatch.delivery.model import (
-    ITEM_MOST,
-    REVISION_MOST,
+    MAX_ITEM_BYTES,
+    REVISION_LIMIT,
     Applied,
     Begin,
     Credit,
@@ -22,40 +23,40 @@
     FromRelay,
     FromSubscriber,
     Hello,
-    LeftOut,
+    NamesRejected,
     ObjectChange,
     ObjectPart,
     Participant,
     Ping,
     Pong,
     Refused,
+    Rejected,
+    RejectReason,
     Role,
     Rules,
     Subscribe,
-    Turned,
     Unsubscribe,
     Welcome,
-    Why,
-    rank,
+    rank_relays,
     wire_size,
 )
-from flintlatch.delivery.staging import Staging, Torn
+from flintlatch.delivery.staging import BatchError, Staging
 from flintlatch.delivery.store import Store
 from flintlatch.peers.model import Chance
 
-REFUSALS_MOST = 3  # batches of one relay that are refused on end, before it is left for another
-TRIES_AT_ONCE = 3  # relays tried one behind the other; then there are pauses
-PINGS_KEPT = 8
-NAMES_A_MESSAGE = 256
-MIN_CREDIT_BYTES = 1024  # bytes: less is not worth a message
-CONTROL_BYTES = 2048  # of tokens that are never granted: answers to pings and the like come without credit
+MAX_CONSECUTIVE_REFUSALS = 3  # refused batches of one relay after which it is left for another
+ATTEMPTS_BEFORE_BACKOFF = 3
+MAX_PENDING_PINGS = 8
+MAX_NAMES_PER_MESSAGE = 256
+MIN_CREDIT_BYTES = 1024  # a smaller grant does not justify a message
+CONTROL_RESERVE_BYTES = 2048  # tokens never granted: pongs and other control messages are sent without credit
 
 
 # Events
 
 
 class Tick(NamedTuple):
-    """At least every 0.1 s."""
+    """Expected at least every 0.1 s."""
 
 
 class Connected(NamedTuple):
@@ -71,11 +72,11 @@
     message: FromRelay
 
 
-class Unreadable(NamedTuple):
-    """A frame that is none of ours, or over the size bound; the session is over."""
+class ProtocolError(NamedTuple):
+    """The connection was ended because of a frame that is invalid, forged or too large."""
 
     session: int
-    why: str
+    reason: str
 
 
 class Follow(NamedTuple):
@@ -86,7 +87,7 @@
     names: tuple[str, ...]
 
 
-Event = Tick | Connected | Closed | Received | Unreadable | Follow | Unfollow
+Event = Tick | Connected | Closed | Received | ProtocolError | Follow | Unfollow
 
 
 # Actions
@@ -107,21 +108,19 @@
 
 
 class Changed(NamedTuple):
-    """In force from now on, all at once. `whole`: the store's objects were replaced."""
+    """The changes of one batch, already applied to the store, all at once."""
 
     revision: int
     changes: tuple[ObjectChange, ...]
 
 
 class Absent(NamedTuple):
-    """Names followed of which the origin has no object, or which are over a bound: now, not for good."""
+    """Followed names that the origin has no object for at present, or that exceed a limit."""
 
     names: tuple[str, ...]
 
 
 class LogLine(NamedTuple):
-    """A line for the log."""
-
     text: str
 
 
@@ -129,10 +128,10 @@
 
 
 class State(Enum):
-    """Of a session: OPENING -> GREETING -> LIVE, and from each to its end."""
+    """A session goes from OPENING to GREETING to LIVE, and can end in each state."""
 
-    OPENING = "opening"  # the connection is not up
-    GREETING = "greeting"  # our hello is out
+    OPENING = "opening"  # connecting
+    GREETING = "greeting"  # the hello was sent, the welcome is awaited
     LIVE = "live"
 
 
@@ -140,61 +139,67 @@
     def __init__(self, number: int, relay: Participant, now: float) -> None:
         self.number, self.relay, self.started_at = number, relay, now
         self.state = State.OPENING
-        self.pings: OrderedDict[int, float] = OrderedDict()  # unanswered, with when they were sent
+        self.pings: OrderedDict[int, float] = OrderedDict()  # unanswered pings, with the time of sending
         self.last_ping_at = now
         self.staging: Staging | None = None
-        self.refusing = False  # what comes of a batch refused, up to its end
-        self.refusals = 0  # on end
-        self.as_of = now  # a moment at which the relay's own state was the origin's
-        self.moved = now  # when it last sent of a batch, or had nothing to send
-        self.applied = -1  # the last batch that was taken
-        self.left: dict[str, float] = {}  # names not followed any more, of which a delta may be on its way
+        self.skipping_batch = False  # the rest of a refused batch is ignored up to its end
+        self.consecutive_refusals = 0
+        self.as_of = now  # latest time at which the relay's own state is known to have equalled the origin's
+        self.last_progress_at = now  # when it last sent part of a batch, or had nothing to send
+        self.last_applied_revision = -1
+        self.unfollowed_at: dict[str, float] = {}  # unfollowed names of which a delta may still be in flight
 
 
 class Subscriber:
     def __init__(
         self,
-        me: Participant,
+        identity: Participant,
         role: Role,
         relays: Iterable[Participant],
         rules: Rules,
         rng: Chance,
         now: float,
-        everything: bool = False,
+        all_objects: bool = False,
     ) -> None:
-        self.me, self.role, self.rules, self.rng, self.everything = me, role, rules, rng, everything
-        self.choices = rank(me, tuple(relays))
+        self.identity, self.role, self.rules, self.rng, self.all_objects = (
+            identity,
+            role,
+            rules,
+            rng,
+            all_objects,
+        )
+        self.ranked_relays = rank_relays(identity, tuple(relays))
         self.store = Store()
-        self.names: dict[str, bool] = {}  # followed; whether what is held of it is of the store's revision
-        self.doubtful: set[str] = set()  # which did not add up: the next relay sends them whole
+        self.names: dict[str, bool] = {}  # followed names; True if held as of the store's revision
+        self.needs_snapshot: set[str] = set()  # objects that failed verification: requested in full
         self.active_session: Session | None = None
-        self.candidate_session: Session | None = None  # another relay that is tried while the main one lasts
-        self.choice = 0  # of the main session or of the next attempt
-        self.tried = 0  # choices that failed in a row
-        self.next_at = now  # an attempt is not made before
-        self.trial_at = now + self._return_s()  # of a better choice
-        self.other_at = now  # of any other, while this one's state is old
-        self.number = self.pings = 0
-        self.tokens, self.filled = rules.burst_bytes, now  # bytes that may yet be granted
-        self.outstanding_credit = 0.0  # bytes granted to the main session that have not come
-        self.as_of = -1.0  # a moment at which the state held was the origin's; below 0: none yet
+        self.candidate_session: Session | None = None  # to another relay, while the active session continues
+        self.relay_index = 0  # of the active session or of the next attempt
+        self.failed_attempts = 0  # in a row
+        self.next_attempt_at = now
+        self.next_return_at = now + self._return_delay_s()  # to a better-ranked relay
+        self.next_stale_switch_at = now  # to any other relay, while the active one's state is stale
+        self.last_session_number = self.last_ping_number = 0
+        self.tokens, self.tokens_updated_at = rules.burst_bytes, now  # token bucket, in bytes of credit
+        self.outstanding_credit = 0.0  # bytes granted to the active session and not yet received
+        self.as_of = -1.0  # latest time at which the held state equalled the origin's; negative: never yet
         self.started_at = now
-        self.told_stale = False
+        self.stale_logged = False
         self.counts: Counter[str] = Counter()
-        self.out: list[Action] = []
+        self.actions: list[Action] = []
 
-    # What may be asked
+    # Queries
 
     def age(self, now: float) -> float:
-        """Seconds since the state held was surely the origin's."""
+        """Upper bound, in seconds, on the time since the held state equalled the origin's."""
         return now - (self.as_of if self.as_of >= 0 else self.started_at)
 
     def ready(self) -> bool:
-        """All that is followed has been answered at least once."""
-        return self.as_of >= 0 and (self.everything or all(self.names.values()))
+        """Whether every followed name has been answered at least once."""
+        return self.as_of >= 0 and (self.all_objects or all(self.names.values()))
 
     def step(self, now: float, event: Event) -> list[Action]:
-        self.out = []
+        self.actions = []
         if isinstance(event, Received):
             self._received(now, event)
         elif isinstance(event, Tick):
@@ -204,61 +209,61 @@
         elif isinstance(event, Closed):
             if (session := self._session(event.session)) is not None:
                 self._lost(now, session, "closed")
-        elif isinstance(event, Unreadable):
+        elif isinstance(event, ProtocolError):
             if (session := self._session(event.session)) is not None:
-                self._refuse_count(event.why)
-                self._leave(now, session, event.why)
+                self._count_refusal(event.reason)
+                self._leave(now, session, event.reason)
         elif isinstance(event, Follow):
             self._follow(event.names)
         else:
             self._unfollow(now, event.names)
-        return self.out
+        return self.actions
 
     def _session(self, number: int) -> Session | None:
-        """None: of a session that is over, whose frames count for nothing."""
+        """The session with this number. None if it has ended; its late events are ignored."""
         for session in (self.active_session, self.candidate_session):
             if session is not None and session.number == number:
                 return session
         return None
 
     def _send(self, session: Session, message: FromSubscriber) -> None:
-        self.out.append(Transmit(session.number, message))
+        self.actions.append(Transmit(session.number, message))
 
     # Names
 
     def _follow(self, names: tuple[str, ...]) -> None:
-        fresh = []
+        new = []
         for name in names:
             if name in self.names:
                 continue
             if len(self.names) >= self.rules.most_names:
-                self._refuse_count("a subscription over its bound")
-                self.out.append(Absent((name,)))
+                self._count_refusal("a subscription over its bound")
+                self.actions.append(Absent((name,)))
                 continue
             self.names[name] = False
-            fresh.append(name)
-        if fresh and self.active_session is not None and self.active_session.state is State.LIVE:
-            self._subscribe(self.active_session, [], fresh)
+            new.append(name)
+        if new and self.active_session is not None and self.active_session.state is State.LIVE:
+            self._subscribe(self.active_session, [], new)
 
     def _unfollow(self, now: float, names: tuple[str, ...]) -> None:
-        mine = tuple(n for n in names if self.names.pop(n, None) is not None)
-        for name in mine:
+        removed = tuple(n for n in names if self.names.pop(n, None) is not None)
+        for name in removed:
             self.store.forget(name)
-            self.doubtful.discard(name)
-        if mine and self.active_session is not None and self.active_session.state is State.LIVE:
-            self.active_session.left.update((name, now) for name in mine)
-            self._send(self.active_session, Unsubscribe(mine))
+            self.needs_snapshot.discard(name)
+        if removed and self.active_session is not None and self.active_session.state is State.LIVE:
+            self.active_session.unfollowed_at.update((name, now) for name in removed)
+            self._send(self.active_session, Unsubscribe(removed))
 
-    def _subscribe(self, session: Session, held: list[str], fresh: list[str]) -> None:
-        for at in range(0, max(len(held), len(fresh)), NAMES_A_MESSAGE):
-            until = at + NAMES_A_MESSAGE
-            self._send(session, Subscribe(tuple(held[at:until]), tuple(fresh[at:until])))
+    def _subscribe(self, session: Session, resumed: list[str], new: list[str]) -> None:
+        for start in range(0, max(len(resumed), len(new)), MAX_NAMES_PER_MESSAGE):
+            end = start + MAX_NAMES_PER_MESSAGE
+            self._send(session, Subscribe(tuple(resumed[start:end]), tuple(new[start:end])))
 
     # Sessions
 
     def _tick(self, now: float) -> None:
         rules = self.rules
-        self._fill(now)
+        self._refill_tokens(now)
         for session in (self.active_session, self.candidate_session):
             if session is None:
                 continue
@@ -268,54 +273,59 @@
                 continue
             if session.pings and now - next(iter(session.pings.values())) > rules.silence_s:
                 self._leave(now, session, "fell silent")
-            elif now - session.moved > 2 * rules.stale_s and session is self.active_session:
+            elif now - session.last_progress_at > 2 * rules.stale_s and session is self.active_session:
                 self._leave(now, session, "sends nothing")
-            elif now - session.last_ping_at >= rules.ping_s and len(session.pings) < PINGS_KEPT:
+            elif now - session.last_ping_at >= rules.ping_s and len(session.pings) < MAX_PENDING_PINGS:
                 self._ping(now, session)
-        if self.active_session is None and now >= self.next_at and self.choices:
-            self.active_session = self._open(now, self.choice % len(self.choices))
+        if self.active_session is None and now >= self.next_attempt_at and self.ranked_relays:
+            self.active_session = self._open(now, self.relay_index % len(self.ranked_relays))
         elif (
             self.active_session is not None
             and self.active_session.state is State.LIVE
             and self.candidate_session is None
         ):
-            self._try_another(now)
+            self._try_another_relay(now)
         if self.active_session is not None and self.active_session.state is State.LIVE:
-            self._grant(now, self.active_session)
-        if not self.told_stale and self.age(now) > 2 * rules.stale_s and not self._loading(now):
-            self.told_stale = True
+            self._grant_credit(now, self.active_session)
+        if not self.stale_logged and self.age(now) > 2 * rules.stale_s and not self._catching_up(now):
+            self.stale_logged = True
             held = f"serving on with revision {self.store.revision}" if self.as_of >= 0 else "nothing is held"
-            self.out.append(LogLine(f"delivery: no relay with news for {self.age(now):.0f} s; {held}"))
-
-    def _loading(self, now: float) -> bool:
-        """What is held is old, but the relay's state is young and on its way."""
-        main = self.active_session
-        return main is not None and main.state is State.LIVE and now - main.as_of <= 2 * self.rules.stale_s
-
-    def _try_another(self, now: float) -> None:
-        """A better choice in turn, or any other where this relay's own state is old."""
-        main = self.active_session
-        assert main is not None
-        if len(self.choices) < 2 or main.staging is not None:
+            self.actions.append(LogLine(f"delivery: no relay with news for {self.age(now):.0f} s; {held}"))
+
+    def _catching_up(self, now: float) -> bool:
+        """Whether the held state is old only because the relay's fresh state is still being transferred."""
+        active = self.active_session
+        return (
+            active is not None and active.state is State.LIVE and now - active.as_of <= 2 * self.rules.stale_s
+        )
+
+    def _try_another_relay(self, now: float) -> None:
+        """Connects to any other relay if the active one's own state is stale, and from time to time to a
+        better-ranked one."""
+        active = self.active_session
+        assert active is not None
+        if len(self.ranked_relays) < 2 or active.staging is not None:
             return
-        place = self.choice % len(self.choices)
-        if now - main.as_of > self.rules.stale_s and now >= self.other_at:
-            self.other_at = now + self.rules.stale_s * (0.5 + self.rng.random() / 2)
-            self.tried += 1
+        current = self.relay_index % len(self.ranked_relays)
+        if now - active.as_of > self.rules.stale_s and now >= self.next_stale_switch_at:
+            self.next_stale_switch_at = now + self.rules.stale_s * (0.5 + self.rng.random() / 2)
+            self.failed_attempts += 1
             self.candidate_session = self._open(
-                now, (place + 1 + self.tried % (len(self.choices) - 1)) % len(self.choices)
+                now,
+                (current + 1 + self.failed_attempts % (len(self.ranked_relays) - 1))
+                % len(self.ranked_relays),
             )
-        elif place and now >= self.trial_at:
-            self.trial_at = now + self._return_s()
-            self.candidate_session = self._open(now, int(self.rng.random() * place))
+        elif current and now >= self.next_return_at:
+            self.next_return_at = now + self._return_delay_s()
+            self.candidate_session = self._open(now, int(self.rng.random() * current))
 
-    def _return_s(self) -> float:
+    def _return_delay_s(self) -> float:
         return self.rules.return_s * (0.5 + self.rng.random())
 
-    def _open(self, now: float, choice: int) -> Session:
-        self.number += 1
-        session = Session(self.number, self.choices[choice], now)
-        self.out.append(Connect(session.number, session.relay))
+    def _open(self, now: float, relay_index: int) -> Session:
+        self.last_session_number += 1
+        session = Session(self.last_session_number, self.ranked_relays[relay_index], now)
+        self.actions.append(Connect(session.number, session.relay))
         return session
 
     def _connected(self, now: float, number: int) -> None:
@@ -323,66 +333,70 @@
         if session is None or session.state is not State.OPENING:
             return
         session.state = State.GREETING
-        me, held = self.me, self.store.revision
-        if self.everything and len(self.doubtful) > NAMES_A_MESSAGE:
-            held = 0
-        self._send(session, Hello(me.name, self.role, me.region, me.zone, held, self.everything))
-
-    def _leave(self, now: float, session: Session, why: str) -> None:
-        self.out.append(Disconnect(session.number))
-        self._lost(now, session, why)
-
-    def _lost(self, now: float, session: Session, why: str) -> None:
-        self.counts[f"lost: {why}"] += 1
+        identity, held_revision = self.identity, self.store.revision
+        if self.all_objects and len(self.needs_snapshot) > MAX_NAMES_PER_MESSAGE:
+            held_revision = 0
+        self._send(
+            session,
+            Hello(identity.name, self.role, identity.region, identity.zone, held_revision, self.all_objects),
+        )
+
+    def _leave(self, now: float, session: Session, reason: str) -> None:
+        self.actions.append(Disconnect(session.number))
+        self._lost(now, session, reason)
+
+    def _lost(self, now: float, session: Session, reason: str) -> None:
+        self.counts[f"lost: {reason}"] += 1
         if session is self.candidate_session:
             self.candidate_session = None
             return
-        self.outstanding_credit = 0.0  # it may be on its way still: the tokens for it do not come back
+        self.outstanding_credit = 0.0  # bytes may still be in flight, so their tokens are not returned
         was_live, self.active_session = session.state is State.LIVE, None
-        if self.candidate_session is not None:  # what was being tried is the next choice
+        if self.candidate_session is not None:  # it takes the place of the lost session
             self.active_session, self.candidate_session = self.candidate_session, None
-            self.choice = self.choices.index(self.active_session.relay)
+            self.relay_index = self.ranked_relays.index(self.active_session.relay)
             return
-        self.choice = (self.choices.index(session.relay) + 1) % len(self.choices)
+        self.relay_index = (self.ranked_relays.index(session.relay) + 1) % len(self.ranked_relays)
         if was_live:
-            self.tried = 0
-            self.next_at = now + self.rng.random() * self.rules.spread_s
+            self.failed_attempts = 0
+            self.next_attempt_at = now + self.rng.random() * self.rules.spread_s
             return
-        self.tried += 1
-        if self.tried >= TRIES_AT_ONCE:
-            least, most = self.rules.retry_s
-            wait = min(most, least * 2 ** min(self.tried - TRIES_AT_ONCE, 8))
-            self.next_at = now + wait * (0.5 + self.rng.random() / 2)
+        self.failed_attempts += 1
+        if self.failed_attempts >= ATTEMPTS_BEFORE_BACKOFF:
+            first_s, longest_s = self.rules.retry_s
+            backoff_s = min(longest_s, first_s * 2 ** min(self.failed_attempts - ATTEMPTS_BEFORE_BACKOFF, 8))
+            self.next_attempt_at = now + backoff_s * (0.5 + self.rng.random() / 2)
 
     def _ping(self, now: float, session: Session) -> None:
-        self.pings += 1
+        self.last_ping_number += 1
         session.last_ping_at = now
-        session.pings[self.pings] = now
-        self._send(session, Ping(self.pings))
+        session.pings[self.last_ping_number] = now
+        self._send(session, Ping(self.last_ping_number))
 
     # Credit
 
-    def _fill(self, now: float) -> None:
+    def _refill_tokens(self, now: float) -> None:
         rules = self.rules
-        full = (
-            rules.burst_bytes - self.outstanding_credit
-        )  # what is granted may come later than what is spared
-        self.tokens = min(full, self.tokens + (now - self.filled) * rules.bytes_per_s)
-        self.filled = now
-
-    def _grant(self, now: float, session: Session) -> None:
-        """All that may come within the bound, up to a window: what one that is lost leaves unsent is lost."""
-        spare = int(min(self.tokens - CONTROL_BYTES, self.rules.window_bytes - self.outstanding_credit))
-        if spare >= MIN_CREDIT_BYTES:
-            if (
-                self.outstanding_credit < self.rules.part_bytes + ITEM_MOST
-            ):  # until now it may have had too little
-                session.moved = now
-            self.tokens -= spare
-            self.outstanding_credit += spare
-            self._send(session, Credit(spare))
-
-    # What relays say
+        # Outstanding credit may arrive later, on top of the tokens saved until then.
+        capacity = rules.burst_bytes - self.outstanding_credit
+        self.tokens = min(capacity, self.tokens + (now - self.tokens_updated_at) * rules.bytes_per_s)
+        self.tokens_updated_at = now
+
+    def _grant_credit(self, now: float, session: Session) -> None:
+        """Grants all available tokens, but leaves at most one window outstanding: credit that a lost relay
+        has not used is forfeited."""
+        grant = int(
+            min(self.tokens - CONTROL_RESERVE_BYTES, self.rules.window_bytes - self.outstanding_credit)
+        )
+        if grant >= MIN_CREDIT_BYTES:
+            # The credit so far may have been too small for the next part, so the lack of progress was ours.
+            if self.outstanding_credit < self.rules.part_bytes + MAX_ITEM_BYTES:
+                session.last_progress_at = now
+            self.tokens -= grant
+            self.outstanding_credit += grant
+            self._send(session, Credit(grant))
+
+    # Messages from relays
 
     def _received(self, now: float, event: Received) -> None:
         session, message = self._session(event.session), event.message
@@ -390,180 +404,193 @@
             self.counts["of a session that is over"] += 1
             return
         if not isinstance(message, Begin | ObjectPart | End):
-            self._fill(now)
+            self._refill_tokens(now)
             self.tokens -= wire_size(message)
         if session.state is not State.LIVE:
             if isinstance(message, Welcome) and session.state is State.GREETING:
                 self._welcome(now, session, message)
-            elif isinstance(message, Turned):
-                known = message.why in list(Why)
-                why = Why(message.why).name.lower() if known else "turned away"
-                if why == "everything":
-                    self._tell_once("delivery: a relay does not let us follow everything")
-                self._leave(now, session, why)
+            elif isinstance(message, Rejected):
+                known = message.reason in list(RejectReason)
+                reason = RejectReason(message.reason).name.lower() if known else "turned away"
+                if reason == "everything":
+                    self._log_once("delivery: a relay does not let us follow everything")
+                self._leave(now, session, reason)
             else:
-                self._refuse_count("a message before the welcome")
+                self._count_refusal("a message before the welcome")
                 self._leave(now, session, "out of order")
             return
         if isinstance(message, Begin | ObjectPart | End):
             size = wire_size(message)
             self.outstanding_credit = max(0.0, self.outstanding_credit - size)
-            self._batch(now, session, message, size)
+            self._batch_message(now, session, message, size)
             if self.outstanding_credit < self.rules.window_bytes / 2 and self.active_session is session:
-                self._fill(now)
-                self._grant(now, session)
+                self._refill_tokens(now)
+                self._grant_credit(now, session)
         elif isinstance(message, Pong):
             self._pong(now, session, message)
-        elif isinstance(message, LeftOut):
-            self._refuse_count("a subscription over its bound")
+        elif isinstance(message, NamesRejected):
+            self._count_refusal("a subscription over its bound")
             for name in message.names:
                 self.names.pop(name, None)
                 self.store.forget(name)
-                self.doubtful.discard(name)
-            self.out.append(Absent(message.names))
+                self.needs_snapshot.discard(name)
+            self.actions.append(Absent(message.names))
 
     def _welcome(self, now: float, session: Session, welcome: Welcome) -> None:
         if welcome.revision < self.store.revision:
             self._leave(now, session, "behind")
             return
         if session is self.candidate_session:
-            before = self.active_session
-            assert before is not None
-            age = now - before.as_of
+            previous = self.active_session
+            assert previous is not None
+            age = now - previous.as_of
             if age > self.rules.stale_s and welcome.age_ms / 1000 + self.rules.ping_s >= age:
                 self._leave(now, session, "no younger")
                 return
             self.candidate_session = None
-            self.out.append(Disconnect(before.number))
+            self.actions.append(Disconnect(previous.number))
             self.outstanding_credit = 0.0
-        session.state, session.moved = State.LIVE, now
+        session.state, session.last_progress_at = State.LIVE, now
         session.as_of = session.started_at - welcome.age_ms / 1000
         self.active_session = session
-        self.choice, self.tried = self.choices.index(session.relay), 0
-        self.trial_at = now + self._return_s()
-        if not self.everything:
-            fresh = [n for n, known in self.names.items() if not known or n in self.doubtful]
-            held = [n for n, known in self.names.items() if known and n not in self.doubtful]
-            self._subscribe(session, held, fresh)
-        self._fill(now)
-        self._grant(now, session)
+        self.relay_index, self.failed_attempts = self.ranked_relays.index(session.relay), 0
+        self.next_return_at = now + self._return_delay_s()
+        if not self.all_objects:
+            new = [n for n, known in self.names.items() if not known or n in self.needs_snapshot]
+            resumed = [n for n, known in self.names.items() if known and n not in self.needs_snapshot]
+            self._subscribe(session, resumed, new)
+        self._refill_tokens(now)
+        self._grant_credit(now, session)
         self._ping(now, session)
 
     def _pong(self, now: float, session: Session, pong: Pong) -> None:
-        asked = session.pings.pop(pong.number, None)
+        sent_at = session.pings.pop(pong.number, None)
         while session.pings and next(iter(session.pings)) < pong.number:
             session.pings.popitem(last=False)
-        if asked is None:
+        if sent_at is None:
             return
-        session.as_of = max(session.as_of, asked - pong.age_ms / 1000)
-        if pong.held_ms >= 0 and pong.revision <= self.store.revision:
-            self._known(now, asked - pong.held_ms / 1000)
-        if not pong.current:
+        session.as_of = max(session.as_of, sent_at - pong.age_ms / 1000)
+        if pong.held_age_ms >= 0 and pong.revision <= self.store.revision:
+            self._update_as_of(now, sent_at - pong.held_age_ms / 1000)
+        if not pong.up_to_date:
             return
-        session.moved = now
-        session.left = {name: at for name, at in session.left.items() if at >= asked}
-        if session.staging is not None:  # it has nothing more to send: a Begin that was none
-            self._refuse_count("a batch without its end")
-        session.staging, session.refusing = None, False
+        session.last_progress_at = now
+        session.unfollowed_at = {name: at for name, at in session.unfollowed_at.items() if at >= sent_at}
+        # The relay has nothing more to send, so the End of a batch in progress never comes.
+        if session.staging is not None:
+            self._count_refusal("a batch without its end")
+        session.staging, session.skipping_batch = None, False
         if pong.revision < self.store.revision:
-            self._refuse_count("an older revision")
+            self._count_refusal("an older revision")
             self._leave(now, session, "went back")
             return
         self.store.revision = pong.revision
-        self._known(now, asked - pong.age_ms / 1000)
+        self._update_as_of(now, sent_at - pong.age_ms / 1000)
 
-    def _known(self, now: float, as_of: float) -> None:
-        """What is held was the origin's at that moment, or is newer."""
+    def _update_as_of(self, now: float, as_of: float) -> None:
+        """Records that the held state equalled the origin's at `as_of`, or is newer than that."""
         self.as_of = max(self.as_of, as_of)
         age = self.age(now)
-        if self.told_stale and age <= self.rules.stale_s:
-            self.told_stale = False
-            self.out.append(
+        if self.stale_logged and age <= self.rules.stale_s:
+            self.stale_logged = False
+            self.actions.append(
                 LogLine(f"delivery: revision {self.store.revision} again {age:.1f} s old at most")
             )
 
-    def _batch(self, now: float, session: Session, message: Begin | ObjectPart | End, size: int) -> None:
-        session.moved = now
+    def _batch_message(
+        self, now: float, session: Session, message: Begin | ObjectPart | End, size: int
+    ) -> None:
+        session.last_progress_at = now
         try:
             if isinstance(message, Begin):
                 self._begin(session, message)
-            elif session.refusing:
-                session.refusing = not isinstance(message, End)
+            elif session.skipping_batch:
+                session.skipping_batch = not isinstance(message, End)
             elif session.staging is None:
-                # No part is answered: the batch's end is, unless it is one that was taken.
-                if isinstance(message, ObjectPart) or message.to == session.applied:
-                    self._refuse_count("a part of no batch")
+                # A stray part is not answered. A stray End is, unless it repeats the last applied batch's.
+                if (
+                    isinstance(message, ObjectPart)
+                    or message.target_revision == session.last_applied_revision
+                ):
+                    self._count_refusal("a part of no batch")
                 else:
-                    raise Torn("an end of no batch")
+                    raise BatchError("an end of no batch")
             elif isinstance(message, ObjectPart):
                 session.staging.add(message, size)
             else:
                 self._end(session, session.staging, message)
-        except Torn as torn:
-            self._refuse(now, session, torn, message)
+        except BatchError as error:
+            self._refuse(now, session, error, message)
 
     def _begin(self, session: Session, begin: Begin) -> None:
         if session.staging is not None:
             session.staging = None
-            raise Torn("a batch within a batch")
-        session.refusing = False
-        if begin.to < self.store.revision:
-            raise Torn("an older revision")
-        if begin.to >= REVISION_MOST:
-            raise Torn("a revision out of bounds")
-        if begin.base > self.store.revision:
-            raise Torn("a gap")
-        if begin.whole and not self.everything:
-            raise Torn("a whole batch for a part")
+            raise BatchError("a batch within a batch")
+        session.skipping_batch = False
+        if begin.target_revision < self.store.revision:
+            raise BatchError("an older revision")
+        if begin.target_revision >= REVISION_LIMIT:
+            raise BatchError("a revision out of bounds")
+        if begin.base_revision > self.store.revision:
+            raise BatchError("a gap")
+        if begin.full and not self.all_objects:
+            raise BatchError("a whole batch for a part")
         session.staging = Staging(begin, self.rules, self.store)
 
     def _end(self, session: Session, staging: Staging, end: End) -> None:
-        if not self.everything:  # names that are followed no more, or that nobody named
+        if not self.all_objects:  # objects that were unfollowed meanwhile or never followed
             self.counts["not followed"] += staging.drop_unknown(self.names)
-            staging.drop_left([name for name in session.left if not self.names.get(name, True)])
-        taken = staging.end(end)
-        session.staging, session.applied = None, end.to
-        session.refusals = 0
-        self.store.put(taken.objects, end.to)
-        if staging.begin.whole:  # of what was gone before, this relay has said nothing
-            self.store.gone.clear()
-            self.store.deletion_floor = end.to
-        self.doubtful.difference_update(name for name, _ in taken.objects)
+            staging.drop_stale_deltas([n for n in session.unfollowed_at if not self.names.get(n, True)])
+        batch = staging.finish(end)
+        session.staging, session.last_applied_revision = None, end.target_revision
+        session.consecutive_refusals = 0
+        self.store.put(batch.objects, end.target_revision)
+        if staging.begin.full:  # a full batch does not name the objects that were deleted earlier
+            self.store.deleted.clear()
+            self.store.deletion_floor = end.target_revision
+        self.needs_snapshot.difference_update(name for name, _ in batch.objects)
         absent = []
-        if not self.everything:
-            for name, one in taken.objects:
+        if not self.all_objects:
+            for name, stored in batch.objects:
                 self.names[name] = True
-                if one is None:
+                if stored is None:
                     absent.append(name)
-        self._send(session, Applied(end.to))
+        self._send(session, Applied(end.target_revision))
         self.counts["batches"] += 1
-        if taken.changes:
-            self.out.append(Changed(end.to, taken.changes))
+        if batch.changes:
+            self.actions.append(Changed(end.target_revision, batch.changes))
         if absent:
-            self.out.append(Absent(tuple(absent)))
+            self.actions.append(Absent(tuple(absent)))
 
-    def _refuse(self, now: float, session: Session, torn: Torn, message: Begin | ObjectPart | End) -> None:
-        """The batch is not taken, nothing of it; the objects named come as snapshots."""
-        self._refuse_count(torn.why)
-        to = session.staging.begin.to if session.staging is not None else self.store.revision
+    def _refuse(
+        self, now: float, session: Session, error: BatchError, message: Begin | ObjectPart | End
+    ) -> None:
+        """Discards the whole batch and asks for snapshots of the objects that failed."""
+        self._count_refusal(error.reason)
+        target_revision = (
+            session.staging.begin.target_revision if session.staging is not None else self.store.revision
+        )
         if isinstance(message, Begin):
-            to = message.to
+            target_revision = message.target_revision
         session.staging = None
-        session.refusing = not isinstance(message, End)
-        session.refusals += 1
-        known = self.store.objects if self.everything else self.names
-        self.doubtful.update(name for name in torn.names if name in known)
-        if session.refusals >= REFUSALS_MOST or len(torn.names) > NAMES_A_MESSAGE:
+        session.skipping_batch = not isinstance(message, End)
+        session.consecutive_refusals += 1
+        known = self.store.objects if self.all_objects else self.names
+        self.needs_snapshot.update(name for name in error.names if name in known)
+        if (
+            session.consecutive_refusals >= MAX_CONSECUTIVE_REFUSALS
+            or len(error.names) > MAX_NAMES_PER_MESSAGE
+        ):
             self._leave(now, session, "refused")
             return
-        self._send(session, Refused(self.store.revision, to, torn.names))
+        self._send(session, Refused(self.store.revision, target_revision, error.names))
 
-    def _refuse_count(self, why: str) -> None:
-        self.counts[f"refused: {why}"] += 1
-        if self.counts[f"refused: {why}"] == 1:
-            self.out.append(LogLine(f"delivery: refused {why}; told once, then counted"))
+    def _count_refusal(self, reason: str) -> None:
+        self.counts[f"refused: {reason}"] += 1
+        if self.counts[f"refused: {reason}"] == 1:
+            self.actions.append(LogLine(f"delivery: refused {reason}; told once, then counted"))
 
-    def _tell_once(self, text: str) -> None:
+    def _log_once(self, text: str) -> None:
         self.counts[text] += 1
         if self.counts[text] == 1:
-            self.out.append(LogLine(text))
+            self.actions.append(LogLine(text))
--- a/tests/delivery/reference.py
+++ b/tests/delivery/reference.py
@@ -56,7 +56,7 @@
 
 def scope_of(one: Subscriber) -> list[str] | None:
     """Names that it holds or knows to be absent; None: all."""
-    return None if one.everything else [name for name, known in one.names.items() if known]
+    return None if one.all_objects else [name for name, known in one.names.items() if known]
 
 
 def held_by(one: Subscriber) -> State:
@@ -112,7 +112,7 @@
         revision, scope, held = one.store.revision, scope_of(one), held_by(one)
         assert revision >= self.revisions.get(name, 0), f"{name}: its revision went back"
         self.revisions[name] = revision
-        if one.everything and one.as_of < 0:
+        if one.all_objects and one.as_of < 0:
             return  # of a relay that has not heard anything yet, nobody is served
         assert held == within(self.history.at(revision), scope), f"{name}: torn at revision {revision}"
         if one.as_of >= 0:
@@ -154,7 +154,7 @@
         self.sent[target, type(message)] += 1
         if isinstance(message, ObjectPart):
             self.parts[target, Kind(message.kind)] += 1
-            if not message.more:
+            if not message.has_more:
                 self.objects[target, message.name, Kind(message.kind)] += 1
         return [message] if self.alter is None else self.alter(stream, target, message)
 
--- a/tests/delivery/test_bounds.py
+++ b/tests/delivery/test_bounds.py
@@ -98,7 +98,7 @@
     worst = 0.0
     for seed in range(4):
         fleet = settled(relays=6, seed=seed, proxies=3, rules=Rules(return_s=5.0))
-        mine = fleet.core("p0").choices
+        mine = fleet.core("p0").ranked_relays
         fleet.until(lambda fleet=fleet, mine=mine: fleet.relay_of("p0") == mine[0].name, 100)  # type: ignore[misc]
         fleet.run(seed * 0.3)
         for place in mine[:dead]:
@@ -128,11 +128,11 @@
     for n in range(300):
         changed(fleet, f"{n}")
         fleet.run(0.02)
-        assert set(session.dirty) <= set(fleet.names["p0"]) and session.plan is None
+        assert set(session.dirty) <= set(fleet.names["p0"]) and session.batch is None
     fleet.run(1)
     assert session.credit == at and not fleet.exact("p0")
     fleet.wire.clear()
-    host.from_below(relay.Drained(session.number))
+    host.from_below(relay.Writable(session.number))
     fleet.settle(1)
     assert fleet.wire.sent["p0", Begin] == 1 and fleet.wire.parts["p0", Kind.DELTA] == 6
 
@@ -154,7 +154,7 @@
         assert set(session.dirty) <= set(fleet.names["p0"])
         sent = sum(c for (to, _), c in fleet.wire.parts.items() if to == "p0")
     assert session.credit < fleet.rules.part_bytes + 2000 and sent < 10
-    assert session.number not in one.busy
+    assert session.number not in one.send_queue
     deaf[0] = False
     fleet.settle(30)
 
@@ -189,7 +189,7 @@
 def test_a_proxy_that_asks_for_everything_is_turned_away_and_tells_once() -> None:
     fleet = settled(proxies=1)
     host = fleet.proxy("greedy")
-    host.subscriber.everything = True
+    host.subscriber.all_objects = True
     fleet.run(30)
     assert not host.subscriber.store.objects
     assert fleet.told("greedy").count("delivery: a relay does not let us follow everything") == 1
--- a/tests/delivery/test_commands.py
+++ b/tests/delivery/test_commands.py
@@ -183,9 +183,9 @@
             bounds = (await lines.stdout.readline()).decode()
             assert bounds.startswith("bounds: a change is here within 0.6 s, ")
             assert f"at most {Rules().max_bytes_per_minute():,.0f} bytes in a minute" in bounds and rules
-            assert "mark: 1 items put, 0 taken away" in (await lines.stdout.readline()).decode()
+            assert "mark: 1 items put, 0 removed" in (await lines.stdout.readline()).decode()
             await made.commit("s0")
-            assert "mark: 1 items put, 0 taken away" in (await lines.stdout.readline()).decode()
+            assert "mark: 1 items put, 0 removed" in (await lines.stdout.readline()).decode()
             lines.send_signal(signal.SIGTERM)
             assert await lines.wait() == 0
 
--- a/tests/delivery/test_hard_cases.py
+++ b/tests/delivery/test_hard_cases.py
@@ -166,10 +166,10 @@
     fleet = settled(proxies=1)
     for name in fleet.places:
         fleet.lab.kill(name)
-    before = fleet.core("p0").number
+    before = fleet.core("p0").last_session_number
     fleet.run(120)
     least, most = fleet.rules.retry_s
-    assert 120 / most / 2 < fleet.core("p0").number - before < 120 / most * 2 + 6
+    assert 120 / most / 2 < fleet.core("p0").last_session_number - before < 120 / most * 2 + 6
 
 
 def test_an_object_gone_that_a_relay_never_held_is_gone_for_those_who_did() -> None:
--- a/tests/delivery/test_processes.py
+++ b/tests/delivery/test_processes.py
@@ -18,7 +18,7 @@
 
 from flintlatch.config.delivery import read_rules
 from flintlatch.config.reader import Reader
-from flintlatch.delivery.model import Participant, rank
+from flintlatch.delivery.model import Participant, rank_relays
 from flintlatch.delivery.source import POLL_INTERVAL_S
 from flintlatch.standin.delivery import QUICK, Delivered, delivered
 
@@ -51,7 +51,7 @@
     """Each is at the relay that it likes best."""
     places = {n: Participant(n, p.zone, p.zone) for n, p in made.links.places.items()}
     relays = tuple(places[name] for name in RELAYS)
-    best = {name: rank(places[name], relays)[0].name for name in made.follows}
+    best = {name: rank_relays(places[name], relays)[0].name for name in made.follows}
     await made.until(
         lambda: all(made.relay_of(name) == best[name] for name in best), "the best relay for each"
     )
--- a/tests/delivery/test_refusals.py
+++ b/tests/delivery/test_refusals.py
@@ -7,7 +7,7 @@
 
 from flintlatch.delivery import relay, subscriber
 from flintlatch.delivery.model import (
-    REVISION_MOST,
+    REVISION_LIMIT,
     Applied,
     Begin,
     Credit,
@@ -15,19 +15,19 @@
     FromRelay,
     FromSubscriber,
     Hello,
-    LeftOut,
+    NamesRejected,
     ObjectChange,
     ObjectPart,
     Participant,
     Ping,
     Pong,
     Refused,
+    Rejected,
+    RejectReason,
     Role,
     Rules,
     Subscribe,
-    Turned,
     Welcome,
-    Why,
 )
 from flintlatch.delivery.store import Store
 
@@ -126,7 +126,12 @@
 
 
 @pytest.mark.parametrize(
-    "hello", [replace(HELLO, held=-1), replace(HELLO, held=REVISION_MOST), replace(HELLO, name="n" * 201)]
+    "hello",
+    [
+        replace(HELLO, held_revision=-1),
+        replace(HELLO, held_revision=REVISION_LIMIT),
+        replace(HELLO, name="n" * 201),
+    ],
 )
 def test_a_relay_drops_a_hello_out_of_bounds(hello: Hello) -> None:
     one = served()
@@ -174,25 +179,27 @@
     one = served(Rules(most_names=2))
     say(one, HELLO)
     out = say(one, Subscribe(("a",), ("n" * 201, "", "b", "c")))
-    assert answers(out) == [LeftOut(("n" * 201, "", "c"))]
+    assert answers(out) == [NamesRejected(("n" * 201, "", "c"))]
     assert one.sessions[1].names == {"a", "b"} and set(one.followers) == {"a", "b"}
     assert one.counts["refused: a subscription over its bound"] == 1
 
 
 def test_nobody_is_welcomed_by_who_knows_nothing_or_has_enough() -> None:
     behind = served()
-    assert answers(say(behind, replace(HELLO, held=2))) == [Turned(Why.BEHIND, 1)]
+    assert answers(say(behind, replace(HELLO, held_revision=2))) == [Rejected(RejectReason.BEHIND, 1)]
     assert behind.counts["turned away: behind"] == 1 and not behind.sessions
     nothing = relay.Relay("r", Store(), Rules(), lambda now: None)
     nothing.step(0.0, relay.Accepted(1))
-    assert answers(say(nothing, HELLO)) == [Turned(Why.BEHIND, 0)]
+    assert answers(say(nothing, HELLO)) == [Rejected(RejectReason.BEHIND, 0)]
     origin = relay.Relay("o", Store(), Rules(), lambda now: 0.0, is_origin=True)
     origin.step(0.0, relay.Accepted(1))
-    assert answers(say(origin, replace(HELLO, role=Role.RELAY, held=7))) == [Turned(Why.BEHIND, 0)]
+    assert answers(say(origin, replace(HELLO, role=Role.RELAY, held_revision=7))) == [
+        Rejected(RejectReason.BEHIND, 0)
+    ]
     origin.store.commit([])  # it knows that there is nothing
     origin.step(0.0, relay.Accepted(2))
     assert isinstance(answers(say(origin, replace(HELLO, role=Role.RELAY), 2))[0], Welcome)
     full = served(Rules(most_sessions=1))
     say(full, HELLO)
     full.step(0.0, relay.Accepted(2))
-    assert answers(say(full, HELLO, 2)) == [Turned(Why.BUSY, 1)]
+    assert answers(say(full, HELLO, 2)) == [Rejected(RejectReason.BUSY, 1)]
--- a/tests/delivery/test_shell.py
+++ b/tests/delivery/test_shell.py
@@ -12,7 +12,7 @@
 from flintlatch.delivery.model import (
     Participant,
 )
-from flintlatch.delivery.shell import Server, Turns
+from flintlatch.delivery.shell import EventQueue, Server
 from flintlatch.delivery.wire import MAX_FRAME_BYTES
 from flintlatch.peers.clock import clock
 from flintlatch.peers.shell import NotBound
@@ -122,11 +122,11 @@
     def step(event: str) -> None:
         order.append(event)
         if event == "first":
-            turns.take("second")
+            turns.submit("second")
             order.append("rest of the first")
 
-    turns: Turns[str] = Turns(step)
-    turns.take("first")
+    turns: EventQueue[str] = EventQueue(step)
+    turns.submit("first")
     assert order == ["first", "rest of the first", "second"]
 
 
@@ -153,7 +153,7 @@
             await until(lambda: all(one.holds(made.wanted) for one in some), "the one that answers")
             assert held  # some had chosen the silent one first
             await until(lambda: len(ended) == len(held), "ends of the attempts")
-            assert all(len(one.client.above.streams) == 1 for one in some)
+            assert all(len(one.client.connections.streams) == 1 for one in some)
         server.close()
 
     run(test())
--- a/tests/delivery/test_source.py
+++ b/tests/delivery/test_source.py
@@ -11,7 +11,7 @@
 import pytest
 
 from flintlatch.delivery import source as module
-from flintlatch.delivery.source import CONFIRM, Source, Unusable, parse
+from flintlatch.delivery.source import CONFIRM_KEY, InvalidFile, Source, parse
 from flintlatch.delivery.store import Store
 
 
@@ -61,8 +61,8 @@
 @pytest.mark.parametrize(
     ("content", "words"),
     [
-        ('{"o0": {"i0": 1}, "o1": {"i', "half of it"),
-        ("", "half of it"),
+        ('{"o0": {"i0": 1}, "o1": {"i', "incomplete"),
+        ("", "incomplete"),
         ("[]", "found a list, expected a table of objects"),
         ('{"o0": 3}', "'o0': found 3, expected a table of items"),
         ('{"": {"x": 1}}', "a name of 0 bytes"),
@@ -70,7 +70,7 @@
         (json.dumps({"o0": {"i" * 201: 1}}), "'o0': an item's name of 201 bytes"),
         (json.dumps({"o0": {"x": "v" * 16 * 1024}}), "item 'x' of 16386 bytes, expected at most 16384"),
         (json.dumps({"o0": {f"{n}": "v" * 16_000 for n in range(70)}}), "expected at most 1048576"),
-        (json.dumps({CONFIRM: 1, "o0": {"x": 1}}), "$confirm: found 1, expected true"),
+        (json.dumps({CONFIRM_KEY: 1, "o0": {"x": 1}}), "$confirm: found 1, expected true"),
     ],
 )
 def test_a_wrong_file_is_told_once_and_the_last_good_one_stands(
@@ -83,7 +83,7 @@
     origin.put(content)
     assert [origin.look() for _ in range(3)] == [None] * 3
     (told,) = origin.told
-    assert words in told and "the last good one stands" in told and "\n" not in told
+    assert words in told and "keeping the last valid content" in told and "\n" not in told
     assert origin.holds() == held and origin.store.revision == revision
     origin.put(objects(3))
     assert origin.look() == ("o2",)
@@ -95,10 +95,10 @@
     origin = Origin(tmp_path)
     assert origin.look() is None and origin.look() is None
     assert len(origin.told) == 1 and "No such file" in origin.told[0]
-    monkeypatch.setattr(module, "FILE_MOST", 100)
+    monkeypatch.setattr(module, "MAX_FILE_BYTES", 100)
     origin.put(objects(50))
     assert origin.look() is None
-    assert "over 100 bytes" in origin.told[1]
+    assert "more than 100 bytes" in origin.told[1]
 
 
 def test_a_file_that_changes_as_it_is_read_is_read_again(tmp_path: Path) -> None:
@@ -106,11 +106,11 @@
     origin = Origin(tmp_path)
     origin.path.write_text('{"a": {"x": 1}}')
     assert origin.look() == ("a",)
-    identity = module.look(str(origin.path))
+    identity = module.file_identity(str(origin.path))
     with origin.path.open("r+") as file:
         file.write('{"a": {"x": 2}}')
     os.utime(origin.path, ns=(identity[0], identity[0]))
-    assert module.look(str(origin.path)) == identity
+    assert module.file_identity(str(origin.path)) == identity
     assert origin.look() == ("a",)
 
 
@@ -134,16 +134,16 @@
     assert origin.holds() == held
     (told,) = origin.told
     assert f"takes away {what}; held until" in told
-    origin.put(less | {CONFIRM: True})
+    origin.put(less | {CONFIRM_KEY: True})
     assert origin.look() is not None
     assert set(origin.holds()) == set(less)
-    origin.put(objects(10, 4) | {CONFIRM: True})  # the key left in the file confirms nothing more
+    origin.put(objects(10, 4) | {CONFIRM_KEY: True})  # the key left in the file confirms nothing more
     origin.look()
-    origin.put(less | {CONFIRM: True})
+    origin.put(less | {CONFIRM_KEY: True})
     assert origin.look() is None and len(origin.told) == 2
     origin.put(objects(10, 4))
     origin.look()
-    origin.put(less | {CONFIRM: True})
+    origin.put(less | {CONFIRM_KEY: True})
     assert origin.look() is not None
 
 
@@ -168,7 +168,7 @@
         store = after.store
         assert store.revision > last
         # Whoever comes with a revision of a life before is to hear of all, also of what is gone.
-        assert all(store.changed_since(name, last) for name in (*store.objects, "gone meanwhile"))
+        assert all(store.has_changed_since(name, last) for name in (*store.objects, "gone meanwhile"))
         assert store.deletion_floor > last
         last = store.revision
 
@@ -180,8 +180,8 @@
     after = Origin(tmp_path, 2000)
     after.put(objects(3))
     assert after.look() is None and "takes away 7 of 10 objects" in after.told[0]
-    assert not after.source.taken  # and it serves nobody meanwhile
-    after.put(objects(3) | {CONFIRM: True})
+    assert not after.source.committed  # and it serves nobody meanwhile
+    after.put(objects(3) | {CONFIRM_KEY: True})
     assert len(after.look() or ()) == 3
 
 
@@ -191,13 +191,13 @@
         origin = Origin(tmp_path)
         origin.put(objects(1))
         assert origin.look() == ("o0",)
-        assert "going on without" in origin.told[0]
+        assert "starting without" in origin.told[0]
     (tmp_path / "kept").unlink()
     (tmp_path / "kept").mkdir()
     origin = Origin(tmp_path)
-    assert origin.look() is not None and "not kept" in origin.told[-1]
+    assert origin.look() is not None and "was not saved" in origin.told[-1]
 
 
 def test_parsing_says_what_it_found_in_a_line() -> None:
-    with pytest.raises(Unusable, match="a list"):
+    with pytest.raises(InvalidFile, match="a list"):
         parse(b'{"a": []}')
--- a/tests/delivery/test_store.py
+++ b/tests/delivery/test_store.py
@@ -8,9 +8,9 @@
 from msgspec.structs import replace
 
 from flintlatch.delivery.model import (
-    ITEM_MOST,
+    MAX_ITEM_BYTES,
     MAX_NAME_BYTES,
-    OBJECT_MOST,
+    MAX_OBJECT_BYTES,
     Begin,
     End,
     Kind,
@@ -19,13 +19,13 @@
     Participant,
     Rules,
     item_digest,
-    rank,
+    rank_relays,
     wire_size,
 )
-from flintlatch.delivery.staging import Staging, Taken, Torn
+from flintlatch.delivery.staging import BatchError, CompletedBatch, Staging
 from flintlatch.delivery.store import (
-    GONE_MOST,
-    TOMBSTONES_LEAST,
+    MAX_DELETED_OBJECTS,
+    MIN_TOMBSTONE_LIMIT,
     OutOfBounds,
     OutOfOrder,
     Store,
@@ -44,17 +44,17 @@
     for name in names:
         one = upper.objects.get(name)
         if one is None:
-            out.append(ObjectPart(name, Kind.GONE, upper.revision, {}, (), 0, 0, False))
+            out.append(ObjectPart(name, Kind.DELETED, upper.revision, {}, (), 0, 0, False))
         else:
-            out += one.parts(name, base, part_bytes)
+            out += one.to_parts(name, base, part_bytes)
     return out
 
 
-def take(lower: Store, parts: list[ObjectPart], to: int, whole: bool = False) -> Taken:
+def take(lower: Store, parts: list[ObjectPart], to: int, whole: bool = False) -> CompletedBatch:
     staging = Staging(Begin(lower.revision, to, whole), Rules(), lower)
     for part in parts:
         staging.add(part, wire_size(part))
-    taken = staging.end(End(to, len(parts)))
+    taken = staging.finish(End(to, len(parts)))
     lower.put(taken.objects, to)
     return taken
 
@@ -104,10 +104,10 @@
         for one in upper.objects.values():
             assert one.checksum == sum(item_digest(k, v) for k, v in one.items.items()) % 2**64
             assert one.size == sum(len(k) + len(v) for k, v in one.items.items())
-            assert len(one.removed) <= max(TOMBSTONES_LEAST, len(one.items))
+            assert len(one.tombstones) <= max(MIN_TOMBSTONE_LIMIT, len(one.items))
         if n % 3 == 0:
             whole = not between.revision
-            names = list(upper.objects) if whole else upper.newer(between.revision)
+            names = list(upper.objects) if whole else upper.names_changed_since(between.revision)
             take(
                 between,
                 sent(upper, names, None if whole else between.revision, part_bytes),
@@ -134,7 +134,7 @@
                 revision,
                 old.latest_version,
             )
-            names = [name for name in "abc" if above.changed_since(name, revision)]
+            names = [name for name in "abc" if above.has_changed_since(name, revision)]
             parts = sent(above, names, revision, part_bytes)
             take(lower, parts, above.revision)
             assert state_of(lower) == state_of(above)
@@ -147,7 +147,7 @@
     mirror: State = {}
     for commit in commits:
         upper.commit([change_of(*edit) for edit in commit])
-        names = [name for name in "abc" if upper.changed_since(name, lower.revision)]
+        names = [name for name in "abc" if upper.has_changed_since(name, lower.revision)]
         for change in take(lower, sent(upper, names, lower.revision), upper.revision).changes:
             if change.deleted:
                 del mirror[change.name]
@@ -171,16 +171,16 @@
     store.commit([ObjectChange("s", {f"{name}+": b"x" for name in old[:1500]}, tuple(old[:1500]))])
     one = store.objects["s"]
     for since in (None, 1):
-        parts = list(one.parts("s", since, 4096))
+        parts = list(one.to_parts("s", since, 4096))
         assert max(wire_size(part) for part in parts) <= 4096 + 200
-        assert [part.more for part in parts] == [True] * (len(parts) - 1) + [False]
+        assert [part.has_more for part in parts] == [True] * (len(parts) - 1) + [False]
         assert {part.kind for part in parts} == {Kind.SNAPSHOT if since is None else Kind.DELTA}
 
 
 def test_an_item_larger_than_a_part_goes_alone() -> None:
     store = Store()
     store.commit([ObjectChange("s", {"a": b"", "b": bytes(5000), "c": b""})])
-    assert [len(part.items) for part in store.objects["s"].parts("s", None, 1000)] == [1, 1, 1]
+    assert [len(part.items) for part in store.objects["s"].to_parts("s", None, 1000)] == [1, 1, 1]
 
 
 def test_an_object_without_items_is_one_part() -> None:
@@ -193,15 +193,15 @@
 
 def test_what_was_taken_away_longer_ago_than_is_known_means_a_snapshot() -> None:
     store = Store()
-    store.commit([ObjectChange("s", {f"{n}": b"" for n in range(TOMBSTONES_LEAST + 2)})])
-    for n in range(TOMBSTONES_LEAST + 2):
+    store.commit([ObjectChange("s", {f"{n}": b"" for n in range(MIN_TOMBSTONE_LIMIT + 2)})])
+    for n in range(MIN_TOMBSTONE_LIMIT + 2):
         store.commit([ObjectChange("s", removed=(f"{n}",))])
     one = store.objects["s"]
-    assert one.since(1) is None and one.since(2) is None
-    assert len(one.removed) == TOMBSTONES_LEAST
-    change = one.since(3)
-    assert change is not None and len(change.removed) == TOMBSTONES_LEAST
-    assert next(one.parts("s", 2, 16384)).kind is Kind.SNAPSHOT
+    assert one.changes_since(1) is None and one.changes_since(2) is None
+    assert len(one.tombstones) == MIN_TOMBSTONE_LIMIT
+    change = one.changes_since(3)
+    assert change is not None and len(change.removed) == MIN_TOMBSTONE_LIMIT
+    assert next(one.to_parts("s", 2, 16384)).kind is Kind.SNAPSHOT
 
 
 def test_an_object_made_anew_is_a_snapshot_for_who_held_the_one_before() -> None:
@@ -209,7 +209,7 @@
     store.commit([ObjectChange("s", {"a": b""})])
     store.commit([ObjectChange("s", deleted=True)])
     store.commit([ObjectChange("s", {"b": b""})])
-    assert [part.kind for part in store.objects["s"].parts("s", 1, 16384)] == [Kind.SNAPSHOT]
+    assert [part.kind for part in store.objects["s"].to_parts("s", 1, 16384)] == [Kind.SNAPSHOT]
 
 
 # The store
@@ -231,8 +231,8 @@
         ObjectChange("n" * (MAX_NAME_BYTES + 1), {"a": b""}),
         ObjectChange("t", {"": b""}),
         ObjectChange("t", {"ä" * 101: b""}),
-        ObjectChange("t", {"a": bytes(ITEM_MOST + 1)}),
-        ObjectChange("t", {f"{n}": bytes(ITEM_MOST) for n in range(OBJECT_MOST // ITEM_MOST)}),
+        ObjectChange("t", {"a": bytes(MAX_ITEM_BYTES + 1)}),
+        ObjectChange("t", {f"{n}": bytes(MAX_ITEM_BYTES) for n in range(MAX_OBJECT_BYTES // MAX_ITEM_BYTES)}),
     ],
 )
 def test_what_every_subscriber_would_refuse_is_not_committed(change: ObjectChange) -> None:
@@ -247,10 +247,10 @@
 
 def test_the_largest_object_that_is_committed_is_taken() -> None:
     upper, lower = Store(), Store()
-    items = {f"{n:03}": bytes(ITEM_MOST - 3) for n in range(OBJECT_MOST // ITEM_MOST)}
+    items = {f"{n:03}": bytes(MAX_ITEM_BYTES - 3) for n in range(MAX_OBJECT_BYTES // MAX_ITEM_BYTES)}
     upper.commit([ObjectChange("s", items)])
     take(lower, sent(upper, ["s"], None), 1)
-    assert state_of(lower) == {"s": items} and upper.objects["s"].size == OBJECT_MOST
+    assert state_of(lower) == {"s": items} and upper.objects["s"].size == MAX_OBJECT_BYTES
 
 
 def test_replace_commits_the_difference_and_nothing_where_there_is_none() -> None:
@@ -259,7 +259,7 @@
     assert store.replace({"a": {"x": b"1", "y": b"2"}, "b": {}}) == [] and store.revision == 1
     assert set(store.replace({"a": {"x": b"1", "z": b"3"}, "c": {}})) == {"a", "b", "c"}
     assert state_of(store) == {"a": {"x": b"1", "z": b"3"}, "c": {}}
-    change = store.objects["a"].since(1)
+    change = store.objects["a"].changes_since(1)
     assert change is not None and (change.items, change.removed) == ({"z": b"3"}, ("y",))
 
 
@@ -268,22 +268,26 @@
     store.commit([ObjectChange(name) for name in "abc"])
     store.commit([ObjectChange("a", {"x": b""}), ObjectChange("never", deleted=True)])
     store.commit([ObjectChange("b", deleted=True)])
-    assert set(store.newer(1)) == {"a", "b", "never"} and store.newer(2) == ["b"] and store.newer(3) == []
-    assert store.changed_since("b", 2) and not store.changed_since("b", 3)
-    assert store.changed_since("never", 1) and not store.changed_since("never", 2)
-    assert not store.changed_since("c", 1) and not store.changed_since("unheard", 1)
+    assert (
+        set(store.names_changed_since(1)) == {"a", "b", "never"}
+        and store.names_changed_since(2) == ["b"]
+        and store.names_changed_since(3) == []
+    )
+    assert store.has_changed_since("b", 2) and not store.has_changed_since("b", 3)
+    assert store.has_changed_since("never", 1) and not store.has_changed_since("never", 2)
+    assert not store.has_changed_since("c", 1) and not store.has_changed_since("unheard", 1)
     store.forget("b")
-    assert not store.changed_since("b", 0)
+    assert not store.has_changed_since("b", 0)
 
 
 def test_of_what_is_gone_only_so_much_is_remembered_and_then_all_of_before_is_doubtful() -> None:
     store = Store()
-    store.put([(f"{n}", StoredObject(1, 1)) for n in range(GONE_MOST + 1)], 1)
+    store.put([(f"{n}", StoredObject(1, 1)) for n in range(MAX_DELETED_OBJECTS + 1)], 1)
     store.put([("0", None)], 2)
-    store.put([(f"{n}", None) for n in range(1, GONE_MOST + 1)], 3)
-    assert len(store.gone) == GONE_MOST and store.deletion_floor == 2
-    assert store.changed_since("0", 1) and not store.changed_since("0", 2)
-    assert store.changed_since("1", 2)
+    store.put([(f"{n}", None) for n in range(1, MAX_DELETED_OBJECTS + 1)], 3)
+    assert len(store.deleted) == MAX_DELETED_OBJECTS and store.deletion_floor == 2
+    assert store.has_changed_since("0", 1) and not store.has_changed_since("0", 2)
+    assert store.has_changed_since("1", 2)
 
 
 def test_a_restamp_makes_all_of_before_unknown() -> None:
@@ -291,17 +295,21 @@
     store.commit([ObjectChange("a", {"x": b""}), ObjectChange("b")])
     store.commit([ObjectChange("b", deleted=True)])
     store.restamp(100)
-    assert store.changed_since("a", 99) and store.changed_since("b", 99) and store.changed_since("c", 99)
-    assert store.objects["a"].since(99) is None
+    assert (
+        store.has_changed_since("a", 99)
+        and store.has_changed_since("b", 99)
+        and store.has_changed_since("c", 99)
+    )
+    assert store.objects["a"].changes_since(99) is None
     store.commit([ObjectChange("a", {"y": b""})])
-    change = store.objects["a"].since(100)
+    change = store.objects["a"].changes_since(100)
     assert store.revision == 101 and change is not None and change.items == {"y": b""}
 
 
 def test_an_older_object_put_late_stands_in_order() -> None:
     store = Store()
     store.put([("a", StoredObject(9, 9)), ("b", StoredObject(4, 4))], 9)
-    assert set(store.newer(8)) == {"a", "b"} and store.newer(9) == []
+    assert set(store.names_changed_since(8)) == {"a", "b"} and store.names_changed_since(9) == []
 
 
 # Staging
@@ -314,7 +322,7 @@
     upper.commit([ObjectChange(name, {"x": b"2"}) for name in "abc"])
     parts = sent(upper, ["a", "b", "c"], 1)
     parts[1] = replace(parts[1], items={"x": b"3"})
-    with pytest.raises(Torn) as torn:
+    with pytest.raises(BatchError) as torn:
         take(lower, parts, 2)
     assert torn.value.names == ("b",)
     assert state_of(lower) == {name: {"x": b"1"} for name in "abc"}
@@ -325,22 +333,22 @@
     staging = Staging(Begin(0, 1, False), rules, Store())
     part = ObjectPart("a", Kind.SNAPSHOT, 1, {"x": b""}, (), 1, 0, True)
     staging.add(part, 1999)
-    with pytest.raises(Torn, match="object over the size bound"):
+    with pytest.raises(BatchError, match="object over the size bound"):
         staging.add(part, 2)
     staging = Staging(Begin(0, 1, False), rules, Store())
     for n in range(5):
-        staging.add(replace(part, name=f"{n}", more=False), 1000)
-    with pytest.raises(Torn, match="batch of over"):
+        staging.add(replace(part, name=f"{n}", has_more=False), 1000)
+    with pytest.raises(BatchError, match="batch of over"):
         staging.add(replace(part, name="6"), 1)
 
 
 def test_an_object_over_its_bound_is_not_taken() -> None:
     items = {f"{n}": bytes(100) for n in range(11)}
-    made = StoredObject(1, 1).changed(ObjectChange("", items), 1)
+    made = StoredObject(1, 1).with_change(ObjectChange("", items), 1)
     staging = Staging(Begin(0, 1, False), Rules(object_bytes=1000), Store())
-    staging.add(next(made.parts("a", None, 16384)), 1200)
-    with pytest.raises(Torn, match="object over the size bound"):
-        staging.end(End(1, 1))
+    staging.add(next(made.to_parts("a", None, 16384)), 1200)
+    with pytest.raises(BatchError, match="object over the size bound"):
+        staging.finish(End(1, 1))
 
 
 def test_a_whole_batch_takes_away_what_it_does_not_name() -> None:
@@ -359,10 +367,12 @@
     staging = Staging(Begin(0, 1, True), Rules(), lower)
     for part in sent(upper, ["a", "b", "c"], None):
         staging.add(part, wire_size(part))
-    made = {name: one.made for name, one in staging.gathered.items()}
+    made = {name: one.result for name, one in staging.staged.items()}
     assert all(one is not None for one in made.values())
-    lower.put([("b", StoredObject(1, 1).changed(ObjectChange("", {"x": b"1"}), 1))], 1)  # as if followed anew
-    taken = staging.end(End(1, 3))
+    lower.put(
+        [("b", StoredObject(1, 1).with_change(ObjectChange("", {"x": b"1"}), 1))], 1
+    )  # as if followed anew
+    taken = staging.finish(End(1, 3))
     assert {name for name, one in taken.objects if one is made[name]} == {"a", "c"}
     assert [change.name for change in taken.changes] == ["a", "c"]  # of b nothing is new
 
@@ -374,7 +384,7 @@
     relays = tuple(Participant(f"relay{n}", f"r{n % 2}") for n in range(12))
     seconds: dict[str, int] = {}
     for n in range(2200):
-        order = rank(Participant(f"proxy{n}", "r0"), relays)
+        order = rank_relays(Participant(f"proxy{n}", "r0"), relays)
         assert {one.region for one in order[:6]} == {"r0"} and len(order) == 12
         if order[0].name == "relay0":
             seconds[order[1].name] = seconds.get(order[1].name, 0) + 1
@@ -383,7 +393,7 @@
 
 def test_the_order_does_not_depend_on_how_relays_are_given() -> None:
     relays = tuple(Participant(f"relay{n}", f"r{n % 2}") for n in range(6))
-    assert rank(Participant("p", "r1"), relays) == rank(Participant("p", "r1"), relays[::-1])
+    assert rank_relays(Participant("p", "r1"), relays) == rank_relays(Participant("p", "r1"), relays[::-1])
 
 
 def test_a_message_is_never_larger_than_what_is_counted_for_it() -> None:
@@ -393,7 +403,7 @@
 
     long = "n" * 200
     for message in (
-        model.Hello(long, 1, "r" * 32, "z" * 32, model.REVISION_MOST, True),
+        model.Hello(long, 1, "r" * 32, "z" * 32, model.REVISION_LIMIT, True),
         model.Subscribe((long,) * 256, (long,) * 256),
         model.Unsubscribe((long,) * 256),
         model.Credit(2**60),
@@ -401,11 +411,11 @@
         model.Applied(2**60),
         model.Refused(2**60, 2**60, (long,) * 256),
         model.Welcome(long, 2**60, 2**60),
-        model.Turned(2, 2**60),
+        model.Rejected(2, 2**60),
         model.Begin(2**60, 2**60, True),
         model.End(2**60, 2**60),
         model.Pong(2**60, 2**60, 2**60, True, 2**60),
-        model.LeftOut((long,) * 300),
+        model.NamesRejected((long,) * 300),
         ObjectPart(
             long, 1, 2**60, {f"{n}" * 60: bytes(300) for n in range(100)}, (long,) * 100, 2**60, 2**63, True
         ),
--- a/tests/delivery/test_strangers.py
+++ b/tests/delivery/test_strangers.py
@@ -38,7 +38,7 @@
             await until(lambda: old.holds(made.wanted) and new.holds(made.wanted), "both keys")
             assert made.told == []
             foreign = made.follow("a", relays=(place,), keys=(b"\1" * 32,))
-            await until(lambda: server.below.counts.foreign >= 2, "attempts")
+            await until(lambda: server.listener.counts.foreign >= 2, "attempts")
             assert foreign.changed == []
             foreign.client.change_keys(OTHER)
             await until(lambda: foreign.holds(made.wanted), "a key that is known")
@@ -55,7 +55,7 @@
             made.commit(a={"x": b"1"})
             good = made.follow("a", relays=(origin,))
             await until(lambda: good.holds(made.wanted))
-            below = made.servers[0].below
+            below = made.servers[0].listener
             for _ in range(3):
                 raw = await Raw.open(origin.address)
                 raw.say(HELLO_AS_PROXY)
@@ -89,14 +89,14 @@
 
 
 def test_strangers_that_say_nothing_are_few_and_gone_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(shell_below, "HALF_OPEN_MOST", 8)
-    monkeypatch.setattr(shell_below, "HALF_OPEN_S", 1.0)
+    monkeypatch.setattr(shell_below, "MAX_HALF_OPEN", 8)
+    monkeypatch.setattr(shell_below, "HALF_OPEN_TIMEOUT_S", 1.0)
 
     async def test() -> None:
         async with fabric() as made:
             origin = await made.serve("origin")
             made.commit(a={"x": b"1"})
-            below = made.servers[0].below
+            below = made.servers[0].listener
             silent, most = [], 0
             for _ in range(40):
                 silent.append(await asyncio.open_connection(*split(origin.address)))
@@ -129,7 +129,7 @@
             most = 0
 
             def unsent() -> int:
-                one = server.below.streams.get(number)
+                one = server.listener.streams.get(number)
                 return 0 if one is None or one.transport is None else one.transport.get_write_buffer_size()
 
             for turn in range(400_000):  # pongs of 30 bytes: far more than may lie there
@@ -141,8 +141,8 @@
                     if number not in server.relay.sessions:
                         break
             await until(lambda: number not in server.relay.sessions, "its end")
-            assert server.below.counts.overfull == 1
-            assert most <= stream.UNSENT_MOST + MAX_FRAME_BYTES
+            assert server.listener.counts.overfull == 1
+            assert most <= stream.MAX_UNSENT_BYTES + MAX_FRAME_BYTES
             raw.writer.close()
 
     run(test())
@@ -162,14 +162,14 @@
             raw.say(HELLO_AS_PROXY, Subscribe((), tuple(large)), Credit(1 << 28))
             server = made.servers[0]
             await until(lambda: any(s.paused for s in server.relay.sessions.values()), "a pause")
-            ((number, one),) = server.below.streams.items()
+            ((number, one),) = server.listener.streams.items()
             assert one.transport is not None
             quiet, sent = 0, 0
             while quiet < 20:  # no more is sent
                 await asyncio.sleep(0.01)
-                quiet = quiet + 1 if server.below.counts.bytes_out == sent else 0
-                sent = server.below.counts.bytes_out
-                most = stream.HIGH_WATER + TURN_BYTES + MAX_FRAME_BYTES
+                quiet = quiet + 1 if server.listener.counts.bytes_out == sent else 0
+                sent = server.listener.counts.bytes_out
+                most = stream.WRITE_HIGH_WATER_BYTES + TURN_BYTES + MAX_FRAME_BYTES
                 assert one.transport.get_write_buffer_size() <= most
             assert sent < 20 * 900_000
             raw.writer.transport.resume_reading()  # type: ignore[attr-defined]
@@ -177,7 +177,7 @@
             while not isinstance(message := await raw.hear(), End):
                 got += len(message.items) if isinstance(message, ObjectPart) else 0
             assert got == 24 * 90 and number in server.relay.sessions
-            assert server.below.counts.overfull == 0
+            assert server.listener.counts.overfull == 0
             raw.writer.close()
 
     run(test())
--- a/tests/delivery/test_tampered.py
+++ b/tests/delivery/test_tampered.py
@@ -8,8 +8,8 @@
 from msgspec.structs import replace
 
 from flintlatch.delivery.model import (
-    ITEM_MOST,
-    REVISION_MOST,
+    MAX_ITEM_BYTES,
+    REVISION_LIMIT,
     Begin,
     End,
     Kind,
@@ -66,38 +66,42 @@
 # What is done to the frames of one batch that changes `a` (an item put, one taken away) and `b`, what is
 # counted, and the objects that come as snapshots afterwards.
 CASES: dict[str, tuple[Callable[[], Change], str, set[str]]] = {
-    "a gap": (lambda: begin(lambda m: [replace(m, base=m.base + 10**6)]), "a gap", set()),
-    "an older revision": (lambda: begin(lambda m: [replace(m, to=0)]), "an older revision", set()),
+    "a gap": (lambda: begin(lambda m: [replace(m, base_revision=m.base_revision + 10**6)]), "a gap", set()),
+    "an older revision": (
+        lambda: begin(lambda m: [replace(m, target_revision=0)]),
+        "an older revision",
+        set(),
+    ),
     "a revision beyond all": (
-        lambda: begin(lambda m: [replace(m, to=REVISION_MOST)]),
+        lambda: begin(lambda m: [replace(m, target_revision=REVISION_LIMIT)]),
         "a revision out of bounds",
         set(),
     ),
     "another revision": (
-        lambda: begin(lambda m: [replace(m, to=m.to + 1)]),
+        lambda: begin(lambda m: [replace(m, target_revision=m.target_revision + 1)]),
         "a batch without all of its parts",
         set(),
     ),
-    "whole": (lambda: begin(lambda m: [replace(m, whole=True)]), "a whole batch for a part", set()),
+    "whole": (lambda: begin(lambda m: [replace(m, full=True)]), "a whole batch for a part", set()),
     "no begin": (lambda: begin(lambda m: []), "an end of no batch", set()),
     "begin twice": (lambda: begin(lambda m: [m, m]), "a batch within a batch", set()),
     "begin late": (swapped(lambda m: isinstance(m, Begin)), "a batch without all of its parts", set()),
     "end twice": (lambda: end(lambda m: [m, m]), "a part of no batch", set()),
     "end early": (swapped(last_part), "a batch without all of its parts", set()),
     "begin again after the end": (
-        lambda: end(lambda m: [m, Begin(m.to, m.to, False)]),
+        lambda: end(lambda m: [m, Begin(m.target_revision, m.target_revision, False)]),
         "a batch without its end",
         set(),
     ),
     "a part left out": (lambda: part("a", lambda p: []), "a batch without all of its parts", set()),
     "a part twice": (lambda: part("a", lambda p: [p, p]), "parts out of order", {"a"}),
     "a part that has no end": (
-        lambda: part("b", lambda p: [replace(p, more=True)]),
+        lambda: part("b", lambda p: [replace(p, has_more=True)]),
         "a batch without all of its parts",
         set(),
     ),
     "parts of two kinds": (
-        lambda: part("a", lambda p: [replace(p, more=True), replace(p, kind=Kind.SNAPSHOT)]),
+        lambda: part("a", lambda p: [replace(p, has_more=True), replace(p, kind=Kind.SNAPSHOT)]),
         "parts of two kinds",
         {"a"},
     ),
@@ -115,7 +119,7 @@
         {"a"},
     ),
     "another count": (
-        lambda: part("a", lambda p: [replace(p, count=9)]),
+        lambda: part("a", lambda p: [replace(p, item_count=9)]),
         "an object that does not add up",
         {"a"},
     ),
@@ -129,7 +133,7 @@
         "an object that does not add up",
         {"a"},
     ),
-    "a value too large": (lambda: with_item(bytes(ITEM_MOST + 1)), "an item over the size bound", {"a"}),
+    "a value too large": (lambda: with_item(bytes(MAX_ITEM_BYTES + 1)), "an item over the size bound", {"a"}),
     "an item's name too long": (
         lambda: with_item(b"x", "n" * 201),
         "an item over the size bound",
@@ -144,7 +148,7 @@
         lambda: part(
             "a",
             lambda p: [
-                replace(p, items={f"{n}": bytes(16000) for n in range(70)}, more=True),
+                replace(p, items={f"{n}": bytes(16000) for n in range(70)}, has_more=True),
                 replace(p, items={f"{n}": bytes(16000) for n in range(70, 140)}),
             ],
         ),
@@ -275,7 +279,7 @@
 
 def test_what_nobody_named_is_not_taken() -> None:
     fleet = settled()
-    foreign = ObjectPart("foreign", Kind.GONE, 1, {}, (), 0, 0, False)
+    foreign = ObjectPart("foreign", Kind.DELETED, 1, {}, (), 0, 0, False)
     alter_batch(
         fleet,
         "p",
@@ -334,10 +338,13 @@
     core = fleet.core(who)
     for name in names:
         core.store.objects[name].items["one"] = b"y"
-        wrong = core.store.objects[name].changed(ObjectChange(name, {"one": b"z"}), 1)
+        wrong = core.store.objects[name].with_change(ObjectChange(name, {"one": b"z"}), 1)
         core.store.objects[name] = wrong
     fleet.commit(*(ObjectChange(name, {"two": b"x"}) for name in names))
     fleet.settle(30)
     fleet.until(
-        lambda: all(core.store.objects[n].items == fleet.wanted[n] for n in names) and not core.doubtful, 30
+        lambda: (
+            all(core.store.objects[n].items == fleet.wanted[n] for n in names) and not core.needs_snapshot
+        ),
+        30,
     )
