--- a/tests/delivery/test_wire.py
+++ b/tests/delivery/test_wire.py
@@ -11,10 +11,10 @@
 
 from flintlatch.delivery import wire
 from flintlatch.delivery.model import (
-    ITEM_MOST,
-    ITEM_NAME_MOST,
+    MAX_ITEM_BYTES,
+    MAX_ITEM_NAME_BYTES,
     MAX_NAME_BYTES,
-    REVISION_MOST,
+    REVISION_LIMIT,
     Applied,
     Begin,
     Credit,
@@ -23,22 +23,22 @@
     FromSubscriber,
     Hello,
     Kind,
-    LeftOut,
+    NamesRejected,
     ObjectChange,
     ObjectPart,
     Ping,
     Pong,
     Refused,
+    Rejected,
     Rules,
     Subscribe,
-    Turned,
     Unsubscribe,
     Welcome,
     wire_size,
 )
 from flintlatch.delivery.store import StoredObject
 from flintlatch.delivery.stream import LENGTH
-from flintlatch.delivery.wire import MAX_FRAME_BYTES, Unreadable, encode, from_relay, from_subscriber
+from flintlatch.delivery.wire import MAX_FRAME_BYTES, MessageError, encode, from_relay, from_subscriber
 from flintlatch.peers.seal import StreamSeal
 
 KEY = bytes(range(32))
@@ -51,9 +51,9 @@
 
 name = text(MAX_NAME_BYTES)
 names = st.lists(name, max_size=20).map(tuple)
-number = st.integers(0, REVISION_MOST)
+number = st.integers(0, REVISION_LIMIT)
 small = st.integers(0, 1 << 32)
-items = st.dictionaries(text(ITEM_NAME_MOST), st.binary(max_size=300), max_size=30)
+items = st.dictionaries(text(MAX_ITEM_NAME_BYTES), st.binary(max_size=300), max_size=30)
 part = st.builds(
     ObjectPart,
     name,
@@ -67,12 +67,12 @@
 )
 from_relays = st.one_of(
     st.builds(Welcome, name, number, number),
-    st.builds(Turned, st.integers(0, 9), number),
+    st.builds(Rejected, st.integers(0, 9), number),
     st.builds(Begin, number, number, st.booleans()),
     part,
     st.builds(End, number, small),
     st.builds(Pong, number, number, number, st.booleans()),
-    st.builds(LeftOut, names),
+    st.builds(NamesRejected, names),
 )
 from_subscribers = st.one_of(
     st.builds(Hello, name, st.integers(0, 1), text(32), text(32), number, st.booleans()),
@@ -112,15 +112,15 @@
 
 
 def test_the_largest_of_each_kind_fit_both_the_size_and_the_frame() -> None:
-    big, revision, checksum = "n" * MAX_NAME_BYTES, REVISION_MOST, (1 << 64) - 1
-    item = {"i" * ITEM_NAME_MOST: bytes(ITEM_MOST)}
+    big, revision, checksum = "n" * MAX_NAME_BYTES, REVISION_LIMIT, (1 << 64) - 1
+    item = {"i" * MAX_ITEM_NAME_BYTES: bytes(MAX_ITEM_BYTES)}
     full = {f"{n:0200d}": bytes(100) for n in range(Rules().part_bytes // 312)} | item
-    longest = tuple(f"{n:0{MAX_NAME_BYTES}d}" for n in range(wire.NAMES_MOST))
+    longest = tuple(f"{n:0{MAX_NAME_BYTES}d}" for n in range(wire.MAX_NAMES_PER_MESSAGE))
     for message in (
         ObjectPart(big, Kind.DELTA, revision, full, (), 1 << 32, checksum, True),
         Begin(revision, revision, True),
         End(revision, 1 << 32),
-        LeftOut(longest),
+        NamesRejected(longest),
         Subscribe(longest, ()),
         Unsubscribe(longest),
     ):
@@ -134,20 +134,20 @@
     """Also those of a delta that takes away thousands of items."""
     rng, rules = Random(seed), Rules()
     letters = rng.choice(["a", "ä", "\U0001f600"])
-    width = ITEM_NAME_MOST // len(letters.encode()) - 6
+    width = MAX_ITEM_NAME_BYTES // len(letters.encode()) - 6
     made = {
         f"{n:06d}" + letters * rng.randint(0, width): rng.randbytes(rng.randint(0, 60)) for n in range(4000)
     }
-    one = StoredObject(1, 1).changed(ObjectChange("", made), 1)
-    later = one.changed(ObjectChange("", {"new": b"1"}, tuple(list(made)[:2000])), 2)
+    one = StoredObject(1, 1).with_change(ObjectChange("", made), 1)
+    later = one.with_change(ObjectChange("", {"new": b"1"}, tuple(list(made)[:2000])), 2)
     for thing, since in ((one, None), (later, 1), (later, None)):
-        for message in thing.parts("object", since, rules.part_bytes):
+        for message in thing.to_parts("object", since, rules.part_bytes):
             assert len(frame(encode(message))) <= min(MAX_FRAME_BYTES, rules.window_bytes)
             assert wire_size(message) <= rules.window_bytes
 
 
 def test_a_message_larger_than_a_frame_is_not_sent() -> None:
-    with pytest.raises(Unreadable, match="more than a frame holds"):
+    with pytest.raises(MessageError, match="more than a frame holds"):
         encode(Refused(1, 2, tuple(f"{n:0200d}" for n in range(400))))
 
 
@@ -172,15 +172,15 @@
 )
 def test_what_is_no_message_is_unreadable_and_said_in_a_line(data: bytes) -> None:
     for decode in (from_subscriber, from_relay):
-        with pytest.raises(Unreadable) as caught:
+        with pytest.raises(MessageError) as caught:
             decode(data)
         assert "\n" not in str(caught.value) and len(str(caught.value)) < 150
 
 
 def test_each_side_takes_only_what_the_other_says() -> None:
-    with pytest.raises(Unreadable):
+    with pytest.raises(MessageError):
         from_subscriber(encode(Welcome("r", 1, 1)))
-    with pytest.raises(Unreadable):
+    with pytest.raises(MessageError):
         from_relay(encode(Ping(1)))
 
 
@@ -190,5 +190,5 @@
     for decode in (from_subscriber, from_relay):
         try:
             decode(data)
-        except Unreadable:
+        except MessageError:
             continue
