--- a/tests/delivery/loopback.py
+++ b/tests/delivery/loopback.py
@@ -1,4 +1,4 @@
-"""An origin, relays and followers in one process, on loopback sockets, and a subscriber by hand."""
+"""Helpers: an origin, relays and followers in one process on loopback, and a hand-driven subscriber."""
 
 from __future__ import annotations
 
@@ -26,33 +26,33 @@
 from flintlatch.peers.shell import split
 
 KEYS = (bytes(range(32)),)
-OTHER = (bytes(32),)
+OTHER_KEYS = (bytes(32),)
 RULES = Rules(gather_s=0.05, ping_s=0.3, silence_s=1.0, connect_s=1.0, spread_s=0.3, retry_s=(0.1, 0.5))
-LIMIT_S = 15.0  # far beyond what any of these needs
-Wanted = dict[str, dict[str, bytes]]
+TEST_TIMEOUT_S = 15.0  # reached only if a test hangs
+WantedState = dict[str, dict[str, bytes]]
 
 
 def run(test: Coroutine[Any, Any, None]) -> None:
-    uvloop.run(asyncio.wait_for(test, 2 * LIMIT_S))
+    uvloop.run(asyncio.wait_for(test, 2 * TEST_TIMEOUT_S))
 
 
-async def until(good: Callable[[], bool], what: str = "it") -> None:
+async def wait_until(condition: Callable[[], bool], description: str = "it") -> None:
     loop = asyncio.get_running_loop()
-    end = loop.time() + LIMIT_S
-    while not good():
-        assert loop.time() < end, f"{what} did not come about"
+    deadline = loop.time() + TEST_TIMEOUT_S
+    while not condition():
+        assert loop.time() < deadline, f"{description}: not within {TEST_TIMEOUT_S:g} s"
         await asyncio.sleep(0.005)
 
 
 class Follower:
-    """A client with all that it was told."""
+    """A client that records what its callbacks receive."""
 
     def __init__(
         self, name: str, relays: tuple[Participant, ...], keys: tuple[bytes, ...], rules: Rules
     ) -> None:
         self.changed: list[Changed] = []
         self.absent: list[str] = []
-        self.told: list[str] = []
+        self.log_lines: list[str] = []
         self.client = Client(
             Participant(name, "r", "a"),
             Role.PROXY,
@@ -61,27 +61,27 @@
             keys,
             self.changed.append,
             self.absent.extend,
-            self.told.append,
+            self.log_lines.append,
         )
 
-    def holds(self, wanted: Wanted) -> bool:
+    def holds(self, wanted: WantedState) -> bool:
         objects = self.client.subscriber.store.objects
-        return {name: one.items for name, one in objects.items()} == wanted
+        return {name: stored.items for name, stored in objects.items()} == wanted
 
 
-class Fabric:
-    """An origin, relays below it, and followers; all closed at the end."""
+class Cluster:
+    """An origin (the first server), relays below it, and followers."""
 
     def __init__(self) -> None:
-        self.told: list[str] = []
+        self.log_lines: list[str] = []
         self.servers: list[Server] = []
         self.followers: list[Follower] = []
-        self.wanted: Wanted = {}
+        self.wanted: WantedState = {}
 
     async def serve(
         self, name: str, origins: tuple[Participant, ...] = (), rules: Rules = RULES
     ) -> Participant:
-        server = Server(Participant(name), "127.0.0.1:0", rules, KEYS, self.told.append, origins)
+        server = Server(Participant(name), "127.0.0.1:0", rules, KEYS, self.log_lines.append, origins)
         await server.open()
         self.servers.append(server)
         return Participant(name, "r", "a", server.address)
@@ -106,26 +106,26 @@
 
 
 @contextlib.asynccontextmanager
-async def fabric() -> AsyncIterator[Fabric]:
-    made = Fabric()
+async def running_cluster() -> AsyncIterator[Cluster]:
+    cluster = Cluster()
     try:
-        yield made
+        yield cluster
     finally:
-        for follower in made.followers:
+        for follower in cluster.followers:
             follower.client.close()
-        for server in made.servers:
+        for server in cluster.servers:
             server.close()
 
 
-class Raw:
-    """A subscriber by hand: says what it likes, in frames sealed as ours."""
+class RawSubscriber:
+    """A connection on which a test sends and receives single messages, or any bytes in a sealed frame."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
         self.seal: StreamSeal
 
     @classmethod
-    async def open(cls, address: str) -> Raw:
+    async def open(cls, address: str) -> RawSubscriber:
         sock = socket.create_connection(split(address))
         raw = cls(*await asyncio.open_connection(sock=sock))
         nonce = os.urandom(NONCE_BYTES)
@@ -137,17 +137,17 @@
         data = self.seal.close(plain)
         return LENGTH.pack(len(data)) + data
 
-    def say(self, *messages: Message) -> None:
+    def send(self, *messages: Message) -> None:
         for message in messages:
             self.writer.write(self.frame(encode(message)))
 
-    async def hear(self) -> Message:
+    async def receive(self) -> Message:
         (length,) = LENGTH.unpack(await self.reader.readexactly(LENGTH.size))
         return from_relay(self.seal.open(await self.reader.readexactly(length)))
 
-    async def ended(self) -> None:
-        """Everything up to the end is read and left."""
-        async with asyncio.timeout(LIMIT_S):
+    async def wait_closed(self) -> None:
+        """Reads and discards everything until the other side closes the connection."""
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             with contextlib.suppress(ConnectionError):
                 while await self.reader.read(65536):
                     pass
--- a/tests/delivery/reference.py
+++ b/tests/delivery/reference.py
@@ -1,7 +1,7 @@
-"""The slow reference: the origin's whole state at each revision, and what must hold of every subscriber.
+"""A slow reference model: the origin's complete state at each revision, and the invariants of subscribers.
 
-A history keeps every state that the origin ever had, with the time at which it came into force. A watch
-compares the subscribers of a lab with it: at each change in force, and whenever it is asked.
+`History` records every state of the origin with the time at which it took effect. `Watch` compares the
+subscribers of a simulated fleet with it, at each change that takes effect and on request.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class Moment(NamedTuple):
-    """From `at` until the next moment this was the origin's state."""
+    """The origin's state from the time `at` until the next moment."""
 
     at: float
     revision: int
@@ -29,67 +29,67 @@
 
 
 class History:
-    """Revisions grow over all lives of the origin."""
+    """The states of all runs of the origin, with ascending revisions."""
 
     def __init__(self) -> None:
         self.moments: list[Moment] = []
         self.revisions: list[int] = []
 
-    def note(self, now: float, store: Store) -> None:
+    def record(self, now: float, store: Store) -> None:
         assert not self.revisions or store.revision >= self.revisions[-1], "the origin's revision went back"
-        state = {name: one.items for name, one in store.objects.items()}
+        state = {name: stored.items for name, stored in store.objects.items()}
         self.moments.append(Moment(now, store.revision, state))
         self.revisions.append(store.revision)
 
     def at(self, revision: int) -> State:
-        """The last state of which the revision is at most this."""
-        place = bisect_right(self.revisions, revision)
-        return self.moments[place - 1].state if place else {}
+        """The last state with at most this revision."""
+        index = bisect_right(self.revisions, revision)
+        return self.moments[index - 1].state if index else {}
 
     def since(self, at: float) -> Iterable[State]:
-        """Every state that was the origin's at some time after `at`, the newest first."""
+        """Every state that the origin had at some time after `at`, the newest first."""
         for moment in reversed(self.moments):
             yield moment.state
             if moment.at <= at:
                 return
 
 
-def scope_of(one: Subscriber) -> list[str] | None:
-    """Names that it holds or knows to be absent; None: all."""
-    return None if one.all_objects else [name for name, known in one.names.items() if known]
+def scope_of(core: Subscriber) -> list[str] | None:
+    """The names that the subscriber holds or knows to be absent; None for all."""
+    return None if core.all_objects else [name for name, known in core.names.items() if known]
 
 
-def held_by(one: Subscriber) -> State:
-    return {name: held.items for name, held in one.store.objects.items()}
+def state_of(core: Subscriber) -> State:
+    return {name: stored.items for name, stored in core.store.objects.items()}
 
 
-def within(state: State, scope: list[str] | None) -> State:
+def restricted(state: State, scope: list[str] | None) -> State:
     return state if scope is None else {name: state[name] for name in scope if name in state}
 
 
 class Watch:
-    """Hears of what comes into force in a lab, and checks it."""
+    """Checks the subscribers of a lab whenever a change takes effect."""
 
     def __init__(self) -> None:
         self.history = History()
         self.lab: Lab
-        self.revisions: dict[str, int] = {}  # by subscriber, the highest in force
-        self.mirrors: dict[str, State] = {}  # what users of a subscriber know by its changes alone
-        self.told: list[Callable[[float, str, Any], None]] = []
+        self.revisions: dict[str, int] = {}  # by subscriber: the highest so far
+        self.mirrors: dict[str, State] = {}  # by subscriber: the state built from its reported changes alone
+        self.listeners: list[Callable[[float, str, Any], None]] = []
 
     def started(self, name: str) -> None:
-        """A new process holds nothing."""
+        """To be called for a new process, which holds nothing."""
         self.revisions.pop(name, None)
         self.mirrors.pop(name, None)
 
-    def forget(self, name: str, names: Iterable[str]) -> None:
-        """Followed no more."""
-        for one in names:
-            self.mirrors.get(name, {}).pop(one, None)
+    def forget(self, name: str, object_names: Iterable[str]) -> None:
+        """To be called when these objects are unfollowed."""
+        for object_name in object_names:
+            self.mirrors.get(name, {}).pop(object_name, None)
 
     def on_force(self, now: float, name: str, action: Any) -> None:
-        for hear in self.told:
-            hear(now, name, action)
+        for listener in self.listeners:
+            listener(now, name, action)
         if not isinstance(action, subscriber.Changed):
             return
         mirror = self.mirrors.setdefault(name, {})
@@ -101,23 +101,24 @@
             for item in change.removed:
                 del items[item]
             for item, value in change.items.items():
-                assert items.get(item) != value, f"{name}: {change.name}/{item} is no change"
+                assert items.get(item) != value, f"{name}: {change.name}/{item} was reported without a change"
                 items[item] = value
-        one = subscriber_of(self.lab, name)
-        assert mirror == held_by(one), f"{name}: what it told is not what it holds"
-        self.check(now, name, one)
-
-    def check(self, now: float, name: str, one: Subscriber) -> None:
-        """It holds the origin's state at one revision, which never falls, and knows how old that may be."""
-        revision, scope, held = one.store.revision, scope_of(one), held_by(one)
+        core = subscriber_of(self.lab, name)
+        assert mirror == state_of(core), f"{name}: its reported changes do not lead to the state it holds"
+        self.check(now, name, core)
+
+    def check(self, now: float, name: str, core: Subscriber) -> None:
+        """The subscriber holds the origin's state at a revision that never decreases, and its age is a true
+        upper bound."""
+        revision, scope, held = core.store.revision, scope_of(core), state_of(core)
         assert revision >= self.revisions.get(name, 0), f"{name}: its revision went back"
         self.revisions[name] = revision
-        if one.all_objects and one.as_of < 0:
-            return  # of a relay that has not heard anything yet, nobody is served
-        assert held == within(self.history.at(revision), scope), f"{name}: torn at revision {revision}"
-        if one.as_of >= 0:
-            assert any(held == within(state, scope) for state in self.history.since(one.as_of)), (
-                f"{name}: says {one.age(now):.3f} s, and is staler"
+        if core.all_objects and core.as_of < 0:
+            return  # a relay without state serves nobody
+        assert held == restricted(self.history.at(revision), scope), f"{name}: inconsistent at {revision}"
+        if core.as_of >= 0:
+            assert any(held == restricted(state, scope) for state in self.history.since(core.as_of)), (
+                f"{name}: reports an age of {core.age(now):.3f} s, but its state is older"
             )
 
     def check_all(self) -> None:
@@ -138,7 +139,7 @@
 
 
 class Wire:
-    """Counts what is sent in a lab, by receiver, and lets a test alter it."""
+    """Counts the messages sent in a lab, by receiver, and lets a test alter them."""
 
     def __init__(self, lab: Lab) -> None:
         lab.tamper = self
@@ -160,7 +161,8 @@
 
 
 class Fleet:
-    """An origin, relays and proxies under watch. `wanted`: what the origin is to hold, also while down."""
+    """A simulated origin, relays and proxies. `wanted` is the state that the origin is to hold, also while it
+    is down."""
 
     def __init__(
         self,
@@ -175,14 +177,14 @@
         self.lab = self.watch.lab = Lab(seed, on_force)
         self.rules, self.regions = rules or Rules(), regions
         self.wanted: State = {}
-        self.names: dict[str, tuple[str, ...]] = {}  # by proxy, what it follows
+        self.names: dict[str, tuple[str, ...]] = {}  # by proxy: the names that it follows
         self.wire = Wire(self.lab)
-        self.places = {
+        self.relays = {
             f"relay{i}": Participant(f"relay{i}", f"r{i % regions}", address=f"relay{i}:1")
             for i in range(relays)
         }
         self.origin = self.lab.origin(Participant("origin"), first=0)
-        for name in self.places:
+        for name in self.relays:
             self.start(name)
 
     @property
@@ -192,13 +194,13 @@
     def run(self, seconds: float) -> None:
         self.lab.engine.run(self.now + seconds)
 
-    def until(self, holds: Callable[[], bool], most: float, step: float = 0.1) -> float:
-        """Seconds that it took."""
-        began = self.now
-        while not holds():
-            assert self.now - began <= most, f"not within {most} s"
-            self.run(step)
-        return self.now - began
+    def run_until(self, condition: Callable[[], bool], timeout_s: float, step_s: float = 0.1) -> float:
+        """Returns the seconds that it took."""
+        started_at = self.now
+        while not condition():
+            assert self.now - started_at <= timeout_s, f"not within {timeout_s} s"
+            self.run(step_s)
+        return self.now - started_at
 
     # The origin
 
@@ -213,18 +215,18 @@
             self.wanted[change.name] = items | change.items
         if self.origin.up:
             names = self.origin.store.commit(changes)
-            self._note()
+            self._record()
             self.origin.from_below(relay.Committed(tuple(names)))
 
     def put(self, name: str, **items: str) -> None:
         self.commit(ObjectChange(name, {item: value.encode() for item, value in items.items()}))
 
-    def _note(self) -> None:
+    def _record(self) -> None:
         if self.watched:
-            self.watch.history.note(self.now, self.origin.store)
+            self.watch.history.record(self.now, self.origin.store)
 
     def restart_origin(self, first: int | None = None) -> None:
-        """From nothing: it reads all that it is to hold anew."""
+        """Starts the origin with an empty store and loads the wanted state."""
         self.lab.kill("origin")
         self.origin = self.lab.origin(Participant("origin"), first=first)
         self.load()
@@ -232,22 +234,22 @@
     def load(self) -> None:
         names = self.origin.store.replace(self.wanted)
         if names:
-            self._note()
+            self._record()
         self.origin.from_below(relay.Committed(tuple(names)))
 
-    # Others
+    # Relays and proxies
 
     def start(self, name: str) -> None:
-        """A relay, or a proxy again."""
+        """Starts a relay, or a proxy that has run before."""
         self.watch.started(name)
-        if name in self.places:
-            self.lab.relay(self.places[name], (Participant("origin"),), self.rules)
+        if name in self.relays:
+            self.lab.relay(self.relays[name], (Participant("origin"),), self.rules)
         else:
             self.proxy(name, *self.names[name])
 
     def proxy(self, name: str, *names: str, region: int = 0, rules: Rules | None = None) -> Proxy:
         self.names[name] = names
-        relays = tuple(self.places.values())
+        relays = tuple(self.relays.values())
         return self.lab.proxy(Participant(name, f"r{region}"), relays, names, rules or self.rules)
 
     def follow(self, name: str, *names: str) -> None:
@@ -261,48 +263,49 @@
         assert isinstance(host, Proxy)
         self.names[name] = tuple(n for n in self.names[name] if n not in names)
 
-        def leave() -> None:
+        def unfollow_now() -> None:
             host.from_above(subscriber.Unfollow(names))
             self.watch.forget(name, names)
 
-        host.later(leave)
+        host.later(unfollow_now)
 
-    def core(self, name: str) -> Subscriber:
+    def subscriber(self, name: str) -> Subscriber:
         return subscriber_of(self.lab, name)
 
-    def told(self, name: str) -> list[str]:
-        return [text for _, one, text in self.lab.told if one == name]
+    def log_lines(self, name: str) -> list[str]:
+        return [text for _, host, text in self.lab.told if host == name]
 
     def relay_of(self, name: str) -> str:
-        """Of a proxy that has a live session."""
-        main = self.core(name).active_session
-        assert main is not None
-        return main.relay.name
-
-    def right(self, *names: str) -> bool:
-        """These, or all, hold exactly what the origin is to hold of their names."""
-        return all(self.exact(name) for name in names or self.names)
-
-    def exact(self, name: str) -> bool:
-        one = self.core(name)
-        if set(one.names) != set(self.names[name]) or not all(one.names.values()):
+        """The relay of a proxy's active session, which must exist."""
+        active = self.subscriber(name).active_session
+        assert active is not None
+        return active.relay.name
+
+    def converged(self, *names: str) -> bool:
+        """Whether these proxies, or all, hold exactly the wanted state of the names that they follow."""
+        return all(self.has_wanted_state(name) for name in names or self.names)
+
+    def has_wanted_state(self, name: str) -> bool:
+        core = self.subscriber(name)
+        if set(core.names) != set(self.names[name]) or not all(core.names.values()):
             return False
-        return held_by(one) == within(self.wanted, list(self.names[name]))
+        return state_of(core) == restricted(self.wanted, list(self.names[name]))
 
-    def young(self, most: float = 4.0) -> bool:
-        """All know that what they hold is no older."""
-        return all(self.core(name).age(self.now) < most for name in self.names)
+    def is_fresh(self, max_age_s: float = 4.0) -> bool:
+        """Whether every proxy reports a lower age of its state."""
+        return all(self.subscriber(name).age(self.now) < max_age_s for name in self.names)
 
-    def settle(self, most: float = 30.0) -> float:
-        return self.until(self.right, most)
+    def settle(self, timeout_s: float = 30.0) -> float:
+        return self.run_until(self.converged, timeout_s)
 
 
 OBJECTS = tuple(f"s{n}" for n in range(12))
 
 
-def settled(
+def settled_fleet(
     relays: int = 3, seed: int = 1, rules: Rules | None = None, proxies: int = 4, watched: bool = True
 ) -> Fleet:
+    """A fleet that has converged, with all counters at zero."""
     fleet = Fleet(seed, relays=relays, rules=rules, watched=watched)
     fleet.commit(*(ObjectChange(name, {f"n{k}": b"x" * 50 for k in range(8)}) for name in OBJECTS))
     for n in range(proxies):
@@ -310,24 +313,30 @@
     fleet.settle()
     fleet.run(3)
     fleet.wire.clear()
-    for name in (*fleet.names, *fleet.places):
-        fleet.core(name).counts.clear()
+    for name in (*fleet.names, *fleet.relays):
+        fleet.subscriber(name).counts.clear()
     return fleet
 
 
-def served_by(fleet: Fleet, name: str) -> list[str]:
-    return [one for one in fleet.names if fleet.core(one).active_session and fleet.relay_of(one) == name]
+def followers_of(fleet: Fleet, relay_name: str) -> list[str]:
+    return [
+        name
+        for name in fleet.names
+        if fleet.subscriber(name).active_session and fleet.relay_of(name) == relay_name
+    ]
 
 
-def most_served(fleet: Fleet) -> str:
+def busiest_relay(fleet: Fleet) -> str:
     return Counter(fleet.relay_of(name) for name in fleet.names).most_common(1)[0][0]
 
 
-def changed(fleet: Fleet, value: str) -> None:
+def change_all(fleet: Fleet, value: str) -> None:
     fleet.commit(*(ObjectChange(name, {"n3": value.encode()}) for name in OBJECTS))
 
 
-def snapshots(fleet: Fleet) -> int:
+def snapshots_to_proxies(fleet: Fleet) -> int:
     return sum(
-        count for (to, kind), count in fleet.wire.parts.items() if kind is Kind.SNAPSHOT and to[0] == "p"
+        count
+        for (target, kind), count in fleet.wire.parts.items()
+        if kind is Kind.SNAPSHOT and target[0] == "p"
     )
--- a/tests/delivery/test_commands.py
+++ b/tests/delivery/test_commands.py
@@ -1,4 +1,4 @@
-"""The commands of delivery: what their configuration may say, what they print, how they end."""
+"""The commands `origin`, `relay` and `follow`: their configuration, their output and their exit codes."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
     return str(path)
 
 
-def test_good_ones_are_read_as_written(tmp_path: Path) -> None:
+def test_valid_configurations_are_loaded(tmp_path: Path) -> None:
     origin = load_origin(write(tmp_path, ORIGIN + "keep = 'k'\n"))
     assert origin.common.me == Participant("o") and origin.common.keys == (bytes.fromhex(KEY),)
     assert (origin.source, origin.kept) == (str(tmp_path / "objects.json"), str(tmp_path / "k"))
@@ -85,7 +85,7 @@
         ("follow", "[delivery", "file: found"),
     ],
 )
-def test_what_is_wrong_is_said_with_file_table_and_key(
+def test_configuration_errors_name_file_table_and_key(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], command: str, text: str, words: str
 ) -> None:
     path = write(tmp_path, text)
@@ -97,7 +97,7 @@
     assert words in capsys.readouterr().err
 
 
-def test_too_many_names_and_keys_that_are_none(tmp_path: Path) -> None:
+def test_too_many_names_and_invalid_keys_are_rejected(tmp_path: Path) -> None:
     rules = "[delivery.rules]\nmost_names = 2"
     with pytest.raises(Unusable, match="3 names, expected at most rules.most_names, 2"):
         load_follow(write(tmp_path, FOLLOW.replace('["a"]', '["a", "b", "c"]') + ROW + rules))
@@ -107,10 +107,10 @@
     assert secret not in str(caught.value)
 
 
-def test_a_missing_package_is_named(tmp_path: Path) -> None:
+def test_a_missing_package_is_reported(tmp_path: Path) -> None:
     path = write(tmp_path, ORIGIN)
-    hidden = "import sys; sys.modules['msgspec'] = None; from flintlatch.cli import main; "
-    code = hidden + f"sys.exit(main(['origin', {path!r}]))"
+    hide_package = "import sys; sys.modules['msgspec'] = None; from flintlatch.cli import main; "
+    code = hide_package + f"sys.exit(main(['origin', {path!r}]))"
     done = subprocess.run(
         [sys.executable, "-c", code], capture_output=True, text=True, timeout=30, check=False
     )
@@ -119,8 +119,9 @@
     assert done.stderr == f"flintlatch origin: error: {expected}\n"
 
 
-def test_the_program_and_the_command_line_load_nothing_of_delivery() -> None:
-    """Nor does its help; the platform's program has no package for it."""
+def test_delivery_is_imported_only_by_its_commands() -> None:
+    """Neither the single-process program nor the command line's help imports it: the platform on which the
+    program runs does not have the packages that delivery needs."""
     code = (
         "import sys, runpy\n"
         "sys.argv = ['flintlatch']\n"
@@ -136,67 +137,67 @@
     assert done.stdout == "\n"
 
 
-def test_an_address_in_use_ends_it_with_a_line(tmp_path: Path) -> None:
+def test_an_address_in_use_ends_the_process_with_one_line(tmp_path: Path) -> None:
     async def test() -> None:
         server = await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
         path = write(tmp_path, RELAY.replace("127.0.0.1:0", f"127.0.0.1:{port}"))
-        done = await asyncio.create_subprocess_exec(
+        process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "flintlatch", "relay", path, stderr=asyncio.subprocess.PIPE
         )
-        _, told = await done.communicate()
-        assert done.returncode == 1
-        assert told.decode() == f"flintlatch relay r0: delivery 127.0.0.1:{port}: Address already in use\n"
+        _, log = await process.communicate()
+        assert process.returncode == 1
+        assert log.decode() == f"flintlatch relay r0: delivery 127.0.0.1:{port}: Address already in use\n"
         server.close()
 
     uvloop.run(asyncio.wait_for(test(), 30))
 
 
-async def once(config: Path, *more: str) -> tuple[int | None, str, str]:
-    done = await asyncio.create_subprocess_exec(
+async def follow_command(config: Path, *more: str) -> tuple[int | None, str, str]:
+    process = await asyncio.create_subprocess_exec(
         sys.executable, "-m", "flintlatch", "follow", str(config), *more,
         stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE,
     )  # fmt: skip
-    out, told = await done.communicate()
-    return done.returncode, out.decode(), told.decode()
+    out, log = await process.communicate()
+    return process.returncode, out.decode(), log.decode()
 
 
-def test_an_operator_sees_what_is_in_force_its_age_and_the_bounds(tmp_path: Path) -> None:
+def test_follow_prints_the_state_its_age_and_the_bounds(tmp_path: Path) -> None:
     async def test() -> None:
-        async with delivered(tmp_path, zones=("a",), relays=1, followers=1, services=2) as made:
+        async with delivered(tmp_path, zones=("a",), relays=1, followers=1, services=2) as deployment:
             config = tmp_path / "p0.toml"
-            code, out, told = await once(config, "s1", "none", "--once")
-            assert (code, told) == (0, "")
+            code, out, log = await follow_command(config, "s1", "none", "--once")
+            assert (code, log) == (0, "")
             first, second, *rest = out.splitlines()
             assert first.startswith("revision ") and first.endswith(" s old, from r0")
             assert second.startswith("s1: 20 items, ") and rest[0] == '  i0 = {"weight":0}'
-            code, out, _ = await once(config, "--once", "--json")
+            code, out, _ = await follow_command(config, "--once", "--json")
             row = json.loads(out)
-            assert row["objects"] == made.objects and row["ready"] and row["what"] == "held"
+            assert row["objects"] == deployment.objects and row["ready"] and row["what"] == "held"
 
-            lines = await asyncio.create_subprocess_exec(
+            process = await asyncio.create_subprocess_exec(
                 sys.executable, "-m", "flintlatch", "follow", str(config), "mark",
                 stdout=asyncio.subprocess.PIPE,
             )  # fmt: skip
-            assert lines.stdout is not None
-            rules = made.rules
-            bounds = (await lines.stdout.readline()).decode()
+            assert process.stdout is not None
+            rules = deployment.rules
+            bounds = (await process.stdout.readline()).decode()
             assert bounds.startswith("bounds: a change is here within 0.6 s, ")
             assert f"at most {Rules().max_bytes_per_minute():,.0f} bytes in a minute" in bounds and rules
-            assert "mark: 1 items put, 0 removed" in (await lines.stdout.readline()).decode()
-            await made.commit("s0")
-            assert "mark: 1 items put, 0 removed" in (await lines.stdout.readline()).decode()
-            lines.send_signal(signal.SIGTERM)
-            assert await lines.wait() == 0
+            assert "mark: 1 items put, 0 removed" in (await process.stdout.readline()).decode()
+            await deployment.commit("s0")
+            assert "mark: 1 items put, 0 removed" in (await process.stdout.readline()).decode()
+            process.send_signal(signal.SIGTERM)
+            assert await process.wait() == 0
 
             for name, words in (("r0", " at origin, at most "), ("origin", "; 1 subscribers, 0 of them")):
-                child = made.children[name]
+                child = deployment.children[name]
                 start = len(child.log)
                 child.process.send_signal(signal.SIGUSR1)
                 status = child.log[await child.said("revision ", start) - 1]
                 assert words in status and "3 objects" in status and "0 foreign" in status
-            await made.kill("r0")
-            code, out, told = await once(config, "--once")
-            assert (code, out) == (1, "") and "no relay has answered for all names within 10 s" in told
+            await deployment.kill("r0")
+            code, out, log = await follow_command(config, "--once")
+            assert (code, out) == (1, "") and "no relay has answered for all names within 10 s" in log
 
     uvloop.run(asyncio.wait_for(test(), 90))
--- a/tests/delivery/test_processes.py
+++ b/tests/delivery/test_processes.py
@@ -1,7 +1,7 @@
-"""An origin, relays and followers as real processes, and faults between them: each follower ends with just
-the last versions, none goes back or holds half a commit, and each age that one tells is true.
+"""An origin, relays and followers as real processes, with faults injected between them. Every follower ends
+with the latest versions, none goes back or holds part of a commit, and every reported age is an upper bound.
 
-Times are those of `QUICK`. `LOADED_S` is what a machine with more to do than cores may add to a bound.
+Timeouts are those of `QUICK`. `LOADED_S` is the slack for an overloaded machine, added to each bound.
 """
 
 from __future__ import annotations
@@ -22,245 +22,263 @@
 from flintlatch.delivery.source import POLL_INTERVAL_S
 from flintlatch.standin.delivery import QUICK, Delivered, delivered
 
-LIMIT_S = 90.0  # far beyond what any of these needs; only a hang comes near it
+TEST_TIMEOUT_S = 90.0  # reached only if a test hangs
 LOADED_S = 4.0
 RULES = read_rules(Reader("quick", "rules", QUICK, []))
-# From a relay that is up but cut off from the origin: its age is seen, then one after the other is tried.
-STALE_S = RULES.stale_s + 2 * (RULES.stale_s + RULES.ping_s + RULES.connect_s)
-# After relays have come back: an attempt that just failed, the wait before the next, and the way down.
-BACK_S = RULES.failure_detection_s() + RULES.connect_s + RULES.retry_s[1]
+# For leaving a relay that is up but cut off from the origin: its age exceeds the limit, others are tried.
+STALE_SWITCH_S = RULES.stale_s + 2 * (RULES.stale_s + RULES.ping_s + RULES.connect_s)
+# For reconnecting after relays have returned: detection of the failure, a connect timeout and a backoff.
+RECONNECT_S = RULES.failure_detection_s() + RULES.connect_s + RULES.retry_s[1]
 RELAYS = ("r0", "r1", "r2")
-NO_NEWS = "delivery: no relay with news"
+OUTAGE_LINE = "delivery: no relay with news"
 
 
-def bound(dead: int = 0) -> float:
-    """From the file's replacement until the change is in force, with so many relays lost just then."""
-    return RULES.staleness_bound_s(dead, 0.0) + POLL_INTERVAL_S + LOADED_S
+def bound_s(lost_relays: int = 0) -> float:
+    """Longest time from the replacement of the file until a change is applied, if `lost_relays` fail then."""
+    return RULES.staleness_bound_s(lost_relays, 0.0) + POLL_INTERVAL_S + LOADED_S
 
 
-def at(made: Delivered, relay: str) -> tuple[str, ...]:
-    return tuple(name for name in made.follows if made.relay_of(name) == relay)
+def followers_of(deployment: Delivered, relay: str) -> tuple[str, ...]:
+    return tuple(name for name in deployment.follows if deployment.relay_of(name) == relay)
 
 
-def busiest(made: Delivered) -> str:
+def busiest_relay(deployment: Delivered) -> str:
     """The relay with the most followers."""
-    return max(RELAYS, key=lambda relay: len(at(made, relay)))
+    return max(RELAYS, key=lambda relay: len(followers_of(deployment, relay)))
 
 
-async def settled(made: Delivered) -> None:
-    """Each is at the relay that it likes best."""
-    places = {n: Participant(n, p.zone, p.zone) for n, p in made.links.places.items()}
-    relays = tuple(places[name] for name in RELAYS)
-    best = {name: rank_relays(places[name], relays)[0].name for name in made.follows}
-    await made.until(
-        lambda: all(made.relay_of(name) == best[name] for name in best), "the best relay for each"
+async def wait_until_settled(deployment: Delivered) -> None:
+    """Waits until every follower is at its best-ranked relay."""
+    participants = {n: Participant(n, p.zone, p.zone) for n, p in deployment.links.places.items()}
+    relays = tuple(participants[name] for name in RELAYS)
+    best = {name: rank_relays(participants[name], relays)[0].name for name in deployment.follows}
+    await deployment.until(
+        lambda: all(deployment.relay_of(name) == best[name] for name in best), "the best relay for each"
     )
 
 
-async def mended(made: Delivered) -> None:
-    """All is as at the start but for the revision: nothing is cut, all run, all services are there."""
-    made.links.heal()
-    for child in made.children.values():
+async def repair(deployment: Delivered) -> None:
+    """Restores the initial situation except for the revision: no cuts, all processes and services present."""
+    deployment.links.heal()
+    for child in deployment.children.values():
         if child.paused:
             child.wake()
-    await asyncio.gather(*(made.start(name) for name in made.links.places if name not in made.children))
+    await asyncio.gather(
+        *(deployment.start(name) for name in deployment.links.places if name not in deployment.children)
+    )
     for number in range(8):
-        made.objects.setdefault(f"s{number}", {f"i{k}": {"weight": k} for k in range(20)})
-    await made.commit()
-    await made.all_hold()
-    await settled(made)
+        deployment.objects.setdefault(f"s{number}", {f"i{k}": {"weight": k} for k in range(20)})
+    await deployment.commit()
+    await deployment.all_hold()
+    await wait_until_settled(deployment)
 
 
 Test = Callable[[Delivered], Coroutine[Any, Any, None]]
 
 
-class Stage:
-    """Processes that serve all tests here, mended after each; started anew after one that fails."""
+class SharedDeployment:
+    """Processes shared by all tests of this module: repaired before each test, restarted after a failure."""
 
     def __init__(self, folder: Path) -> None:
-        self.folder, self.starts = folder, 0
+        self.folder, self.start_count = folder, 0
         self.runner = asyncio.Runner(loop_factory=uvloop.new_event_loop)
         self.context: AbstractAsyncContextManager[Delivered] | None = None
-        self.made: Delivered | None = None
+        self.deployment: Delivered | None = None
 
     def run(self, test: Test) -> None:
-        self.runner.run(asyncio.wait_for(self._run(test), LIMIT_S))
+        self.runner.run(asyncio.wait_for(self._run(test), TEST_TIMEOUT_S))
 
     async def _run(self, test: Test) -> None:
         try:
-            if self.made is None:
-                self.starts += 1
-                folder = self.folder / str(self.starts)
+            if self.deployment is None:
+                self.start_count += 1
+                folder = self.folder / str(self.start_count)
                 folder.mkdir()
                 self.context = delivered(folder)
-                self.made = await self.context.__aenter__()
-                await settled(self.made)
+                self.deployment = await self.context.__aenter__()
+                await wait_until_settled(self.deployment)
             else:
-                await mended(self.made)
-            await test(self.made)
-            self.made.check()
+                await repair(self.deployment)
+            await test(self.deployment)
+            self.deployment.check()
         except BaseException:
             await self.close()
             raise
 
     async def close(self) -> None:
-        context, self.context, self.made = self.context, None, None
+        context, self.context, self.deployment = self.context, None, None
         if context is not None:
             await context.__aexit__(None, None, None)
 
 
 @pytest.fixture(scope="module")
-def stage(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Stage]:
-    made = Stage(tmp_path_factory.mktemp("delivery"))
-    yield made
-    made.runner.run(made.close())
-    made.runner.close()
+def shared(tmp_path_factory: pytest.TempPathFactory) -> Iterator[SharedDeployment]:
+    processes = SharedDeployment(tmp_path_factory.mktemp("delivery"))
+    yield processes
+    processes.runner.run(processes.close())
+    processes.runner.close()
 
 
-def test_a_relay_that_is_killed_costs_its_followers_one_move_and_no_other_anything(stage: Stage) -> None:
-    async def test(made: Delivered) -> None:
+def test_a_killed_relay_affects_only_its_own_followers(shared: SharedDeployment) -> None:
+    async def test(deployment: Delivered) -> None:
         for turn in range(3):
-            await made.commit(f"s{turn}")
-            await made.all_hold(bound())
-        lost = busiest(made)
-        theirs = at(made, lost)
-        others = tuple(name for name in made.follows if name not in theirs)
-        told = sum(made.told(name, NO_NEWS) for name in made.follows)
-        assert theirs and others
-        await made.kill(lost)
-        await made.commit("s1")
-        await made.all_hold(bound(), others)
-        await made.all_hold(bound(2), theirs)
-        # An item more, an item less, an object less: all of it as deltas at relays that they just met.
-        await made.commit("s1", {"only": 1})
-        await made.all_hold(bound())
-        del made.objects["s2"]
-        await made.commit()
-        await made.all_hold(bound())
-        await made.start(lost)
-        await made.until(lambda: bool(at(made, lost)), "a return to the better choice")
-        await made.commit("s3")
-        await made.all_hold(bound())
-        assert sum(made.told(name, NO_NEWS) for name in made.follows) == told
-
-    stage.run(test)
-
-
-def test_paused_with_old_deltas_in_its_buffers_neither_relay_nor_follower_brings_them_back(
-    stage: Stage,
+            await deployment.commit(f"s{turn}")
+            await deployment.all_hold(bound_s())
+        lost = busiest_relay(deployment)
+        affected = followers_of(deployment, lost)
+        others = tuple(name for name in deployment.follows if name not in affected)
+        logged = sum(deployment.told(name, OUTAGE_LINE) for name in deployment.follows)
+        assert affected and others
+        await deployment.kill(lost)
+        await deployment.commit("s1")
+        await deployment.all_hold(bound_s(), others)
+        await deployment.all_hold(bound_s(2), affected)
+        # Replaced items and a deleted object, all sent as deltas by relays that the followers just joined.
+        await deployment.commit("s1", {"only": 1})
+        await deployment.all_hold(bound_s())
+        del deployment.objects["s2"]
+        await deployment.commit()
+        await deployment.all_hold(bound_s())
+        await deployment.start(lost)
+        await deployment.until(
+            lambda: bool(followers_of(deployment, lost)), "a return to the better-ranked relay"
+        )
+        await deployment.commit("s3")
+        await deployment.all_hold(bound_s())
+        assert sum(deployment.told(name, OUTAGE_LINE) for name in deployment.follows) == logged
+
+    shared.run(test)
+
+
+def test_deltas_buffered_in_a_paused_relay_or_follower_take_no_follower_back(
+    shared: SharedDeployment,
 ) -> None:
-    async def test(made: Delivered) -> None:
-        stopped = busiest(made)
-        theirs = at(made, stopped)
-        assert theirs
-        await made.commit("s0")  # on its way as the relay stops
-        made.children[stopped].pause()
-        slow = next(name for name in made.follows if name not in theirs)
+    async def test(deployment: Delivered) -> None:
+        stopped = busiest_relay(deployment)
+        affected = followers_of(deployment, stopped)
+        assert affected
+        await deployment.commit("s0")  # in flight when the relay stops
+        deployment.children[stopped].pause()
+        slow = next(name for name in deployment.follows if name not in affected)
         for turn in range(4):
-            await made.commit(f"s{turn}")
+            await deployment.commit(f"s{turn}")
             if turn == 1:
-                made.children[slow].pause()
-        awake = tuple(name for name in made.follows if name != slow)
-        await made.all_hold(bound(2), awake)
-        made.children[stopped].wake()
-        made.children[slow].wake()
-        await made.all_hold(BACK_S + bound(2))
-        for turn in range(4):  # by relay and follower that have what lay in their buffers
-            await made.commit(f"s{turn}")
-            await made.all_hold(bound())
-
-    stage.run(test)
-
-
-def test_cut_off_one_way_and_from_the_origin_they_move_to_a_relay_with_news(stage: Stage) -> None:
-    async def test(made: Delivered) -> None:
-        first = busiest(made)
-        theirs = at(made, first)
-        made.links.cut(first, theirs, both=False)  # it hears them, and they don't hear it
-        await made.commit("s0")
-        await made.all_hold(bound(2))
-        assert not any(made.relay_of(name) == first for name in theirs)
-        made.links.heal()
-        await made.commit("s1")
-        await made.all_hold(bound(1))
-        second = busiest(made)
-        made.links.cut(at(made, second), second, both=False)  # it does not hear them
-        await made.commit("s2")
-        await made.all_hold(bound(2))
-        made.links.heal()
-        stale = busiest(made)
-        made.links.cut("origin", stale, both=False)  # up and answering, without news
-        await made.commit("s3")
-        await made.all_hold(STALE_S + bound(1))
-        made.links.heal()
-        await made.commit("s4")
-        await made.all_hold(BACK_S + bound(1))
-
-    stage.run(test)
-
-
-def test_a_relay_that_holds_less_is_not_gone_back_to_when_the_others_are_lost(stage: Stage) -> None:
-    async def test(made: Delivered) -> None:
-        made.links.cut("origin", "r1")
-        last = await made.commit("s0")
-        await made.all_hold(STALE_S + bound(1))
-        await asyncio.gather(made.kill("r0"), made.kill("r2"))  # now there is only the one that holds less
-        held = {name: len(made.children[name].rows) for name in made.follows}
-        rows = RULES.failure_detection_s() + 3 * RULES.retry_s[1]  # one a second
-        await made.until(lambda: all(len(made.children[n].rows) > held[n] + rows for n in held), "attempts")
-        assert all(made.holds(name, last) for name in made.follows)  # and the audit: none went back
-        assert not any(made.relay_of(name) for name in made.follows)
-        made.links.heal()
-        await made.commit("s1")
-        await made.all_hold(BACK_S + bound(2))
-        assert len(at(made, "r1")) == len(made.follows)
-
-    stage.run(test)
-
-
-def test_all_relays_and_then_the_origin_start_anew_and_nobody_has_to_forget(stage: Stage) -> None:
-    async def test(made: Delivered) -> None:
-        ended = await asyncio.gather(*(made.kill(relay, signal.SIGTERM) for relay in RELAYS))
-        assert ended == [0, 0, 0]
-        await made.commit("s1")  # while there is none: followers serve on
-        await asyncio.gather(*map(made.start, RELAYS))
-        await made.all_hold(BACK_S + bound(2))
-        assert await made.kill("origin", signal.SIGTERM) == 0
-        del made.objects["s3"]  # one gone, one changed, while nobody watches
-        made.put("s2", {"while": "away"})
-        await made.start("origin")
-        await made.taken()
-        await made.all_hold(BACK_S + bound(1))
-        await made.commit("s4")
-        await made.all_hold(BACK_S + bound(1))
-        await made.kill("origin")  # without a word; its file is as it was
-        origin = await made.start("origin")
+                deployment.children[slow].pause()
+        awake = tuple(name for name in deployment.follows if name != slow)
+        await deployment.all_hold(bound_s(2), awake)
+        deployment.children[stopped].wake()
+        deployment.children[slow].wake()
+        await deployment.all_hold(RECONNECT_S + bound_s(2))
+        for turn in range(4):  # sent by and to processes that have processed their buffers
+            await deployment.commit(f"s{turn}")
+            await deployment.all_hold(bound_s())
+
+    shared.run(test)
+
+
+def test_followers_leave_relays_that_are_cut_off_from_them_or_from_the_origin(
+    shared: SharedDeployment,
+) -> None:
+    async def test(deployment: Delivered) -> None:
+        first = busiest_relay(deployment)
+        affected = followers_of(deployment, first)
+        deployment.links.cut(first, affected, both=False)  # relay to followers only
+        await deployment.commit("s0")
+        await deployment.all_hold(bound_s(2))
+        assert not any(deployment.relay_of(name) == first for name in affected)
+        deployment.links.heal()
+        await deployment.commit("s1")
+        await deployment.all_hold(bound_s(1))
+        second = busiest_relay(deployment)
+        deployment.links.cut(followers_of(deployment, second), second, both=False)  # followers to relay only
+        await deployment.commit("s2")
+        await deployment.all_hold(bound_s(2))
+        deployment.links.heal()
+        stale = busiest_relay(deployment)
+        deployment.links.cut("origin", stale, both=False)  # it still answers pings, but its state gets stale
+        await deployment.commit("s3")
+        await deployment.all_hold(STALE_SWITCH_S + bound_s(1))
+        deployment.links.heal()
+        await deployment.commit("s4")
+        await deployment.all_hold(RECONNECT_S + bound_s(1))
+
+    shared.run(test)
+
+
+def test_a_relay_that_lags_behind_is_not_used_when_the_others_are_lost(shared: SharedDeployment) -> None:
+    async def test(deployment: Delivered) -> None:
+        deployment.links.cut("origin", "r1")
+        last = await deployment.commit("s0")
+        await deployment.all_hold(STALE_SWITCH_S + bound_s(1))
+        await asyncio.gather(deployment.kill("r0"), deployment.kill("r2"))  # only the lagging relay is left
+        rows_before = {name: len(deployment.children[name].rows) for name in deployment.follows}
+        new_rows = RULES.failure_detection_s() + 3 * RULES.retry_s[1]  # one row per second
+        await deployment.until(
+            lambda: all(len(deployment.children[n].rows) > rows_before[n] + new_rows for n in rows_before),
+            "attempts",
+        )
+        # In addition, `SharedDeployment` checks at the end that no follower went back.
+        assert all(deployment.holds(name, last) for name in deployment.follows)
+        assert not any(deployment.relay_of(name) for name in deployment.follows)
+        deployment.links.heal()
+        await deployment.commit("s1")
+        await deployment.all_hold(RECONNECT_S + bound_s(2))
+        assert len(followers_of(deployment, "r1")) == len(deployment.follows)
+
+    shared.run(test)
+
+
+def test_restarts_of_all_relays_and_then_of_the_origin_lose_no_state(shared: SharedDeployment) -> None:
+    async def test(deployment: Delivered) -> None:
+        exit_codes = await asyncio.gather(*(deployment.kill(relay, signal.SIGTERM) for relay in RELAYS))
+        assert exit_codes == [0, 0, 0]
+        await deployment.commit("s1")  # committed while no relay runs
+        await asyncio.gather(*map(deployment.start, RELAYS))
+        await deployment.all_hold(RECONNECT_S + bound_s(2))
+        assert await deployment.kill("origin", signal.SIGTERM) == 0
+        del deployment.objects["s3"]  # deleted while the origin is down
+        deployment.put("s2", {"while": "away"})
+        await deployment.start("origin")
+        await deployment.taken()
+        await deployment.all_hold(RECONNECT_S + bound_s(1))
+        await deployment.commit("s4")
+        await deployment.all_hold(RECONNECT_S + bound_s(1))
+        await deployment.kill("origin")  # killed, and its file does not change
+        origin = await deployment.start("origin")
         await origin.said("revision ")
-        await made.commit("s5")
-        await made.all_hold(BACK_S + bound(1))
+        await deployment.commit("s5")
+        await deployment.all_hold(RECONNECT_S + bound_s(1))
 
-    stage.run(test)
+    shared.run(test)
 
 
-def test_a_zone_cut_off_while_the_other_side_changes_catches_up_and_tells_of_it_once(stage: Stage) -> None:
-    async def test(made: Delivered) -> None:
-        inside = tuple(n for n in made.follows if made.links.places[n].zone == "a")
-        outside = tuple(n for n in made.follows if n not in inside)
+def test_a_partitioned_zone_catches_up_and_logs_the_outage_once(shared: SharedDeployment) -> None:
+    async def test(deployment: Delivered) -> None:
+        inside = tuple(n for n in deployment.follows if deployment.links.places[n].zone == "a")
+        outside = tuple(n for n in deployment.follows if n not in inside)
         assert inside and outside
-        told = {name: (made.told(name, NO_NEWS), made.told(name, "again")) for name in made.follows}
-        made.links.cut("zone:a", "zone:b")
-        before = len(made.audit.commits) - 1
+        logged = {
+            name: (deployment.told(name, OUTAGE_LINE), deployment.told(name, "again"))
+            for name in deployment.follows
+        }
+        deployment.links.cut("zone:a", "zone:b")
+        before = len(deployment.audit.commits) - 1
         for turn in range(4):
-            await made.commit(f"s{turn}")
-        await made.all_hold(bound(2), outside)
-        await made.until(lambda: all(made.told(n, NO_NEWS) > told[n][0] for n in inside), "a word on it")
-        assert not any(made.holds(name, before + 1) for name in inside)
-        await asyncio.sleep(RULES.stale_s)  # time in which they could say it again
-        made.links.heal()
-        await made.commit("s5")
-        await made.all_hold(BACK_S + bound(1))
-        await made.until(lambda: all(made.told(n, "again") > told[n][1] for n in inside), "a word on its end")
-        assert all(made.told(name, NO_NEWS) == told[name][0] + 1 for name in inside)
-        assert all(made.told(name, NO_NEWS) == told[name][0] for name in outside)
-
-    stage.run(test)
+            await deployment.commit(f"s{turn}")
+        await deployment.all_hold(bound_s(2), outside)
+        await deployment.until(
+            lambda: all(deployment.told(n, OUTAGE_LINE) > logged[n][0] for n in inside),
+            "the log line on the outage",
+        )
+        assert not any(deployment.holds(name, before + 1) for name in inside)
+        await asyncio.sleep(RULES.stale_s)  # time for a repeated log line
+        deployment.links.heal()
+        await deployment.commit("s5")
+        await deployment.all_hold(RECONNECT_S + bound_s(1))
+        await deployment.until(
+            lambda: all(deployment.told(n, "again") > logged[n][1] for n in inside), "the log line on its end"
+        )
+        assert all(deployment.told(name, OUTAGE_LINE) == logged[name][0] + 1 for name in inside)
+        assert all(deployment.told(name, OUTAGE_LINE) == logged[name][0] for name in outside)
+
+    shared.run(test)
--- a/tests/delivery/test_property.py
+++ b/tests/delivery/test_property.py
@@ -1,4 +1,4 @@
-"""Any schedule of commits and faults: nobody is ever torn or goes back, and all end right."""
+"""Any schedule of commits and faults: no subscriber is inconsistent or goes back, and all converge."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 NAMES = (*OBJECTS, "never")
 PROXIES = ("p0", "p1", "p2", "p3")
 HOSTS = ("origin", "relay0", "relay1", "relay2", *PROXIES)
-CHECK_S = 0.25  # between two comparisons beside those at each change
-QUIET_S = 90.0  # in which all must have become right
-# So little credit, and such small parts, that a batch is on its way for seconds: much happens meanwhile.
+CHECK_INTERVAL_S = 0.25  # of the invariants, in addition to the check at each change
+CONVERGENCE_TIMEOUT_S = 90.0  # after the last fault
+# Little credit and small parts, so that a batch takes seconds and overlaps with other events.
 SLOW = Rules(bytes_per_s=600.0, burst_bytes=6000.0, window_bytes=2500.0, part_bytes=200)
 
 edits = st.lists(
     st.tuples(
         st.sampled_from(OBJECTS),
-        st.sampled_from(("put", "put", "put", "take", "revert", "gone", "anew")),
+        st.sampled_from(("put", "put", "put", "remove", "revert", "delete", "recreate")),
         st.integers(0, 3),
         st.integers(0, 3),
     ),
@@ -44,17 +44,17 @@
 
 def changes_of(fleet: Fleet, edited: list[tuple[str, str, int, int]]) -> list[ObjectChange]:
     changes = []
-    for name, what, item, value in edited:
+    for name, kind, item, value in edited:
         key, data = f"i{item}", f"{name} {value}".encode() * (1 + 40 * value)
-        if what == "put":
+        if kind == "put":
             changes.append(ObjectChange(name, {key: data}))
-        elif what == "take":
+        elif kind == "remove":
             changes.append(ObjectChange(name, removed=(key,)))
-        elif what == "gone":
+        elif kind == "delete":
             changes.append(ObjectChange(name, deleted=True))
-        elif what == "anew":
+        elif kind == "recreate":
             changes += [ObjectChange(name, deleted=True), ObjectChange(name, {key: data})]
-        else:  # there and back: nothing has changed, and yet it has
+        else:  # changed and reverted: the revision increases, the content does not change
             before = fleet.wanted.get(name, {}).get(key)
             changes.append(ObjectChange(name, {key: b"for a moment"}))
             changes.append(
@@ -68,8 +68,8 @@
     if slow:
         fleet.lab.delay_s = (0.02, 0.3)
     fleet.put("anchor", here="always")
-    for place, name in enumerate(PROXIES):
-        fleet.proxy(name, "anchor", *OBJECTS[place : place + 3], region=place % 2)
+    for index, name in enumerate(PROXIES):
+        fleet.proxy(name, "anchor", *OBJECTS[index : index + 3], region=index % 2)
     fleet.run(3)
 
     def start(name: str) -> None:
@@ -78,13 +78,13 @@
         else:
             fleet.start(name)
 
-    def act(step: tuple[Any, ...]) -> None:
+    def execute(step: tuple[Any, ...]) -> None:
         what = step[0]
         if what == "commit":
             changes = changes_of(fleet, step[1])
             reverted = any(edit[1] == "revert" for edit in step[1])
-            for part in [[one] for one in changes] if reverted else [changes]:
-                fleet.commit(*part)
+            for commit in [[change] for change in changes] if reverted else [changes]:
+                fleet.commit(*commit)
         elif what in ("follow", "unfollow", "again"):
             name = PROXIES[step[1]]
             if fleet.lab.hosts[name].up:
@@ -111,13 +111,13 @@
                 fleet.lab.wake(step[1])
 
     def run(seconds: float) -> None:
-        until = fleet.now + seconds
-        while fleet.now < until:
-            fleet.run(min(CHECK_S, until - fleet.now))
+        end = fleet.now + seconds
+        while fleet.now < end:
+            fleet.run(min(CHECK_INTERVAL_S, end - fleet.now))
             fleet.watch.check_all()
 
     for step, wait in plan:
-        act(step)
+        execute(step)
         run(wait)
     fleet.lab.heal()
     for name in HOSTS:
@@ -125,17 +125,16 @@
             fleet.lab.wake(name)
         if not fleet.lab.hosts[name].up:
             start(name)
-    fleet.until(lambda: fleet.right() and fleet.young(), QUIET_S)
-    run(
-        fleet.rules.failure_detection_s() + fleet.rules.spread_s + 3
-    )  # also who had not found out that its relay died
-    assert fleet.right() and fleet.young()
+    fleet.run_until(lambda: fleet.converged() and fleet.is_fresh(), CONVERGENCE_TIMEOUT_S)
+    # Long enough for subscribers that had not yet detected the loss of their relay.
+    run(fleet.rules.failure_detection_s() + fleet.rules.spread_s + 3)
+    assert fleet.converged() and fleet.is_fresh()
     return fleet
 
 
 @given(plans, st.integers(0, 1000), st.booleans())
 @settings(max_examples=80, deadline=None, derandomize=True, print_blob=True)
-def test_any_schedule_leaves_nobody_torn_and_ends_right(
+def test_any_schedule_keeps_subscribers_consistent_and_converges(
     plan: list[tuple[tuple[Any, ...], float]], seed: int, slow: bool
 ) -> None:
     play(plan, seed, slow)
--- a/tests/delivery/test_source.py
+++ b/tests/delivery/test_source.py
@@ -1,4 +1,4 @@
-"""The origin's file: what of it is committed, what is held, and which revision a new life begins with."""
+"""The origin's file: what is committed, what is held for confirmation, and the revisions after a restart."""
 
 from __future__ import annotations
 
@@ -16,28 +16,28 @@
 
 
 class Origin:
-    """A life of it, whose wall clock the test sets."""
+    """One run of the origin's source, with a wall clock that the test sets."""
 
     def __init__(self, folder: Path, now_us: int = 1000) -> None:
         self.path, self.store = folder / "objects.json", Store()
-        self.told: list[str] = []
+        self.log_lines: list[str] = []
         self.now_us = now_us
         self.source = Source(
-            str(self.path), str(folder / "kept"), self.store, self.told.append, lambda: self.now_us
+            str(self.path), str(folder / "kept"), self.store, self.log_lines.append, lambda: self.now_us
         )
 
     def put(self, content: Any) -> None:
         fresh = self.path.with_suffix(".new")
         fresh.write_text(content if isinstance(content, str) else json.dumps(content))
-        past = time.time() - 10 + len(self.told) * 0.01
+        past = time.time() - 10 + len(self.log_lines) * 0.01
         os.utime(fresh, (past, past))
         fresh.rename(self.path)
 
-    def look(self) -> tuple[str, ...] | None:
-        found = self.source.load()
-        return None if found is None else self.source.commit(*found)
+    def poll(self) -> tuple[str, ...] | None:
+        loaded = self.source.load()
+        return None if loaded is None else self.source.commit(*loaded)
 
-    def holds(self) -> dict[str, dict[str, bytes]]:
+    def state(self) -> dict[str, dict[str, bytes]]:
         return {name: one.items for name, one in self.store.objects.items()}
 
 
@@ -45,17 +45,17 @@
     return {f"o{n}": {f"i{k}": k for k in range(items)} for n in range(count)}
 
 
-def test_a_change_is_committed_once_and_as_canonical_json(tmp_path: Path) -> None:
+def test_a_change_is_committed_once_as_canonical_json(tmp_path: Path) -> None:
     origin = Origin(tmp_path)
     origin.put('{"b": {"y": {"z": [1, 2], "a": "é"}}, "a": {"x": 1}}')
-    assert set(origin.look() or ()) == {"a", "b"}
-    assert origin.holds() == {"a": {"x": b"1"}, "b": {"y": '{"a":"é","z":[1,2]}'.encode()}}
-    assert origin.look() is None and origin.store.revision == 1000
-    origin.put('{"a": {"x": 1}, "b": {"y": {"a": "é", "z": [1, 2]}}}')  # another order, nothing new
-    assert origin.look() is None and origin.store.revision == 1000
+    assert set(origin.poll() or ()) == {"a", "b"}
+    assert origin.state() == {"a": {"x": b"1"}, "b": {"y": '{"a":"é","z":[1,2]}'.encode()}}
+    assert origin.poll() is None and origin.store.revision == 1000
+    origin.put('{"a": {"x": 1}, "b": {"y": {"a": "é", "z": [1, 2]}}}')  # only the order differs
+    assert origin.poll() is None and origin.store.revision == 1000
     origin.put('{"a": {"x": 2}, "b": {"y": {"a": "é", "z": [1, 2]}}}')
-    assert origin.look() == ("a",)
-    assert origin.store.revision > 1000 and origin.told == []
+    assert origin.poll() == ("a",)
+    assert origin.store.revision > 1000 and origin.log_lines == []
 
 
 @pytest.mark.parametrize(
@@ -73,131 +73,133 @@
         (json.dumps({CONFIRM_KEY: 1, "o0": {"x": 1}}), "$confirm: found 1, expected true"),
     ],
 )
-def test_a_wrong_file_is_told_once_and_the_last_good_one_stands(
+def test_an_invalid_file_is_logged_once_and_the_last_valid_content_is_kept(
     tmp_path: Path, content: str, words: str
 ) -> None:
     origin = Origin(tmp_path)
     origin.put(objects(2))
-    origin.look()
-    held, revision = origin.holds(), origin.store.revision
+    origin.poll()
+    held, revision = origin.state(), origin.store.revision
     origin.put(content)
-    assert [origin.look() for _ in range(3)] == [None] * 3
-    (told,) = origin.told
-    assert words in told and "keeping the last valid content" in told and "\n" not in told
-    assert origin.holds() == held and origin.store.revision == revision
+    assert [origin.poll() for _ in range(3)] == [None] * 3
+    (line,) = origin.log_lines
+    assert words in line and "keeping the last valid content" in line and "\n" not in line
+    assert origin.state() == held and origin.store.revision == revision
     origin.put(objects(3))
-    assert origin.look() == ("o2",)
+    assert origin.poll() == ("o2",)
 
 
-def test_a_missing_file_and_one_too_large_are_told_once(
+def test_a_missing_file_and_a_too_large_one_are_logged_once(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     origin = Origin(tmp_path)
-    assert origin.look() is None and origin.look() is None
-    assert len(origin.told) == 1 and "No such file" in origin.told[0]
+    assert origin.poll() is None and origin.poll() is None
+    assert len(origin.log_lines) == 1 and "No such file" in origin.log_lines[0]
     monkeypatch.setattr(module, "MAX_FILE_BYTES", 100)
     origin.put(objects(50))
-    assert origin.look() is None
-    assert "more than 100 bytes" in origin.told[1]
+    assert origin.poll() is None
+    assert "more than 100 bytes" in origin.log_lines[1]
 
 
-def test_a_file_that_changes_as_it_is_read_is_read_again(tmp_path: Path) -> None:
-    """Same size, same place on the disk and within one tick of its clock: identity alone can't tell."""
+def test_a_file_modified_within_the_mtime_resolution_is_read_again(tmp_path: Path) -> None:
+    """Size, inode and mtime are the same, so the file's identity alone does not reveal the change."""
     origin = Origin(tmp_path)
     origin.path.write_text('{"a": {"x": 1}}')
-    assert origin.look() == ("a",)
+    assert origin.poll() == ("a",)
     identity = module.file_identity(str(origin.path))
     with origin.path.open("r+") as file:
         file.write('{"a": {"x": 2}}')
     os.utime(origin.path, ns=(identity[0], identity[0]))
     assert module.file_identity(str(origin.path)) == identity
-    assert origin.look() == ("a",)
+    assert origin.poll() == ("a",)
 
 
 @pytest.mark.parametrize(
-    ("less", "what"),
+    ("reduced", "loss"),
     [
         (objects(4), "6 of 10 objects"),
         ({name: {"i0": 0} for name in objects(10)}, "30 of 40 items"),
         ({}, "10 of 10 objects"),
     ],
 )
-def test_what_takes_away_over_half_is_held_until_it_is_confirmed_once(
-    tmp_path: Path, less: dict[str, Any], what: str
+def test_removing_more_than_half_is_held_until_confirmed_each_time(
+    tmp_path: Path, reduced: dict[str, Any], loss: str
 ) -> None:
     origin = Origin(tmp_path)
     origin.put(objects(10, 4))
-    origin.look()
-    held = origin.holds()
-    origin.put(less)
-    assert origin.look() is None and origin.look() is None
-    assert origin.holds() == held
-    (told,) = origin.told
-    assert f"takes away {what}; held until" in told
-    origin.put(less | {CONFIRM_KEY: True})
-    assert origin.look() is not None
-    assert set(origin.holds()) == set(less)
-    origin.put(objects(10, 4) | {CONFIRM_KEY: True})  # the key left in the file confirms nothing more
-    origin.look()
-    origin.put(less | {CONFIRM_KEY: True})
-    assert origin.look() is None and len(origin.told) == 2
+    origin.poll()
+    held = origin.state()
+    origin.put(reduced)
+    assert origin.poll() is None and origin.poll() is None
+    assert origin.state() == held
+    (line,) = origin.log_lines
+    assert f"takes away {loss}; held until" in line
+    origin.put(reduced | {CONFIRM_KEY: True})
+    assert origin.poll() is not None
+    assert set(origin.state()) == set(reduced)
+    origin.put(objects(10, 4) | {CONFIRM_KEY: True})  # the key was not removed, so it confirms nothing more
+    origin.poll()
+    origin.put(reduced | {CONFIRM_KEY: True})
+    assert origin.poll() is None and len(origin.log_lines) == 2
     origin.put(objects(10, 4))
-    origin.look()
-    origin.put(less | {CONFIRM_KEY: True})
-    assert origin.look() is not None
+    origin.poll()
+    origin.put(reduced | {CONFIRM_KEY: True})
+    assert origin.poll() is not None
 
 
-def test_just_half_is_taken(tmp_path: Path) -> None:
+def test_removing_exactly_half_is_committed(tmp_path: Path) -> None:
     origin = Origin(tmp_path)
     origin.put(objects(10))
-    origin.look()
+    origin.poll()
     origin.put(objects(5))
-    assert origin.look() is not None and len(origin.holds()) == 5
+    assert origin.poll() is not None and len(origin.state()) == 5
 
 
-def test_a_new_life_goes_on_above_the_one_before_also_where_the_clock_went_back(tmp_path: Path) -> None:
+def test_a_restarted_origin_continues_above_its_last_revision_even_if_the_clock_went_back(
+    tmp_path: Path,
+) -> None:
     before = Origin(tmp_path, now_us=5000)
     before.put(objects(4))
-    before.look()
+    before.poll()
     before.put(objects(5))
-    before.look()
+    before.poll()
     last = before.store.revision
     for now_us in (9000, 10):
         after = Origin(tmp_path, now_us)
-        after.look()
+        after.poll()
         store = after.store
         assert store.revision > last
-        # Whoever comes with a revision of a life before is to hear of all, also of what is gone.
+        # A subscriber with a revision of an earlier run has to receive everything, including deletions.
         assert all(store.has_changed_since(name, last) for name in (*store.objects, "gone meanwhile"))
         assert store.deletion_floor > last
         last = store.revision
 
 
-def test_a_file_emptied_while_the_origin_was_away_is_held_too(tmp_path: Path) -> None:
+def test_objects_removed_while_the_origin_was_down_are_held_too(tmp_path: Path) -> None:
     before = Origin(tmp_path)
     before.put(objects(10))
-    before.look()
+    before.poll()
     after = Origin(tmp_path, 2000)
     after.put(objects(3))
-    assert after.look() is None and "takes away 7 of 10 objects" in after.told[0]
-    assert not after.source.committed  # and it serves nobody meanwhile
+    assert after.poll() is None and "takes away 7 of 10 objects" in after.log_lines[0]
+    assert not after.source.committed  # until then it serves no subscriber
     after.put(objects(3) | {CONFIRM_KEY: True})
-    assert len(after.look() or ()) == 3
+    assert len(after.poll() or ()) == 3
 
 
-def test_what_was_kept_and_can_not_be_read_is_told_and_left(tmp_path: Path) -> None:
+def test_an_unusable_commit_record_is_logged_and_ignored(tmp_path: Path) -> None:
     for content in ("{", "[]", '{"revision": -1, "objects": 1, "items": 1}', '{"revision": 1}'):
         (tmp_path / "kept").write_text(content)
         origin = Origin(tmp_path)
         origin.put(objects(1))
-        assert origin.look() == ("o0",)
-        assert "starting without" in origin.told[0]
+        assert origin.poll() == ("o0",)
+        assert "starting without" in origin.log_lines[0]
     (tmp_path / "kept").unlink()
     (tmp_path / "kept").mkdir()
     origin = Origin(tmp_path)
-    assert origin.look() is not None and "was not saved" in origin.told[-1]
+    assert origin.poll() is not None and "was not saved" in origin.log_lines[-1]
 
 
-def test_parsing_says_what_it_found_in_a_line() -> None:
+def test_parse_errors_name_what_was_found() -> None:
     with pytest.raises(InvalidFile, match="a list"):
         parse(b'{"a": []}')
--- a/tests/delivery/test_store.py
+++ b/tests/delivery/test_store.py
@@ -1,4 +1,4 @@
-"""Objects by revision: what has changed since any older one, in parts, taken whole or refused."""
+"""The store and staging: changes since any older revision, in parts, applied completely or refused."""
 
 from __future__ import annotations
 
@@ -36,33 +36,37 @@
 
 
 def state_of(store: Store) -> State:
-    return {name: one.items for name, one in store.objects.items()}
+    return {name: stored.items for name, stored in store.objects.items()}
 
 
-def sent(upper: Store, names: list[str], base: int | None, part_bytes: int = 16384) -> list[ObjectPart]:
-    out: list[ObjectPart] = []
+def parts_to_send(
+    upstream: Store, names: list[str], base: int | None, part_bytes: int = 16384
+) -> list[ObjectPart]:
+    parts: list[ObjectPart] = []
     for name in names:
-        one = upper.objects.get(name)
-        if one is None:
-            out.append(ObjectPart(name, Kind.DELETED, upper.revision, {}, (), 0, 0, False))
+        stored = upstream.objects.get(name)
+        if stored is None:
+            parts.append(ObjectPart(name, Kind.DELETED, upstream.revision, {}, (), 0, 0, False))
         else:
-            out += one.to_parts(name, base, part_bytes)
-    return out
+            parts += stored.to_parts(name, base, part_bytes)
+    return parts
 
 
-def take(lower: Store, parts: list[ObjectPart], to: int, whole: bool = False) -> CompletedBatch:
-    staging = Staging(Begin(lower.revision, to, whole), Rules(), lower)
+def apply_batch(
+    downstream: Store, parts: list[ObjectPart], target: int, full: bool = False
+) -> CompletedBatch:
+    staging = Staging(Begin(downstream.revision, target, full), Rules(), downstream)
     for part in parts:
         staging.add(part, wire_size(part))
-    taken = staging.finish(End(to, len(parts)))
-    lower.put(taken.objects, to)
-    return taken
+    batch = staging.finish(End(target, len(parts)))
+    downstream.put(batch.objects, target)
+    return batch
 
 
 edits = st.lists(
     st.tuples(
         st.sampled_from("abc"),
-        st.sampled_from(("put", "put", "take", "gone")),
+        st.sampled_from(("put", "put", "remove", "delete")),
         st.integers(0, 90),
         st.binary(max_size=3),
     ),
@@ -71,25 +75,25 @@
 )
 
 
-def change_of(name: str, what: str, item: int, value: bytes) -> ObjectChange:
-    if what == "gone":
+def change_of(name: str, kind: str, item_count: int, value: bytes) -> ObjectChange:
+    if kind == "delete":
         return ObjectChange(name, deleted=True)
-    if what == "take":
-        return ObjectChange(name, removed=tuple(f"{n}" for n in range(item)))
-    return ObjectChange(name, {f"{n}": value for n in range(item)})
+    if kind == "remove":
+        return ObjectChange(name, removed=tuple(f"{n}" for n in range(item_count)))
+    return ObjectChange(name, {f"{n}": value for n in range(item_count)})
 
 
 @given(st.lists(edits, min_size=1, max_size=12), st.integers(60, 400))
 @settings(max_examples=80, deadline=None, derandomize=True, print_blob=True)
-def test_whoever_holds_an_older_revision_comes_to_the_newest(
+def test_a_holder_of_any_older_revision_reaches_the_newest(
     commits: list[list[tuple[str, str, int, bytes]]], part_bytes: int
 ) -> None:
-    """From each revision on, straight and by way of another store that itself jumped."""
-    upper = Store()
-    between = Store()
+    """From each revision, directly and through an intermediate store that itself skipped revisions."""
+    upstream = Store()
+    intermediate = Store()
     history: list[tuple[int, Store]] = []
     for n, commit in enumerate(commits):
-        model = {name: dict(items) for name, items in state_of(upper).items()}
+        model = {name: dict(items) for name, items in state_of(upstream).items()}
         for edit in commit:
             change = change_of(*edit)
             if change.deleted:
@@ -99,56 +103,60 @@
             for name in change.removed:
                 items.pop(name, None)
             items.update(change.items)
-        upper.commit([change_of(*edit) for edit in commit])
-        assert state_of(upper) == model
-        for one in upper.objects.values():
-            assert one.checksum == sum(item_digest(k, v) for k, v in one.items.items()) % 2**64
-            assert one.size == sum(len(k) + len(v) for k, v in one.items.items())
-            assert len(one.tombstones) <= max(MIN_TOMBSTONE_LIMIT, len(one.items))
+        upstream.commit([change_of(*edit) for edit in commit])
+        assert state_of(upstream) == model
+        for stored in upstream.objects.values():
+            assert stored.checksum == sum(item_digest(k, v) for k, v in stored.items.items()) % 2**64
+            assert stored.size == sum(len(k) + len(v) for k, v in stored.items.items())
+            assert len(stored.tombstones) <= max(MIN_TOMBSTONE_LIMIT, len(stored.items))
         if n % 3 == 0:
-            whole = not between.revision
-            names = list(upper.objects) if whole else upper.names_changed_since(between.revision)
-            take(
-                between,
-                sent(upper, names, None if whole else between.revision, part_bytes),
-                upper.revision,
-                whole,
+            full = not intermediate.revision
+            names = list(upstream.objects) if full else upstream.names_changed_since(intermediate.revision)
+            apply_batch(
+                intermediate,
+                parts_to_send(upstream, names, None if full else intermediate.revision, part_bytes),
+                upstream.revision,
+                full,
             )
-            if whole:
-                between.deletion_floor = upper.revision
-            assert state_of(between) == model
-        kept = Store()
-        kept.objects, kept.revision, kept.latest_version = (
-            dict(upper.objects),
-            upper.revision,
-            upper.latest_version,
+            if full:
+                intermediate.deletion_floor = upstream.revision
+            assert state_of(intermediate) == model
+        copy = Store()
+        copy.objects, copy.revision, copy.latest_version = (
+            dict(upstream.objects),
+            upstream.revision,
+            upstream.latest_version,
         )
-        history.append((upper.revision, kept))
-    for above in (upper, between):
+        history.append((upstream.revision, copy))
+    for source in (upstream, intermediate):
         for revision, old in history:
-            if revision > above.revision:
+            if revision > source.revision:
                 continue
-            lower = Store()
-            lower.objects, lower.revision, lower.latest_version = (
+            downstream = Store()
+            downstream.objects, downstream.revision, downstream.latest_version = (
                 dict(old.objects),
                 revision,
                 old.latest_version,
             )
-            names = [name for name in "abc" if above.has_changed_since(name, revision)]
-            parts = sent(above, names, revision, part_bytes)
-            take(lower, parts, above.revision)
-            assert state_of(lower) == state_of(above)
+            names = [name for name in "abc" if source.has_changed_since(name, revision)]
+            parts = parts_to_send(source, names, revision, part_bytes)
+            apply_batch(downstream, parts, source.revision)
+            assert state_of(downstream) == state_of(source)
 
 
 @given(st.lists(edits, min_size=2, max_size=8))
 @settings(max_examples=60, deadline=None, derandomize=True, print_blob=True)
-def test_the_changes_told_are_just_what_is_new(commits: list[list[tuple[str, str, int, bytes]]]) -> None:
-    upper, lower = Store(), Store()
+def test_the_reported_changes_are_exactly_the_new_items(
+    commits: list[list[tuple[str, str, int, bytes]]],
+) -> None:
+    upstream, downstream = Store(), Store()
     mirror: State = {}
     for commit in commits:
-        upper.commit([change_of(*edit) for edit in commit])
-        names = [name for name in "abc" if upper.has_changed_since(name, lower.revision)]
-        for change in take(lower, sent(upper, names, lower.revision), upper.revision).changes:
+        upstream.commit([change_of(*edit) for edit in commit])
+        names = [name for name in "abc" if upstream.has_changed_since(name, downstream.revision)]
+        for change in apply_batch(
+            downstream, parts_to_send(upstream, names, downstream.revision), upstream.revision
+        ).changes:
             if change.deleted:
                 del mirror[change.name]
                 continue
@@ -157,27 +165,27 @@
                 del items[name]
             assert all(items.get(k) != v for k, v in change.items.items())
             items.update(change.items)
-        assert mirror == state_of(upper)
+        assert mirror == state_of(upstream)
 
 
 # Parts
 
 
-def test_no_part_is_larger_than_its_bound_allows() -> None:
-    """Names of many bytes a character, and as many taken away as put."""
+def test_no_part_exceeds_its_size_limit() -> None:
+    """With names of several bytes per character, and as many items removed as put."""
     store = Store()
     old = [f"\U0001f310{n:04}" * 8 for n in range(3000)]
     store.commit([ObjectChange("s", dict.fromkeys(old, b""))])
     store.commit([ObjectChange("s", {f"{name}+": b"x" for name in old[:1500]}, tuple(old[:1500]))])
-    one = store.objects["s"]
+    stored = store.objects["s"]
     for since in (None, 1):
-        parts = list(one.to_parts("s", since, 4096))
+        parts = list(stored.to_parts("s", since, 4096))
         assert max(wire_size(part) for part in parts) <= 4096 + 200
         assert [part.has_more for part in parts] == [True] * (len(parts) - 1) + [False]
         assert {part.kind for part in parts} == {Kind.SNAPSHOT if since is None else Kind.DELTA}
 
 
-def test_an_item_larger_than_a_part_goes_alone() -> None:
+def test_an_item_larger_than_a_part_is_sent_alone() -> None:
     store = Store()
     store.commit([ObjectChange("s", {"a": b"", "b": bytes(5000), "c": b""})])
     assert [len(part.items) for part in store.objects["s"].to_parts("s", None, 1000)] == [1, 1, 1]
@@ -186,25 +194,25 @@
 def test_an_object_without_items_is_one_part() -> None:
     store = Store()
     store.commit([ObjectChange("s")])
-    lower = Store()
-    assert [c.name for c in take(lower, sent(store, ["s"], None), 1).changes] == ["s"]
-    assert state_of(lower) == {"s": {}}
+    downstream = Store()
+    assert [c.name for c in apply_batch(downstream, parts_to_send(store, ["s"], None), 1).changes] == ["s"]
+    assert state_of(downstream) == {"s": {}}
 
 
-def test_what_was_taken_away_longer_ago_than_is_known_means_a_snapshot() -> None:
+def test_a_snapshot_is_sent_if_the_removals_are_no_longer_known() -> None:
     store = Store()
     store.commit([ObjectChange("s", {f"{n}": b"" for n in range(MIN_TOMBSTONE_LIMIT + 2)})])
     for n in range(MIN_TOMBSTONE_LIMIT + 2):
         store.commit([ObjectChange("s", removed=(f"{n}",))])
-    one = store.objects["s"]
-    assert one.changes_since(1) is None and one.changes_since(2) is None
-    assert len(one.tombstones) == MIN_TOMBSTONE_LIMIT
-    change = one.changes_since(3)
+    stored = store.objects["s"]
+    assert stored.changes_since(1) is None and stored.changes_since(2) is None
+    assert len(stored.tombstones) == MIN_TOMBSTONE_LIMIT
+    change = stored.changes_since(3)
     assert change is not None and len(change.removed) == MIN_TOMBSTONE_LIMIT
-    assert next(one.to_parts("s", 2, 16384)).kind is Kind.SNAPSHOT
+    assert next(stored.to_parts("s", 2, 16384)).kind is Kind.SNAPSHOT
 
 
-def test_an_object_made_anew_is_a_snapshot_for_who_held_the_one_before() -> None:
+def test_a_recreated_object_is_sent_as_a_snapshot() -> None:
     store = Store()
     store.commit([ObjectChange("s", {"a": b""})])
     store.commit([ObjectChange("s", deleted=True)])
@@ -215,7 +223,7 @@
 # The store
 
 
-def test_a_commit_of_no_new_revision_is_refused_and_changes_nothing() -> None:
+def test_a_commit_without_a_higher_revision_is_refused_and_changes_nothing() -> None:
     store = Store()
     store.commit([ObjectChange("s", {"a": b""})], 7)
     for revision in (6, 7):
@@ -235,7 +243,7 @@
         ObjectChange("t", {f"{n}": bytes(MAX_ITEM_BYTES) for n in range(MAX_OBJECT_BYTES // MAX_ITEM_BYTES)}),
     ],
 )
-def test_what_every_subscriber_would_refuse_is_not_committed(change: ObjectChange) -> None:
+def test_a_commit_over_the_limits_is_refused_and_changes_nothing(change: ObjectChange) -> None:
     store = Store()
     store.commit([ObjectChange("s", {"a": b""})])
     with pytest.raises(OutOfBounds):
@@ -245,15 +253,15 @@
     assert state_of(store) == {"s": {"a": b""}} and store.revision == 1
 
 
-def test_the_largest_object_that_is_committed_is_taken() -> None:
-    upper, lower = Store(), Store()
+def test_the_largest_allowed_object_is_accepted() -> None:
+    upstream, downstream = Store(), Store()
     items = {f"{n:03}": bytes(MAX_ITEM_BYTES - 3) for n in range(MAX_OBJECT_BYTES // MAX_ITEM_BYTES)}
-    upper.commit([ObjectChange("s", items)])
-    take(lower, sent(upper, ["s"], None), 1)
-    assert state_of(lower) == {"s": items} and upper.objects["s"].size == MAX_OBJECT_BYTES
+    upstream.commit([ObjectChange("s", items)])
+    apply_batch(downstream, parts_to_send(upstream, ["s"], None), 1)
+    assert state_of(downstream) == {"s": items} and upstream.objects["s"].size == MAX_OBJECT_BYTES
 
 
-def test_replace_commits_the_difference_and_nothing_where_there_is_none() -> None:
+def test_replace_commits_the_difference_if_there_is_any() -> None:
     store = Store()
     assert set(store.replace({"a": {"x": b"1", "y": b"2"}, "b": {}})) == {"a", "b"}
     assert store.replace({"a": {"x": b"1", "y": b"2"}, "b": {}}) == [] and store.revision == 1
@@ -263,7 +271,7 @@
     assert change is not None and (change.items, change.removed) == ({"z": b"3"}, ("y",))
 
 
-def test_newer_and_changed_since_know_of_what_is_gone() -> None:
+def test_changes_since_a_revision_include_deletions() -> None:
     store = Store()
     store.commit([ObjectChange(name) for name in "abc"])
     store.commit([ObjectChange("a", {"x": b""}), ObjectChange("never", deleted=True)])
@@ -280,7 +288,7 @@
     assert not store.has_changed_since("b", 0)
 
 
-def test_of_what_is_gone_only_so_much_is_remembered_and_then_all_of_before_is_doubtful() -> None:
+def test_beyond_the_limit_on_deleted_names_any_older_name_counts_as_changed() -> None:
     store = Store()
     store.put([(f"{n}", StoredObject(1, 1)) for n in range(MAX_DELETED_OBJECTS + 1)], 1)
     store.put([("0", None)], 2)
@@ -290,7 +298,7 @@
     assert store.has_changed_since("1", 2)
 
 
-def test_a_restamp_makes_all_of_before_unknown() -> None:
+def test_a_restamp_makes_everything_count_as_changed() -> None:
     store = Store()
     store.commit([ObjectChange("a", {"x": b""}), ObjectChange("b")])
     store.commit([ObjectChange("b", deleted=True)])
@@ -306,7 +314,7 @@
     assert store.revision == 101 and change is not None and change.items == {"y": b""}
 
 
-def test_an_older_object_put_late_stands_in_order() -> None:
+def test_objects_put_out_of_order_are_restamped_in_order() -> None:
     store = Store()
     store.put([("a", StoredObject(9, 9)), ("b", StoredObject(4, 4))], 9)
     assert set(store.names_changed_since(8)) == {"a", "b"} and store.names_changed_since(9) == []
@@ -315,20 +323,20 @@
 # Staging
 
 
-def test_a_batch_with_one_object_that_does_not_add_up_changes_nothing() -> None:
-    upper, lower = Store(), Store()
-    upper.commit([ObjectChange(name, {"x": b"1"}) for name in "abc"])
-    take(lower, sent(upper, ["a", "b", "c"], None), 1)
-    upper.commit([ObjectChange(name, {"x": b"2"}) for name in "abc"])
-    parts = sent(upper, ["a", "b", "c"], 1)
+def test_a_batch_with_one_wrong_checksum_changes_nothing() -> None:
+    upstream, downstream = Store(), Store()
+    upstream.commit([ObjectChange(name, {"x": b"1"}) for name in "abc"])
+    apply_batch(downstream, parts_to_send(upstream, ["a", "b", "c"], None), 1)
+    upstream.commit([ObjectChange(name, {"x": b"2"}) for name in "abc"])
+    parts = parts_to_send(upstream, ["a", "b", "c"], 1)
     parts[1] = replace(parts[1], items={"x": b"3"})
-    with pytest.raises(BatchError) as torn:
-        take(lower, parts, 2)
-    assert torn.value.names == ("b",)
-    assert state_of(lower) == {name: {"x": b"1"} for name in "abc"}
+    with pytest.raises(BatchError) as caught:
+        apply_batch(downstream, parts, 2)
+    assert caught.value.names == ("b",)
+    assert state_of(downstream) == {name: {"x": b"1"} for name in "abc"}
 
 
-def test_the_sizes_of_an_object_and_of_a_batch_are_bounded_while_they_come() -> None:
+def test_the_sizes_of_objects_and_batches_are_limited_while_parts_arrive() -> None:
     rules = Rules(object_bytes=1000, batch_bytes=5000)
     staging = Staging(Begin(0, 1, False), rules, Store())
     part = ObjectPart("a", Kind.SNAPSHOT, 1, {"x": b""}, (), 1, 0, True)
@@ -342,61 +350,60 @@
         staging.add(replace(part, name="6"), 1)
 
 
-def test_an_object_over_its_bound_is_not_taken() -> None:
+def test_an_object_over_the_size_limit_is_refused() -> None:
     items = {f"{n}": bytes(100) for n in range(11)}
-    made = StoredObject(1, 1).with_change(ObjectChange("", items), 1)
+    stored = StoredObject(1, 1).with_change(ObjectChange("", items), 1)
     staging = Staging(Begin(0, 1, False), Rules(object_bytes=1000), Store())
-    staging.add(next(made.to_parts("a", None, 16384)), 1200)
+    staging.add(next(stored.to_parts("a", None, 16384)), 1200)
     with pytest.raises(BatchError, match="object over the size bound"):
         staging.finish(End(1, 1))
 
 
-def test_a_whole_batch_takes_away_what_it_does_not_name() -> None:
-    upper, lower = Store(), Store()
-    lower.put([("old", StoredObject(1, 1))], 1)
-    upper.commit([ObjectChange("new")], 5)
-    taken = take(lower, sent(upper, ["new"], None), 5, whole=True)
-    assert state_of(lower) == {"new": {}}
-    assert {(c.name, c.deleted) for c in taken.changes} == {("new", False), ("old", True)}
+def test_a_full_batch_deletes_objects_that_it_does_not_name() -> None:
+    upstream, downstream = Store(), Store()
+    downstream.put([("old", StoredObject(1, 1))], 1)
+    upstream.commit([ObjectChange("new")], 5)
+    batch = apply_batch(downstream, parts_to_send(upstream, ["new"], None), 5, full=True)
+    assert state_of(downstream) == {"new": {}}
+    assert {(c.name, c.deleted) for c in batch.changes} == {("new", False), ("old", True)}
 
 
-def test_objects_are_made_as_they_come_and_the_end_is_a_short_step() -> None:
-    """Shown by what is left to do: an end makes none but those of which something was left meanwhile."""
-    upper, lower = Store(), Store()
-    upper.commit([ObjectChange(name, {"x": b"1"}) for name in "abc"])
-    staging = Staging(Begin(0, 1, True), Rules(), lower)
-    for part in sent(upper, ["a", "b", "c"], None):
+def test_objects_are_built_as_they_arrive_and_the_end_of_a_batch_is_cheap() -> None:
+    """The end of the batch only rebuilds objects whose base was replaced in the meantime."""
+    upstream, downstream = Store(), Store()
+    upstream.commit([ObjectChange(name, {"x": b"1"}) for name in "abc"])
+    staging = Staging(Begin(0, 1, True), Rules(), downstream)
+    for part in parts_to_send(upstream, ["a", "b", "c"], None):
         staging.add(part, wire_size(part))
-    made = {name: one.result for name, one in staging.staged.items()}
-    assert all(one is not None for one in made.values())
-    lower.put(
-        [("b", StoredObject(1, 1).with_change(ObjectChange("", {"x": b"1"}), 1))], 1
-    )  # as if followed anew
-    taken = staging.finish(End(1, 3))
-    assert {name for name, one in taken.objects if one is made[name]} == {"a", "c"}
-    assert [change.name for change in taken.changes] == ["a", "c"]  # of b nothing is new
+    built = {name: stored.result for name, stored in staging.staged.items()}
+    assert all(stored is not None for stored in built.values())
+    # As if `b` had been unfollowed and followed again.
+    downstream.put([("b", StoredObject(1, 1).with_change(ObjectChange("", {"x": b"1"}), 1))], 1)
+    batch = staging.finish(End(1, 3))
+    assert {name for name, stored in batch.objects if stored is built[name]} == {"a", "c"}
+    assert [change.name for change in batch.changes] == ["a", "c"]  # nothing of b is new
 
 
-# Places
+# Ranking of relays
 
 
-def test_subscribers_of_one_relay_spread_evenly_over_the_others() -> None:
+def test_the_subscribers_of_a_lost_relay_spread_evenly_over_the_others() -> None:
     relays = tuple(Participant(f"relay{n}", f"r{n % 2}") for n in range(12))
-    seconds: dict[str, int] = {}
+    second_choices: dict[str, int] = {}
     for n in range(2200):
         order = rank_relays(Participant(f"proxy{n}", "r0"), relays)
-        assert {one.region for one in order[:6]} == {"r0"} and len(order) == 12
+        assert {r.region for r in order[:6]} == {"r0"} and len(order) == 12
         if order[0].name == "relay0":
-            seconds[order[1].name] = seconds.get(order[1].name, 0) + 1
-    assert len(seconds) == 5 and max(seconds.values()) < 1.35 * sum(seconds.values()) / 5
+            second_choices[order[1].name] = second_choices.get(order[1].name, 0) + 1
+    assert len(second_choices) == 5 and max(second_choices.values()) < 1.35 * sum(second_choices.values()) / 5
 
 
-def test_the_order_does_not_depend_on_how_relays_are_given() -> None:
+def test_the_ranking_does_not_depend_on_the_order_of_the_arguments() -> None:
     relays = tuple(Participant(f"relay{n}", f"r{n % 2}") for n in range(6))
     assert rank_relays(Participant("p", "r1"), relays) == rank_relays(Participant("p", "r1"), relays[::-1])
 
 
-def test_a_message_is_never_larger_than_what_is_counted_for_it() -> None:
+def test_wire_size_is_an_upper_bound_for_each_message() -> None:
     import msgspec
 
     from flintlatch.delivery import model
@@ -420,4 +427,5 @@
             long, 1, 2**60, {f"{n}" * 60: bytes(300) for n in range(100)}, (long,) * 100, 2**60, 2**63, True
         ),
     ):
-        assert len(msgspec.msgpack.encode(message)) <= wire_size(message) - 10  # length, seal
+        # The remainder is for the length prefix and the seal.
+        assert len(msgspec.msgpack.encode(message)) <= wire_size(message) - 10
--- a/tests/delivery/test_tampered.py
+++ b/tests/delivery/test_tampered.py
@@ -1,4 +1,4 @@
-"""Frames that no sound relay or subscriber sends: refused, counted, told once, then all is right."""
+"""Batches altered in transit: refused, counted, logged once, and followed by the correct state."""
 
 from __future__ import annotations
 
@@ -36,23 +36,23 @@
     return lambda m: change(m) if isinstance(m, End) else [m]
 
 
-def swapped(first: Callable[[Message], bool]) -> Callable[[], Change]:
-    """That frame comes after the next one."""
+def swapped(matches: Callable[[Message], bool]) -> Callable[[], Change]:
+    """Delivers the first matching frame after the next one."""
 
-    def made() -> Change:
+    def make_change() -> Change:
         held: list[Message] = []
 
         def change(message: Message) -> list[Message]:
-            if first(message) and not held:
+            if matches(message) and not held:
                 held.append(message)
                 return []
-            out = [message, *held]
+            in_order = [message, *held]
             held.clear()
-            return out
+            return in_order
 
         return change
 
-    return made
+    return make_change
 
 
 def with_item(value: bytes, name: str = "one") -> Change:
@@ -63,8 +63,8 @@
     return isinstance(message, ObjectPart) and message.name == "b"
 
 
-# What is done to the frames of one batch that changes `a` (an item put, one taken away) and `b`, what is
-# counted, and the objects that come as snapshots afterwards.
+# Each case alters a batch that changes `a` (one item put, two removed) and `b`. The values are the
+# alteration, the reason that is counted, and the objects that are sent as snapshots afterwards.
 CASES: dict[str, tuple[Callable[[], Change], str, set[str]]] = {
     "a gap": (lambda: begin(lambda m: [replace(m, base_revision=m.base_revision + 10**6)]), "a gap", set()),
     "an older revision": (
@@ -72,7 +72,7 @@
         "an older revision",
         set(),
     ),
-    "a revision beyond all": (
+    "a revision out of bounds": (
         lambda: begin(lambda m: [replace(m, target_revision=REVISION_LIMIT)]),
         "a revision out of bounds",
         set(),
@@ -82,7 +82,7 @@
         "a batch without all of its parts",
         set(),
     ),
-    "whole": (lambda: begin(lambda m: [replace(m, full=True)]), "a whole batch for a part", set()),
+    "a full batch": (lambda: begin(lambda m: [replace(m, full=True)]), "a whole batch for a part", set()),
     "no begin": (lambda: begin(lambda m: []), "an end of no batch", set()),
     "begin twice": (lambda: begin(lambda m: [m, m]), "a batch within a batch", set()),
     "begin late": (swapped(lambda m: isinstance(m, Begin)), "a batch without all of its parts", set()),
@@ -93,9 +93,9 @@
         "a batch without its end",
         set(),
     ),
-    "a part left out": (lambda: part("a", lambda p: []), "a batch without all of its parts", set()),
+    "a missing part": (lambda: part("a", lambda p: []), "a batch without all of its parts", set()),
     "a part twice": (lambda: part("a", lambda p: [p, p]), "parts out of order", {"a"}),
-    "a part that has no end": (
+    "an object without its last part": (
         lambda: part("b", lambda p: [replace(p, has_more=True)]),
         "a batch without all of its parts",
         set(),
@@ -107,13 +107,13 @@
     ),
     "an unknown kind": (lambda: part("a", lambda p: [replace(p, kind=7)]), "a part of unknown kind", {"a"}),
     "a changed byte": (lambda: with_item(b"nev"), "an object that does not add up", {"a"}),
-    "an item more": (lambda: with_item(b"x", "more"), "an object that does not add up", {"a"}),
-    "an item less": (
+    "an added item": (lambda: with_item(b"x", "more"), "an object that does not add up", {"a"}),
+    "a missing item": (
         lambda: part("a", lambda p: [replace(p, items={})]),
         "an object that does not add up",
         {"a"},
     ),
-    "not taken away": (
+    "items not removed": (
         lambda: part("a", lambda p: [replace(p, removed=())]),
         "an object that does not add up",
         {"a"},
@@ -128,7 +128,7 @@
         "an object that does not add up",
         {"a"},
     ),
-    "a snapshot that is none": (
+    "a delta marked as a snapshot": (
         lambda: part("a", lambda p: [replace(p, kind=Kind.SNAPSHOT)]),
         "an object that does not add up",
         {"a"},
@@ -173,7 +173,7 @@
 }
 
 
-def settled() -> Fleet:
+def settled_fleet() -> Fleet:
     fleet = Fleet(7, relays=2)
     fleet.commit(
         *(ObjectChange(name, {"one": b"old", "two": b"x" * 90, "three": b"", "four": b"x"}) for name in "abc")
@@ -185,40 +185,42 @@
     return fleet
 
 
-def news(fleet: Fleet, value: str) -> None:
+def commit_changes(fleet: Fleet, value: str) -> None:
     fleet.commit(
         ObjectChange("a", {"one": value.encode()}, removed=("two", "three")),
         ObjectChange("b", {"one": value.encode(), "two": b"y"}),
     )
 
 
-def alter_batch(fleet: Fleet, target: str, made: Callable[[], Change]) -> None:
-    """The next batch to it, up to its end, and no other."""
-    change, at = made(), [0]
+def alter_batch(fleet: Fleet, target: str, make_change: Callable[[], Change]) -> None:
+    """Alters the next batch to the target, up to its end, and no later one."""
+    change, progress = make_change(), [0]
 
-    def alter(stream: Stream, to: str, message: Message) -> list[Message]:
-        if to != target or not isinstance(message, Begin | ObjectPart | End) or at[0] > 1:
+    def alter(stream: Stream, receiver: str, message: Message) -> list[Message]:
+        if receiver != target or not isinstance(message, Begin | ObjectPart | End) or progress[0] > 1:
             return [message]
-        at[0] += isinstance(message, Begin) + 2 * isinstance(message, End)
-        return change(message) if at[0] < 4 else [message]
+        progress[0] += isinstance(message, Begin) + 2 * isinstance(message, End)
+        return change(message) if progress[0] < 4 else [message]
 
     fleet.wire.alter = alter
 
 
 @pytest.mark.parametrize("case", CASES)
-def test_a_proxy_refuses_counts_tells_once_and_is_right_again(case: str) -> None:
-    made, why, snapshots = CASES[case]
-    fleet = settled()
-    core, relay_name = fleet.core("p"), fleet.relay_of("p")
+def test_a_proxy_refuses_an_altered_batch_logs_it_once_and_recovers(case: str) -> None:
+    make_change, reason, snapshots = CASES[case]
+    fleet = settled_fleet()
+    core, relay_name = fleet.subscriber("p"), fleet.relay_of("p")
     for turn in (1, 2):
         fleet.wire.clear()
-        alter_batch(fleet, "p", made)
-        news(fleet, f"new {turn}")
+        alter_batch(fleet, "p", make_change)
+        commit_changes(fleet, f"new {turn}")
         fleet.settle(5)
         fleet.run(2)
-        assert core.counts[f"refused: {why}"] == turn
-        assert len([text for text in fleet.told("p") if why in text]) == 1
-        sent = {name for (to, name, kind) in fleet.wire.objects if to == "p" and kind is Kind.SNAPSHOT}
+        assert core.counts[f"refused: {reason}"] == turn
+        assert len([text for text in fleet.log_lines("p") if reason in text]) == 1
+        sent = {
+            name for (receiver, name, kind) in fleet.wire.objects if receiver == "p" and kind is Kind.SNAPSHOT
+        }
         assert sent == snapshots
         assert core.age(fleet.now) < 1.5
         fleet.commit(ObjectChange("a", {"two": b"x", "three": b""}), ObjectChange("b", {"one": b"old"}))
@@ -227,24 +229,28 @@
 
 
 @pytest.mark.parametrize("case", [name for name in CASES if name != "a batch too large"])
-def test_a_relay_refuses_what_its_origin_sends_as_well(case: str) -> None:
-    made, why, snapshots = CASES[case]
-    if case == "whole":
-        why = "a whole batch with less than whole objects"
-    fleet = settled()
-    alter_batch(fleet, "relay0", made)
-    news(fleet, "new")
+def test_a_relay_refuses_an_altered_batch_of_its_origin(case: str) -> None:
+    make_change, reason, snapshots = CASES[case]
+    if case == "a full batch":
+        reason = "a whole batch with less than whole objects"
+    fleet = settled_fleet()
+    alter_batch(fleet, "relay0", make_change)
+    commit_changes(fleet, "new")
     fleet.settle(5)
-    fleet.until(lambda: fleet.core("relay0").store.revision == fleet.origin.store.revision, 5)
+    fleet.run_until(lambda: fleet.subscriber("relay0").store.revision == fleet.origin.store.revision, 5)
     fleet.run(2)
-    assert fleet.core("relay0").counts[f"refused: {why}"] == 1
-    sent = {name for (to, name, kind) in fleet.wire.objects if to == "relay0" and kind is Kind.SNAPSHOT}
+    assert fleet.subscriber("relay0").counts[f"refused: {reason}"] == 1
+    sent = {
+        name
+        for (receiver, name, kind) in fleet.wire.objects
+        if receiver == "relay0" and kind is Kind.SNAPSHOT
+    }
     assert sent == snapshots
-    assert fleet.core("relay0").age(fleet.now) < 1.5
+    assert fleet.subscriber("relay0").age(fleet.now) < 1.5
 
 
-def test_a_delta_of_an_unknown_object() -> None:
-    fleet = settled()
+def test_a_delta_of_an_unknown_object_is_refused() -> None:
+    fleet = settled_fleet()
     fleet.put("d", one="x")
     fleet.run(1)
     fleet.wire.clear()
@@ -252,33 +258,33 @@
     fleet.follow("p", "d")
     fleet.put("a", one="y")
     fleet.settle(3)
-    assert fleet.core("p").counts["refused: a delta of an unknown object"] == 1
-    assert fleet.wire.objects["p", "d", Kind.SNAPSHOT] == 2  # the one that was altered, and another
+    assert fleet.subscriber("p").counts["refused: a delta of an unknown object"] == 1
+    assert fleet.wire.objects["p", "d", Kind.SNAPSHOT] == 2  # the altered one, and its replacement
     assert fleet.wire.parts["p", Kind.SNAPSHOT] == 2 and fleet.wire.parts["p", Kind.DELTA] >= 1
 
 
-def test_a_name_that_was_new_in_a_batch_refused_for_another_comes_again() -> None:
-    fleet = settled()
+def test_a_new_name_in_a_refused_batch_is_sent_again() -> None:
+    fleet = settled_fleet()
     fleet.put("d", one="x")
-    fleet.run(3)  # its revision is above that of the object
+    fleet.run(3)  # now the proxy's revision is above the object's
     fleet.wire.clear()
     alter_batch(fleet, "p", lambda: with_item(b"wrong"))
-    news(fleet, "new")
-    above = fleet.core(fleet.relay_of("p"))
-    fleet.until(lambda: above.store.revision == fleet.origin.store.revision, 1, step=0.01)
-    fleet.follow("p", "d")  # while the relay gathers: both go in one batch
+    commit_changes(fleet, "new")
+    relay = fleet.subscriber(fleet.relay_of("p"))
+    fleet.run_until(lambda: relay.store.revision == fleet.origin.store.revision, 1, step_s=0.01)
+    fleet.follow("p", "d")  # while the relay gathers changes: both go into one batch
     fleet.settle(3)
-    assert fleet.core("p").counts["refused: an object that does not add up"] == 1
+    assert fleet.subscriber("p").counts["refused: an object that does not add up"] == 1
     sent = {
         name: count
-        for (to, name, kind), count in fleet.wire.objects.items()
-        if (to, kind) == ("p", Kind.SNAPSHOT)
+        for (receiver, name, kind), count in fleet.wire.objects.items()
+        if (receiver, kind) == ("p", Kind.SNAPSHOT)
     }
     assert sent == {"a": 1, "d": 2} and fleet.wire.sent["p", Begin] == 2
 
 
-def test_what_nobody_named_is_not_taken() -> None:
-    fleet = settled()
+def test_objects_that_are_not_followed_are_ignored() -> None:
+    fleet = settled_fleet()
     foreign = ObjectPart("foreign", Kind.DELETED, 1, {}, (), 0, 0, False)
     alter_batch(
         fleet,
@@ -291,58 +297,58 @@
             )
         ),
     )
-    news(fleet, "new")
+    commit_changes(fleet, "new")
     fleet.settle(3)
-    assert fleet.core("p").counts["not followed"] == 1
-    assert "foreign" not in fleet.core("p").names
+    assert fleet.subscriber("p").counts["not followed"] == 1
+    assert "foreign" not in fleet.subscriber("p").names
 
 
-def test_an_end_that_never_comes_costs_the_relay_its_subscriber() -> None:
-    """It answers pings, but it is of no use."""
-    fleet = settled()
+def test_a_relay_whose_batch_never_ends_is_left() -> None:
+    """The relay still answers pings, so it is not detected as silent."""
+    fleet = settled_fleet()
     before = fleet.relay_of("p")
     alter_batch(fleet, "p", lambda: end(lambda m: []))
-    news(fleet, "new")
+    commit_changes(fleet, "new")
     fleet.run(5)
-    assert not fleet.right()
+    assert not fleet.converged()
     fleet.settle(2 * fleet.rules.stale_s + fleet.rules.spread_s)
-    assert fleet.core("p").counts["lost: sends nothing"] == 1
+    assert fleet.subscriber("p").counts["lost: sends nothing"] == 1
     assert fleet.relay_of("p") != before
 
 
-def test_three_refusals_on_end_and_another_relay_is_tried() -> None:
-    fleet = settled()
+def test_after_three_refusals_in_a_row_another_relay_is_used() -> None:
+    fleet = settled_fleet()
     before = fleet.relay_of("p")
 
-    def alter(stream: Stream, to: str, message: Message) -> list[Message]:
-        if to == "p" and stream.above == before:
+    def alter(stream: Stream, receiver: str, message: Message) -> list[Message]:
+        if receiver == "p" and stream.above == before:
             return with_item(b"never right")(message)
         return [message]
 
     fleet.wire.alter = alter
-    news(fleet, "new")
+    commit_changes(fleet, "new")
     fleet.settle(6)
-    assert fleet.core("p").counts["lost: refused"] == 1
-    assert fleet.core("p").counts["refused: an object that does not add up"] == 3
+    assert fleet.subscriber("p").counts["lost: refused"] == 1
+    assert fleet.subscriber("p").counts["refused: an object that does not add up"] == 3
     assert fleet.relay_of("p") != before
 
 
-@pytest.mark.parametrize("who", ["p", "relay0"])
-def test_many_objects_that_do_not_add_up_are_all_sent_whole(who: str) -> None:
-    """More than a refusal can name: what was held of them was wrong."""
+@pytest.mark.parametrize("host", ["p", "relay0"])
+def test_many_objects_with_wrong_checksums_are_all_sent_as_snapshots(host: str) -> None:
+    """Corrupted held objects, more than a refusal message can name."""
     names = [f"s{n}" for n in range(900)]
     fleet = Fleet(3, relays=2, watched=False)
     fleet.commit(*(ObjectChange(name, {"one": b"x"}) for name in names))
     fleet.proxy("p", *names)
     fleet.settle()
-    core = fleet.core(who)
+    core = fleet.subscriber(host)
     for name in names:
         core.store.objects[name].items["one"] = b"y"
-        wrong = core.store.objects[name].with_change(ObjectChange(name, {"one": b"z"}), 1)
-        core.store.objects[name] = wrong
+        corrupted = core.store.objects[name].with_change(ObjectChange(name, {"one": b"z"}), 1)
+        core.store.objects[name] = corrupted
     fleet.commit(*(ObjectChange(name, {"two": b"x"}) for name in names))
     fleet.settle(30)
-    fleet.until(
+    fleet.run_until(
         lambda: (
             all(core.store.objects[n].items == fleet.wanted[n] for n in names) and not core.needs_snapshot
         ),
