--- a/flintlatch/delivery/relay.py
+++ b/flintlatch/delivery/relay.py
@@ -155,7 +155,7 @@
     None if it never did.
 
     With `is_origin` there is no relay above. If a relay holds a higher revision than the origin, the origin
-    was restarted, and it continues above that revision. It serves nobody before its first commit, which has
+    was restarted, and it continues above that revision. It rejects subscribers before its first commit, which has
     to contain all objects: an empty store would make the fleet delete everything. Its store should start
     (`Store.restamp`) at a revision that no earlier run can have reached, for example one derived from the
     wall clock.
--- a/flintlatch/delivery/store.py
+++ b/flintlatch/delivery/store.py
@@ -222,7 +222,7 @@
 
     def restamp(self, revision: int) -> None:
         """Moves the whole store to a revision above one of unknown content that others hold, so that they
-        receive everything anew."""
+        receive everything again."""
         for name, stored in self.objects.items():
             self.objects[name] = stored.restamped(revision)
         self.deleted.clear()
--- a/tests/delivery/reference.py
+++ b/tests/delivery/reference.py
@@ -114,7 +114,7 @@
         assert revision >= self.revisions.get(name, 0), f"{name}: its revision went back"
         self.revisions[name] = revision
         if core.all_objects and core.as_of < 0:
-            return  # a relay without state serves nobody
+            return  # a relay without state rejects subscribers
         assert held == restricted(self.history.at(revision), scope), f"{name}: inconsistent at {revision}"
         if core.as_of >= 0:
             assert any(held == restricted(state, scope) for state in self.history.since(core.as_of)), (
--- a/tests/delivery/test_demand.py
+++ b/tests/delivery/test_demand.py
@@ -69,29 +69,29 @@
 
 
 def test_an_absent_permanent_name_is_held_once_it_arrives() -> None:
-    follows = OnDemandFollows(10, permanent=("mine",))
+    follows = OnDemandFollows(10, permanent=("permanent",))
     follows.look_up(0.0, "q1", "a", 1.0)
     follows.on_absent(0.0, "a")
-    follows.on_absent(0.0, "mine")
+    follows.on_absent(0.0, "permanent")
     assert follows.look_up(0.1, "q2", "a", 1.0) is LookupResult.ABSENT
-    assert follows.look_up(0.1, "q3", "mine", 1.0) is LookupResult.ABSENT
-    follows.on_arrived("mine")
-    assert follows.look_up(0.2, "q4", "mine", 1.0) is LookupResult.HELD
+    assert follows.look_up(0.1, "q3", "permanent", 1.0) is LookupResult.ABSENT
+    follows.on_arrived("permanent")
+    assert follows.look_up(0.2, "q4", "permanent", 1.0) is LookupResult.HELD
 
 
 def test_an_absent_permanent_name_is_answered_at_once_without_a_time_limit() -> None:
     """No new Follow is sent for a permanent name, so a waiting request would never be answered."""
-    follows = OnDemandFollows(10, permanent=("mine",))
-    assert follows.look_up(0.0, "q1", "mine", 1.0) is LookupResult.WAITING
+    follows = OnDemandFollows(10, permanent=("permanent",))
+    assert follows.look_up(0.0, "q1", "permanent", 1.0) is LookupResult.WAITING
     assert follows.take_actions() == []
-    follows.on_absent(0.5, "mine")
+    follows.on_absent(0.5, "permanent")
     assert follows.take_actions() == [Answer("q1", False)]
-    assert follows.look_up(100.0, "q2", "mine", 101.0) is LookupResult.ABSENT
+    assert follows.look_up(100.0, "q2", "permanent", 101.0) is LookupResult.ABSENT
 
 
 def test_an_object_without_requests_is_unfollowed() -> None:
-    follows = OnDemandFollows(10, permanent=("mine",), idle_timeout_s=60.0)
-    for name in ("a", "b", "mine"):
+    follows = OnDemandFollows(10, permanent=("permanent",), idle_timeout_s=60.0)
+    for name in ("a", "b", "permanent"):
         follows.look_up(0.0, "q", name, 1.0)
         follows.on_arrived(name)
     follows.take_actions()
@@ -101,7 +101,7 @@
     follows.tick(60.0)
     assert follows.take_actions() == [Unfollow("b")]
     follows.tick(90.0)
-    assert follows.take_actions() == [Unfollow("a")] and follows.held == {"mine"}
+    assert follows.take_actions() == [Unfollow("a")] and follows.held == {"permanent"}
     assert follows.look_up(91.0, "q", "a", 92.0) is LookupResult.WAITING
     assert follows.take_actions() == [Follow("a")]
 
@@ -167,7 +167,7 @@
 
 step_lists = st.lists(
     st.tuples(
-        st.sampled_from(("ask", "ask", "ask", "arrived", "gone", "cancel", "tick")),
+        st.sampled_from(("look up", "look up", "look up", "arrived", "absent", "cancel", "tick")),
         st.sampled_from("abcdef"),
         st.sampled_from((0.0, 0.0, 0.3, 2.0, 6.0)),
         st.floats(0.1, 5.0),
@@ -178,7 +178,7 @@
 
 @given(step_lists, st.integers(1, 4))
 @settings(max_examples=200, deadline=None, derandomize=True, print_blob=True)
-def test_each_request_that_waits_gets_exactly_one_answer_in_time(
+def test_each_waiting_request_gets_exactly_one_answer_in_time(
     plan: list[tuple[str, str, float, float]], max_names: int
 ) -> None:
     follows, now = OnDemandFollows(max_names, permanent=("a",), idle_timeout_s=10.0), 0.0
@@ -209,12 +209,12 @@
 
     for n, (step, name, wait, timeout) in enumerate(plan):
         now += wait
-        if step == "ask":
+        if step == "look up":
             if follows.look_up(now, f"q{n}", name, now + timeout) is LookupResult.WAITING:
                 waiting[f"q{n}"] = (name, now + timeout)
         elif step == "arrived" and name in followed:
             follows.on_arrived(name)
-        elif step == "gone" and name in followed:
+        elif step == "absent" and name in followed:
             follows.on_absent(now, name)
         elif step == "cancel" and waiting:
             cancelled = next(iter(waiting))
--- a/tests/delivery/test_source.py
+++ b/tests/delivery/test_source.py
@@ -170,7 +170,7 @@
         store = after.store
         assert store.revision > last
         # A subscriber with a revision of an earlier run has to receive everything, including deletions.
-        assert all(store.has_changed_since(name, last) for name in (*store.objects, "gone meanwhile"))
+        assert all(store.has_changed_since(name, last) for name in (*store.objects, "deleted meanwhile"))
         assert store.deletion_floor > last
         last = store.revision
 
