--- a/flintlatch/delivery/relay.py
+++ b/flintlatch/delivery/relay.py
@@ -155,8 +155,8 @@
     None if it never did.
 
     With `is_origin` there is no relay above. If a relay holds a higher revision than the origin, the origin
-    was restarted, and it continues above that revision. It rejects subscribers before its first commit, which has
-    to contain all objects: an empty store would make the fleet delete everything. Its store should start
+    was restarted, and it continues above that revision. It rejects subscribers before its first commit, which
+    has to contain all objects: an empty store would make the fleet delete everything. Its store should start
     (`Store.restamp`) at a revision that no earlier run can have reached, for example one derived from the
     wall clock.
     """
@@ -172,9 +172,7 @@
         self.name, self.store, self.rules, self.age, self.is_origin = name, store, rules, age, is_origin
         self.sessions: dict[int, Session] = {}
         self.followers: dict[str, set[int]] = {}
-        self.send_queue: dict[
-            int, None
-        ] = {}  # sessions that may have something to send, in round-robin order
+        self.send_queue: dict[int, None] = {}  # sessions that may have something to send, round-robin
         self.turn_requested_at = -inf  # of a RequestTurn that has not been answered by a SendTurn
         self.counts: Counter[str] = Counter()
         self.actions: list[Action] = []
@@ -201,8 +199,8 @@
         ):
             session.paused = isinstance(event, Paused)
             self.send_queue[session.number] = None
-        # Data is sent only on SendTurn. If every event triggered a turn of sending, a relay with much to send
-        # would fall behind in reading, and its subscribers would consider it lost.
+        # Batches are sent only on SendTurn. If every event triggered a turn of sending, a relay with much to
+        # send would fall behind in reading, and its subscribers would consider it lost.
         if isinstance(event, SendTurn):
             self.turn_requested_at = -inf
             self._send_turn(now)
--- a/flintlatch/delivery/subscriber.py
+++ b/flintlatch/delivery/subscriber.py
@@ -335,7 +335,7 @@
         session.state = State.GREETING
         identity, held_revision = self.identity, self.store.revision
         if self.all_objects and len(self.needs_snapshot) > MAX_NAMES_PER_MESSAGE:
-            held_revision = 0
+            held_revision = 0  # requests a full batch, as a refusal cannot name that many objects
         self._send(
             session,
             Hello(identity.name, self.role, identity.region, identity.zone, held_revision, self.all_objects),
