--- a/tests/delivery/test_property.py
+++ b/tests/delivery/test_property.py
@@ -34,17 +34,19 @@
     st.tuples(st.just("commit"), edits),
     st.tuples(st.just("commit"), edits),
     st.tuples(st.just("commit"), edits),
-    st.tuples(st.sampled_from(("follow", "unfollow", "again")), st.integers(0, 3), st.sampled_from(NAMES)),
-    st.tuples(st.sampled_from(("cut", "one way", "reset")), st.sampled_from(HOSTS), st.sampled_from(HOSTS)),
-    st.tuples(st.sampled_from(("kill", "start", "pause", "wake", "bounce")), st.sampled_from(HOSTS)),
+    st.tuples(st.sampled_from(("follow", "unfollow", "refollow")), st.integers(0, 3), st.sampled_from(NAMES)),
+    st.tuples(
+        st.sampled_from(("cut", "cut one way", "reset")), st.sampled_from(HOSTS), st.sampled_from(HOSTS)
+    ),
+    st.tuples(st.sampled_from(("kill", "start", "pause", "wake", "restart")), st.sampled_from(HOSTS)),
     st.tuples(st.just("heal")),
 )
 plans = st.lists(st.tuples(steps, waits), max_size=40)
 
 
-def changes_of(fleet: Fleet, edited: list[tuple[str, str, int, int]]) -> list[ObjectChange]:
+def changes_of(fleet: Fleet, edit_list: list[tuple[str, str, int, int]]) -> list[ObjectChange]:
     changes = []
-    for name, kind, item, value in edited:
+    for name, kind, item, value in edit_list:
         key, data = f"i{item}", f"{name} {value}".encode() * (1 + 40 * value)
         if kind == "put":
             changes.append(ObjectChange(name, {key: data}))
@@ -63,7 +65,7 @@
     return changes
 
 
-def play(plan: list[tuple[tuple[Any, ...], float]], seed: int, slow: bool) -> Fleet:
+def run_schedule(plan: list[tuple[tuple[Any, ...], float]], seed: int, slow: bool) -> Fleet:
     fleet = Fleet(seed, relays=3, regions=2, rules=SLOW if slow else None)
     if slow:
         fleet.lab.delay_s = (0.02, 0.3)
@@ -79,35 +81,35 @@
             fleet.start(name)
 
     def execute(step: tuple[Any, ...]) -> None:
-        what = step[0]
-        if what == "commit":
+        operation = step[0]
+        if operation == "commit":
             changes = changes_of(fleet, step[1])
             reverted = any(edit[1] == "revert" for edit in step[1])
             for commit in [[change] for change in changes] if reverted else [changes]:
                 fleet.commit(*commit)
-        elif what in ("follow", "unfollow", "again"):
+        elif operation in ("follow", "unfollow", "refollow"):
             name = PROXIES[step[1]]
             if fleet.lab.hosts[name].up:
-                if what != "follow":
+                if operation != "follow":
                     fleet.unfollow(name, step[2])
-                if what != "unfollow":
+                if operation != "unfollow":
                     fleet.follow(name, step[2])
-        elif what in ("cut", "one way"):
-            fleet.lab.cut([step[1]], [step[2]], both=what == "cut")
-        elif what == "reset":
+        elif operation in ("cut", "cut one way"):
+            fleet.lab.cut([step[1]], [step[2]], both=operation == "cut")
+        elif operation == "reset":
             for stream in list(fleet.lab.hosts[step[1]].above.values()):
                 fleet.lab.reset(stream)
-        elif what == "heal":
+        elif operation == "heal":
             fleet.lab.heal()
         else:
             host = fleet.lab.hosts[step[1]]
-            if what in ("kill", "bounce") and host.up:
+            if operation in ("kill", "restart") and host.up:
                 fleet.lab.kill(step[1])
-            if what in ("start", "bounce") and not fleet.lab.hosts[step[1]].up:
+            if operation in ("start", "restart") and not fleet.lab.hosts[step[1]].up:
                 start(step[1])
-            if what == "pause" and host.up:
+            if operation == "pause" and host.up:
                 fleet.lab.pause(step[1])
-            if what == "wake" and host.paused and host.up:
+            if operation == "wake" and host.paused and host.up:
                 fleet.lab.wake(step[1])
 
     def run(seconds: float) -> None:
@@ -137,4 +139,4 @@
 def test_any_schedule_keeps_subscribers_consistent_and_converges(
     plan: list[tuple[tuple[Any, ...], float]], seed: int, slow: bool
 ) -> None:
-    play(plan, seed, slow)
+    run_schedule(plan, seed, slow)
