--- a/bench/delivery_processes.py
+++ b/bench/delivery_processes.py
@@ -25,7 +25,7 @@
 import uvloop
 
 from flintlatch.delivery.model import Rules
-from flintlatch.delivery.source import LOOK_S
+from flintlatch.delivery.source import POLL_INTERVAL_S
 from flintlatch.peers.clock import clock
 from flintlatch.standin.delivery import Delivered, delivered
 from flintlatch.standin.links import Trouble, draw, written
@@ -40,9 +40,9 @@
 def bound(rules: Rules, relays: int) -> float:
     """Half of the relays are lost; or they have no way to the origin for the longest fault, then an attempt
     is under way that fails, and the longest wait before the next."""
-    base = rules.staleness_s(0, 0.0, HOP_S)
+    base = rules.staleness_bound_s(0, 0.0, HOP_S)
     cut = EACH_S + rules.connect_s + rules.retry_s[1] + base
-    return max(rules.staleness_s(relays // 2, 0.0, HOP_S), cut) + LOOK_S
+    return max(rules.staleness_bound_s(relays // 2, 0.0, HOP_S), cut) + POLL_INTERVAL_S
 
 
 def schedule(seed: int, relays: list[str], followers: list[str], seconds: float) -> list[Trouble]:
@@ -137,14 +137,16 @@
         print(f"{len(made.audit.commits)} commits, {len(faults)} steps of faults, {len(delays)} arrivals")
         figures = " ".join(f"{quantile(delays, p):.2f}" for p in (0.5, 0.99, 1.0))
         print(f"staleness s, median 99% worst: {figures}; bound {most:.2f}")
-        print(f"bytes of a follower in its worst minute: {bytes_in}; bound {rules.minute_bytes():.0f}")
+        print(
+            f"bytes of a follower in its worst minute: {bytes_in}; bound {rules.max_bytes_per_minute():.0f}"
+        )
         print(f"processor, worst relay {max(relay, default=0):.2%}, worst follower {max(follower):.2%}")
         print(f"followers that told of no news: {told}")
         print(f"load {os.getloadavg()[0]:.1f} at the end")
         if max(delays) > most:
             broke.append(f"a change came after {max(delays):.2f} s, bound {most:.2f}")
-        if bytes_in > rules.minute_bytes():
-            broke.append(f"{bytes_in} bytes in a minute, bound {rules.minute_bytes():.0f}")
+        if bytes_in > rules.max_bytes_per_minute():
+            broke.append(f"{bytes_in} bytes in a minute, bound {rules.max_bytes_per_minute():.0f}")
     return broke
 
 
--- a/bench/hollow.py
+++ b/bench/hollow.py
@@ -17,8 +17,8 @@
 
 from bench.audit import Audit, Cost, Minutes
 from flintlatch.delivery import node, relay, subscriber
-from flintlatch.delivery.model import End, Message, ObjectChange, Place, Pong, Rules, size_of
-from flintlatch.delivery.store import Object, Store
+from flintlatch.delivery.model import End, Message, ObjectChange, Participant, Pong, Rules, wire_size
+from flintlatch.delivery.store import Store, StoredObject
 from flintlatch.delivery.subscriber import Tick
 from flintlatch.lab.delivery import TICK_S, Host, Lab, Origin, Proxy, RelayHost, Stream
 
@@ -96,7 +96,7 @@
 class HollowOrigin(Origin):
     """With a `pump` (bytes a second of its processor) what it sends takes time, and what arrives waits."""
 
-    def __init__(self, lab: Fleet, place: Place, rules: Rules) -> None:
+    def __init__(self, lab: Fleet, place: Participant, rules: Rules) -> None:
         self.fleet, self.ns, self.got = lab, 0, 0
         self.pump, self.waits, self.busy = inf, deque[relay.Event](), False
         super().__init__(lab, place, rules)
@@ -120,39 +120,39 @@
         if not self.busy:
             return
         actions = self._step(self.waits.popleft())
-        sent = sum(size_of(a.message) for a in actions if isinstance(a, relay.Transmit))
-        self._serve(a for a in actions if not isinstance(a, relay.Again))
-        wanted = any(isinstance(a, relay.Again) for a in actions)
-        if wanted and not any(isinstance(event, relay.Go) for event in self.waits):
-            self.waits.append(relay.Go())
+        sent = sum(wire_size(a.message) for a in actions if isinstance(a, relay.Transmit))
+        self._serve(a for a in actions if not isinstance(a, relay.RequestTurn))
+        wanted = any(isinstance(a, relay.RequestTurn) for a in actions)
+        if wanted and not any(isinstance(event, relay.SendTurn) for event in self.waits):
+            self.waits.append(relay.SendTurn())
         self.lab.engine.after(sent / self.pump, self._next)
 
 
 class HollowRelay(RelayHost):
-    def __init__(self, lab: Fleet, place: Place, rules: Rules, rng: Random, warm: bool) -> None:
+    def __init__(self, lab: Fleet, place: Participant, rules: Rules, rng: Random, warm: bool) -> None:
         self.fleet, self.ns, self.got = lab, 0, 0
         super().__init__(lab, place, (lab.top.place,), rules, rng)
         if warm:
             self.fleet.fill(self.node.subscriber.store, None)
 
-    def _step(self, event: node.Above | node.Below) -> None:
+    def _step(self, event: node.SubscriberEvent | node.RelayEvent) -> None:
         began = process_time_ns()
         actions = self.node.step(self.lab.engine.now, event)
         self.ns += self.fleet.spent("relay", began)
         self._out(actions)
 
     def from_below(self, event: relay.Event) -> None:
-        self._step(node.Below(event))
+        self._step(node.RelayEvent(event))
 
     def from_above(self, event: subscriber.Event) -> None:
-        self._step(node.Above(event))
+        self._step(node.SubscriberEvent(event))
         if isinstance(event, subscriber.Received) and isinstance(event.message, End):
             self.fleet.share(self.node.subscriber.store, exact=True)
 
 
 class HollowProxy(Proxy):
     def __init__(
-        self, lab: Fleet, place: Place, names: tuple[str, ...], rules: Rules, rng: Random, warm: bool
+        self, lab: Fleet, place: Participant, names: tuple[str, ...], rules: Rules, rng: Random, warm: bool
     ) -> None:
         self.fleet, self.ns, self.got, self.quiet = lab, 0, 0, 0.0
         super().__init__(lab, place, lab.relays, names, rules, rng)
@@ -169,12 +169,15 @@
     def _quiet(self) -> float:
         """Until when a step brings nothing, if nothing arrives."""
         core = self.subscriber
-        main, rules = core.main, core.rules
+        main, rules = core.active_session, core.rules
         if main is None or main.state is not subscriber.State.LIVE or main.pings or main.staging is not None:
             return 0.0
-        if core.trial is not None or rules.window - core.granted >= subscriber.CREDIT_LEAST:
+        if (
+            core.candidate_session is not None
+            or rules.window_bytes - core.outstanding_credit >= subscriber.MIN_CREDIT_BYTES
+        ):
             return 0.0
-        return main.pinged + rules.ping_s
+        return main.last_ping_at + rules.ping_s
 
     def from_above(self, event: subscriber.Event) -> None:
         began = process_time_ns()
@@ -218,14 +221,16 @@
         self.groups: list[dict[str, Host]] = [{} for _ in range(GROUPS)]
         self.sampled: dict[str, Sampled] = {}
         self.minutes = Minutes()
-        self.top = HollowOrigin(self, Place("origin", "r2"), Rules(rate=20e6, burst=64e6, window=8e6))
+        self.top = HollowOrigin(
+            self, Participant("origin", "r2"), Rules(bytes_per_s=20e6, burst_bytes=64e6, window_bytes=8e6)
+        )
         self.top.store.commit(self.world.first())
         self.add(self.top)
         self.audit = Audit(self.top.store)
         self.relays = tuple(
-            Place(f"relay{n}", f"r{n % REGIONS}", f"z{n % size.zones}") for n in range(size.relays)
+            Participant(f"relay{n}", f"r{n % REGIONS}", f"z{n % size.zones}") for n in range(size.relays)
         )
-        self.places = [Place(f"p{n}", f"r{n % size.zones % REGIONS}", f"z{n % size.zones}")
+        self.places = [Participant(f"p{n}", f"r{n % size.zones % REGIONS}", f"z{n % size.zones}")
                        for n in range(size.proxies)]  # fmt: skip
         self.names = {place.name: self.world.followed(n) for n, place in enumerate(self.places)}
         for place in self.places:
@@ -250,10 +255,10 @@
         self.skipped = 0
         self.minutes = Minutes()
 
-    def start_relay(self, place: Place, warm: bool = False) -> None:
+    def start_relay(self, place: Participant, warm: bool = False) -> None:
         self.add(HollowRelay(self, place, self.rules, Random(self.rng.random()), warm))
 
-    def start_proxy(self, place: Place, warm: bool = False) -> None:
+    def start_proxy(self, place: Participant, warm: bool = False) -> None:
         names = self.names[place.name]
         self.audit.start(self.engine.now, place.name, warm)
         self.add(HollowProxy(self, place, names, self.rules, Random(self.rng.random()), warm))
@@ -275,13 +280,17 @@
     def fill(self, store: Store, names: tuple[str, ...] | None) -> None:
         top = self.top.store
         store.objects = dict(top.objects) if names is None else {n: top.objects[n] for n in names}
-        store.revision, store.latest, store.gone_floor = top.revision, top.latest, top.revision
+        store.revision, store.latest_version, store.deletion_floor = (
+            top.revision,
+            top.latest_version,
+            top.revision,
+        )
 
     def share(self, store: Store, exact: bool) -> None:
         """The newest objects, in place of what is like them at the origin. Relays hand theirs on by their
         stamps: there all must be alike."""
         top = self.top.store.objects
-        found: list[tuple[str, Object]] = []
+        found: list[tuple[str, StoredObject]] = []
         for name in reversed(store.objects):
             mine, other = store.objects[name], top.get(name)
             if mine is other:
--- a/bench/scale/delivery.py
+++ b/bench/scale/delivery.py
@@ -25,11 +25,11 @@
     End,
     Message,
     ObjectChange,
-    PartOf,
-    Place,
+    ObjectPart,
+    Participant,
     Role,
     Rules,
-    size_of,
+    wire_size,
 )
 from flintlatch.delivery.store import Store
 from flintlatch.peers.seal import StreamSeal
@@ -73,9 +73,9 @@
         self.waits: deque[Callable[[], None]] = deque()  # on their way
         everything = names is None
         rules = RELAY_RULES if everything else Rules()
-        self.relay = relay.Relay("above", store, rules, lambda now: 0.0, authority=True)
+        self.relay = relay.Relay("above", store, rules, lambda now: 0.0, is_origin=True)
         role = Role.RELAY if everything else Role.PROXY
-        me, above = Place("below"), (Place("above"),)
+        me, above = Participant("below"), (Participant("above"),)
         self.subscriber = subscriber.Subscriber(me, role, above, rules, Random(1), 0.0, everything)
         if names is not None:
             self._up(subscriber.Follow(tuple(names)))
@@ -94,11 +94,11 @@
             if isinstance(action, relay.Transmit):
                 data = wire.encode(action.message)
                 kind = type(action.message).__name__
-                self.got[kind] = self.got.get(kind, 0) + size_of(action.message)
-                self.encoded += len(data) + wire.SEAL_BYTES
+                self.got[kind] = self.got.get(kind, 0) + wire_size(action.message)
+                self.encoded += len(data) + wire.SEAL_OVERHEAD_BYTES
                 self.waits.append(partial(self._read, data))
-            elif isinstance(action, relay.Again):
-                self.waits.append(partial(self._down, relay.Go()))
+            elif isinstance(action, relay.RequestTurn):
+                self.waits.append(partial(self._down, relay.SendTurn()))
             else:
                 raise RuntimeError(str(action))
 
@@ -189,7 +189,7 @@
     line.got.clear()
     line.commit([ObjectChange("s1", {"b7": rng.randbytes(BACKEND)})])
     line.until(lambda: line.subscriber.store.revision == store.revision)
-    got["change_bytes"] = sum(line.got[kind.__name__] for kind in (Begin, PartOf, End))
+    got["change_bytes"] = sum(line.got[kind.__name__] for kind in (Begin, ObjectPart, End))
     began, spent, due = line.now, line.spent["subscriber"], 0.0
     while line.now - began < rest_s:
         due += 0.1 * OF_DAY * size
@@ -255,7 +255,7 @@
     shut, read = [], []
     for size in sizes:
         items = {f"b{n}": bytes(BACKEND) for n in range(max(1, size // (BACKEND + 12)))}
-        message: Message = PartOf("s1", 1, 1 << 40, items, (), 18, 1 << 60, False)
+        message: Message = ObjectPart("s1", 1, 1 << 40, items, (), 18, 1 << 60, False)
         out, back = [], []
         for _ in range(5):
             ours, theirs = (StreamSeal(bytes(32), b"a" * 16, b"b" * 16, asks) for asks in (True, False))
--- a/flintlatch/config/delivery.py
+++ b/flintlatch/config/delivery.py
@@ -25,8 +25,8 @@
     read_relay,
     unique,
 )
-from flintlatch.delivery.model import RELAY_RULES, Place, Rules
-from flintlatch.delivery.wire import FRAME_MOST
+from flintlatch.delivery.model import RELAY_RULES, Participant, Rules
+from flintlatch.delivery.wire import MAX_FRAME_BYTES
 from flintlatch.peers.seal import InvalidKeyFile, read_keys
 
 KEY_MOST = 65_536  # bytes of a key file
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Common:
-    me: Place
+    me: Participant
     keys: tuple[bytes, ...]
     rules: Rules  # of a proxy
     upward: Rules  # of a relay, as it follows the origin
@@ -52,14 +52,14 @@
 class RelayTable:
     common: Common
     bind: str
-    origin: Place
+    origin: Participant
     source_host: str
 
 
 @dataclass(frozen=True, slots=True)
 class FollowTable:
     common: Common
-    relays: tuple[Place, ...]
+    relays: tuple[Participant, ...]
     names: tuple[str, ...]
     source_host: str
 
@@ -79,14 +79,16 @@
         ),
         stale_s=reader.number("stale_s", 0.2, 600, usual.stale_s),
         return_s=reader.number("return_s", 0.5, DAY_S, usual.return_s),
-        rate=reader.number("bytes_per_s", 100, 1e9, usual.rate),
-        burst=reader.number("burst_bytes", FRAME_MOST, 1e10, usual.burst),
-        window=reader.number("window_bytes", FRAME_MOST, 1e9, usual.window),
+        bytes_per_s=reader.number("bytes_per_s", 100, 1e9, usual.bytes_per_s),
+        burst_bytes=reader.number("burst_bytes", MAX_FRAME_BYTES, 1e10, usual.burst_bytes),
+        window_bytes=reader.number("window_bytes", MAX_FRAME_BYTES, 1e9, usual.window_bytes),
         most_names=reader.whole("most_names", 1, 1_000_000, usual.most_names),
         most_sessions=reader.whole("most_sessions", 1, 100_000, usual.most_sessions),
     )
-    if rules.burst < rules.window:
-        reader.problem("burst_bytes", f"{rules.burst:g}", f"at least window_bytes, {rules.window:g}")
+    if rules.burst_bytes < rules.window_bytes:
+        reader.problem(
+            "burst_bytes", f"{rules.burst_bytes:g}", f"at least window_bytes, {rules.window_bytes:g}"
+        )
     if rules.retry_s[1] < rules.retry_s[0]:
         reader.problem("retry_most_s", f"{rules.retry_s[1]:g}", "at least retry_first_s")
     reader.done()
@@ -96,8 +98,8 @@
 def upward(rules: Rules) -> Rules:
     """A relay's way to the origin: the same times, its own amounts."""
     usual = RELAY_RULES
-    return replace(rules, rate=usual.rate, burst=usual.burst, window=usual.window,
-                   batch_bytes=usual.batch_bytes)  # fmt: skip
+    return replace(rules, bytes_per_s=usual.bytes_per_s, burst_bytes=usual.burst_bytes,
+                   window_bytes=usual.window_bytes, batch_bytes=usual.batch_bytes)  # fmt: skip
 
 
 def _keys(reader: Reader) -> tuple[bytes, ...]:
@@ -118,7 +120,7 @@
 
 
 def _common(reader: Reader) -> Common:
-    me = Place(reader.name("name"), read_region(reader), reader.text("zone", ""))
+    me = Participant(reader.name("name"), read_region(reader), reader.text("zone", ""))
     rules = read_rules(reader.sub("rules"))
     return Common(me, _keys(reader), rules, upward(rules))
 
@@ -128,12 +130,12 @@
     return address(reader, "bind", text) if text else ""
 
 
-def _origin_place(reader: Reader) -> Place:
+def _origin_place(reader: Reader) -> Participant:
     text = reader.text("origin", None, 'the address of the origin such as "10.0.0.2:7950"')
     where = address(reader, "origin", text, "127.0.0.1:1") if text else ""
     if where.endswith(":0"):
         reader.problem("origin", repr(where), "a port from 1 to 65535")
-    return Place("origin", address=where)
+    return Participant("origin", address=where)
 
 
 def _names(reader: Reader, instead: tuple[str, ...], most: int) -> tuple[str, ...]:
@@ -195,7 +197,7 @@
     rows = [read_relay(row) for row in reader.subs("relays", least=1)]
     unique(reader, "relays.name", [row.name for row in rows])
     unique(reader, "relays.address", [row.address for row in rows])
-    relays = tuple(Place(row.name, row.region, row.zone, row.address) for row in rows)
+    relays = tuple(Participant(row.name, row.region, row.zone, row.address) for row in rows)
     followed = _names(reader, names, common.rules.most_names)
     table = FollowTable(common, relays, followed, ip_address_of(reader, "source_host"))
     _end(top, reader, problems)
--- a/flintlatch/fleet/delivered.py
+++ b/flintlatch/fleet/delivered.py
@@ -13,7 +13,7 @@
 
 from flintlatch.config import Config, beside
 from flintlatch.config.tables import DeliveryTable
-from flintlatch.delivery.model import Place, Role, Rules
+from flintlatch.delivery.model import Participant, Role, Rules
 from flintlatch.delivery.shell import Client
 from flintlatch.delivery.subscriber import Changed
 from flintlatch.membership import Event, Restored, Version
@@ -42,8 +42,10 @@
         self.subscriptions: dict[str, list[NodeSubscription]] = {}
         self.revisions: dict[str, int] = {}  # of each object's last change
         self.absent: set[str] = set()
-        own_place = Place(table.name, table.region, table.zone)
-        relays = tuple(Place(relay.name, relay.region, relay.zone, relay.address) for relay in table.relays)
+        own_place = Participant(table.name, table.region, table.zone)
+        relays = tuple(
+            Participant(relay.name, relay.region, relay.zone, relay.address) for relay in table.relays
+        )
         self.client = Client(
             own_place,
             Role.PROXY,
@@ -64,11 +66,11 @@
         """Age of the state: seconds since it was known to be the origin's, or, while there is none, since the
         client was opened."""
         as_of = self.as_of()
-        return clock() - (as_of if as_of >= 0 else self.client.subscriber.began)
+        return clock() - (as_of if as_of >= 0 else self.client.subscriber.started_at)
 
     def _on_changed(self, changed: Changed) -> None:
         for change in changed.changes:
-            if change.gone:
+            if change.deleted:
                 continue  # `_on_absent` is called as well
             self.revisions[change.name] = changed.revision
             self.absent.discard(change.name)
@@ -153,7 +155,7 @@
             return {"relay": "", "revision": 0, "age_s": None, "complaint": self.error}
         client = self.feed.client
         return {
-            "relay": client.relay(),
+            "relay": client.relay_name(),
             "revision": client.subscriber.store.revision,
             "age_s": round(self.feed.age_s(), 1),
             "complaint": self.failure(),
--- a/flintlatch/lab/delivery.py
+++ b/flintlatch/lab/delivery.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from flintlatch.delivery import node, relay, subscriber
-from flintlatch.delivery.model import RELAY_RULES, Message, ObjectChange, Place, Role, Rules, size_of
+from flintlatch.delivery.model import RELAY_RULES, Message, ObjectChange, Participant, Role, Rules, wire_size
 from flintlatch.delivery.store import Store
 from flintlatch.lab.engine import Engine
 
@@ -36,7 +36,7 @@
 class Host:
     """What all processes here share: a name, whether it runs, its streams by its own numbers."""
 
-    def __init__(self, lab: Lab, place: Place) -> None:
+    def __init__(self, lab: Lab, place: Participant) -> None:
         self.lab, self.place = lab, place
         self.up, self.paused = True, False
         self.buffer: list[Callable[[], None]] = []
@@ -65,8 +65,8 @@
             elif isinstance(action, relay.Disconnect):
                 if (stream := self.below.pop(action.session, None)) is not None:
                     self.lab.close(stream, self.place.name)
-            elif isinstance(action, relay.Again):
-                self.lab.engine.after(0.0, lambda: self.later(lambda: self.from_below(relay.Go())))
+            elif isinstance(action, relay.RequestTurn):
+                self.lab.engine.after(0.0, lambda: self.later(lambda: self.from_below(relay.SendTurn())))
             else:
                 self.lab.told.append((self.lab.engine.now, self.place.name, action.text))
 
@@ -80,7 +80,7 @@
             elif isinstance(action, subscriber.Disconnect):
                 if (stream := self.above.pop(action.session, None)) is not None:
                     self.lab.close(stream, self.place.name)
-            elif isinstance(action, subscriber.Told):
+            elif isinstance(action, subscriber.LogLine):
                 self.lab.told.append((self.lab.engine.now, self.place.name, action.text))
             else:
                 self.lab.on_force(self.lab.engine.now, self.place.name, action)
@@ -89,11 +89,11 @@
 class Origin(Host):
     """`first`: the revision at which it starts; else, by the clock, one above that of any life before."""
 
-    def __init__(self, lab: Lab, place: Place, rules: Rules, first: int | None = None) -> None:
+    def __init__(self, lab: Lab, place: Participant, rules: Rules, first: int | None = None) -> None:
         super().__init__(lab, place)
         self.store = Store()
         self.store.restamp(int(lab.engine.now * 1000) if first is None else first)
-        self.relay = relay.Relay(place.name, self.store, rules, lambda now: 0.0, authority=True)
+        self.relay = relay.Relay(place.name, self.store, rules, lambda now: 0.0, is_origin=True)
 
     def commit(self, changes: Iterable[ObjectChange]) -> int:
         names = self.store.commit(changes)
@@ -108,23 +108,25 @@
 
 
 class RelayHost(Host):
-    def __init__(self, lab: Lab, place: Place, origins: tuple[Place, ...], rules: Rules, rng: Random) -> None:
+    def __init__(
+        self, lab: Lab, place: Participant, origins: tuple[Participant, ...], rules: Rules, rng: Random
+    ) -> None:
         super().__init__(lab, place)
-        self.node = node.Node(place, origins, rules, rng, lab.engine.now)
+        self.node = node.RelayNode(place, origins, rules, rng, lab.engine.now)
 
     def tick(self) -> None:
         self.from_above(subscriber.Tick())
         self.from_below(relay.Tick())
 
     def from_below(self, event: relay.Event) -> None:
-        self._out(self.node.step(self.lab.engine.now, node.Below(event)))
+        self._out(self.node.step(self.lab.engine.now, node.RelayEvent(event)))
 
     def from_above(self, event: subscriber.Event) -> None:
-        self._out(self.node.step(self.lab.engine.now, node.Above(event)))
+        self._out(self.node.step(self.lab.engine.now, node.SubscriberEvent(event)))
 
-    def _out(self, actions: list[node.Upward | node.Downward]) -> None:
+    def _out(self, actions: list[node.SubscriberAction | node.RelayAction]) -> None:
         for action in actions:
-            if isinstance(action, node.Upward):
+            if isinstance(action, node.SubscriberAction):
                 self._follow([action.action])
             else:
                 self._serve([action.action])
@@ -134,8 +136,8 @@
     def __init__(
         self,
         lab: Lab,
-        place: Place,
-        relays: tuple[Place, ...],
+        place: Participant,
+        relays: tuple[Participant, ...],
         names: tuple[str, ...],
         rules: Rules,
         rng: Random,
@@ -182,17 +184,19 @@
 
         self.engine.after(offset, tick)
 
-    def origin(self, place: Place, rules: Rules = RELAY_RULES, first: int | None = None) -> Origin:
+    def origin(self, place: Participant, rules: Rules = RELAY_RULES, first: int | None = None) -> Origin:
         host = Origin(self, place, rules, first)
         self.add(host)
         return host
 
-    def relay(self, place: Place, origins: tuple[Place, ...], rules: Rules) -> RelayHost:
+    def relay(self, place: Participant, origins: tuple[Participant, ...], rules: Rules) -> RelayHost:
         host = RelayHost(self, place, origins, rules, Random(self.rng.random()))
         self.add(host)
         return host
 
-    def proxy(self, place: Place, relays: tuple[Place, ...], names: tuple[str, ...], rules: Rules) -> Proxy:
+    def proxy(
+        self, place: Participant, relays: tuple[Participant, ...], names: tuple[str, ...], rules: Rules
+    ) -> Proxy:
         host = Proxy(self, place, relays, names, rules, Random(self.rng.random()))
         self.add(host)
         return host
@@ -307,7 +311,7 @@
             if len(stream.held) < HELD_FRAMES:
                 stream.held.append((target, message))
             return
-        size = size_of(message)
+        size = wire_size(message)
         sender = self.hosts[source]
         sender.sent_bytes += size
         sender.messages += 1
--- a/tests/capacity/test_delivery.py
+++ b/tests/capacity/test_delivery.py
@@ -14,12 +14,18 @@
 from bench.hollow import ALLOWED, WITHIN_S, Fleet, HollowProxy, Size
 from bench.scale import delivery
 from bench.scale.delivery import Line, services
-from flintlatch.delivery.model import FRAME_BYTES, ITEM_BYTES, ObjectChange, Rules, digest
+from flintlatch.delivery.model import (
+    FRAME_OVERHEAD_BYTES,
+    ITEM_OVERHEAD_BYTES,
+    ObjectChange,
+    Rules,
+    item_digest,
+)
 from flintlatch.delivery.store import Store
 
 FEW = Size.of(20, services=50, cells=2, follows=10, tenants=4)
-BATCH_BYTES = 2 * (FRAME_BYTES + 40)  # where it begins and ends
-PART_BYTES = FRAME_BYTES + 30  # beside the object's name and its items
+BATCH_BYTES = 2 * (FRAME_OVERHEAD_BYTES + 40)  # where it begins and ends
+PART_BYTES = FRAME_OVERHEAD_BYTES + 30  # beside the object's name and its items
 TIMED = ("_core", "_step_ms")
 
 
@@ -49,9 +55,9 @@
 
     def counting(name: str, value: bytes) -> int:
         seen.append(name)
-        return digest(name, value)
+        return item_digest(name, value)
 
-    monkeypatch.setattr("flintlatch.delivery.store.digest", counting)
+    monkeypatch.setattr("flintlatch.delivery.store.item_digest", counting)
     return seen
 
 
@@ -60,8 +66,8 @@
     line = ready(size)
     line.commit([ObjectChange("s1", {"b7": b"x" * 60})])
     run_s(line, 0.5)
-    of_change = sum(line.got[kind] for kind in ("Begin", "PartOf", "End"))
-    assert of_change == BATCH_BYTES + PART_BYTES + len("s1") + len("b7") + 60 + ITEM_BYTES
+    of_change = sum(line.got[kind] for kind in ("Begin", "ObjectPart", "End"))
+    assert of_change == BATCH_BYTES + PART_BYTES + len("s1") + len("b7") + 60 + ITEM_OVERHEAD_BYTES
 
 
 @pytest.mark.parametrize("size", [2, 20, 200])
@@ -79,7 +85,7 @@
         line.commit([ObjectChange("s1", {"b7": bytes([n]) * 60})])
     run_s(line, 0.5)
     assert line.subscriber.store.objects["s1"].items["b7"] == bytes([9]) * 60
-    assert line.got["PartOf"] == PART_BYTES + len("s1") + len("b7") + 60 + ITEM_BYTES
+    assert line.got["ObjectPart"] == PART_BYTES + len("s1") + len("b7") + 60 + ITEM_OVERHEAD_BYTES
 
 
 def test_who_does_not_follow_gets_nothing(digests: list[str]) -> None:
@@ -87,7 +93,7 @@
     digests.clear()
     line.commit([ObjectChange("other", {f"b{n}": b"x" * 60 for n in range(18)})])
     run_s(line, 0.5)
-    assert not {"Begin", "PartOf", "End"} & set(line.got)
+    assert not {"Begin", "ObjectPart", "End"} & set(line.got)
     assert len(digests) == 18  # the origin's own
 
 
@@ -96,7 +102,7 @@
     line = ready(size)
     run_s(line, 20.0)
     assert set(line.got) == {"Pong"}
-    assert line.got["Pong"] <= 20 * (FRAME_BYTES + 40)
+    assert line.got["Pong"] <= 20 * (FRAME_OVERHEAD_BYTES + 40)
 
 
 def test_a_snapshot_keeps_within_the_bytes_of_a_minute() -> None:
@@ -108,8 +114,8 @@
         before = line.bytes()
         run_s(line, 60.0)
         minute = max(minute, line.bytes() - before)
-    pongs = 61 * (FRAME_BYTES + 40)
-    assert Rules().burst < minute <= Rules().minute_bytes() + pongs
+    pongs = 61 * (FRAME_OVERHEAD_BYTES + 40)
+    assert Rules().burst_bytes < minute <= Rules().max_bytes_per_minute() + pongs
     assert minute <= 60 * ALLOWED
 
 
--- a/tests/delivery/test_property.py
+++ b/tests/delivery/test_property.py
@@ -1,4 +1,4 @@
-"""Any schedule of commits and faults: nobody is ever torn or goes back, and all end right."""
+"""Any schedule of commits and faults: no subscriber is inconsistent or goes back, and all converge."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 NAMES = (*OBJECTS, "never")
 PROXIES = ("p0", "p1", "p2", "p3")
 HOSTS = ("origin", "relay0", "relay1", "relay2", *PROXIES)
-CHECK_S = 0.25  # between two comparisons beside those at each change
-QUIET_S = 90.0  # in which all must have become right
-# So little credit, and such small parts, that a batch is on its way for seconds: much happens meanwhile.
-SLOW = Rules(rate=600.0, burst=6000.0, window=2500.0, part_bytes=200)
+CHECK_INTERVAL_S = 0.25  # of the invariants, in addition to the check at each change
+CONVERGENCE_TIMEOUT_S = 90.0  # after the last fault
+# Little credit and small parts, so that a batch takes seconds and overlaps with other events.
+SLOW = Rules(bytes_per_s=600.0, burst_bytes=6000.0, window_bytes=2500.0, part_bytes=200)
 
 edits = st.lists(
     st.tuples(
         st.sampled_from(OBJECTS),
-        st.sampled_from(("put", "put", "put", "take", "revert", "gone", "anew")),
+        st.sampled_from(("put", "put", "put", "remove", "revert", "delete", "recreate")),
         st.integers(0, 3),
         st.integers(0, 3),
     ),
@@ -34,27 +34,29 @@
     st.tuples(st.just("commit"), edits),
     st.tuples(st.just("commit"), edits),
     st.tuples(st.just("commit"), edits),
-    st.tuples(st.sampled_from(("follow", "unfollow", "again")), st.integers(0, 3), st.sampled_from(NAMES)),
-    st.tuples(st.sampled_from(("cut", "one way", "reset")), st.sampled_from(HOSTS), st.sampled_from(HOSTS)),
-    st.tuples(st.sampled_from(("kill", "start", "pause", "wake", "bounce")), st.sampled_from(HOSTS)),
+    st.tuples(st.sampled_from(("follow", "unfollow", "refollow")), st.integers(0, 3), st.sampled_from(NAMES)),
+    st.tuples(
+        st.sampled_from(("cut", "cut one way", "reset")), st.sampled_from(HOSTS), st.sampled_from(HOSTS)
+    ),
+    st.tuples(st.sampled_from(("kill", "start", "pause", "wake", "restart")), st.sampled_from(HOSTS)),
     st.tuples(st.just("heal")),
 )
 plans = st.lists(st.tuples(steps, waits), max_size=40)
 
 
-def changes_of(fleet: Fleet, edited: list[tuple[str, str, int, int]]) -> list[ObjectChange]:
+def changes_of(fleet: Fleet, edit_list: list[tuple[str, str, int, int]]) -> list[ObjectChange]:
     changes = []
-    for name, what, item, value in edited:
+    for name, kind, item, value in edit_list:
         key, data = f"i{item}", f"{name} {value}".encode() * (1 + 40 * value)
-        if what == "put":
+        if kind == "put":
             changes.append(ObjectChange(name, {key: data}))
-        elif what == "take":
+        elif kind == "remove":
             changes.append(ObjectChange(name, removed=(key,)))
-        elif what == "gone":
-            changes.append(ObjectChange(name, gone=True))
-        elif what == "anew":
-            changes += [ObjectChange(name, gone=True), ObjectChange(name, {key: data})]
-        else:  # there and back: nothing has changed, and yet it has
+        elif kind == "delete":
+            changes.append(ObjectChange(name, deleted=True))
+        elif kind == "recreate":
+            changes += [ObjectChange(name, deleted=True), ObjectChange(name, {key: data})]
+        else:  # changed and reverted: the revision increases, the content does not change
             before = fleet.wanted.get(name, {}).get(key)
             changes.append(ObjectChange(name, {key: b"for a moment"}))
             changes.append(
@@ -63,13 +65,13 @@
     return changes
 
 
-def play(plan: list[tuple[tuple[Any, ...], float]], seed: int, slow: bool) -> Fleet:
+def run_schedule(plan: list[tuple[tuple[Any, ...], float]], seed: int, slow: bool) -> Fleet:
     fleet = Fleet(seed, relays=3, regions=2, rules=SLOW if slow else None)
     if slow:
         fleet.lab.delay_s = (0.02, 0.3)
     fleet.put("anchor", here="always")
-    for place, name in enumerate(PROXIES):
-        fleet.proxy(name, "anchor", *OBJECTS[place : place + 3], region=place % 2)
+    for index, name in enumerate(PROXIES):
+        fleet.proxy(name, "anchor", *OBJECTS[index : index + 3], region=index % 2)
     fleet.run(3)
 
     def start(name: str) -> None:
@@ -78,46 +80,46 @@
         else:
             fleet.start(name)
 
-    def act(step: tuple[Any, ...]) -> None:
-        what = step[0]
-        if what == "commit":
+    def execute(step: tuple[Any, ...]) -> None:
+        operation = step[0]
+        if operation == "commit":
             changes = changes_of(fleet, step[1])
             reverted = any(edit[1] == "revert" for edit in step[1])
-            for part in [[one] for one in changes] if reverted else [changes]:
-                fleet.commit(*part)
-        elif what in ("follow", "unfollow", "again"):
+            for commit in [[change] for change in changes] if reverted else [changes]:
+                fleet.commit(*commit)
+        elif operation in ("follow", "unfollow", "refollow"):
             name = PROXIES[step[1]]
             if fleet.lab.hosts[name].up:
-                if what != "follow":
+                if operation != "follow":
                     fleet.unfollow(name, step[2])
-                if what != "unfollow":
+                if operation != "unfollow":
                     fleet.follow(name, step[2])
-        elif what in ("cut", "one way"):
-            fleet.lab.cut([step[1]], [step[2]], both=what == "cut")
-        elif what == "reset":
+        elif operation in ("cut", "cut one way"):
+            fleet.lab.cut([step[1]], [step[2]], both=operation == "cut")
+        elif operation == "reset":
             for stream in list(fleet.lab.hosts[step[1]].above.values()):
                 fleet.lab.reset(stream)
-        elif what == "heal":
+        elif operation == "heal":
             fleet.lab.heal()
         else:
             host = fleet.lab.hosts[step[1]]
-            if what in ("kill", "bounce") and host.up:
+            if operation in ("kill", "restart") and host.up:
                 fleet.lab.kill(step[1])
-            if what in ("start", "bounce") and not fleet.lab.hosts[step[1]].up:
+            if operation in ("start", "restart") and not fleet.lab.hosts[step[1]].up:
                 start(step[1])
-            if what == "pause" and host.up:
+            if operation == "pause" and host.up:
                 fleet.lab.pause(step[1])
-            if what == "wake" and host.paused and host.up:
+            if operation == "wake" and host.paused and host.up:
                 fleet.lab.wake(step[1])
 
     def run(seconds: float) -> None:
-        until = fleet.now + seconds
-        while fleet.now < until:
-            fleet.run(min(CHECK_S, until - fleet.now))
+        end = fleet.now + seconds
+        while fleet.now < end:
+            fleet.run(min(CHECK_INTERVAL_S, end - fleet.now))
             fleet.watch.check_all()
 
     for step, wait in plan:
-        act(step)
+        execute(step)
         run(wait)
     fleet.lab.heal()
     for name in HOSTS:
@@ -125,15 +127,16 @@
             fleet.lab.wake(name)
         if not fleet.lab.hosts[name].up:
             start(name)
-    fleet.until(lambda: fleet.right() and fleet.young(), QUIET_S)
-    run(fleet.rules.detect_s() + fleet.rules.spread_s + 3)  # also who had not found out that its relay died
-    assert fleet.right() and fleet.young()
+    fleet.run_until(lambda: fleet.converged() and fleet.is_fresh(), CONVERGENCE_TIMEOUT_S)
+    # Long enough for subscribers that had not yet detected the loss of their relay.
+    run(fleet.rules.failure_detection_s() + fleet.rules.spread_s + 3)
+    assert fleet.converged() and fleet.is_fresh()
     return fleet
 
 
 @given(plans, st.integers(0, 1000), st.booleans())
 @settings(max_examples=80, deadline=None, derandomize=True, print_blob=True)
-def test_any_schedule_leaves_nobody_torn_and_ends_right(
+def test_any_schedule_keeps_subscribers_consistent_and_converges(
     plan: list[tuple[tuple[Any, ...], float]], seed: int, slow: bool
 ) -> None:
-    play(plan, seed, slow)
+    run_schedule(plan, seed, slow)
--- a/tests/fleet/test_delivered.py
+++ b/tests/fleet/test_delivered.py
@@ -23,9 +23,9 @@
 from flintlatch.config import parse
 from flintlatch.config.delivery import read_rules
 from flintlatch.config.reader import Reader
-from flintlatch.delivery.model import ObjectChange, Place
+from flintlatch.delivery.model import ObjectChange, Participant
 from flintlatch.delivery.shell import Server
-from flintlatch.delivery.source import LOOK_S
+from flintlatch.delivery.source import POLL_INTERVAL_S
 from flintlatch.fleet.delivered import DeliveryFeeds
 from flintlatch.fleet.nodes import NodeList, encode_listing
 from flintlatch.net.clock import now_ms
@@ -113,7 +113,7 @@
         return {target["uid"]: target["state"] for target in targets}
 
     async def wait_for_source(self, condition: Callable[[dict[str, Any]], bool]) -> dict[str, Any]:
-        async with asyncio.timeout(RULES.detect_s() + 2 * RULES.stale_s + 4 * LOAD_MARGIN_S):
+        async with asyncio.timeout(RULES.failure_detection_s() + 2 * RULES.stale_s + 4 * LOAD_MARGIN_S):
             while not condition(source := await self.source()):
                 await asyncio.sleep(0.02)
             return source
@@ -194,7 +194,7 @@
 
             # A drain in the origin's file: no new request may reach that node after the stated bound.
             harness.set_row(0, state="draining")
-            bound_s = LOOK_S + RULES.staleness_s(0, 0.0)
+            bound_s = POLL_INTERVAL_S + RULES.staleness_bound_s(0, 0.0)
             ledger.told_draining["s0"] = now_ms() + 1000 * bound_s
             await harness.wait_until_taken(await harness.commit(), bound_s + LOAD_MARGIN_S)
             assert await harness.node_states() == {
@@ -211,7 +211,9 @@
             await harness.children[stopped_relay].end()
             harness.set_row(1, state="draining")
             started, revision = clock(), await harness.commit()
-            await harness.wait_until_taken(revision, LOOK_S + RULES.staleness_s(1, 0.0) + LOAD_MARGIN_S)
+            await harness.wait_until_taken(
+                revision, POLL_INTERVAL_S + RULES.staleness_bound_s(1, 0.0) + LOAD_MARGIN_S
+            )
             print(f"a change with its relay killed came after {clock() - started:.2f} s")
             ledger.told_draining["s1"] = now_ms()
             source = await harness.source()
@@ -240,7 +242,7 @@
             (tmp_path / "key").write_text(KEY)
             assert (await harness.fleet.ask("reload"))["ok"]
             await harness.wait_until_taken(
-                later_revision, RULES.connect_s + RULES.staleness_s(0, 0.0) + LOAD_MARGIN_S
+                later_revision, RULES.connect_s + RULES.staleness_bound_s(0, 0.0) + LOAD_MARGIN_S
             )
             assert (await harness.node_states())["s4"] == "active" and not (await harness.source())["old"]
 
@@ -279,7 +281,9 @@
             assert set((await harness.node_states()).values()) == {"active"}
             harness.rows["s1"] = valid_row
             revision = await harness.commit()
-            await harness.wait_until_taken(revision, LOOK_S + RULES.staleness_s(0, 0.0) + LOAD_MARGIN_S)
+            await harness.wait_until_taken(
+                revision, POLL_INTERVAL_S + RULES.staleness_bound_s(0, 0.0) + LOAD_MARGIN_S
+            )
             assert (await harness.node_states())["s0"] == "leaving"
             list_status = (await harness.fleet.status())["generations"][-1]["nodes"]
             assert list_status["rejected"] == 1 and "item['s1'].weight" in list_status["last_rejection"]
@@ -333,7 +337,7 @@
         (folder / "key").write_text(KEY)
         self.log: list[str] = []
         self.listings: list[Listing] = []
-        self.server = Server(Place("r0"), "127.0.0.1:0", RULES, (bytes.fromhex(KEY),), self.log.append)
+        self.server = Server(Participant("r0"), "127.0.0.1:0", RULES, (bytes.fromhex(KEY),), self.log.append)
         self.delivery_feeds = DeliveryFeeds(lambda level, text: self.log.append(f"{level}: {text}"))
         self.node_lists: list[NodeList] = []
 
@@ -350,7 +354,7 @@
         self.server.committed(tuple(changed_names))
 
     async def open_nodes(
-        self, timeout_s: float = RULES.staleness_s(0, 0.0) + LOAD_MARGIN_S, service: str = SERVICE
+        self, timeout_s: float = RULES.staleness_bound_s(0, 0.0) + LOAD_MARGIN_S, service: str = SERVICE
     ) -> NodeList:
         """Open a node list as a reload does. Raises TimeoutError."""
         path = str(self.folder / "fleet.toml")
@@ -364,7 +368,7 @@
         return node_list
 
     async def until(self, condition: Callable[[], bool]) -> None:
-        async with asyncio.timeout(RULES.detect_s() + 2 * RULES.stale_s + LOAD_MARGIN_S):
+        async with asyncio.timeout(RULES.failure_detection_s() + 2 * RULES.stale_s + LOAD_MARGIN_S):
             while not condition():
                 await asyncio.sleep(0.01)
 
@@ -466,7 +470,7 @@
         assert second.failure == third.failure == ""
         # An object that the origin does not have gives no list, and the failure says why.
         with pytest.raises(TimeoutError):
-            await harness.open_nodes(RULES.staleness_s(0, 0.0), service="service/none")
+            await harness.open_nodes(RULES.staleness_bound_s(0, 0.0), service="service/none")
         await harness.until(lambda: harness.node_lists[-1].failure == "the origin has no such object")
         harness.close()
 
