--- a/flintlatch/delivery/stream.py
+++ b/flintlatch/delivery/stream.py
@@ -115,7 +115,7 @@
         del buffer[:start]
 
     def _complete_handshake(self) -> bool:
-        """Whether both nonces are exchanged and the stream is still open. Raises Foreign."""
+        """Whether both nonces are exchanged and the stream is still open. Raises AuthenticationFailed."""
         size = NONCE_BYTES if self.is_client else HELLO.size
         if len(self.buffer) < size:
             return False
@@ -124,8 +124,8 @@
         if self.is_client:
             self.seal = StreamSeal(self.keys[0], self.nonce, peer_nonce, True)
         else:
-            version, key_id, peer_nonce = HELLO.unpack(peer_nonce)
-            key = next((key for key in self.keys if key_id(key) == key_id), None)
+            version, received_key_id, peer_nonce = HELLO.unpack(peer_nonce)
+            key = next((key for key in self.keys if key_id(key) == received_key_id), None)
             if version != VERSION or key is None:
                 raise AuthenticationFailed("hello has an unknown version or key")
             self._write(self.nonce)
