--- a/flintlatch/cli.py
+++ b/flintlatch/cli.py
@@ -111,11 +111,11 @@
 
 
 def check(path: str) -> int:
-    from flintlatch.config import Unusable, load
+    from flintlatch.config import InvalidConfig, load
 
     try:
         config = load(path)
-    except Unusable as error:
+    except InvalidConfig as error:
         print(error, file=sys.stderr)
         count = len(error.problems)
         print(f"{path}: {count} problem{'s' * (count > 1)}", file=sys.stderr)
@@ -133,13 +133,13 @@
 
 def ask(args: argparse.Namespace, request: dict[str, Any], timeout_s: float = 30.0) -> dict[str, Any] | None:
     """The running fleet's answer; None, after a line that says why, if there is none."""
-    from flintlatch.config import Unusable, find_control
+    from flintlatch.config import InvalidConfig, find_control
     from flintlatch.fleet.control import Taken
     from flintlatch.fleet.control import ask as ask_fleet
 
     try:
         return ask_fleet(args.control or find_control(args.config), request, timeout_s)
-    except (Unusable, Taken) as error:
+    except (InvalidConfig, Taken) as error:
         print(error, file=sys.stderr)
         return None
 
@@ -364,7 +364,7 @@
     try:
         import uvloop
 
-        from flintlatch.config import Unusable
+        from flintlatch.config import InvalidConfig
         from flintlatch.config.delivery import load_follow, load_origin, load_relay
         from flintlatch.delivery import run
     except ModuleNotFoundError as error:
@@ -383,7 +383,7 @@
                 run.relay(one.me, below.bind, one.rules, one.keys, above, below.source_host, one.upward)
             )
         row = load_follow(args.config, tuple(args.names))
-    except Unusable as error:
+    except InvalidConfig as error:
         print(error, file=sys.stderr)
         return 2
     one = row.common
--- a/flintlatch/config/__init__.py
+++ b/flintlatch/config/__init__.py
@@ -1,6 +1,6 @@
 """The product's configuration: a TOML file, one checked table for each subsystem. Reads, decides nothing.
 
-`load` gives a `Config` or raises `Unusable` with every problem of the file at once.
+`load` gives a `Config` or raises `InvalidConfig` with every problem of the file at once.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING
 
 from flintlatch.api import LimitAllocation, Settings
-from flintlatch.config.reader import Problem, Reader, Unusable
+from flintlatch.config.reader import InvalidConfig, Problem, Reader
 from flintlatch.config.tables import (
     CONTROL,
     AccessLogTable,
@@ -49,7 +49,7 @@
 if TYPE_CHECKING:
     from flintlatch.delivery.model import Rules as DeliveryRules
 
-__all__ = ["Config", "Problem", "Unusable", "beside", "find_control", "load", "parse", "read_file"]
+__all__ = ["Config", "Problem", "InvalidConfig", "beside", "find_control", "load", "parse", "read_file"]
 
 MOST_BYTES = 4 * 1024 * 1024  # of a file: tens of thousands of static nodes; more is not a configuration
 DRAIN_SPARE_S = 1.0  # s of a drain beyond the idle time and the longest deadline, for the end itself
@@ -134,31 +134,31 @@
 
 def find_control(path: str) -> str:
     """Where the control socket of a fleet with this configuration is, whatever else is wrong in the file:
-    a running one must be reached to hear why it refused it. Unusable if the file does not tell."""
+    a running one must be reached to hear why it refused it. InvalidConfig if the file does not tell."""
     try:
         raw = tomllib.loads(read_file(path))
     except tomllib.TOMLDecodeError as error:
-        raise Unusable([Problem(path, "file", str(error), "TOML, or the socket by --control")]) from None
+        raise InvalidConfig([Problem(path, "file", str(error), "TOML, or the socket by --control")]) from None
     table = raw.get("fleet")
     name = table.get("control", CONTROL) if isinstance(table, dict) else CONTROL
     return beside(path, name if isinstance(name, str) and name else CONTROL)
 
 
 def read_file(path: str) -> str:
-    """The text at `path`; Unusable if it can't be read."""
+    """The text at `path`; InvalidConfig if it can't be read."""
     try:
         with open(path, "rb") as file:
             raw = file.read(MOST_BYTES + 1)
     except OSError as error:
-        raise Unusable(
+        raise InvalidConfig(
             [Problem(path, "file", error.strerror or str(error), "a file that can be read")]
         ) from None
     if len(raw) > MOST_BYTES:
-        raise Unusable([Problem(path, "file", "a larger one", f"at most {MOST_BYTES} bytes")])
+        raise InvalidConfig([Problem(path, "file", "a larger one", f"at most {MOST_BYTES} bytes")])
     try:
         return raw.decode()
     except UnicodeDecodeError as error:
-        raise Unusable(
+        raise InvalidConfig(
             [Problem(path, "file", f"byte {error.start} that is no UTF-8", "UTF-8 text")]
         ) from None
 
@@ -168,7 +168,9 @@
     try:
         raw = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
-        raise Unusable([Problem(path, "file", str(error), "TOML (https://toml.io, version 1.0)")]) from None
+        raise InvalidConfig(
+            [Problem(path, "file", str(error), "TOML (https://toml.io, version 1.0)")]
+        ) from None
     problems: list[Problem] = []
     top = Reader(path, "", raw, problems)
     config = Config(
@@ -223,7 +225,7 @@
         expected = f"at least {least:g}: idle_s, the longest deadline and {DRAIN_SPARE_S:g} s to end in"
         top.problem("drain.limit_s", f"{config.drain.limit_s:g}", expected)
     if problems:
-        raise Unusable(problems)
+        raise InvalidConfig(problems)
     return config
 
 
--- a/flintlatch/config/delivery.py
+++ b/flintlatch/config/delivery.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass, replace
 
 from flintlatch.config import beside, read_file
-from flintlatch.config.reader import Problem, Reader, Unusable, address, shown
+from flintlatch.config.reader import InvalidConfig, Problem, Reader, address, shown
 from flintlatch.config.tables import (
     DAY_S,
     SERVICE_MOST,
@@ -155,7 +155,9 @@
     try:
         raw = tomllib.loads(read_file(path))
     except tomllib.TOMLDecodeError as error:
-        raise Unusable([Problem(path, "file", str(error), "TOML (https://toml.io, version 1.0)")]) from None
+        raise InvalidConfig(
+            [Problem(path, "file", str(error), "TOML (https://toml.io, version 1.0)")]
+        ) from None
     problems: list[Problem] = []
     return Reader(path, "", raw, problems), problems
 
@@ -164,11 +166,11 @@
     reader.done()
     top.done()
     if problems:
-        raise Unusable(problems)
+        raise InvalidConfig(problems)
 
 
 def load_origin(path: str) -> OriginTable:
-    """Raises Unusable with all that is wrong; the others too."""
+    """Raises InvalidConfig with all that is wrong; the others too."""
     top, problems = _top(path)
     reader = top.sub("delivery")
     source = reader.text("source", None, "the path of the file with the objects")
--- a/flintlatch/config/reader.py
+++ b/flintlatch/config/reader.py
@@ -26,7 +26,7 @@
         return f"{self.file}: {self.key}: {found}, expected {self.expected}"
 
 
-class Unusable(Exception):
+class InvalidConfig(Exception):
     """A configuration with faults; `problems` holds all of them."""
 
     def __init__(self, problems: list[Problem]) -> None:
--- a/flintlatch/fleet/supervisor.py
+++ b/flintlatch/fleet/supervisor.py
@@ -19,7 +19,7 @@
 import uvloop
 
 from flintlatch import handover
-from flintlatch.config import Config, Unusable, load
+from flintlatch.config import Config, InvalidConfig, load
 from flintlatch.fleet import core, log, spread
 from flintlatch.fleet.channel import Channel, Message, open_channel
 from flintlatch.fleet.control import Control, Taken, check_path
@@ -580,7 +580,7 @@
         try:
             config = load(self.config.path)
             check_descriptors(config)
-        except (Unusable, CannotStart) as error:
+        except (InvalidConfig, CannotStart) as error:
             return str(error).replace("\n", "; ")
         if config.control_path != self.config.control_path:
             return f"{config.path}: fleet.control: can't change while the fleet runs; restart or upgrade it"
@@ -760,7 +760,7 @@
     2: the configuration can't be used. 1: it can't start, or every instance is given up."""
     try:
         config = load(path)
-    except Unusable as error:
+    except InvalidConfig as error:
         print(error, file=sys.stderr)
         return 2
 
--- a/flintlatch/fleet/worker.py
+++ b/flintlatch/fleet/worker.py
@@ -20,7 +20,7 @@
 import uvloop
 
 from flintlatch.api import TierMembership
-from flintlatch.config import Config, Unusable, parse
+from flintlatch.config import Config, InvalidConfig, parse
 from flintlatch.fleet.channel import Channel, Message, open_channel
 from flintlatch.fleet.spread import REST_S, Spread
 from flintlatch.handover import Offer
@@ -91,7 +91,7 @@
                 self.accept()
             elif kind == "drain":
                 self.drain(float(message["limit_s"]), bool(message["last"]))
-        except (Unusable, Malformed, KeyError, OSError, ValueError) as error:
+        except (InvalidConfig, Malformed, KeyError, OSError, ValueError) as error:
             self.fail(f"{type(error).__name__}: {error}")
 
     def on_end(self) -> None:
--- a/tests/accesslog/test_fleet.py
+++ b/tests/accesslog/test_fleet.py
@@ -10,7 +10,7 @@
 import httpx
 import pytest
 
-from flintlatch.config import Unusable, parse
+from flintlatch.config import InvalidConfig, parse
 from flintlatch.standin.rig import configuration
 from tests.fleet.support import LIMIT_S, daemon, run
 
@@ -73,7 +73,7 @@
 
 
 def test_its_table_is_checked() -> None:
-    with pytest.raises(Unusable) as caught:
+    with pytest.raises(InvalidConfig) as caught:
         parse(configuration("127.0.0.1:1", access_log={"paths": "some"}), "f.toml")
     assert "access_log.file" in str(caught.value)
     assert "access_log.paths: found 'some'" in str(caught.value)
--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -12,7 +12,7 @@
 
 from flintlatch.api import Effect, Scope
 from flintlatch.cli import main
-from flintlatch.config import Unusable, load, parse
+from flintlatch.config import InvalidConfig, load, parse
 from flintlatch.config.tables import SERVICE_MOST, RelayRow
 from flintlatch.delivery.model import NAME_MOST, Rules
 from flintlatch.standin.rig import toml
@@ -49,7 +49,7 @@
 
 
 def problems(text: str) -> list[str]:
-    with pytest.raises(Unusable) as caught:
+    with pytest.raises(InvalidConfig) as caught:
         parse(text, "f.toml")
     return [str(problem) for problem in caught.value.problems]
 
--- a/tests/delivery/test_commands.py
+++ b/tests/delivery/test_commands.py
@@ -15,7 +15,7 @@
 import uvloop
 
 from flintlatch.cli import main
-from flintlatch.config import Unusable
+from flintlatch.config import InvalidConfig
 from flintlatch.config.delivery import load_follow, load_origin, load_relay
 from flintlatch.delivery.model import RELAY_RULES, Place, Rules
 from flintlatch.standin.delivery import delivered
@@ -89,7 +89,7 @@
     tmp_path: Path, capsys: pytest.CaptureFixture[str], command: str, text: str, words: str
 ) -> None:
     path = write(tmp_path, text)
-    with pytest.raises(Unusable) as caught:
+    with pytest.raises(InvalidConfig) as caught:
         LOADERS[command](path)
     assert all(str(problem).startswith(f"{path}: ") for problem in caught.value.problems)
     assert words in str(caught.value)
@@ -99,10 +99,10 @@
 
 def test_too_many_names_and_keys_that_are_none(tmp_path: Path) -> None:
     rules = "[delivery.rules]\nmost_names = 2"
-    with pytest.raises(Unusable, match="3 names, expected at most rules.most_names, 2"):
+    with pytest.raises(InvalidConfig, match="3 names, expected at most rules.most_names, 2"):
         load_follow(write(tmp_path, FOLLOW.replace('["a"]', '["a", "b", "c"]') + ROW + rules))
     secret = "not a key at all"
-    with pytest.raises(Unusable, match="line 1: expected 64 hexadecimal digits") as caught:
+    with pytest.raises(InvalidConfig, match="line 1: expected 64 hexadecimal digits") as caught:
         load_relay(write(tmp_path, RELAY, secret))
     assert secret not in str(caught.value)
 
--- a/tests/http/test_fleet.py
+++ b/tests/http/test_fleet.py
@@ -9,7 +9,7 @@
 import httpx
 import pytest
 
-from flintlatch.config import Unusable, parse
+from flintlatch.config import InvalidConfig, parse
 from flintlatch.http.build import rules_of
 from flintlatch.http.head import read_request_head
 from flintlatch.standin.rig import configuration
@@ -32,12 +32,14 @@
         ({"colour": 1}, "http.colour: found 1, expected no such key"),
         ({"upload_bytes": 3}, "http.upload_bytes: found 3"),
     ):
-        with pytest.raises(Unusable, match="f.toml") as caught:
+        with pytest.raises(InvalidConfig, match="f.toml") as caught:
             parse(configuration("127.0.0.1:1", http=HTTP | change), "f.toml")
         assert words in str(caught.value)
-    with pytest.raises(Unusable, match="no request is served"):
+    with pytest.raises(InvalidConfig, match="no request is served"):
         parse(configuration("127.0.0.1:1", http={}), "f.toml")
-    with pytest.raises(Unusable, match='http.rule.0..path: found .buy.*expected a path that starts with "/"'):
+    with pytest.raises(
+        InvalidConfig, match='http.rule.0..path: found .buy.*expected a path that starts with "/"'
+    ):
         parse(configuration("127.0.0.1:1", http=HTTP) + RULE.replace("/buy/*", "buy"), "f.toml")
 
 
