--- a/flintlatch/config/__init__.py
+++ b/flintlatch/config/__init__.py
@@ -49,7 +49,16 @@
 if TYPE_CHECKING:
     from flintlatch.delivery.model import Rules as DeliveryRules
 
-__all__ = ["Config", "Problem", "InvalidConfig", "beside", "find_control", "load", "parse", "read_file"]
+__all__ = [
+    "Config",
+    "Problem",
+    "InvalidConfig",
+    "resolve_config_path",
+    "find_control",
+    "load",
+    "parse",
+    "read_file",
+]
 
 MOST_BYTES = 4 * 1024 * 1024  # of a file: tens of thousands of static nodes; more is not a configuration
 DRAIN_SPARE_S = 1.0  # s of a drain beyond the idle time and the longest deadline, for the end itself
@@ -78,7 +87,7 @@
 
     @property
     def control_path(self) -> str:
-        return beside(self.path, self.fleet.control)
+        return resolve_config_path(self.path, self.fleet.control)
 
     def settings(self, number: int) -> Settings:
         """The decision module's settings for instance `number` of `fleet.instances`, counted from 0.
@@ -128,7 +137,7 @@
         )
 
 
-def beside(path: str, name: str) -> str:
+def resolve_config_path(path: str, name: str) -> str:
     return os.path.join(os.path.dirname(os.path.abspath(path)), name)
 
 
@@ -141,7 +150,7 @@
         raise InvalidConfig([Problem(path, "file", str(error), "TOML, or the socket by --control")]) from None
     table = raw.get("fleet")
     name = table.get("control", CONTROL) if isinstance(table, dict) else CONTROL
-    return beside(path, name if isinstance(name, str) and name else CONTROL)
+    return resolve_config_path(path, name if isinstance(name, str) and name else CONTROL)
 
 
 def read_file(path: str) -> str:
--- a/flintlatch/config/delivery.py
+++ b/flintlatch/config/delivery.py
@@ -15,7 +15,7 @@
 import tomllib
 from dataclasses import dataclass, replace
 
-from flintlatch.config import beside, read_file
+from flintlatch.config import read_file, resolve_config_path
 from flintlatch.config.reader import InvalidConfig, Problem, Reader, address, shown
 from flintlatch.config.tables import (
     DAY_S,
@@ -104,7 +104,7 @@
     name = reader.text("key_file", None, "the path of a file with the key of delivery")
     if not name:
         return ()
-    path = beside(reader.file, name)
+    path = resolve_config_path(reader.file, name)
     try:
         with open(path) as file:
             return read_keys(file.read(KEY_MOST), path)
@@ -175,7 +175,9 @@
     reader = top.sub("delivery")
     source = reader.text("source", None, "the path of the file with the objects")
     kept = reader.text("keep", f"{source}.kept", "the path of a file to be written")
-    table = OriginTable(_common(reader), _bind(reader), beside(path, source), beside(path, kept))
+    table = OriginTable(
+        _common(reader), _bind(reader), resolve_config_path(path, source), resolve_config_path(path, kept)
+    )
     _end(top, reader, problems)
     return table
 
--- a/flintlatch/fleet/agreed.py
+++ b/flintlatch/fleet/agreed.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from flintlatch.config import Config, beside
+from flintlatch.config import Config, resolve_config_path
 from flintlatch.config.tables import PeersTable
 from flintlatch.fleet.channel import Message
 from flintlatch.fleet.judging import Judging
@@ -95,7 +95,7 @@
 
     def _keys(self) -> tuple[bytes, ...]:
         """Raises InvalidKeyFile or OSError."""
-        path = beside(self.config.path, self.table.key_file)
+        path = resolve_config_path(self.config.path, self.table.key_file)
         with open(path, encoding="ascii", errors="replace") as file:
             return read_keys(file.read(65536), path)
 
--- a/flintlatch/fleet/delivered.py
+++ b/flintlatch/fleet/delivered.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from flintlatch.config import Config, beside
+from flintlatch.config import Config, resolve_config_path
 from flintlatch.config.tables import DeliveryTable
 from flintlatch.delivery.model import Place, Role, Rules
 from flintlatch.delivery.shell import Client
@@ -171,7 +171,7 @@
         table, service = config.delivery, config.nodes.service
         assert table is not None
         self.keeps = bool(config.nodes.keep)
-        path = beside(config.path, table.key_file)
+        path = resolve_config_path(config.path, table.key_file)
         try:
             with open(path, encoding="ascii", errors="replace") as file:
                 keys = read_keys(file.read(65536), path)
--- a/flintlatch/fleet/members.py
+++ b/flintlatch/fleet/members.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Any
 
 from flintlatch.api import ServerInfo, ServerState
-from flintlatch.config import Config, beside
+from flintlatch.config import Config, resolve_config_path
 from flintlatch.membership import (
     Apply,
     Confirmed,
@@ -67,7 +67,7 @@
             )
         )
         self.offered_ms = 0.0
-        self.keep_path = beside(config.path, table.keep) if table.keep else ""
+        self.keep_path = resolve_config_path(config.path, table.keep) if table.keep else ""
         self.kept: set[asyncio.Future[None]] = set()
         self.wake: asyncio.TimerHandle | None = None
         self.taken = self.rejected = 0
@@ -75,9 +75,9 @@
         for name in self.core.rules.sources:
             self._restore(name)
         self.sources: list[FileSource | CatalogueSource | RegistrySource | Followed] = [
-            source_of(name, beside(config.path, name), self.on_event) for name in table.files
+            source_of(name, resolve_config_path(config.path, name), self.on_event) for name in table.files
         ]
-        token = self._token(beside(config.path, table.token_file)) if table.token_file else ""
+        token = self._token(resolve_config_path(config.path, table.token_file)) if table.token_file else ""
         for name, service in named.items():
             catalogue = Catalogue(name, service, table.wait_s, table.most_stale_s)
             try:
--- a/flintlatch/fleet/observe.py
+++ b/flintlatch/fleet/observe.py
@@ -6,7 +6,7 @@
 
 from flintlatch.accesslog import AccessLog, AttemptRecord, Paths, Record, path_of
 from flintlatch.api import NEVER_RAN
-from flintlatch.config import Config, beside
+from flintlatch.config import Config, resolve_config_path
 from flintlatch.exchange import Exchange
 from flintlatch.metrics import Counts
 from flintlatch.net.backends import Attempt
@@ -24,7 +24,7 @@
         self.paths = Paths(table.paths) if table is not None else Paths.NONE
         self.log: AccessLog | None = None
         if table is not None:
-            self.log = AccessLog(beside(config.path, table.file), config.fleet.name, number)
+            self.log = AccessLog(resolve_config_path(config.path, table.file), config.fleet.name, number)
 
     def watch(self, engine: Engine) -> None:
         if isinstance(engine, RelayEngine):
