--- a/bench/peers.py
+++ b/bench/peers.py
@@ -26,7 +26,7 @@
 
 import uvloop
 
-from flintlatch.config import find_control
+from flintlatch.config import find_control_socket
 from flintlatch.fleet.control import Taken, ask
 from flintlatch.lab.members import Members
 from flintlatch.lab.network import Link
@@ -51,7 +51,7 @@
     if process is None or name in made.paused:
         return None
     try:
-        return await asyncio.to_thread(ask, find_control(str(process.config)), request, 5.0)
+        return await asyncio.to_thread(ask, find_control_socket(str(process.config)), request, 5.0)
     except (Taken, OSError, ValueError):
         return None  # just killed, or paused meanwhile
 
--- a/flintlatch/cli.py
+++ b/flintlatch/cli.py
@@ -133,12 +133,12 @@
 
 def ask(args: argparse.Namespace, request: dict[str, Any], timeout_s: float = 30.0) -> dict[str, Any] | None:
     """The running fleet's answer; None, after a line that says why, if there is none."""
-    from flintlatch.config import InvalidConfig, find_control
+    from flintlatch.config import InvalidConfig, find_control_socket
     from flintlatch.fleet.control import Taken
     from flintlatch.fleet.control import ask as ask_fleet
 
     try:
-        return ask_fleet(args.control or find_control(args.config), request, timeout_s)
+        return ask_fleet(args.control or find_control_socket(args.config), request, timeout_s)
     except (InvalidConfig, Taken) as error:
         print(error, file=sys.stderr)
         return None
--- a/flintlatch/config/__init__.py
+++ b/flintlatch/config/__init__.py
@@ -54,7 +54,7 @@
     "Problem",
     "InvalidConfig",
     "resolve_config_path",
-    "find_control",
+    "find_control_socket",
     "load",
     "parse",
     "read_file",
@@ -141,7 +141,7 @@
     return os.path.join(os.path.dirname(os.path.abspath(path)), name)
 
 
-def find_control(path: str) -> str:
+def find_control_socket(path: str) -> str:
     """Where the control socket of a fleet with this configuration is, whatever else is wrong in the file:
     a running one must be reached to hear why it refused it. InvalidConfig if the file does not tell."""
     try:
--- a/flintlatch/standin/process.py
+++ b/flintlatch/standin/process.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from flintlatch.config import find_control
+from flintlatch.config import find_control_socket
 from flintlatch.fleet.control import Taken, ask
 from flintlatch.standin.client import Clients
 
@@ -104,7 +104,7 @@
         return self
 
     async def ask(self, do: str, timeout_s: float = START_S) -> dict[str, Any]:
-        path = find_control(str(self.config))
+        path = find_control_socket(str(self.config))
         return await asyncio.to_thread(ask, path, {"do": do}, timeout_s)
 
     async def status(self) -> dict[str, Any]:
--- a/tests/fleet/test_peers.py
+++ b/tests/fleet/test_peers.py
@@ -42,11 +42,11 @@
 
 
 async def say(made: Fleets, name: str, text: str, for_s: float) -> None:
-    from flintlatch.config import find_control
+    from flintlatch.config import find_control_socket
     from flintlatch.fleet.control import ask
 
     request = {"do": "note", "subject": "s", "text": text, "for_s": for_s}
-    path = find_control(str(made.processes[name].config))
+    path = find_control_socket(str(made.processes[name].config))
     assert (await asyncio.to_thread(ask, path, request, 10.0))["ok"]
 
 
