--- a/flintlatch/config/__init__.py
+++ b/flintlatch/config/__init__.py
@@ -112,7 +112,7 @@
             fall_ms=nodes.fall_ms,
         )
 
-    def parts_alone(self) -> tuple[LimitAllocation, ...]:
+    def fallback_allocations(self) -> tuple[LimitAllocation, ...]:
         """Of each shared limit what one instance may use while nobody says anything."""
         classes = [row.name for row in self.classes]
         tenants = [row.name for row in self.tenants]
--- a/flintlatch/fleet/worker.py
+++ b/flintlatch/fleet/worker.py
@@ -162,7 +162,7 @@
             from flintlatch.peers.clock import clock
 
             place = TierMembership(settings.proxies, settings.me)
-            self.heard = Heard(number, place, self.config.parts_alone(), clock, log)
+            self.heard = Heard(number, place, self.config.fallback_allocations(), clock, log)
             for word in message.get("words", ()):
                 self.heard.on_word(word)
             self.engine.agreed_events = self.heard.due
