--- a/flintlatch/config/__init__.py
+++ b/flintlatch/config/__init__.py
@@ -124,7 +124,7 @@
             parts.append(LimitAllocation(row.name, cls, tenant, part, row.burst * part / row.per_s))
         return tuple(parts)
 
-    def wire(self) -> SocketSettings:
+    def socket_settings(self) -> SocketSettings:
         """The names on the sockets; new ones among the nodes get the next numbers."""
         return SocketSettings(
             classes={row.name: place for place, row in enumerate(self.classes)},
--- a/flintlatch/fleet/members.py
+++ b/flintlatch/fleet/members.py
@@ -52,7 +52,7 @@
         log: Callable[[str, str], None],
         supply: Supply | None = None,
     ) -> None:
-        self.wire, self.take, self.log = config.wire(), take, log
+        self.wire, self.take, self.log = config.socket_settings(), take, log
         self.loop = asyncio.get_running_loop()
         table = config.nodes
         named = {f"{table.catalogue}#{service}": service for service in table.services}
--- a/flintlatch/fleet/nodes.py
+++ b/flintlatch/fleet/nodes.py
@@ -44,7 +44,7 @@
 
 def fixed(config: Config) -> Listing:
     """The list that the configuration names itself."""
-    wire, targets = config.wire(), []
+    wire, targets = config.socket_settings(), []
     for node in config.nodes.static:
         host, port = split_address(node.address)
         zone = wire.zones.setdefault(node.zone, len(wire.zones))
--- a/flintlatch/fleet/worker.py
+++ b/flintlatch/fleet/worker.py
@@ -141,7 +141,11 @@
 
             told = make("json", "debug", "flintlatch", instance=number, pid=os.getpid())
             log.write = lambda line: told.info(line)  # type: ignore[method-assign]
-        settings, wire, seed = self.config.settings(number), self.config.wire(), int(message["seed"])
+        settings, wire, seed = (
+            self.config.settings(number),
+            self.config.socket_settings(),
+            int(message["seed"]),
+        )
         self.socks = [socket.socket(fileno=fd) for fd in message["listeners"]]
         if self.config.http is not None:
             from flintlatch.http.build import build  # only where it is wanted
@@ -182,7 +186,7 @@
 
     def take_list(self, raw: Any) -> None:
         assert self.engine is not None
-        self.engine.on_list(read_listing(raw, self.config.wire()))
+        self.engine.on_list(read_listing(raw, self.config.socket_settings()))
         if not self.ready_said and self.engine.backends.active() > 0:
             self.ready_said = True
             # The module has met the list in the loop's next turn, before any client can be accepted.
--- a/flintlatch/http/build.py
+++ b/flintlatch/http/build.py
@@ -91,7 +91,7 @@
     )
     engine = RelayEngine(
         settings,
-        config.wire(),
+        config.socket_settings(),
         seed,
         to_backends,
         table.process_bytes,
--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -70,7 +70,7 @@
     spec = config.classes[0].spec
     assert (spec.effect, spec.scope, spec.window_ms) == (Effect.KEYED, Scope.CELL, 5000)
     assert config.settings(0).zone == 1 and config.settings(0).quotas == (5.0,)
-    assert config.wire().tenants == {"school": 0}
+    assert config.socket_settings().tenants == {"school": 0}
 
 
 def test_all_problems_come_at_once_with_place_find_and_expectation() -> None:
--- a/tests/fleet/test_delivered.py
+++ b/tests/fleet/test_delivered.py
@@ -353,16 +353,16 @@
         made = Inside(tmp_path)
         nodes = await made.open(2000)
         config = parse(text_of(["127.0.0.1:1"], {}), "f.toml")
-        engine = Engine(config.settings(0), config.wire(), 1, 100)
+        engine = Engine(config.settings(0), config.socket_settings(), 1, 100)
         whole = described(nodes.whole())
-        engine.on_list(read_listing(whole, config.wire()))
+        engine.on_list(read_listing(whole, config.socket_settings()))
         engine.list_events.clear()
         made.commit({"s7": {"address": "10.0.0.7:80", "zone": "a", "state": "draining"}})
         await made.until(lambda: bool(made.news))
         (news,) = made.news
         message = json.dumps(described(news))  # what each worker is sent
         assert len(message) < 300 < len(json.dumps(whole)) / 500
-        engine.on_list(read_listing(json.loads(message), config.wire()))
+        engine.on_list(read_listing(json.loads(message), config.socket_settings()))
         (told,) = engine.list_events
         assert told.kind is ListKind.DELTA and [entry.server for entry in told.entries] == ["s7"]
         assert len(engine.backends.backends) == 2000
