--- a/flintlatch/config/__init__.py
+++ b/flintlatch/config/__init__.py
@@ -82,7 +82,7 @@
     peers: PeersTable | None  # None: this fleet knows of no other
     delivery: DeliveryTable | None  # None: nothing is followed
     verdicts: EjectionRules | None  # None: each judges servers by itself
-    shared: tuple[Limit, ...]  # limits of all fleets together
+    shared_limits: tuple[Limit, ...]  # limits of all fleets together
     terms: LeaseSettings
 
     @property
@@ -117,7 +117,7 @@
         classes = [row.name for row in self.classes]
         tenants = [row.name for row in self.tenants]
         parts = []
-        for row in self.shared:
+        for row in self.shared_limits:
             part = row.fallback_per_s(self.terms) / self.fleet.instances
             cls = classes.index(row.cls) if row.cls else -1
             tenant = tenants.index(row.tenant) if row.tenant else -1
@@ -197,12 +197,12 @@
         peers=None,
         delivery=None,
         verdicts=read_verdicts(top.sub("verdicts")) if "verdicts" in raw else None,
-        shared=(),
+        shared_limits=(),
         terms=read_keepers(top.sub("keepers")),
     )
     tenants, classes = (tuple(row.name for row in rows) for rows in (config.tenants, config.classes))
     shared = tuple(read_limit(row, tenants, classes) for row in top.subs("limit"))
-    config = replace(config, shared=shared)
+    config = replace(config, shared_limits=shared)
     if config.verdicts is not None and "peers" not in raw:
         top.problem("verdicts", "a table", "a [peers] table: they are shared with other fleets")
     if len(shared) > MAX_LIMITS:
@@ -224,7 +224,7 @@
         config = replace(config, http=read_http(top.sub("http"), names))
     unique(top, "class.name", [row.name for row in config.classes])
     unique(top, "tenant.name", [row.name for row in config.tenants])
-    unique(top, "limit.name", [row.name for row in config.shared])
+    unique(top, "limit.name", [row.name for row in config.shared_limits])
     top.done()
     if config.classes and not any(row.spec.worth > 0 for row in config.classes):
         top.problem("class.worth", "0 in every class", "a class that is worth something")
--- a/flintlatch/fleet/agreed.py
+++ b/flintlatch/fleet/agreed.py
@@ -49,8 +49,8 @@
         self.opening: asyncio.Task[None] | None = None
         self.ended = False
         self.limiting: Limiting | None = None
-        if config.shared:
-            self.limiting = Limiting(config.shared, config.terms, lambda: self.shell, tell_one, log)
+        if config.shared_limits:
+            self.limiting = Limiting(config.shared_limits, config.terms, lambda: self.shell, tell_one, log)
         self.judging: Judging | None = None
         if config.verdicts is not None:
             self.judging = Judging(config.verdicts, lambda: self.shell, tell, servers, log)
@@ -135,8 +135,8 @@
         self.config, self.table = config, table
         self.census.own = config.fleet.instances
         if self.limiting is not None:
-            self.limiting.reconfigure(config.shared, config.terms)
-        elif config.shared:
+            self.limiting.reconfigure(config.shared_limits, config.terms)
+        elif config.shared_limits:
             self.log("warning", "limit: the first ones take a restart or an upgrade")
         if self.shell is not None:
             try:
--- a/flintlatch/fleet/worker.py
+++ b/flintlatch/fleet/worker.py
@@ -170,7 +170,7 @@
             for word in message.get("words", ()):
                 self.heard.on_word(word)
             self.engine.agreed_events = self.heard.due
-            if self.config.shared:
+            if self.config.shared_limits:
                 self.say_limits()
             if self.config.verdicts is not None:
                 self.say_seen()
