--- a/flintlatch/config/__init__.py
+++ b/flintlatch/config/__init__.py
@@ -83,7 +83,7 @@
     delivery: DeliveryTable | None  # None: nothing is followed
     verdicts: EjectionRules | None  # None: each judges servers by itself
     shared_limits: tuple[Limit, ...]  # limits of all fleets together
-    terms: LeaseSettings
+    lease_settings: LeaseSettings
 
     @property
     def control_path(self) -> str:
@@ -118,7 +118,7 @@
         tenants = [row.name for row in self.tenants]
         parts = []
         for row in self.shared_limits:
-            part = row.fallback_per_s(self.terms) / self.fleet.instances
+            part = row.fallback_per_s(self.lease_settings) / self.fleet.instances
             cls = classes.index(row.cls) if row.cls else -1
             tenant = tenants.index(row.tenant) if row.tenant else -1
             parts.append(LimitAllocation(row.name, cls, tenant, part, row.burst * part / row.per_s))
@@ -198,7 +198,7 @@
         delivery=None,
         verdicts=read_verdicts(top.sub("verdicts")) if "verdicts" in raw else None,
         shared_limits=(),
-        terms=read_keepers(top.sub("keepers")),
+        lease_settings=read_keepers(top.sub("keepers")),
     )
     tenants, classes = (tuple(row.name for row in rows) for rows in (config.tenants, config.classes))
     shared = tuple(read_limit(row, tenants, classes) for row in top.subs("limit"))
@@ -209,7 +209,7 @@
         top.problem("limit", f"{len(shared)} rows", f"at most {MAX_LIMITS}")
     if shared and "peers" not in raw:
         top.problem("limit", f"{len(shared)} rows", "a [peers] table: they hold for several fleets")
-    if any(row.when_cut is PartitionPolicy.STRICT for row in shared) and not config.terms.voters:
+    if any(row.when_cut is PartitionPolicy.STRICT for row in shared) and not config.lease_settings.voters:
         top.problem("keepers.voters", "", 'the fleets that vote, where a limit is "strict"')
     if "peers" in raw:
         config = replace(config, peers=read_peers(top.sub("peers"), config.fleet.name))
--- a/flintlatch/fleet/agreed.py
+++ b/flintlatch/fleet/agreed.py
@@ -50,7 +50,9 @@
         self.ended = False
         self.limiting: Limiting | None = None
         if config.shared_limits:
-            self.limiting = Limiting(config.shared_limits, config.terms, lambda: self.shell, tell_one, log)
+            self.limiting = Limiting(
+                config.shared_limits, config.lease_settings, lambda: self.shell, tell_one, log
+            )
         self.judging: Judging | None = None
         if config.verdicts is not None:
             self.judging = Judging(config.verdicts, lambda: self.shell, tell, servers, log)
@@ -64,7 +66,7 @@
             self.judging.start()
 
     def topics(self) -> tuple[Topic, ...]:
-        limits = limit_topics(self.config.terms.term_s) if self.limiting is not None else ()
+        limits = limit_topics(self.config.lease_settings.term_s) if self.limiting is not None else ()
         seen = (observation_topic(self.config.verdicts.life_s),) if self.config.verdicts is not None else ()
         return (NOTES, *limits, *seen)
 
@@ -135,7 +137,7 @@
         self.config, self.table = config, table
         self.census.own = config.fleet.instances
         if self.limiting is not None:
-            self.limiting.reconfigure(config.shared_limits, config.terms)
+            self.limiting.reconfigure(config.shared_limits, config.lease_settings)
         elif config.shared_limits:
             self.log("warning", "limit: the first ones take a restart or an upgrade")
         if self.shell is not None:
