--- a/flintlatch/config/__init__.py
+++ b/flintlatch/config/__init__.py
@@ -81,7 +81,7 @@
     access_log: AccessLogTable | None
     peers: PeersTable | None  # None: this fleet knows of no other
     delivery: DeliveryTable | None  # None: nothing is followed
-    verdicts: EjectionRules | None  # None: each judges servers by itself
+    ejection_rules: EjectionRules | None  # None: each judges servers by itself
     shared_limits: tuple[Limit, ...]  # limits of all fleets together
     lease_settings: LeaseSettings
 
@@ -196,14 +196,14 @@
         access_log=read_access_log(top.sub("access_log")) if "access_log" in raw else None,
         peers=None,
         delivery=None,
-        verdicts=read_verdicts(top.sub("verdicts")) if "verdicts" in raw else None,
+        ejection_rules=read_verdicts(top.sub("verdicts")) if "verdicts" in raw else None,
         shared_limits=(),
         lease_settings=read_keepers(top.sub("keepers")),
     )
     tenants, classes = (tuple(row.name for row in rows) for rows in (config.tenants, config.classes))
     shared = tuple(read_limit(row, tenants, classes) for row in top.subs("limit"))
     config = replace(config, shared_limits=shared)
-    if config.verdicts is not None and "peers" not in raw:
+    if config.ejection_rules is not None and "peers" not in raw:
         top.problem("verdicts", "a table", "a [peers] table: they are shared with other fleets")
     if len(shared) > MAX_LIMITS:
         top.problem("limit", f"{len(shared)} rows", f"at most {MAX_LIMITS}")
--- a/flintlatch/fleet/agreed.py
+++ b/flintlatch/fleet/agreed.py
@@ -54,8 +54,8 @@
                 config.shared_limits, config.lease_settings, lambda: self.shell, tell_one, log
             )
         self.judging: Judging | None = None
-        if config.verdicts is not None:
-            self.judging = Judging(config.verdicts, lambda: self.shell, tell, servers, log)
+        if config.ejection_rules is not None:
+            self.judging = Judging(config.ejection_rules, lambda: self.shell, tell, servers, log)
 
     def start(self) -> None:
         self.opening = self.loop.create_task(self._open())
@@ -67,7 +67,11 @@
 
     def topics(self) -> tuple[Topic, ...]:
         limits = limit_topics(self.config.lease_settings.term_s) if self.limiting is not None else ()
-        seen = (observation_topic(self.config.verdicts.life_s),) if self.config.verdicts is not None else ()
+        seen = (
+            (observation_topic(self.config.ejection_rules.life_s),)
+            if self.config.ejection_rules is not None
+            else ()
+        )
         return (NOTES, *limits, *seen)
 
     def gone(self, worker: int) -> None:
--- a/flintlatch/fleet/worker.py
+++ b/flintlatch/fleet/worker.py
@@ -172,7 +172,7 @@
             self.engine.agreed_events = self.heard.due
             if self.config.shared_limits:
                 self.say_limits()
-            if self.config.verdicts is not None:
+            if self.config.ejection_rules is not None:
                 self.say_seen()
         if message.get("spread") is not None and self.config.fleet.instances > 1:
             self.spread = Spread(message["spread"], int(message["worker"]))
--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -197,7 +197,11 @@
 def test_what_fleets_share_is_read_with_its_parts_alone() -> None:
     config = parse(STATIC + SHARED, "f.toml")
     assert config.peers is not None and (config.peers.name, config.peers.period_s) == ("t", 1.0)
-    assert config.lease_settings.fleets == 3 and config.verdicts is not None and config.verdicts.quorum == 2
+    assert (
+        config.lease_settings.fleets == 3
+        and config.ejection_rules is not None
+        and config.ejection_rules.quorum == 2
+    )
     assert [(part.cls, part.tenant, part.per_s) for part in config.fallback_allocations()] == [(0, 0, 0.0)]
     opened = parse(STATIC + SHARED.replace('"strict"', '"open"'), "f.toml").fallback_allocations()[0]
     assert opened.per_s == pytest.approx(10 * 2 / 3)  # as a part of a cut with nobody else in it
