--- a/flintlatch/config/__init__.py
+++ b/flintlatch/config/__init__.py
@@ -95,7 +95,7 @@
         The list is pushed to it, so it never asks; RFC 9110 section 10.2.3 gives Retry-After to all."""
         nodes = self.nodes
         return Settings(
-            classes=tuple(row.spec for row in self.classes),
+            classes=tuple(row.request_class for row in self.classes),
             proxies=self.fleet.proxies,
             me=self.fleet.first + number,
             zone=nodes.zones.index(nodes.zone),
@@ -226,9 +226,9 @@
     unique(top, "tenant.name", [row.name for row in config.tenants])
     unique(top, "limit.name", [row.name for row in config.shared_limits])
     top.done()
-    if config.classes and not any(row.spec.worth > 0 for row in config.classes):
+    if config.classes and not any(row.request_class.worth > 0 for row in config.classes):
         top.problem("class.worth", "0 in every class", "a class that is worth something")
-    longest = max((row.spec.deadline_ms for row in config.classes), default=0) / 1000
+    longest = max((row.request_class.deadline_ms for row in config.classes), default=0) / 1000
     least = config.drain.idle_s + longest + DRAIN_SPARE_S
     if config.drain.limit_s < least:
         expected = f"at least {least:g}: idle_s, the longest deadline and {DRAIN_SPARE_S:g} s to end in"
--- a/flintlatch/config/tables.py
+++ b/flintlatch/config/tables.py
@@ -214,7 +214,7 @@
 @dataclass(frozen=True, slots=True)
 class ClassRow:
     name: str
-    spec: RequestClass
+    request_class: RequestClass
     transfer: TransferRow
 
 
@@ -630,8 +630,12 @@
         ),
         read_transfer(reader),
     )
-    if row.spec.deadline_ms < row.spec.aim_ms:
-        reader.problem("deadline_ms", f"{row.spec.deadline_ms:g}", f"at least aim_ms, {row.spec.aim_ms:g}")
+    if row.request_class.deadline_ms < row.request_class.aim_ms:
+        reader.problem(
+            "deadline_ms",
+            f"{row.request_class.deadline_ms:g}",
+            f"at least aim_ms, {row.request_class.aim_ms:g}",
+        )
     reader.done()
     return row
 
--- a/flintlatch/http/build.py
+++ b/flintlatch/http/build.py
@@ -47,7 +47,7 @@
         )
     )
     return Rules(
-        [row.spec for row in config.classes],
+        [row.request_class for row in config.classes],
         rules,
         {row.name.encode(): place for place, row in enumerate(config.tenants)},
         names,
--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -67,7 +67,7 @@
 def test_static_nodes_classes_and_tenants() -> None:
     config = parse(STATIC, "/etc/f.toml")
     assert [node.zone for node in config.nodes.static] == ["b", "default"]
-    spec = config.classes[0].spec
+    spec = config.classes[0].request_class
     assert (spec.effect, spec.scope, spec.window_ms) == (Effect.KEYED, Scope.CELL, 5000)
     assert config.settings(0).zone == 1 and config.settings(0).quotas == (5.0,)
     assert config.socket_settings().tenants == {"school": 0}
