--- a/flintlatch/config/tables.py
+++ b/flintlatch/config/tables.py
@@ -201,7 +201,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TransferRow:
+class TransferOverrides:
     """Of a [[class]]: how its bodies travel by [http]. None: as that table says."""
 
     upload_s: float  # a request may take so long to be here whole; deadline_ms runs from there
@@ -215,7 +215,7 @@
 class ClassRow:
     name: str
     request_class: RequestClass
-    transfer: TransferRow
+    transfer: TransferOverrides
 
 
 @dataclass(frozen=True, slots=True)
@@ -591,14 +591,14 @@
     return rules
 
 
-def read_transfer(reader: Reader) -> TransferRow:
+def read_transfer(reader: Reader) -> TransferOverrides:
     def number(key: str, least: float, most: float) -> float | None:
         return reader.number(key, least, most, 0.0) if key in reader.table else None
 
     def whole(key: str, least: int, most: int) -> int | None:
         return reader.whole(key, least, most, 0) if key in reader.table else None
 
-    return TransferRow(
+    return TransferOverrides(
         reader.number("upload_s", 0.1, DAY_S, 3600),
         number("idle_s", 0.1, DAY_S),
         number("least_bytes_per_s", 0, 1e9),
--- a/flintlatch/http/build.py
+++ b/flintlatch/http/build.py
@@ -7,7 +7,7 @@
 from itertools import count
 
 from flintlatch.config import Config
-from flintlatch.config.tables import HttpTable, TransferRow
+from flintlatch.config.tables import HttpTable, TransferOverrides
 from flintlatch.exchange import Pace, Terms
 from flintlatch.http.fields import Origin
 from flintlatch.http.front import HttpFrontend
@@ -60,7 +60,7 @@
 def terms_of(config: Config, table: HttpTable) -> tuple[Terms, ...]:
     """By class: its own where it has any, else the table's."""
 
-    def of(own: TransferRow) -> Terms:
+    def of(own: TransferOverrides) -> Terms:
         idle_s = table.idle_s if own.idle_s is None else own.idle_s
         rate = table.least_bytes_per_s if own.least_bytes_per_s is None else own.least_bytes_per_s
         return Terms(
