--- a/flintlatch/config/__init__.py
+++ b/flintlatch/config/__init__.py
@@ -241,11 +241,11 @@
 def delivery_rules(reader: Reader) -> DeliveryRules | None:
     """[delivery.rules], which are also those of the processes that deliver."""
     try:
-        from flintlatch.config.delivery import read_rules  # only where it is wanted
+        from flintlatch.config.delivery import read_delivery_rules  # only where it is wanted
     except ImportError as error:
         reader.problem("", "a table", f"{error.name} installed: pip install flintlatch[peers]")
         return None
-    return read_rules(reader)
+    return read_delivery_rules(reader)
 
 
 def load(path: str | Path) -> Config:
--- a/flintlatch/config/delivery.py
+++ b/flintlatch/config/delivery.py
@@ -64,7 +64,7 @@
     source_host: str
 
 
-def read_rules(reader: Reader) -> Rules:
+def read_delivery_rules(reader: Reader) -> Rules:
     usual = Rules()
     first, most = usual.retry_s
     rules = Rules(
@@ -119,7 +119,7 @@
 
 def _common(reader: Reader) -> Common:
     me = Place(reader.name("name"), read_region(reader), reader.text("zone", ""))
-    rules = read_rules(reader.sub("rules"))
+    rules = read_delivery_rules(reader.sub("rules"))
     return Common(me, _keys(reader), rules, upward(rules))
 
 
--- a/flintlatch/config/tables.py
+++ b/flintlatch/config/tables.py
@@ -531,7 +531,7 @@
 
 
 def read_delivery(
-    reader: Reader, fleet: str, zone: str, read_rules: Callable[[Reader], DeliveryRules | None]
+    reader: Reader, fleet: str, zone: str, read_delivery_rules: Callable[[Reader], DeliveryRules | None]
 ) -> DeliveryTable:
     table = DeliveryTable(
         relays=tuple(map(read_relay, reader.subs("relays", least=1))),
@@ -539,7 +539,7 @@
         name=reader.name("name", fleet),
         region=read_region(reader),
         zone=reader.text("zone", zone),
-        rules=read_rules(reader.sub("rules")) if "rules" in reader.table else None,
+        rules=read_delivery_rules(reader.sub("rules")) if "rules" in reader.table else None,
     )
     unique(reader, "relays.name", [relay.name for relay in table.relays])
     unique(reader, "relays.address", [relay.address for relay in table.relays])
--- a/tests/delivery/test_processes.py
+++ b/tests/delivery/test_processes.py
@@ -16,7 +16,7 @@
 import pytest
 import uvloop
 
-from flintlatch.config.delivery import read_rules
+from flintlatch.config.delivery import read_delivery_rules
 from flintlatch.config.reader import Reader
 from flintlatch.delivery.model import Place, rank
 from flintlatch.delivery.source import LOOK_S
@@ -24,7 +24,7 @@
 
 LIMIT_S = 90.0  # far beyond what any of these needs; only a hang comes near it
 LOADED_S = 4.0
-RULES = read_rules(Reader("quick", "rules", QUICK, []))
+RULES = read_delivery_rules(Reader("quick", "rules", QUICK, []))
 # From a relay that is up but cut off from the origin: its age is seen, then one after the other is tried.
 STALE_S = RULES.stale_s + 2 * (RULES.stale_s + RULES.ping_s + RULES.connect_s)
 # After relays have come back: an attempt that just failed, the wait before the next, and the way down.
--- a/tests/fleet/test_delivered.py
+++ b/tests/fleet/test_delivered.py
@@ -20,7 +20,7 @@
 from flintlatch.api import ListKind
 from flintlatch.cli import main
 from flintlatch.config import parse
-from flintlatch.config.delivery import read_rules
+from flintlatch.config.delivery import read_delivery_rules
 from flintlatch.config.reader import Reader
 from flintlatch.delivery.model import ObjectChange, Place
 from flintlatch.delivery.shell import Server
@@ -39,7 +39,7 @@
 from tests.fleet.support import Daemon, none_left, run
 
 SERVICE = "service/answers"
-RULES = read_rules(Reader("quick", "rules", QUICK, []))
+RULES = read_delivery_rules(Reader("quick", "rules", QUICK, []))
 LOADED_S = 4.0  # that a machine with more to do than cores may add to a bound
 ROOT = Path(__file__).parent.parent.parent
 
