--- a/flintlatch/cli.py
+++ b/flintlatch/cli.py
@@ -375,12 +375,12 @@
         if args.command == "origin":
             top = load_origin(args.config)
             one = top.common
-            return uvloop.run(run.origin(one.me, top.bind, one.upward, one.keys, top.source, top.kept))
+            return uvloop.run(run.origin(one.me, top.bind, one.relay_rules, one.keys, top.source, top.kept))
         if args.command == "relay":
             below = load_relay(args.config)
             one, above = below.common, (below.origin,)
             return uvloop.run(
-                run.relay(one.me, below.bind, one.rules, one.keys, above, below.source_host, one.upward)
+                run.relay(one.me, below.bind, one.rules, one.keys, above, below.source_host, one.relay_rules)
             )
         row = load_follow(args.config, tuple(args.names))
     except InvalidConfig as error:
--- a/flintlatch/config/delivery.py
+++ b/flintlatch/config/delivery.py
@@ -37,7 +37,7 @@
     me: Place
     keys: tuple[bytes, ...]
     rules: Rules  # of a proxy
-    upward: Rules  # of a relay, as it follows the origin
+    relay_rules: Rules  # of a relay, as it follows the origin
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/delivery/test_commands.py
+++ b/tests/delivery/test_commands.py
@@ -45,7 +45,7 @@
     )
     assert relay.origin == Place("origin", address="10.0.0.2:7950") and relay.common.me.region == "eu"
     assert (relay.common.rules.ping_s, relay.common.rules.burst) == (0.5, 1e6)
-    assert (relay.common.upward.ping_s, relay.common.upward.burst) == (0.5, RELAY_RULES.burst)
+    assert (relay.common.relay_rules.ping_s, relay.common.relay_rules.burst) == (0.5, RELAY_RULES.burst)
     follow = load_follow(write(tmp_path, FOLLOW + ROW))
     assert follow.relays == (Place("r0", "eu", "z", "10.0.0.3:7950"),) and follow.names == ("a",)
     assert follow.common.rules == Rules() and follow.source_host == ""
