--- a/flintlatch/cli.py
+++ b/flintlatch/cli.py
@@ -375,7 +375,9 @@
         if args.command == "origin":
             top = load_origin(args.config)
             one = top.common
-            return uvloop.run(run.origin(one.me, top.bind, one.relay_rules, one.keys, top.source, top.kept))
+            return uvloop.run(
+                run.origin(one.me, top.bind, one.relay_rules, one.keys, top.source, top.state_path)
+            )
         if args.command == "relay":
             below = load_relay(args.config)
             one, above = below.common, (below.origin,)
--- a/flintlatch/config/delivery.py
+++ b/flintlatch/config/delivery.py
@@ -45,7 +45,7 @@
     common: Common
     bind: str
     source: str  # paths, whole
-    kept: str
+    state_path: str
 
 
 @dataclass(frozen=True, slots=True)
