--- a/flintlatch/cli.py
+++ b/flintlatch/cli.py
@@ -376,7 +376,7 @@
             top = load_origin(args.config)
             one = top.common
             return uvloop.run(
-                run.origin(one.me, top.bind, one.relay_rules, one.keys, top.source, top.state_path)
+                run.origin(one.me, top.bind, one.relay_rules, one.keys, top.source_path, top.state_path)
             )
         if args.command == "relay":
             below = load_relay(args.config)
--- a/flintlatch/config/delivery.py
+++ b/flintlatch/config/delivery.py
@@ -44,7 +44,7 @@
 class OriginTable:
     common: Common
     bind: str
-    source: str  # paths, whole
+    source_path: str  # paths, whole
     state_path: str
 
 
--- a/tests/delivery/test_commands.py
+++ b/tests/delivery/test_commands.py
@@ -38,7 +38,7 @@
 def test_good_ones_are_read_as_written(tmp_path: Path) -> None:
     origin = load_origin(write(tmp_path, ORIGIN + "keep = 'k'\n"))
     assert origin.common.me == Place("o") and origin.common.keys == (bytes.fromhex(KEY),)
-    assert (origin.source, origin.state_path) == (str(tmp_path / "objects.json"), str(tmp_path / "k"))
+    assert (origin.source_path, origin.state_path) == (str(tmp_path / "objects.json"), str(tmp_path / "k"))
     assert load_origin(write(tmp_path, ORIGIN)).state_path == str(tmp_path / "objects.json.kept")
     relay = load_relay(
         write(tmp_path, RELAY + 'region = "eu"\n[delivery.rules]\nping_s = 0.5\nburst_bytes = 1e6')
