--- a/flintlatch/config/__init__.py
+++ b/flintlatch/config/__init__.py
@@ -1,6 +1,6 @@
-"""The product's configuration: a TOML file, one checked table for each subsystem. Reads, decides nothing.
+"""Reads and checks the configuration of a fleet, a TOML file with a table for each subsystem.
 
-`load` gives a `Config` or raises `InvalidConfig` with every problem of the file at once.
+`load` returns a `Config` or raises `InvalidConfig` with all problems of the file.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from flintlatch.api import LimitAllocation, Settings
 from flintlatch.config.reader import InvalidConfig, Problem, Reader
 from flintlatch.config.tables import (
-    CONTROL,
+    DEFAULT_CONTROL_SOCKET,
     AccessLogTable,
     ClassRow,
     DeliveryTable,
@@ -26,6 +26,7 @@
     PeersTable,
     StartTable,
     TenantRow,
+    check_unique,
     read_access_log,
     read_class,
     read_delivery,
@@ -40,7 +41,6 @@
     read_start,
     read_tenant,
     read_verdicts,
-    unique,
 )
 from flintlatch.limits.rows import MAX_LIMITS, LeaseSettings, Limit, PartitionPolicy
 from flintlatch.settings import SocketSettings
@@ -57,16 +57,16 @@
     "find_control_socket",
     "load",
     "parse",
-    "read_file",
+    "read_config_file",
 ]
 
-MOST_BYTES = 4 * 1024 * 1024  # of a file: tens of thousands of static nodes; more is not a configuration
-DRAIN_SPARE_S = 1.0  # s of a drain beyond the idle time and the longest deadline, for the end itself
+MAX_CONFIG_BYTES = 4 * 1024 * 1024  # enough for tens of thousands of static nodes
+DRAIN_MARGIN_S = 1.0  # for the exit of the process, after the idle time and the longest deadline
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """A whole configuration, checked. `text` and `path` are what it was read from."""
+    """A complete, checked configuration. `text` is the content of the file at `path`."""
 
     path: str
     text: str
@@ -77,27 +77,28 @@
     nodes: NodesTable
     classes: tuple[ClassRow, ...]
     tenants: tuple[TenantRow, ...]
-    http: HttpTable | None  # None: the platform's protocol
+    http: HttpTable | None  # None: the platform's protocol is served
     access_log: AccessLogTable | None
-    peers: PeersTable | None  # None: this fleet knows of no other
-    delivery: DeliveryTable | None  # None: nothing is followed
-    ejection_rules: EjectionRules | None  # None: each judges servers by itself
-    shared_limits: tuple[Limit, ...]  # limits of all fleets together
+    peers: PeersTable | None  # None: without membership of other fleets
+    delivery: DeliveryTable | None  # None: no object is subscribed to
+    ejection_rules: EjectionRules | None  # None: no shared outlier ejection, only that of each instance
+    shared_limits: tuple[Limit, ...]  # enforced for all fleets together
     lease_settings: LeaseSettings
 
     @property
     def control_path(self) -> str:
         return resolve_config_path(self.path, self.fleet.control)
 
-    def settings(self, number: int) -> Settings:
-        """The decision module's settings for instance `number` of `fleet.instances`, counted from 0.
+    def settings(self, instance: int) -> Settings:
+        """Returns the decision module's settings for an instance of this fleet, numbered from 0.
 
-        The list is pushed to it, so it never asks; RFC 9110 section 10.2.3 gives Retry-After to all."""
+        `ask_for_list` is off, since the list of nodes is pushed to the instances. `retry_after` is on, since
+        any server may send Retry-After (RFC 9110 section 10.2.3)."""
         nodes = self.nodes
         return Settings(
             classes=tuple(row.request_class for row in self.classes),
             proxies=self.fleet.proxies,
-            me=self.fleet.first + number,
+            me=self.fleet.first + instance,
             zone=nodes.zones.index(nodes.zone),
             zones=1,
             quotas=tuple(row.quota_per_s for row in self.tenants),
@@ -113,57 +114,64 @@
         )
 
     def fallback_allocations(self) -> tuple[LimitAllocation, ...]:
-        """Of each shared limit what one instance may use while nobody says anything."""
+        """Returns what an instance may use of each shared limit while its supervisor sends no allocation."""
         classes = [row.name for row in self.classes]
         tenants = [row.name for row in self.tenants]
-        parts = []
+        allocations = []
         for row in self.shared_limits:
-            part = row.fallback_per_s(self.lease_settings) / self.fleet.instances
+            rate_per_s = row.fallback_per_s(self.lease_settings) / self.fleet.instances
             cls = classes.index(row.cls) if row.cls else -1
             tenant = tenants.index(row.tenant) if row.tenant else -1
-            parts.append(LimitAllocation(row.name, cls, tenant, part, row.burst * part / row.per_s))
-        return tuple(parts)
+            allocations.append(
+                LimitAllocation(row.name, cls, tenant, rate_per_s, row.burst * rate_per_s / row.per_s)
+            )
+        return tuple(allocations)
 
     def socket_settings(self) -> SocketSettings:
-        """The names on the sockets; new ones among the nodes get the next numbers."""
+        """Returns the names and timeouts for the sockets.
+
+        Zones and kinds that appear only in the list of nodes get the next free numbers there."""
         return SocketSettings(
-            classes={row.name: place for place, row in enumerate(self.classes)},
-            tenants={row.name: place for place, row in enumerate(self.tenants)},
-            zones={name: place for place, name in enumerate(self.nodes.zones)},
-            kinds={name: place for place, name in enumerate(self.nodes.kinds)},
+            classes={row.name: index for index, row in enumerate(self.classes)},
+            tenants={row.name: index for index, row in enumerate(self.tenants)},
+            zones={name: index for index, name in enumerate(self.nodes.zones)},
+            kinds={name: index for index, name in enumerate(self.nodes.kinds)},
             connect_timeout_ms=self.nodes.connect_timeout_ms,
             conn_idle_ms=self.nodes.idle_ms,
             source_host=self.nodes.source_host,
         )
 
 
-def resolve_config_path(path: str, name: str) -> str:
-    return os.path.join(os.path.dirname(os.path.abspath(path)), name)
+def resolve_config_path(config_path: str, name: str) -> str:
+    """Resolves a path in a configuration relative to the folder of the configuration file."""
+    return os.path.join(os.path.dirname(os.path.abspath(config_path)), name)
 
 
 def find_control_socket(path: str) -> str:
-    """Where the control socket of a fleet with this configuration is, whatever else is wrong in the file:
-    a running one must be reached to hear why it refused it. InvalidConfig if the file does not tell."""
+    """Returns the path of the control socket of a fleet with this configuration file.
+
+    Other faults of the file are ignored: a running fleet that rejected the file must stay reachable to tell
+    why. Raises InvalidConfig if the file cannot be read or is not TOML."""
     try:
-        raw = tomllib.loads(read_file(path))
+        raw = tomllib.loads(read_config_file(path))
     except tomllib.TOMLDecodeError as error:
         raise InvalidConfig([Problem(path, "file", str(error), "TOML, or the socket by --control")]) from None
     table = raw.get("fleet")
-    name = table.get("control", CONTROL) if isinstance(table, dict) else CONTROL
-    return resolve_config_path(path, name if isinstance(name, str) and name else CONTROL)
+    name = table.get("control", DEFAULT_CONTROL_SOCKET) if isinstance(table, dict) else DEFAULT_CONTROL_SOCKET
+    return resolve_config_path(path, name if isinstance(name, str) and name else DEFAULT_CONTROL_SOCKET)
 
 
-def read_file(path: str) -> str:
-    """The text at `path`; InvalidConfig if it can't be read."""
+def read_config_file(path: str) -> str:
+    """Returns the text at `path`. Raises InvalidConfig if it cannot be read, is too large or not UTF-8."""
     try:
         with open(path, "rb") as file:
-            raw = file.read(MOST_BYTES + 1)
+            raw = file.read(MAX_CONFIG_BYTES + 1)
     except OSError as error:
         raise InvalidConfig(
             [Problem(path, "file", error.strerror or str(error), "a file that can be read")]
         ) from None
-    if len(raw) > MOST_BYTES:
-        raise InvalidConfig([Problem(path, "file", "a larger one", f"at most {MOST_BYTES} bytes")])
+    if len(raw) > MAX_CONFIG_BYTES:
+        raise InvalidConfig([Problem(path, "file", "a larger file", f"at most {MAX_CONFIG_BYTES} bytes")])
     try:
         return raw.decode()
     except UnicodeDecodeError as error:
@@ -173,7 +181,8 @@
 
 
 def parse(text: str, path: str) -> Config:
-    """A configuration from its text; `path` names it in problems and is where relative paths start."""
+    """Parses and checks the text of a configuration. `path` names the file in problems; relative paths in the
+    text are relative to its folder. Raises InvalidConfig with all problems."""
     try:
         raw = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
@@ -185,69 +194,77 @@
     config = Config(
         path=path,
         text=text,
-        fleet=read_fleet(top.sub("fleet")),
-        limits=read_limits(top.sub("limits")),
-        start=read_start(top.sub("start")),
-        drain=read_drain(top.sub("drain")),
-        nodes=read_nodes(top.sub("nodes")),
-        classes=tuple(map(read_class, top.subs("class", least=1))),
-        tenants=tuple(map(read_tenant, top.subs("tenant"))),
+        fleet=read_fleet(top.subtable("fleet")),
+        limits=read_limits(top.subtable("limits")),
+        start=read_start(top.subtable("start")),
+        drain=read_drain(top.subtable("drain")),
+        nodes=read_nodes(top.subtable("nodes")),
+        classes=tuple(map(read_class, top.subtables("class", min_items=1))),
+        tenants=tuple(map(read_tenant, top.subtables("tenant"))),
         http=None,
-        access_log=read_access_log(top.sub("access_log")) if "access_log" in raw else None,
+        access_log=read_access_log(top.subtable("access_log")) if "access_log" in raw else None,
         peers=None,
         delivery=None,
-        ejection_rules=read_verdicts(top.sub("verdicts")) if "verdicts" in raw else None,
+        ejection_rules=read_verdicts(top.subtable("verdicts")) if "verdicts" in raw else None,
         shared_limits=(),
-        lease_settings=read_keepers(top.sub("keepers")),
+        lease_settings=read_keepers(top.subtable("keepers")),
     )
     tenants, classes = (tuple(row.name for row in rows) for rows in (config.tenants, config.classes))
-    shared = tuple(read_limit(row, tenants, classes) for row in top.subs("limit"))
-    config = replace(config, shared_limits=shared)
+    shared_limits = tuple(read_limit(row, tenants, classes) for row in top.subtables("limit"))
+    config = replace(config, shared_limits=shared_limits)
     if config.ejection_rules is not None and "peers" not in raw:
-        top.problem("verdicts", "a table", "a [peers] table: they are shared with other fleets")
-    if len(shared) > MAX_LIMITS:
-        top.problem("limit", f"{len(shared)} rows", f"at most {MAX_LIMITS}")
-    if shared and "peers" not in raw:
-        top.problem("limit", f"{len(shared)} rows", "a [peers] table: they hold for several fleets")
-    if any(row.when_cut is PartitionPolicy.STRICT for row in shared) and not config.lease_settings.voters:
-        top.problem("keepers.voters", "", 'the fleets that vote, where a limit is "strict"')
+        top.add_problem("verdicts", "a table", "a [peers] table: they are shared with other fleets")
+    if len(shared_limits) > MAX_LIMITS:
+        top.add_problem("limit", f"{len(shared_limits)} rows", f"at most {MAX_LIMITS}")
+    if shared_limits and "peers" not in raw:
+        top.add_problem(
+            "limit", f"{len(shared_limits)} rows", "a [peers] table: they hold for several fleets"
+        )
+    if (
+        any(row.when_cut is PartitionPolicy.STRICT for row in shared_limits)
+        and not config.lease_settings.voters
+    ):
+        top.add_problem("keepers.voters", "", 'the fleets that vote, where a limit is "strict"')
     if "peers" in raw:
-        config = replace(config, peers=read_peers(top.sub("peers"), config.fleet.name))
+        config = replace(config, peers=read_peers(top.subtable("peers"), config.fleet.name))
     if "delivery" in raw:
-        delivery = read_delivery(top.sub("delivery"), config.fleet.name, config.nodes.zone, delivery_rules)
+        delivery = read_delivery(
+            top.subtable("delivery"), config.fleet.name, config.nodes.zone, read_optional_delivery_rules
+        )
         config = replace(config, delivery=delivery)
     if ("delivery" in raw) != (config.nodes.source == "delivery"):
         expected = 'a [delivery] table and nodes.source = "delivery" together, or neither'
-        top.problem("delivery", "a table" if "delivery" in raw else "", expected)
+        top.add_problem("delivery", "a table" if "delivery" in raw else "", expected)
     if "http" in raw:
         names = tuple(row.name for row in config.classes) or ("",)
-        config = replace(config, http=read_http(top.sub("http"), names))
-    unique(top, "class.name", [row.name for row in config.classes])
-    unique(top, "tenant.name", [row.name for row in config.tenants])
-    unique(top, "limit.name", [row.name for row in config.shared_limits])
-    top.done()
+        config = replace(config, http=read_http(top.subtable("http"), names))
+    check_unique(top, "class.name", [row.name for row in config.classes])
+    check_unique(top, "tenant.name", [row.name for row in config.tenants])
+    check_unique(top, "limit.name", [row.name for row in config.shared_limits])
+    top.reject_unknown_keys()
     if config.classes and not any(row.request_class.worth > 0 for row in config.classes):
-        top.problem("class.worth", "0 in every class", "a class that is worth something")
-    longest = max((row.request_class.deadline_ms for row in config.classes), default=0) / 1000
-    least = config.drain.idle_s + longest + DRAIN_SPARE_S
-    if config.drain.limit_s < least:
-        expected = f"at least {least:g}: idle_s, the longest deadline and {DRAIN_SPARE_S:g} s to end in"
-        top.problem("drain.limit_s", f"{config.drain.limit_s:g}", expected)
+        top.add_problem("class.worth", "0 in every class", "a class with worth above 0")
+    longest_deadline_s = max((row.request_class.deadline_ms for row in config.classes), default=0) / 1000
+    min_drain_s = config.drain.idle_s + longest_deadline_s + DRAIN_MARGIN_S
+    if config.drain.limit_s < min_drain_s:
+        expected = f"at least {min_drain_s:g}: idle_s, the longest deadline and {DRAIN_MARGIN_S:g} s to exit"
+        top.add_problem("drain.limit_s", f"{config.drain.limit_s:g}", expected)
     if problems:
         raise InvalidConfig(problems)
     return config
 
 
-def delivery_rules(reader: Reader) -> DeliveryRules | None:
-    """[delivery.rules], which are also those of the processes that deliver."""
+def read_optional_delivery_rules(reader: Reader) -> DeliveryRules | None:
+    """Reads [delivery.rules], which origin, relays and followers read too. Its reader needs the packages of
+    the extra `peers`: without them it adds a problem and returns None."""
     try:
-        from flintlatch.config.delivery import read_delivery_rules  # only where it is wanted
+        from flintlatch.config.delivery import read_delivery_rules  # imported on demand
     except ImportError as error:
-        reader.problem("", "a table", f"{error.name} installed: pip install flintlatch[peers]")
+        reader.add_problem("", "a table", f"{error.name} installed: pip install flintlatch[peers]")
         return None
     return read_delivery_rules(reader)
 
 
 def load(path: str | Path) -> Config:
-    """Read and check the file at `path`."""
-    return parse(read_file(str(path)), str(path))
+    """Reads and checks the file at `path`. Raises InvalidConfig with all problems."""
+    return parse(read_config_file(str(path)), str(path))
--- a/flintlatch/config/reader.py
+++ b/flintlatch/config/reader.py
@@ -1,4 +1,4 @@
-"""Reading one table of a configuration file: every fault is noted with its place, none ends the reading."""
+"""Reads one table of a TOML configuration file; records each problem with its key and continues after it."""
 
 from __future__ import annotations
 
@@ -10,11 +10,12 @@
 
 Value = TypeVar("Value")
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,62}")
+MAX_SHOWN_CHARS = 60  # of a value in a message
 
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """One fault. `found` is what stands there, in the file's own terms; empty if nothing does."""
+    """A fault of a configuration file. `found` is the value in TOML notation; empty if the key is missing."""
 
     file: str
     key: str
@@ -27,114 +28,129 @@
 
 
 class InvalidConfig(Exception):
-    """A configuration with faults; `problems` holds all of them."""
+    """The configuration has faults; `problems` holds all of them."""
 
     def __init__(self, problems: list[Problem]) -> None:
         super().__init__("\n".join(map(str, problems)))
         self.problems = problems
 
 
-def shown(value: object) -> str:
-    """A value as a person would look for it in the file, cut where it is long."""
+def format_value(value: object) -> str:
+    """Formats a value for a message close to its notation in the file; long ones are truncated."""
     if isinstance(value, bool):
         text = "true" if value else "false"
     elif isinstance(value, dict):
         text = "a table"
     else:
         text = repr(value)
-    return text if len(text) <= 60 else text[:57] + "..."
+    return text if len(text) <= MAX_SHOWN_CHARS else text[: MAX_SHOWN_CHARS - 3] + "..."
 
 
 class Reader:
-    """A table of the file. Each reading method returns a usable value in any case, so that reading goes on:
-    where the file's is at fault the default (or a stand-in of the right type), after noting the problem.
-    `done` notes the keys that nobody asked for."""
+    """A table of the file. `table_path` is its dotted key, empty for the top level.
 
-    def __init__(self, file: str, path: str, table: object, problems: list[Problem]) -> None:
-        self.file, self.path, self.problems = file, path, problems
+    Each reading method returns a value of the right type. If the file has none or an invalid one, it adds a
+    problem and returns the default or, without a default, a fallback, so that later keys are checked too.
+    A missing key with a default is no problem. `reject_unknown_keys` reports keys that no method has read.
+    """
+
+    def __init__(self, file: str, table_path: str, table: object, problems: list[Problem]) -> None:
+        self.file, self.table_path, self.problems = file, table_path, problems
         self.table: dict[str, Any] = {}
-        self.asked: set[str] = set()
+        self.known_keys: set[str] = set()
         if isinstance(table, dict):
             self.table = table
         else:
-            self.problem("", shown(table), "a table")
+            self.add_problem("", format_value(table), "a table")
 
-    def key(self, name: str) -> str:
-        return f"{self.path}.{name}" if self.path and name else self.path or name
+    def full_key(self, key: str) -> str:
+        return f"{self.table_path}.{key}" if self.table_path and key else self.table_path or key
 
-    def problem(self, name: str, found: str, expected: str) -> None:
-        self.problems.append(Problem(self.file, self.key(name), found, expected))
+    def add_problem(self, key: str, found: str, expected: str) -> None:
+        self.problems.append(Problem(self.file, self.full_key(key), found, expected))
 
     def _read(
-        self, name: str, default: Value | None, expected: str, instead: Value, good: Callable[[Any], bool]
+        self,
+        key: str,
+        default: Value | None,
+        expected: str,
+        fallback: Value,
+        is_valid: Callable[[Any], bool],
     ) -> Value:
-        self.asked.add(name)
-        if name not in self.table:
+        self.known_keys.add(key)
+        if key not in self.table:
             if default is None:
-                self.problem(name, "", expected)
-                return instead
+                self.add_problem(key, "", expected)
+                return fallback
             return default
-        value = self.table[name]
-        if good(value):
+        value = self.table[key]
+        if is_valid(value):
             return value  # type: ignore[no-any-return]
-        self.problem(name, shown(value), expected)
-        return instead if default is None else default
+        self.add_problem(key, format_value(value), expected)
+        return fallback if default is None else default
 
-    def text(self, name: str, default: str | None = None, expected: str = "text that is not empty") -> str:
-        return self._read(name, default, expected, "", lambda v: isinstance(v, str) and v != "")
+    def string(self, key: str, default: str | None = None, expected: str = "text that is not empty") -> str:
+        return self._read(key, default, expected, "", lambda value: isinstance(value, str) and value != "")
 
-    def name(self, name: str, default: str | None = None) -> str:
+    def name(self, key: str, default: str | None = None) -> str:
         expected = "a name of 1 to 63 letters, digits, '.', '_' or '-'"
-        good = lambda v: isinstance(v, str) and NAME.fullmatch(v) is not None  # noqa: E731
-        return self._read(name, default, expected, "", good)
+        is_valid = lambda value: isinstance(value, str) and NAME.fullmatch(value) is not None  # noqa: E731
+        return self._read(key, default, expected, "", is_valid)
 
-    def flag(self, name: str, default: bool | None = None) -> bool:
-        return self._read(name, default, "true or false", False, lambda v: isinstance(v, bool))
+    def boolean(self, key: str, default: bool | None = None) -> bool:
+        return self._read(key, default, "true or false", False, lambda value: isinstance(value, bool))
 
-    def whole(self, name: str, low: int, high: int, default: int | None = None) -> int:
-        good = lambda v: type(v) is int and low <= v <= high  # noqa: E731
-        return self._read(name, default, f"a whole number from {low} to {high}", low, good)
+    def integer(self, key: str, low: int, high: int, default: int | None = None) -> int:
+        is_valid = lambda value: type(value) is int and low <= value <= high  # noqa: E731
+        return self._read(key, default, f"a whole number from {low} to {high}", low, is_valid)
 
-    def number(self, name: str, low: float, high: float, default: float | None = None) -> float:
-        """A number within both ends; a whole one will do."""
-        good = lambda v: type(v) in (int, float) and isfinite(v) and low <= v <= high  # noqa: E731
-        return float(self._read(name, default, f"a number from {low:g} to {high:g}", low, good))
+    def number(self, key: str, low: float, high: float, default: float | None = None) -> float:
+        """Reads an integer or a finite float from `low` to `high`, both included."""
+        is_valid = lambda value: type(value) in (int, float) and isfinite(value) and low <= value <= high  # noqa: E731
+        return float(self._read(key, default, f"a number from {low:g} to {high:g}", low, is_valid))
 
-    def choice(self, name: str, values: tuple[str, ...], default: str | None = None) -> str:
+    def choice(self, key: str, values: tuple[str, ...], default: str | None = None) -> str:
         expected = "one of " + ", ".join(f'"{value}"' for value in values)
-        return self._read(name, default, expected, values[0], lambda v: isinstance(v, str) and v in values)
+        return self._read(
+            key, default, expected, values[0], lambda value: isinstance(value, str) and value in values
+        )
+
+    def array(self, key: str, expected: str, min_items: int = 0) -> list[Any]:
+        """Reads an array without a check of its items; optional if `min_items` is 0."""
 
-    def items(self, name: str, expected: str, least: int = 0) -> list[Any]:
-        def good(value: Any) -> bool:
-            return isinstance(value, list) and len(value) >= least
+        def is_valid(value: Any) -> bool:
+            return isinstance(value, list) and len(value) >= min_items
 
-        default: list[Any] | None = None if least else []
-        return self._read(name, default, expected, [], good)
+        default: list[Any] | None = None if min_items else []
+        return self._read(key, default, expected, [], is_valid)
 
-    def sub(self, name: str) -> Reader:
-        """The table under `name`; one that is missing counts as empty."""
-        self.asked.add(name)
-        return Reader(self.file, self.key(name), self.table.get(name, {}), self.problems)
+    def subtable(self, key: str) -> Reader:
+        """Returns a reader of the table under `key`; a missing table is read as an empty one."""
+        self.known_keys.add(key)
+        return Reader(self.file, self.full_key(key), self.table.get(key, {}), self.problems)
 
-    def subs(self, name: str, least: int = 0) -> list[Reader]:
-        """The tables of an array, `[[name]]` in the file."""
-        rows = self.items(
-            name, f"[[{self.key(name)}]] tables" + (f", at least {least}" if least else ""), least
+    def subtables(self, key: str, min_items: int = 0) -> list[Reader]:
+        """Returns a reader for each table of the array of tables `[[key]]`."""
+        rows = self.array(
+            key,
+            f"[[{self.full_key(key)}]] tables" + (f", at least {min_items}" if min_items else ""),
+            min_items,
         )
         return [
-            Reader(self.file, f"{self.key(name)}[{place}]", row, self.problems)
-            for place, row in enumerate(rows)
+            Reader(self.file, f"{self.full_key(key)}[{index}]", row, self.problems)
+            for index, row in enumerate(rows)
         ]
 
-    def done(self) -> None:
-        known = ", ".join(sorted(self.asked))
-        for name in self.table:
-            if name not in self.asked:
-                self.problem(name, shown(self.table[name]), f"no such key (known here: {known})")
+    def reject_unknown_keys(self) -> None:
+        known = ", ".join(sorted(self.known_keys))
+        for key in self.table:
+            if key not in self.known_keys:
+                self.add_problem(key, format_value(self.table[key]), f"no such key (known here: {known})")
 
 
-def address(reader: Reader, name: str, value: object, default: str = "127.0.0.1:0") -> str:
-    """`host:port` with an IP address and a port of 0 to 65535; RFC 3986 section 3.2 form for IPv6."""
+def check_address(reader: Reader, key: str, value: object, default: str = "127.0.0.1:0") -> str:
+    """Returns `value` if it is `host:port` with an IP address and a port from 0 to 65535; otherwise adds a
+    problem and returns `default`. IPv6 addresses are in brackets (RFC 3986 section 3.2)."""
     from ipaddress import ip_address
 
     expected = 'an address such as "127.0.0.1:8080" or "[::1]:8080"'
@@ -148,5 +164,5 @@
                 return value
         except ValueError:
             pass
-    reader.problem(name, shown(value), expected)
+    reader.add_problem(key, format_value(value), expected)
     return default
--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -13,7 +13,7 @@
 from flintlatch.api import Effect, Scope
 from flintlatch.cli import main
 from flintlatch.config import InvalidConfig, load, parse
-from flintlatch.config.tables import SERVICE_MOST, RelayRow
+from flintlatch.config.tables import MAX_OBJECT_NAME_BYTES, RelayRow
 from flintlatch.delivery.model import NAME_MOST, Rules
 from flintlatch.standin.rig import toml
 
@@ -296,7 +296,7 @@
     assert table.rules is None
     quick = parse(DELIVERY.replace("relays =", "rules = { stale_s = 1, ping_s = 0.5 }\nrelays ="), "f.toml")
     assert quick.delivery is not None and quick.delivery.rules == replace(Rules(), stale_s=1.0, ping_s=0.5)
-    assert SERVICE_MOST == NAME_MOST  # said twice, as a configuration loads nothing of delivery
+    assert MAX_OBJECT_NAME_BYTES == NAME_MOST  # said twice, as a configuration loads nothing of delivery
 
 
 @pytest.mark.parametrize(
