--- a/flintlatch/cli.py
+++ b/flintlatch/cli.py
@@ -376,13 +376,15 @@
             top = load_origin(args.config)
             one = top.common
             return uvloop.run(
-                run.origin(one.me, top.bind, one.relay_rules, one.keys, top.source_path, top.state_path)
+                run.origin(one.place, top.bind, one.relay_rules, one.keys, top.source_path, top.state_path)
             )
         if args.command == "relay":
             below = load_relay(args.config)
             one, above = below.common, (below.origin,)
             return uvloop.run(
-                run.relay(one.me, below.bind, one.rules, one.keys, above, below.source_host, one.relay_rules)
+                run.relay(
+                    one.place, below.bind, one.rules, one.keys, above, below.source_host, one.relay_rules
+                )
             )
         row = load_follow(args.config, tuple(args.names))
     except InvalidConfig as error:
@@ -390,7 +392,9 @@
         return 2
     one = row.common
     return uvloop.run(
-        run.follow(one.me, row.relays, row.names, one.rules, one.keys, row.source_host, args.json, args.once)
+        run.follow(
+            one.place, row.relays, row.names, one.rules, one.keys, row.source_host, args.json, args.once
+        )
     )
 
 
--- a/flintlatch/config/delivery.py
+++ b/flintlatch/config/delivery.py
@@ -37,7 +37,7 @@
 class CommonSettings:
     """Settings of all three processes."""
 
-    me: Place  # of the process itself
+    place: Place  # of the process itself
     keys: tuple[bytes, ...]
     rules: Rules  # between relays and proxies
     relay_rules: Rules  # between relays and the origin
@@ -121,9 +121,9 @@
 
 
 def _read_common(reader: Reader) -> CommonSettings:
-    me = Place(reader.name("name"), read_region(reader), reader.string("zone", ""))
+    place = Place(reader.name("name"), read_region(reader), reader.string("zone", ""))
     rules = read_delivery_rules(reader.subtable("rules"))
-    return CommonSettings(me, _read_keys(reader), rules, to_relay_rules(rules))
+    return CommonSettings(place, _read_keys(reader), rules, to_relay_rules(rules))
 
 
 def _read_bind_address(reader: Reader) -> str:
--- a/tests/delivery/test_commands.py
+++ b/tests/delivery/test_commands.py
@@ -37,13 +37,13 @@
 
 def test_good_ones_are_read_as_written(tmp_path: Path) -> None:
     origin = load_origin(write(tmp_path, ORIGIN + "keep = 'k'\n"))
-    assert origin.common.me == Place("o") and origin.common.keys == (bytes.fromhex(KEY),)
+    assert origin.common.place == Place("o") and origin.common.keys == (bytes.fromhex(KEY),)
     assert (origin.source_path, origin.state_path) == (str(tmp_path / "objects.json"), str(tmp_path / "k"))
     assert load_origin(write(tmp_path, ORIGIN)).state_path == str(tmp_path / "objects.json.kept")
     relay = load_relay(
         write(tmp_path, RELAY + 'region = "eu"\n[delivery.rules]\nping_s = 0.5\nburst_bytes = 1e6')
     )
-    assert relay.origin == Place("origin", address="10.0.0.2:7950") and relay.common.me.region == "eu"
+    assert relay.origin == Place("origin", address="10.0.0.2:7950") and relay.common.place.region == "eu"
     assert (relay.common.rules.ping_s, relay.common.rules.burst) == (0.5, 1e6)
     assert (relay.common.relay_rules.ping_s, relay.common.relay_rules.burst) == (0.5, RELAY_RULES.burst)
     follow = load_follow(write(tmp_path, FOLLOW + ROW))
