--- a/flintlatch/config/reader.py
+++ b/flintlatch/config/reader.py
@@ -10,7 +10,6 @@
 
 Value = TypeVar("Value")
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,62}")
-MAX_SHOWN_CHARS = 60  # of a value in a message
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,7 +42,7 @@
         text = "a table"
     else:
         text = repr(value)
-    return text if len(text) <= MAX_SHOWN_CHARS else text[: MAX_SHOWN_CHARS - 3] + "..."
+    return text if len(text) <= 60 else text[:57] + "..."
 
 
 class Reader:
--- a/flintlatch/config/tables.py
+++ b/flintlatch/config/tables.py
@@ -392,7 +392,7 @@
         for index, value in enumerate(values):
             if not isinstance(value, str) or not value:
                 reader.add_problem(f"{key}[{index}]", repr(value), "a name")
-    zones = tuple(name for name in zone_names if isinstance(name, str)) or ("default",)
+    zones = tuple(zone for zone in zone_names if isinstance(zone, str)) or ("default",)
     table = NodesTable(
         source=source,
         registry=registry,
@@ -409,7 +409,7 @@
         hold_s=reader.number("hold_s", 0, DAY_S, 30),
         zones=zones,
         zone=reader.choice("zone", zones, zones[0]),
-        kinds=tuple(name for name in kinds if isinstance(name, str)) or ("default",),
+        kinds=tuple(kind for kind in kinds if isinstance(kind, str)) or ("default",),
         source_host=read_ip_address(reader, "source_host"),
         connect_timeout_ms=reader.number("connect_timeout_ms", 1, 60_000, 250),
         idle_ms=reader.number("idle_ms", 100, 3_600_000, 15_000),
@@ -433,7 +433,7 @@
     rule = HttpRule(
         cls=reader.choice("class", classes),
         path=reader.string("path", "*", 'a path such as "/deck/*"'),
-        methods=tuple(method for method in methods if isinstance(method, str)),
+        methods=tuple(entry for entry in methods if isinstance(entry, str)),
         host=reader.string("host", "*", 'a host such as "*.example.org"').lower(),
         header=reader.string("header", "-").lower(),
         value=reader.string("value", "-"),
@@ -466,7 +466,7 @@
     table = HttpTable(
         via=reader.name("via", "flintlatch"),
         forwarded=reader.choice("forwarded", ("forwarded", "x-forwarded", "none"), "forwarded"),
-        trusted=tuple(network for network in trusted if isinstance(network, str)),
+        trusted=tuple(entry for entry in trusted if isinstance(entry, str)),
         head_bytes=reader.integer("head_bytes", 1024, 1 << 20, 32 * 1024),
         target_bytes=reader.integer("target_bytes", 256, 1 << 20, 8 * 1024),
         fields=reader.integer("fields", 8, 10_000, 128),
