--- a/flintlatch/config/reader.py
+++ b/flintlatch/config/reader.py
@@ -111,7 +111,7 @@
     def choice(self, key: str, values: tuple[str, ...], default: str | None = None) -> str:
         expected = "one of " + ", ".join(f'"{value}"' for value in values)
         return self._read(
-            key, default, expected, values[0], lambda value: isinstance(value, str) and value in values
+            key, default, expected, values[0], lambda found: isinstance(found, str) and found in values
         )
 
     def array(self, key: str, expected: str, min_items: int = 0) -> list[Any]:
