--- a/flintlatch/cli.py
+++ b/flintlatch/cli.py
@@ -16,7 +16,7 @@
 """
 
 
-def parser() -> argparse.ArgumentParser:
+def build_parser() -> argparse.ArgumentParser:
     top = argparse.ArgumentParser(
         prog="flintlatch",
         description="A load-balancing HTTP proxy that runs as a fleet of instances on one machine.",
@@ -399,7 +399,7 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    args = parser().parse_args(arguments)
+    args = build_parser().parse_args(arguments)
     if args.command == "fleet":
         try:
             from flintlatch.fleet.supervisor import run
