--- a/flintlatch/config/__init__.py
+++ b/flintlatch/config/__init__.py
@@ -213,12 +213,12 @@
     shared_limits = tuple(read_limit(row, tenants, classes) for row in top.subtables("limit"))
     config = replace(config, shared_limits=shared_limits)
     if config.ejection_rules is not None and "peers" not in raw:
-        top.add_problem("verdicts", "a table", "a [peers] table: they are shared with other fleets")
+        top.add_problem("verdicts", "a table", "a [peers] table: verdicts are shared with other fleets")
     if len(shared_limits) > MAX_LIMITS:
         top.add_problem("limit", f"{len(shared_limits)} rows", f"at most {MAX_LIMITS}")
     if shared_limits and "peers" not in raw:
         top.add_problem(
-            "limit", f"{len(shared_limits)} rows", "a [peers] table: they hold for several fleets"
+            "limit", f"{len(shared_limits)} rows", "a [peers] table: limits apply to several fleets"
         )
     if (
         any(row.when_cut is PartitionPolicy.STRICT for row in shared_limits)
--- a/flintlatch/config/delivery.py
+++ b/flintlatch/config/delivery.py
@@ -183,7 +183,7 @@
     top, problems = _open(path)
     reader = top.subtable("delivery")
     source = reader.string("source", None, "the path of the file with the objects")
-    state_path = reader.string("keep", f"{source}.kept", "the path of a file to be written")
+    state_path = reader.string("keep", f"{source}.kept", "the path of a file to write")
     table = OriginTable(
         _read_common(reader),
         _read_bind_address(reader),
--- a/flintlatch/config/tables.py
+++ b/flintlatch/config/tables.py
@@ -245,7 +245,7 @@
     fixed = [host_port for host_port in addresses if not host_port.endswith(":0")]
     for duplicate in sorted({host_port for host_port in fixed if fixed.count(host_port) > 1}):
         reader.add_problem("listen", repr(duplicate), "each address once")
-    control = reader.string("control", DEFAULT_CONTROL_SOCKET, "the path of a socket to be made")
+    control = reader.string("control", DEFAULT_CONTROL_SOCKET, "the path of a Unix socket to create")
     if len(control.encode()) > MAX_CONTROL_PATH_BYTES:
         reader.add_problem(
             "control", f"{len(control.encode())} bytes", f"a path of at most {MAX_CONTROL_PATH_BYTES}"
@@ -255,7 +255,7 @@
     proxies = reader.integer("proxies", 1, MAX_PROXIES, first + instances)
     if first + instances > proxies:
         reader.add_problem("proxies", str(proxies), f"at least first + instances, {first + instances}")
-    metrics = reader.string("metrics", "", "the address of a page for Prometheus")
+    metrics = reader.string("metrics", "", "the address of the metrics endpoint for Prometheus")
     table = FleetTable(
         name=reader.name("name"),
         instances=instances,
@@ -384,7 +384,7 @@
         check_unique(reader, "static.address", [node.address for node in static])
     if registry and static:
         reader.add_problem(
-            "static", f"{len(static)} nodes", f'none of "registry" and "static" but source = "{source}"'
+            "static", f"{len(static)} nodes", f'not both "registry" and "static": source = "{source}"'
         )
     zone_names = reader.array("zones", "a list of names")
     kinds = reader.array("kinds", "a list of names")
@@ -429,7 +429,7 @@
     methods = reader.array("methods", 'methods such as ["GET"]')
     for index, method in enumerate(methods):
         if not isinstance(method, str) or not method.isascii() or not method.isupper():
-            reader.add_problem(f"methods[{index}]", repr(method), "a method in capitals")
+            reader.add_problem(f"methods[{index}]", repr(method), "a method in upper case")
     rule = HttpRule(
         cls=reader.choice("class", classes),
         path=reader.string("path", "*", 'a path such as "/deck/*"'),
@@ -495,7 +495,7 @@
 
 def read_access_log(reader: Reader) -> AccessLogTable:
     table = AccessLogTable(
-        file=reader.string("file", None, "the path of a file to be written"),
+        file=reader.string("file", None, "the path of a file to write"),
         paths=reader.choice("paths", ("none", "path", "full"), "path"),
     )
     reader.reject_unknown_keys()
@@ -637,7 +637,9 @@
     window_ms = reader.number("window_ms", 0, 86_400_000, 0)
     if effect is Effect.KEYED and not window_ms:
         reader.add_problem(
-            "window_ms", "0" if "window_ms" in reader.table else "", "how long nodes remember a key"
+            "window_ms",
+            "0" if "window_ms" in reader.table else "",
+            "how long nodes remember an idempotency key",
         )
     if effect is not Effect.KEYED and ("window_ms" in reader.table or "scope" in reader.table):
         reader.add_problem("effect", f'"{effect.value}"', '"keyed" where window_ms or scope is set')
--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -1,4 +1,4 @@
-"""The fleet's configuration: what is good, and what is said of all that is not, at once."""
+"""Tests of the fleet's configuration: values read from valid files, and the problems of invalid ones."""
 
 from __future__ import annotations
 
@@ -48,13 +48,14 @@
 """
 
 
-def problems(text: str) -> list[str]:
+def read_problems(text: str) -> list[str]:
+    """Parses an invalid configuration and returns the texts of its problems."""
     with pytest.raises(InvalidConfig) as caught:
         parse(text, "f.toml")
     return [str(problem) for problem in caught.value.problems]
 
 
-def test_the_example_is_good_and_read_as_written() -> None:
+def test_example_configuration_is_read_as_written() -> None:
     config = load(EXAMPLE)
     assert (config.fleet.instances, config.nodes.registry) == (4, "127.0.0.1:8500")
     assert [row.name for row in config.classes] == ["answer", "purchase", "grade"]
@@ -64,30 +65,34 @@
     assert config.control_path == str(EXAMPLE.parent / "flintlatch.sock")
 
 
-def test_static_nodes_classes_and_tenants() -> None:
+def test_reads_static_nodes_classes_and_tenants() -> None:
     config = parse(STATIC, "/etc/f.toml")
     assert [node.zone for node in config.nodes.static] == ["b", "default"]
-    spec = config.classes[0].request_class
-    assert (spec.effect, spec.scope, spec.window_ms) == (Effect.KEYED, Scope.CELL, 5000)
+    request_class = config.classes[0].request_class
+    assert (request_class.effect, request_class.scope, request_class.window_ms) == (
+        Effect.KEYED,
+        Scope.CELL,
+        5000,
+    )
     assert config.settings(0).zone == 1 and config.settings(0).quotas == (5.0,)
     assert config.socket_settings().tenants == {"school": 0}
 
 
-def test_all_problems_come_at_once_with_place_find_and_expectation() -> None:
+def test_reports_all_problems_with_key_found_and_expected_value() -> None:
     text = STATIC.replace('name = "t"', 'name = "t!"\ncolour = 3').replace("aim_ms = 100", 'aim_ms = "x"')
     text = text.replace('zone = "b"\n[[', 'zone = "c"\n[[').replace("window_ms = 5000\n", "")
-    assert problems(text) == [
+    assert read_problems(text) == [
         "f.toml: fleet.name: found 't!', expected a name of 1 to 63 letters, digits, '.', '_' or '-'",
         "f.toml: fleet.colour: found 3, expected no such key "
         "(known here: control, first, instances, listen, log_format, log_level, metrics, name, proxies)",
         'f.toml: nodes.zone: found \'c\', expected one of "a", "b"',
-        "f.toml: class[0].window_ms: missing, expected how long nodes remember a key",
+        "f.toml: class[0].window_ms: missing, expected how long nodes remember an idempotency key",
         "f.toml: class[0].aim_ms: found 'x', expected a number from 0.1 to 600000",
     ]
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "words"),
+    ("old", "new", "message"),
     [
         ("listen = [", "listen = [3, ", "fleet.listen[0]: found 3, expected an address"),
         ('"[::1]:8080"', '"::1:8080"', "found '::1:8080', expected an address"),
@@ -114,56 +119,60 @@
         ("[drain]", "[drain", "TOML"),
     ],
 )
-def test_each_fault_is_named(old: str, new: str, words: str) -> None:
+def test_reports_each_problem(old: str, new: str, message: str) -> None:
     assert old in STATIC
-    found = problems(STATIC.replace(old, new))
-    assert any(words in problem for problem in found), found
+    found = read_problems(STATIC.replace(old, new))
+    assert any(message in problem for problem in found), found
 
 
-def places(table: dict[str, Any], path: tuple[Any, ...] = ()) -> Iterator[tuple[Any, ...]]:
+def leaf_keys(table: dict[str, Any], path: tuple[Any, ...] = ()) -> Iterator[tuple[Any, ...]]:
+    """Yields the path of each value of a configuration: keys, and indexes in arrays of tables."""
     for key, value in table.items():
         if isinstance(value, dict):
-            yield from places(value, (*path, key))
+            yield from leaf_keys(value, (*path, key))
         elif isinstance(value, list) and value and isinstance(value[0], dict):
-            for number, row in enumerate(value):
-                yield from places(row, (*path, key, number))
+            for index, row in enumerate(value):
+                yield from leaf_keys(row, (*path, key, index))
         else:
             yield (*path, key)
 
 
-def written(table: dict[str, Any], name: str = "") -> str:
-    plain = [f"{k} = {toml(v)}" for k, v in table.items() if not isinstance(v, dict) and not rows(v)]
-    text = "\n".join(plain) + "\n"
+def to_toml(table: dict[str, Any], name: str = "") -> str:
+    values = [
+        f"{key} = {toml(value)}"
+        for key, value in table.items()
+        if not isinstance(value, dict) and not is_array_of_tables(value)
+    ]
+    text = "\n".join(values) + "\n"
     for key, value in table.items():
-        full = f"{name}.{key}" if name else key
+        full_key = f"{name}.{key}" if name else key
         if isinstance(value, dict):
-            text += f"[{full}]\n" + written(value, full)
-        elif rows(value):
-            text += "".join(f"[[{full}]]\n" + written(row, full) for row in value)
+            text += f"[{full_key}]\n" + to_toml(value, full_key)
+        elif is_array_of_tables(value):
+            text += "".join(f"[[{full_key}]]\n" + to_toml(row, full_key) for row in value)
     return text
 
 
-def rows(value: Any) -> bool:
+def is_array_of_tables(value: Any) -> bool:
     return isinstance(value, list) and bool(value) and isinstance(value[0], dict)
 
 
 @pytest.mark.parametrize("source", [EXAMPLE.read_text(), STATIC], ids=["example", "static"])
-def test_a_wrong_type_at_any_key_is_named_by_its_key(source: str) -> None:
-    assert parse(written(tomllib.loads(source)), "f.toml")
-    for place in places(tomllib.loads(source)):
+def test_reports_key_of_each_value_of_a_wrong_type(source: str) -> None:
+    assert parse(to_toml(tomllib.loads(source)), "f.toml")
+    for path in leaf_keys(tomllib.loads(source)):
         raw: Any = tomllib.loads(source)
-        at = raw
-        for step in place[:-1]:
-            at = at[step]
-        at[place[-1]] = [[]]
-        found = problems(written(raw))
-        assert any(f"{place[-1]}: found [[]]" in p or f"{place[-1]}[0]: found []" in p for p in found), (
-            place,
-            found,
-        )
-
-
-def test_check_tells_good_from_bad_by_its_exit_code(
+        table = raw
+        for step in path[:-1]:
+            table = table[step]
+        table[path[-1]] = [[]]
+        found = read_problems(to_toml(raw))
+        assert any(
+            f"{path[-1]}: found [[]]" in problem or f"{path[-1]}[0]: found []" in problem for problem in found
+        ), (path, found)
+
+
+def test_exit_codes_of_check_and_of_status_without_a_fleet(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert main(["check", str(EXAMPLE)]) == 0
@@ -194,7 +203,7 @@
 """
 
 
-def test_what_fleets_share_is_read_with_its_parts_alone() -> None:
+def test_reads_shared_limits_with_fallback_allocations() -> None:
     config = parse(STATIC + SHARED, "f.toml")
     assert config.peers is not None and (config.peers.name, config.peers.period_s) == ("t", 1.0)
     assert (
@@ -203,12 +212,13 @@
         and config.ejection_rules.quorum == 2
     )
     assert [(part.cls, part.tenant, part.per_s) for part in config.fallback_allocations()] == [(0, 0, 0.0)]
-    opened = parse(STATIC + SHARED.replace('"strict"', '"open"'), "f.toml").fallback_allocations()[0]
-    assert opened.per_s == pytest.approx(10 * 2 / 3)  # as a part of a cut with nobody else in it
+    open_allocation = parse(STATIC + SHARED.replace('"strict"', '"open"'), "f.toml").fallback_allocations()[0]
+    # The allocation of a fleet that is alone on its side of a partition.
+    assert open_allocation.per_s == pytest.approx(10 * 2 / 3)
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "words"),
+    ("old", "new", "message"),
     [
         ('bind = "127.0.0.1:7946"\n', "", "peers.bind: missing, expected an address"),
         ('"127.0.0.2:7946"', '"127.0.0.2:0"', "peers.seeds[0]: found '127.0.0.2:0', expected a port"),
@@ -243,22 +253,25 @@
         ("[verdicts]", "[verdicts]\nmost_out = 0.9", "verdicts.most_out: found 0.9"),
     ],
 )
-def test_each_fault_in_what_fleets_share_is_named(old: str, new: str, words: str) -> None:
+def test_reports_each_problem_of_shared_tables(old: str, new: str, message: str) -> None:
     assert old in SHARED
-    found = problems(STATIC + SHARED.replace(old, new, 1))
-    assert any(words in problem for problem in found), found
+    found = read_problems(STATIC + SHARED.replace(old, new, 1))
+    assert any(message in problem for problem in found), found
 
 
-def test_what_fleets_share_needs_peers_and_no_more_rows_than_are_bounded() -> None:
-    alone = SHARED[SHARED.index("[[limit]]") :]
-    found = problems(STATIC + alone)
-    assert any("limit: found 1 rows, expected a [peers] table" in one for one in found), found
-    assert any("verdicts: found a table, expected a [peers] table" in one for one in found), found
+def test_shared_tables_require_peers_and_limits_are_bounded_and_unique() -> None:
+    without_peers = SHARED[SHARED.index("[[limit]]") :]
+    found = read_problems(STATIC + without_peers)
+    assert any("limit: found 1 rows, expected a [peers] table" in problem for problem in found), found
+    assert any("verdicts: found a table, expected a [peers] table" in problem for problem in found), found
     rows = "".join(f'[[limit]]\nname = "l{n}"\nper_s = 1\nwhen_cut = "open"\n' for n in range(65))
-    assert any("found 66 rows, expected at most 64" in one for one in problems(STATIC + SHARED + rows))
-    twice = SHARED + '[[limit]]\nname = "school"\nper_s = 1\nwhen_cut = "open"\n'
     assert any(
-        "limit.name: found 'school', expected each name once" in one for one in problems(STATIC + twice)
+        "found 66 rows, expected at most 64" in problem for problem in read_problems(STATIC + SHARED + rows)
+    )
+    duplicate = SHARED + '[[limit]]\nname = "school"\nper_s = 1\nwhen_cut = "open"\n'
+    assert any(
+        "limit.name: found 'school', expected each name once" in problem
+        for problem in read_problems(STATIC + duplicate)
     )
 
 
@@ -283,24 +296,29 @@
 RELAY = '{ name = "r1", address = "10.0.0.3:7950", region = "north", zone = "a" }'
 
 
-def test_delivery_is_read_with_the_fleets_name_and_zone() -> None:
+def test_delivery_defaults_to_name_and_zone_of_the_fleet() -> None:
     config = parse(DELIVERY, "f.toml")
     table = config.delivery
     assert table is not None and config.nodes.service == "service/answers"
     assert (table.name, table.region, table.zone, table.key_file) == ("t", "north", "b", "delivery.key")
     assert table.relays == (RelayRow("r1", "10.0.0.3:7950", "north", "a"),)
     rows = '[[delivery.relays]]\nname = "r1"\naddress = "[::1]:7950"\n'
-    several = parse(DELIVERY.replace(f"relays = [{RELAY}]\n", 'name = "me"\nzone = "c"\n') + rows, "f.toml")
-    assert several.delivery is not None and several.delivery.relays == (RelayRow("r1", "[::1]:7950", "", ""),)
-    assert (several.delivery.name, several.delivery.zone) == ("me", "c")
+    named = parse(DELIVERY.replace(f"relays = [{RELAY}]\n", 'name = "me"\nzone = "c"\n') + rows, "f.toml")
+    assert named.delivery is not None and named.delivery.relays == (RelayRow("r1", "[::1]:7950", "", ""),)
+    assert (named.delivery.name, named.delivery.zone) == ("me", "c")
     assert table.rules is None
-    quick = parse(DELIVERY.replace("relays =", "rules = { stale_s = 1, ping_s = 0.5 }\nrelays ="), "f.toml")
-    assert quick.delivery is not None and quick.delivery.rules == replace(Rules(), stale_s=1.0, ping_s=0.5)
-    assert MAX_OBJECT_NAME_BYTES == NAME_MOST  # said twice, as a configuration loads nothing of delivery
+    with_rules = parse(
+        DELIVERY.replace("relays =", "rules = { stale_s = 1, ping_s = 0.5 }\nrelays ="), "f.toml"
+    )
+    assert with_rules.delivery is not None and with_rules.delivery.rules == replace(
+        Rules(), stale_s=1.0, ping_s=0.5
+    )
+    # Two constants, since reading a configuration must not import delivery.
+    assert MAX_OBJECT_NAME_BYTES == NAME_MOST
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "words"),
+    ("old", "new", "message"),
     [
         ('service = "service/answers"\n', "", "nodes.service: missing, expected the name of an object such"),
         ("service/answers", "s" * 201, "nodes.service: found 201 bytes, expected a name of at most 200"),
@@ -352,14 +370,14 @@
         ('zone = "a" }', 'region2 = "x" }', "delivery.relays[0].region2: found 'x', expected no such key"),
     ],
 )
-def test_each_fault_in_delivery_is_named(old: str, new: str, words: str) -> None:
+def test_reports_each_problem_of_delivery(old: str, new: str, message: str) -> None:
     assert old in DELIVERY
-    found = problems(DELIVERY.replace(old, new, 1))
-    assert any(words in one for one in found), found
+    found = read_problems(DELIVERY.replace(old, new, 1))
+    assert any(message in problem for problem in found), found
 
 
-def test_a_source_by_delivery_needs_its_table() -> None:
-    i, j = DELIVERY.index("[delivery]"), DELIVERY.index("[[class]]")
-    (found,) = problems(DELIVERY[:i] + DELIVERY[j:])
+def test_delivery_as_source_requires_its_table() -> None:
+    start, end = DELIVERY.index("[delivery]"), DELIVERY.index("[[class]]")
+    (found,) = read_problems(DELIVERY[:start] + DELIVERY[end:])
     expected = 'a [delivery] table and nodes.source = "delivery" together, or neither'
     assert found == f"f.toml: delivery: missing, expected {expected}"
