--- a/flintlatch/cli.py
+++ b/flintlatch/cli.py
@@ -435,7 +435,7 @@
         import uvloop
 
         from flintlatch.config import InvalidConfig
-        from flintlatch.config.delivery import load_follow, load_origin, load_relay
+        from flintlatch.config.delivery import load_follower, load_origin, load_relay
         from flintlatch.delivery import run
     except ModuleNotFoundError as error:
         expected = "expected pip install flintlatch[peers]"
@@ -469,7 +469,7 @@
                     common.relay_rules,
                 )
             )
-        follower_table = load_follow(args.config, tuple(args.names))
+        follower_table = load_follower(args.config, tuple(args.names))
     except InvalidConfig as error:
         print(error, file=sys.stderr)
         return 2
--- a/flintlatch/config/delivery.py
+++ b/flintlatch/config/delivery.py
@@ -203,7 +203,7 @@
     return table
 
 
-def load_follow(path: str, names: tuple[str, ...] = ()) -> FollowerTable:
+def load_follower(path: str, names: tuple[str, ...] = ()) -> FollowerTable:
     """`names` replace those of the file."""
     top, problems = _open(path)
     reader = top.subtable("delivery")
--- a/tests/delivery/test_commands.py
+++ b/tests/delivery/test_commands.py
@@ -16,7 +16,7 @@
 
 from flintlatch.cli import main
 from flintlatch.config import InvalidConfig
-from flintlatch.config.delivery import load_follow, load_origin, load_relay
+from flintlatch.config.delivery import load_follower, load_origin, load_relay
 from flintlatch.delivery.model import RELAY_RULES, Place, Rules
 from flintlatch.standin.delivery import delivered
 
@@ -25,7 +25,7 @@
 RELAY = '[delivery]\nname = "r0"\nbind = "127.0.0.1:0"\nkey_file = "key"\norigin = "10.0.0.2:7950"\n'
 FOLLOW = '[delivery]\nname = "p0"\nkey_file = "key"\nnames = ["a"]\n'
 ROW = '[[delivery.relays]]\nname = "r0"\naddress = "10.0.0.3:7950"\nregion = "eu"\nzone = "z"\n'
-LOADERS: dict[str, Any] = {"origin": load_origin, "relay": load_relay, "follow": load_follow}
+LOADERS: dict[str, Any] = {"origin": load_origin, "relay": load_relay, "follow": load_follower}
 
 
 def write(folder: Path, text: str, key: str = KEY) -> str:
@@ -46,10 +46,10 @@
     assert relay.origin == Place("origin", address="10.0.0.2:7950") and relay.common.place.region == "eu"
     assert (relay.common.rules.ping_s, relay.common.rules.burst) == (0.5, 1e6)
     assert (relay.common.relay_rules.ping_s, relay.common.relay_rules.burst) == (0.5, RELAY_RULES.burst)
-    follow = load_follow(write(tmp_path, FOLLOW + ROW))
+    follow = load_follower(write(tmp_path, FOLLOW + ROW))
     assert follow.relays == (Place("r0", "eu", "z", "10.0.0.3:7950"),) and follow.names == ("a",)
     assert follow.common.rules == Rules() and follow.source_host == ""
-    assert load_follow(write(tmp_path, FOLLOW + ROW), ("x", "y")).names == ("x", "y")
+    assert load_follower(write(tmp_path, FOLLOW + ROW), ("x", "y")).names == ("x", "y")
 
 
 @pytest.mark.parametrize(
@@ -100,7 +100,7 @@
 def test_too_many_names_and_keys_that_are_none(tmp_path: Path) -> None:
     rules = "[delivery.rules]\nmost_names = 2"
     with pytest.raises(InvalidConfig, match="3 names, expected at most rules.most_names, 2"):
-        load_follow(write(tmp_path, FOLLOW.replace('["a"]', '["a", "b", "c"]') + ROW + rules))
+        load_follower(write(tmp_path, FOLLOW.replace('["a"]', '["a", "b", "c"]') + ROW + rules))
     secret = "not a key at all"
     with pytest.raises(InvalidConfig, match="line 1: expected 64 hexadecimal digits") as caught:
         load_relay(write(tmp_path, RELAY, secret))
