--- a/flintlatch/config/__init__.py
+++ b/flintlatch/config/__init__.py
@@ -31,16 +31,16 @@
     read_class,
     read_delivery,
     read_drain,
+    read_ejection_rules,
     read_fleet,
     read_http,
-    read_keepers,
-    read_limit,
-    read_limits,
+    read_instance_limits,
+    read_lease_settings,
     read_nodes,
     read_peers,
+    read_shared_limit,
     read_start,
     read_tenant,
-    read_verdicts,
 )
 from flintlatch.limits.rows import MAX_LIMITS, LeaseSettings, Limit, PartitionPolicy
 from flintlatch.settings import SocketSettings
@@ -190,65 +190,65 @@
             [Problem(path, "file", str(error), "TOML (https://toml.io, version 1.0)")]
         ) from None
     problems: list[Problem] = []
-    top = Reader(path, "", raw, problems)
+    root = Reader(path, "", raw, problems)
     config = Config(
         path=path,
         text=text,
-        fleet=read_fleet(top.subtable("fleet")),
-        limits=read_limits(top.subtable("limits")),
-        start=read_start(top.subtable("start")),
-        drain=read_drain(top.subtable("drain")),
-        nodes=read_nodes(top.subtable("nodes")),
-        classes=tuple(map(read_class, top.subtables("class", min_items=1))),
-        tenants=tuple(map(read_tenant, top.subtables("tenant"))),
+        fleet=read_fleet(root.subtable("fleet")),
+        limits=read_instance_limits(root.subtable("limits")),
+        start=read_start(root.subtable("start")),
+        drain=read_drain(root.subtable("drain")),
+        nodes=read_nodes(root.subtable("nodes")),
+        classes=tuple(map(read_class, root.subtables("class", min_items=1))),
+        tenants=tuple(map(read_tenant, root.subtables("tenant"))),
         http=None,
-        access_log=read_access_log(top.subtable("access_log")) if "access_log" in raw else None,
+        access_log=read_access_log(root.subtable("access_log")) if "access_log" in raw else None,
         peers=None,
         delivery=None,
-        ejection_rules=read_verdicts(top.subtable("verdicts")) if "verdicts" in raw else None,
+        ejection_rules=read_ejection_rules(root.subtable("verdicts")) if "verdicts" in raw else None,
         shared_limits=(),
-        lease_settings=read_keepers(top.subtable("keepers")),
+        lease_settings=read_lease_settings(root.subtable("keepers")),
     )
     tenants, classes = (tuple(row.name for row in rows) for rows in (config.tenants, config.classes))
-    shared_limits = tuple(read_limit(row, tenants, classes) for row in top.subtables("limit"))
+    shared_limits = tuple(read_shared_limit(row, tenants, classes) for row in root.subtables("limit"))
     config = replace(config, shared_limits=shared_limits)
     if config.ejection_rules is not None and "peers" not in raw:
-        top.add_problem("verdicts", "a table", "a [peers] table: verdicts are shared with other fleets")
+        root.add_problem("verdicts", "a table", "a [peers] table: verdicts are shared with other fleets")
     if len(shared_limits) > MAX_LIMITS:
-        top.add_problem("limit", f"{len(shared_limits)} rows", f"at most {MAX_LIMITS}")
+        root.add_problem("limit", f"{len(shared_limits)} rows", f"at most {MAX_LIMITS}")
     if shared_limits and "peers" not in raw:
-        top.add_problem(
+        root.add_problem(
             "limit", f"{len(shared_limits)} rows", "a [peers] table: limits apply to several fleets"
         )
     if (
         any(row.when_cut is PartitionPolicy.STRICT for row in shared_limits)
         and not config.lease_settings.voters
     ):
-        top.add_problem("keepers.voters", "", 'the fleets that vote, where a limit is "strict"')
+        root.add_problem("keepers.voters", "", 'the fleets that vote, where a limit is "strict"')
     if "peers" in raw:
-        config = replace(config, peers=read_peers(top.subtable("peers"), config.fleet.name))
+        config = replace(config, peers=read_peers(root.subtable("peers"), config.fleet.name))
     if "delivery" in raw:
         delivery = read_delivery(
-            top.subtable("delivery"), config.fleet.name, config.nodes.zone, read_optional_delivery_rules
+            root.subtable("delivery"), config.fleet.name, config.nodes.zone, read_optional_delivery_rules
         )
         config = replace(config, delivery=delivery)
     if ("delivery" in raw) != (config.nodes.source == "delivery"):
         expected = 'a [delivery] table and nodes.source = "delivery" together, or neither'
-        top.add_problem("delivery", "a table" if "delivery" in raw else "", expected)
+        root.add_problem("delivery", "a table" if "delivery" in raw else "", expected)
     if "http" in raw:
-        names = tuple(row.name for row in config.classes) or ("",)
-        config = replace(config, http=read_http(top.subtable("http"), names))
-    check_unique(top, "class.name", [row.name for row in config.classes])
-    check_unique(top, "tenant.name", [row.name for row in config.tenants])
-    check_unique(top, "limit.name", [row.name for row in config.shared_limits])
-    top.reject_unknown_keys()
+        class_names = tuple(row.name for row in config.classes) or ("",)
+        config = replace(config, http=read_http(root.subtable("http"), class_names))
+    check_unique(root, "class.name", [row.name for row in config.classes])
+    check_unique(root, "tenant.name", [row.name for row in config.tenants])
+    check_unique(root, "limit.name", [row.name for row in config.shared_limits])
+    root.reject_unknown_keys()
     if config.classes and not any(row.request_class.worth > 0 for row in config.classes):
-        top.add_problem("class.worth", "0 in every class", "a class with worth above 0")
+        root.add_problem("class.worth", "0 in every class", "a class with worth above 0")
     longest_deadline_s = max((row.request_class.deadline_ms for row in config.classes), default=0) / 1000
     min_drain_s = config.drain.idle_s + longest_deadline_s + DRAIN_MARGIN_S
     if config.drain.limit_s < min_drain_s:
         expected = f"at least {min_drain_s:g}: idle_s, the longest deadline and {DRAIN_MARGIN_S:g} s to exit"
-        top.add_problem("drain.limit_s", f"{config.drain.limit_s:g}", expected)
+        root.add_problem("drain.limit_s", f"{config.drain.limit_s:g}", expected)
     if problems:
         raise InvalidConfig(problems)
     return config
--- a/flintlatch/config/delivery.py
+++ b/flintlatch/config/delivery.py
@@ -170,18 +170,18 @@
     return Reader(path, "", raw, problems), problems
 
 
-def _finish(top: Reader, reader: Reader, problems: list[Problem]) -> None:
+def _finish(root: Reader, reader: Reader, problems: list[Problem]) -> None:
     """Rejects unknown keys. Raises InvalidConfig if there are any problems."""
     reader.reject_unknown_keys()
-    top.reject_unknown_keys()
+    root.reject_unknown_keys()
     if problems:
         raise InvalidConfig(problems)
 
 
 def load_origin(path: str) -> OriginTable:
     """Raises InvalidConfig with all problems, as the other two functions do."""
-    top, problems = _open(path)
-    reader = top.subtable("delivery")
+    root, problems = _open(path)
+    reader = root.subtable("delivery")
     source = reader.string("source", None, "the path of the file with the objects")
     state_path = reader.string("keep", f"{source}.kept", "the path of a file to write")
     table = OriginTable(
@@ -190,23 +190,23 @@
         resolve_config_path(path, source),
         resolve_config_path(path, state_path),
     )
-    _finish(top, reader, problems)
+    _finish(root, reader, problems)
     return table
 
 
 def load_relay(path: str) -> RelayTable:
-    top, problems = _open(path)
-    reader = top.subtable("delivery")
+    root, problems = _open(path)
+    reader = root.subtable("delivery")
     source_host = read_ip_address(reader, "source_host")
     table = RelayTable(_read_common(reader), _read_bind_address(reader), _read_origin(reader), source_host)
-    _finish(top, reader, problems)
+    _finish(root, reader, problems)
     return table
 
 
 def load_follower(path: str, names: tuple[str, ...] = ()) -> FollowerTable:
     """`names` replace those of the file."""
-    top, problems = _open(path)
-    reader = top.subtable("delivery")
+    root, problems = _open(path)
+    reader = root.subtable("delivery")
     common = _read_common(reader)
     rows = [read_relay(row) for row in reader.subtables("relays", min_items=1)]
     check_unique(reader, "relays.name", [row.name for row in rows])
@@ -214,5 +214,5 @@
     relays = tuple(Place(row.name, row.region, row.zone, row.address) for row in rows)
     object_names = _read_names(reader, names, common.rules.most_names)
     table = FollowerTable(common, relays, object_names, read_ip_address(reader, "source_host"))
-    _finish(top, reader, problems)
+    _finish(root, reader, problems)
     return table
--- a/flintlatch/config/tables.py
+++ b/flintlatch/config/tables.py
@@ -271,7 +271,7 @@
     return table
 
 
-def read_limits(reader: Reader) -> LimitsTable:
+def read_instance_limits(reader: Reader) -> LimitsTable:
     table = LimitsTable(
         sockets=reader.integer("sockets", 64, 1_000_000, 1024),
         memory_mb=reader.number("memory_mb", 32, 1_000_000, 512),
@@ -572,7 +572,7 @@
     return table
 
 
-def read_limit(reader: Reader, tenants: tuple[str, ...], classes: tuple[str, ...]) -> Limit:
+def read_shared_limit(reader: Reader, tenants: tuple[str, ...], classes: tuple[str, ...]) -> Limit:
     limit = Limit(
         name=reader.name("name"),
         tenant=reader.choice("tenant", ("", *tenants), ""),
@@ -586,7 +586,7 @@
     return limit
 
 
-def read_keepers(reader: Reader) -> LeaseSettings:
+def read_lease_settings(reader: Reader) -> LeaseSettings:
     voters = reader.array("voters", 'names of fleets such as ["a", "b", "c"]')
     for index, name in enumerate(voters):
         if not isinstance(name, str) or not name or voters.count(name) > 1:
@@ -603,7 +603,7 @@
     return settings
 
 
-def read_verdicts(reader: Reader) -> EjectionRules:
+def read_ejection_rules(reader: Reader) -> EjectionRules:
     rules = EjectionRules(
         quorum=reader.integer("quorum", 2, 100, 2),
         strikes=reader.integer("strikes", 2, 1000, 4),
--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -139,9 +139,9 @@
 
 def to_toml(table: dict[str, Any], name: str = "") -> str:
     values = [
-        f"{key} = {toml(value)}"
-        for key, value in table.items()
-        if not isinstance(value, dict) and not is_array_of_tables(value)
+        f"{value_key} = {toml(content)}"
+        for value_key, content in table.items()
+        if not isinstance(content, dict) and not is_array_of_tables(content)
     ]
     text = "\n".join(values) + "\n"
     for key, value in table.items():
