--- a/flintlatch/config/tables.py
+++ b/flintlatch/config/tables.py
@@ -213,7 +213,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TransferOverrides:
-    """Keys of a [[class]] that replace those of [http] for its bodies; None: that of [http] applies."""
+    """Keys of a [[class]] for its bodies under [http]; None: the value of [http] applies."""
 
     upload_s: float  # timeout until a request is complete; only then deadline_ms starts
     idle_s: float | None
