--- a/flintlatch/fleet/agreed.py
+++ b/flintlatch/fleet/agreed.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from flintlatch.config import Config, beside
+from flintlatch.config import Config, resolve_config_path
 from flintlatch.config.tables import PeersTable
 from flintlatch.fleet.channel import Message
 from flintlatch.fleet.judging import OutlierEjector
@@ -53,11 +53,13 @@
         self.open_task: asyncio.Task[None] | None = None
         self.closed = False
         self.limiter: Limiter | None = None
-        if config.shared:
-            self.limiter = Limiter(config.shared, config.terms, lambda: self.shell, send_to_worker, log)
+        if config.shared_limits:
+            self.limiter = Limiter(
+                config.shared_limits, config.lease_settings, lambda: self.shell, send_to_worker, log
+            )
         self.ejector: OutlierEjector | None = None
-        if config.verdicts is not None:
-            self.ejector = OutlierEjector(config.verdicts, lambda: self.shell, broadcast, servers, log)
+        if config.ejection_rules is not None:
+            self.ejector = OutlierEjector(config.ejection_rules, lambda: self.shell, broadcast, servers, log)
 
     def start(self) -> None:
         self.open_task = self.loop.create_task(self._open())
@@ -68,9 +70,11 @@
             self.ejector.start()
 
     def topics(self) -> tuple[Topic, ...]:
-        limits = limit_topics(self.config.terms.term_s) if self.limiter is not None else ()
+        limits = limit_topics(self.config.lease_settings.term_s) if self.limiter is not None else ()
         observations = (
-            (observation_topic(self.config.verdicts.life_s),) if self.config.verdicts is not None else ()
+            (observation_topic(self.config.ejection_rules.life_s),)
+            if self.config.ejection_rules is not None
+            else ()
         )
         return (NOTES, *limits, *observations)
 
@@ -105,7 +109,7 @@
 
     def _read_keys(self) -> tuple[bytes, ...]:
         """Read the key file. Raises BadKeys or OSError."""
-        path = beside(self.config.path, self.table.key_file)
+        path = resolve_config_path(self.config.path, self.table.key_file)
         with open(path, encoding="ascii", errors="replace") as file:
             return read_keys(file.read(65536), path)
 
@@ -146,8 +150,8 @@
         self.config, self.table = config, table
         self.census.own = config.fleet.instances
         if self.limiter is not None:
-            self.limiter.reconfigure(config.shared, config.terms)
-        elif config.shared:
+            self.limiter.reconfigure(config.shared_limits, config.lease_settings)
+        elif config.shared_limits:
             self.log("warning", "limit: the first [[limit]] takes effect at a restart or an upgrade")
         if self.shell is not None:
             try:
--- a/flintlatch/fleet/delivered.py
+++ b/flintlatch/fleet/delivered.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from flintlatch.config import Config, beside
+from flintlatch.config import Config, resolve_config_path
 from flintlatch.config.tables import DeliveryTable
 from flintlatch.delivery.model import Participant, Role, Rules
 from flintlatch.delivery.shell import Client
@@ -179,7 +179,7 @@
         table, service = config.delivery, config.nodes.service
         assert table is not None
         self.saves_lists = bool(config.nodes.keep)
-        path = beside(config.path, table.key_file)
+        path = resolve_config_path(config.path, table.key_file)
         try:
             with open(path, encoding="ascii", errors="replace") as file:
                 keys = read_keys(file.read(65536), path)
--- a/flintlatch/fleet/members.py
+++ b/flintlatch/fleet/members.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING, Any
 
 from flintlatch.api import ServerInfo, ServerState
-from flintlatch.config import Config, beside
+from flintlatch.config import Config, resolve_config_path
 from flintlatch.membership import (
     Apply,
     Confirmed,
@@ -57,7 +57,7 @@
         log: Callable[[str, str], None],
         delivery_feeds: DeliveryFeeds | None = None,
     ) -> None:
-        self.wire, self.on_listing, self.log = config.wire(), on_listing, log
+        self.wire, self.on_listing, self.log = config.socket_settings(), on_listing, log
         self.loop = asyncio.get_running_loop()
         table = config.nodes
         catalogue_services = {f"{table.catalogue}#{service}": service for service in table.services}
@@ -73,7 +73,7 @@
             )
         )
         self.last_offer_ms = 0.0
-        self.saved_path_prefix = beside(config.path, table.keep) if table.keep else ""
+        self.saved_path_prefix = resolve_config_path(config.path, table.keep) if table.keep else ""
         self.pending_saves: set[asyncio.Future[None]] = set()
         self.wake_timer: asyncio.TimerHandle | None = None
         self.accepted_count = self.rejected_count = 0
@@ -81,9 +81,11 @@
         for name in self.core.rules.sources:
             self._restore(name)
         self.sources: list[FileSource | CatalogueSource | RegistrySource | NodeSubscription] = [
-            source_of(name, beside(config.path, name), self.on_event) for name in table.files
+            source_of(name, resolve_config_path(config.path, name), self.on_event) for name in table.files
         ]
-        token = self._read_token(beside(config.path, table.token_file)) if table.token_file else ""
+        token = (
+            self._read_token(resolve_config_path(config.path, table.token_file)) if table.token_file else ""
+        )
         for name, service in catalogue_services.items():
             catalogue = Catalogue(name, service, table.wait_s, table.most_stale_s)
             try:
--- a/flintlatch/fleet/nodes.py
+++ b/flintlatch/fleet/nodes.py
@@ -45,7 +45,7 @@
 
 def static_listing(config: Config) -> Listing:
     """The list written in the configuration itself."""
-    wire, targets = config.wire(), []
+    wire, targets = config.socket_settings(), []
     for node in config.nodes.static:
         host, port = split_address(node.address)
         zone = wire.zones.setdefault(node.zone, len(wire.zones))
--- a/flintlatch/fleet/worker.py
+++ b/flintlatch/fleet/worker.py
@@ -21,7 +21,7 @@
 import uvloop
 
 from flintlatch.api import TierMembership
-from flintlatch.config import Config, Unusable, parse
+from flintlatch.config import Config, InvalidConfig, parse
 from flintlatch.fleet.channel import Channel, Message, open_channel
 from flintlatch.fleet.spread import YIELD_S, ConnectionSpread
 from flintlatch.handover import Offer
@@ -92,7 +92,7 @@
                 self.start_accepting()
             elif kind == "drain":
                 self.drain(float(message["limit_s"]), bool(message["last"]))
-        except (Unusable, Malformed, KeyError, OSError, ValueError) as error:
+        except (InvalidConfig, Malformed, KeyError, OSError, ValueError) as error:
             self.fail(f"{type(error).__name__}: {error}")
 
     def on_supervisor_lost(self) -> None:
@@ -149,7 +149,11 @@
 
             logger = make_logger("json", "debug", "flintlatch", instance=number, pid=os.getpid())
             log.write = lambda line: logger.info(line)  # type: ignore[method-assign]
-        settings, wire, seed = self.config.settings(number), self.config.wire(), int(message["seed"])
+        settings, wire, seed = (
+            self.config.settings(number),
+            self.config.socket_settings(),
+            int(message["seed"]),
+        )
         self.listeners = [socket.socket(fileno=fd) for fd in message["listeners"]]
         if self.config.http is not None:
             from flintlatch.http.build import build  # imported only if configured
@@ -170,13 +174,13 @@
             from flintlatch.peers.clock import clock
 
             position = TierMembership(settings.proxies, settings.me)
-            self.entries = ReceivedEntries(number, position, self.config.parts_alone(), clock, log)
+            self.entries = ReceivedEntries(number, position, self.config.fallback_allocations(), clock, log)
             for entry in message.get("words", ()):
                 self.entries.on_entry(entry)
             self.engine.agreed_events = self.entries.pending_events
-            if self.config.shared:
+            if self.config.shared_limits:
                 self.send_limit_reports()
-            if self.config.verdicts is not None:
+            if self.config.ejection_rules is not None:
                 self.send_server_reports()
         if message.get("spread") is not None and self.config.fleet.instances > 1:
             self.spread = ConnectionSpread(message["spread"], int(message["worker"]))
@@ -190,7 +194,7 @@
 
     def on_list(self, listing: Any) -> None:
         assert self.engine is not None
-        self.engine.on_list(read_listing(listing, self.config.wire()))
+        self.engine.on_list(read_listing(listing, self.config.socket_settings()))
         if not self.ready_sent and self.engine.backends.active() > 0:
             self.ready_sent = True
             # The decision module processes the list in the event loop's next iteration, before any connection
--- a/tests/delivery/test_commands.py
+++ b/tests/delivery/test_commands.py
@@ -15,8 +15,8 @@
 import uvloop
 
 from flintlatch.cli import main
-from flintlatch.config import Unusable
-from flintlatch.config.delivery import load_follow, load_origin, load_relay
+from flintlatch.config import InvalidConfig
+from flintlatch.config.delivery import load_follower, load_origin, load_relay
 from flintlatch.delivery.model import RELAY_RULES, Participant, Rules
 from flintlatch.standin.delivery import delivered
 
@@ -25,7 +25,7 @@
 RELAY = '[delivery]\nname = "r0"\nbind = "127.0.0.1:0"\nkey_file = "key"\norigin = "10.0.0.2:7950"\n'
 FOLLOW = '[delivery]\nname = "p0"\nkey_file = "key"\nnames = ["a"]\n'
 ROW = '[[delivery.relays]]\nname = "r0"\naddress = "10.0.0.3:7950"\nregion = "eu"\nzone = "z"\n'
-LOADERS: dict[str, Any] = {"origin": load_origin, "relay": load_relay, "follow": load_follow}
+LOADERS: dict[str, Any] = {"origin": load_origin, "relay": load_relay, "follow": load_follower}
 
 
 def write(folder: Path, text: str, key: str = KEY) -> str:
@@ -37,19 +37,24 @@
 
 def test_valid_configurations_are_loaded(tmp_path: Path) -> None:
     origin = load_origin(write(tmp_path, ORIGIN + "keep = 'k'\n"))
-    assert origin.common.me == Participant("o") and origin.common.keys == (bytes.fromhex(KEY),)
-    assert (origin.source, origin.kept) == (str(tmp_path / "objects.json"), str(tmp_path / "k"))
-    assert load_origin(write(tmp_path, ORIGIN)).kept == str(tmp_path / "objects.json.kept")
+    assert origin.common.place == Participant("o") and origin.common.keys == (bytes.fromhex(KEY),)
+    assert (origin.source_path, origin.state_path) == (str(tmp_path / "objects.json"), str(tmp_path / "k"))
+    assert load_origin(write(tmp_path, ORIGIN)).state_path == str(tmp_path / "objects.json.kept")
     relay = load_relay(
         write(tmp_path, RELAY + 'region = "eu"\n[delivery.rules]\nping_s = 0.5\nburst_bytes = 1e6')
     )
-    assert relay.origin == Participant("origin", address="10.0.0.2:7950") and relay.common.me.region == "eu"
+    assert (
+        relay.origin == Participant("origin", address="10.0.0.2:7950") and relay.common.place.region == "eu"
+    )
     assert (relay.common.rules.ping_s, relay.common.rules.burst_bytes) == (0.5, 1e6)
-    assert (relay.common.upward.ping_s, relay.common.upward.burst_bytes) == (0.5, RELAY_RULES.burst_bytes)
-    follow = load_follow(write(tmp_path, FOLLOW + ROW))
+    assert (relay.common.relay_rules.ping_s, relay.common.relay_rules.burst_bytes) == (
+        0.5,
+        RELAY_RULES.burst_bytes,
+    )
+    follow = load_follower(write(tmp_path, FOLLOW + ROW))
     assert follow.relays == (Participant("r0", "eu", "z", "10.0.0.3:7950"),) and follow.names == ("a",)
     assert follow.common.rules == Rules() and follow.source_host == ""
-    assert load_follow(write(tmp_path, FOLLOW + ROW), ("x", "y")).names == ("x", "y")
+    assert load_follower(write(tmp_path, FOLLOW + ROW), ("x", "y")).names == ("x", "y")
 
 
 @pytest.mark.parametrize(
@@ -89,7 +94,7 @@
     tmp_path: Path, capsys: pytest.CaptureFixture[str], command: str, text: str, words: str
 ) -> None:
     path = write(tmp_path, text)
-    with pytest.raises(Unusable) as caught:
+    with pytest.raises(InvalidConfig) as caught:
         LOADERS[command](path)
     assert all(str(problem).startswith(f"{path}: ") for problem in caught.value.problems)
     assert words in str(caught.value)
@@ -99,10 +104,10 @@
 
 def test_too_many_names_and_invalid_keys_are_rejected(tmp_path: Path) -> None:
     rules = "[delivery.rules]\nmost_names = 2"
-    with pytest.raises(Unusable, match="3 names, expected at most rules.most_names, 2"):
-        load_follow(write(tmp_path, FOLLOW.replace('["a"]', '["a", "b", "c"]') + ROW + rules))
+    with pytest.raises(InvalidConfig, match="3 names, expected at most rules.most_names, 2"):
+        load_follower(write(tmp_path, FOLLOW.replace('["a"]', '["a", "b", "c"]') + ROW + rules))
     secret = "not a key at all"
-    with pytest.raises(Unusable, match="line 1: expected 64 hexadecimal digits") as caught:
+    with pytest.raises(InvalidConfig, match="line 1: expected 64 hexadecimal digits") as caught:
         load_relay(write(tmp_path, RELAY, secret))
     assert secret not in str(caught.value)
 
--- a/tests/delivery/test_processes.py
+++ b/tests/delivery/test_processes.py
@@ -16,7 +16,7 @@
 import pytest
 import uvloop
 
-from flintlatch.config.delivery import read_rules
+from flintlatch.config.delivery import read_delivery_rules
 from flintlatch.config.reader import Reader
 from flintlatch.delivery.model import Participant, rank_relays
 from flintlatch.delivery.source import POLL_INTERVAL_S
@@ -24,7 +24,7 @@
 
 TEST_TIMEOUT_S = 90.0  # reached only if a test hangs
 LOADED_S = 4.0
-RULES = read_rules(Reader("quick", "rules", QUICK, []))
+RULES = read_delivery_rules(Reader("quick", "rules", QUICK, []))
 # For leaving a relay that is up but cut off from the origin: its age exceeds the limit, others are tried.
 STALE_SWITCH_S = RULES.stale_s + 2 * (RULES.stale_s + RULES.ping_s + RULES.connect_s)
 # For reconnecting after relays have returned: detection of the failure, a connect timeout and a backoff.
--- a/tests/fleet/test_delivered.py
+++ b/tests/fleet/test_delivered.py
@@ -21,7 +21,7 @@
 from flintlatch.api import ListKind
 from flintlatch.cli import main
 from flintlatch.config import parse
-from flintlatch.config.delivery import read_rules
+from flintlatch.config.delivery import read_delivery_rules
 from flintlatch.config.reader import Reader
 from flintlatch.delivery.model import ObjectChange, Participant
 from flintlatch.delivery.shell import Server
@@ -40,7 +40,7 @@
 from tests.fleet.support import Daemon, none_left, run
 
 SERVICE = "service/answers"
-RULES = read_rules(Reader("quick", "rules", QUICK, []))
+RULES = read_delivery_rules(Reader("quick", "rules", QUICK, []))
 LOAD_MARGIN_S = 4.0  # added to time bounds, for a machine with more runnable processes than cores
 ROOT = Path(__file__).parent.parent.parent
 
@@ -384,16 +384,16 @@
         harness = InProcessFeed(tmp_path)
         node_list = await harness.open(2000)
         config = parse(configuration_text(["127.0.0.1:1"], {}), "f.toml")
-        engine = Engine(config.settings(0), config.wire(), 1, 100)
+        engine = Engine(config.settings(0), config.socket_settings(), 1, 100)
         snapshot = encode_listing(node_list.snapshot())
-        engine.on_list(read_listing(snapshot, config.wire()))
+        engine.on_list(read_listing(snapshot, config.socket_settings()))
         engine.list_events.clear()
         harness.commit({"s7": {"address": "10.0.0.7:80", "zone": "a", "state": "draining"}})
         await harness.until(lambda: bool(harness.listings))
         (delta,) = harness.listings
         message = json.dumps(encode_listing(delta))  # as sent to each worker
         assert len(message) < 300 < len(json.dumps(snapshot)) / 500
-        engine.on_list(read_listing(json.loads(message), config.wire()))
+        engine.on_list(read_listing(json.loads(message), config.socket_settings()))
         (change,) = engine.list_events
         assert change.kind is ListKind.DELTA and [entry.server for entry in change.entries] == ["s7"]
         assert len(engine.backends.backends) == 2000
--- a/tests/fleet/test_peers.py
+++ b/tests/fleet/test_peers.py
@@ -43,11 +43,11 @@
 
 
 async def publish_note(cluster: Fleets, name: str, text: str, for_s: float) -> None:
-    from flintlatch.config import find_control
+    from flintlatch.config import find_control_socket
     from flintlatch.fleet.control import send_control_request
 
     request = {"do": "note", "subject": "s", "text": text, "for_s": for_s}
-    path = find_control(str(cluster.processes[name].config))
+    path = find_control_socket(str(cluster.processes[name].config))
     assert (await asyncio.to_thread(send_control_request, path, request, 10.0))["ok"]
 
 
