--- a/flintlatch/exchange/__init__.py
+++ b/flintlatch/exchange/__init__.py
@@ -5,13 +5,12 @@
 """
 
 from flintlatch.exchange.core import Exchange, Owner, Phase, TooLong
-from flintlatch.exchange.messages import Ask, Ending, Fields, Own, Piece, Request, Response
+from flintlatch.exchange.messages import Ending, Fields, Own, Piece, Request, Response, RoutingInfo
 from flintlatch.exchange.sides import ClientSide, NodeSide
 from flintlatch.exchange.terms import Terms
 from flintlatch.exchange.transfer import Budget, Pace, Pipe, Side, Stall, Upload
 
 __all__ = [
-    "Ask",
     "Budget",
     "ClientSide",
     "Ending",
@@ -26,6 +25,7 @@
     "Pipe",
     "Request",
     "Response",
+    "RoutingInfo",
     "Side",
     "Stall",
     "Terms",
--- a/flintlatch/exchange/core.py
+++ b/flintlatch/exchange/core.py
@@ -13,7 +13,7 @@
 from enum import Enum
 from typing import Protocol
 
-from flintlatch.exchange.messages import Ask, Ending, Fields, Own, Piece, Request, Response
+from flintlatch.exchange.messages import Ending, Fields, Own, Piece, Request, Response, RoutingInfo
 from flintlatch.exchange.sides import ClientSide, NodeSide
 from flintlatch.exchange.terms import Terms
 from flintlatch.exchange.transfer import Pipe, Side, Stall, Upload
@@ -60,7 +60,7 @@
 
 class Exchange:
     def __init__(
-        self, request: Request, ask: Ask, terms: Terms, client: ClientSide, owner: Owner, now_s: float
+        self, request: Request, ask: RoutingInfo, terms: Terms, client: ClientSide, owner: Owner, now_s: float
     ) -> None:
         """A request without a body is to be told so at once, by `came_all`."""
         self.request, self.ask, self.terms = request, ask, terms
--- a/flintlatch/exchange/messages.py
+++ b/flintlatch/exchange/messages.py
@@ -33,7 +33,7 @@
     bodyless: bool = False  # of HEAD, 204, 304: no body follows, whatever length the fields tell
 
 
-class Ask(NamedTuple):
+class RoutingInfo(NamedTuple):
     """What the decision module must know of a request."""
 
     id: str
--- a/flintlatch/http/rules.py
+++ b/flintlatch/http/rules.py
@@ -12,7 +12,7 @@
 from zlib import crc32
 
 from flintlatch.api import Effect, RequestClass
-from flintlatch.exchange import Ask
+from flintlatch.exchange import RoutingInfo
 from flintlatch.http.framing import Malformed, values
 from flintlatch.http.head import RequestHead
 
@@ -82,7 +82,7 @@
         self.names, self.make_id = names, make_id
         self.safe_class, self.other_class = safe_class, other_class
 
-    def read(self, head: RequestHead) -> Ask:
+    def read(self, head: RequestHead) -> RoutingInfo:
         """Raises Malformed with 400 or 404."""
         cls = self._class(head)
         spec = self.classes[cls]
@@ -92,7 +92,7 @@
         budget = self._one(head, self.names.budget, BUDGET)
         if budget and int(budget) == 0:
             raise Malformed(400, f"{self.names.budget.decode()}: 0")
-        return Ask(
+        return RoutingInfo(
             (self._one(head, self.names.id, ID) or self.make_id()).decode(),
             cls,
             self._tenant(head),
--- a/flintlatch/platform/front.py
+++ b/flintlatch/platform/front.py
@@ -7,7 +7,7 @@
 import socket
 from dataclasses import dataclass
 
-from flintlatch.exchange import Ask, Exchange, Fields, Own, Piece, Response, TooLong
+from flintlatch.exchange import Exchange, Fields, Own, Piece, Response, RoutingInfo, TooLong
 from flintlatch.net.clock import now_ms
 from flintlatch.net.engine import Answer
 from flintlatch.net.frontend import READY_PATH, REASON_PHRASES, Client, Frontend
@@ -147,7 +147,7 @@
             if method == b"GET":
                 raise RequestError(400, "GET with a body, expected none")
             accepted = self.frontend.reader.read(message, self.on_answer, with_length=False)
-            ask = Ask(
+            ask = RoutingInfo(
                 accepted.id,
                 accepted.cls,
                 accepted.tenant,
@@ -166,7 +166,7 @@
             self._body = bytearray()
         incoming.exchange.offer(now_s)
 
-    def _open(self, request: ForwardedRequest, ask: Ask, uploading: bool) -> Exchange:
+    def _open(self, request: ForwardedRequest, ask: RoutingInfo, uploading: bool) -> Exchange:
         """Raises RequestError if the id belongs to another request or there is no memory for the body."""
         exchange = Exchange(request, ask, TERMS, self, self.engine, now_ms() / 1000)
         try:
@@ -183,7 +183,9 @@
             return
         accepted = self.frontend.reader.read(message, self.on_answer, with_length=False)
         budget = min(accepted.budget_ms, self.engine.settings.classes[accepted.cls].deadline_ms)
-        ask = Ask(accepted.id, accepted.cls, accepted.tenant, accepted.key, budget, repeat=accepted.repeat)
+        ask = RoutingInfo(
+            accepted.id, accepted.cls, accepted.tenant, accepted.key, budget, repeat=accepted.repeat
+        )
         request = ForwardedRequest(
             message.method, message.target, b"", [], len(message.body), head=accepted.head
         )
--- a/tests/exchange/test_core.py
+++ b/tests/exchange/test_core.py
@@ -10,7 +10,6 @@
 from hypothesis import strategies as st
 
 from flintlatch.exchange import (
-    Ask,
     Ending,
     Exchange,
     Fields,
@@ -21,6 +20,7 @@
     Piece,
     Request,
     Response,
+    RoutingInfo,
     Side,
     Stall,
     Terms,
@@ -115,7 +115,9 @@
         self.client, self.owner = Client(), Owner()
         self.now = 0.0
         request = Request(b"POST", b"/", b"x", [], length)
-        self.exchange = Exchange(request, Ask("r", 0, 0, None, 1000.0), terms, self.client, self.owner, 0.0)
+        self.exchange = Exchange(
+            request, RoutingInfo("r", 0, 0, None, 1000.0), terms, self.client, self.owner, 0.0
+        )
         self.node: Node | None = None
         self.stalls: list[Stall] = []
 
