--- a/flintlatch/exchange/__init__.py
+++ b/flintlatch/exchange/__init__.py
@@ -5,7 +5,7 @@
 """
 
 from flintlatch.exchange.core import Exchange, Owner, Phase, TooLong
-from flintlatch.exchange.messages import Ending, Fields, Own, Piece, Request, Response, RoutingInfo
+from flintlatch.exchange.messages import Ending, Fields, Piece, ProxyResponse, Request, Response, RoutingInfo
 from flintlatch.exchange.sides import ClientSide, NodeSide
 from flintlatch.exchange.terms import Terms
 from flintlatch.exchange.transfer import Budget, Pace, Pipe, Side, Stall, Upload
@@ -17,12 +17,12 @@
     "Exchange",
     "Fields",
     "NodeSide",
-    "Own",
     "Owner",
     "Pace",
     "Phase",
     "Piece",
     "Pipe",
+    "ProxyResponse",
     "Request",
     "Response",
     "RoutingInfo",
--- a/flintlatch/exchange/core.py
+++ b/flintlatch/exchange/core.py
@@ -13,7 +13,7 @@
 from enum import Enum
 from typing import Protocol
 
-from flintlatch.exchange.messages import Ending, Fields, Own, Piece, Request, Response, RoutingInfo
+from flintlatch.exchange.messages import Ending, Fields, Piece, ProxyResponse, Request, Response, RoutingInfo
 from flintlatch.exchange.sides import ClientSide, NodeSide
 from flintlatch.exchange.terms import Terms
 from flintlatch.exchange.transfer import Pipe, Side, Stall, Upload
@@ -204,7 +204,7 @@
 
     # From the owner
 
-    def answer(self, now_s: float, answer: Own) -> None:
+    def answer(self, now_s: float, answer: ProxyResponse) -> None:
         """The proxy's own: the module has given it up, or its time is over."""
         self._refuse(now_s, answer.status, Ending.OWN, answer.retry_after_ms)
 
@@ -254,7 +254,7 @@
             self._end(now_s, ending)
         elif not self.over:
             self.status, self.first_s = status, now_s
-            self.client.own(Own(status, retry_after_ms))
+            self.client.own(ProxyResponse(status, retry_after_ms))
             self._end(now_s, ending)
 
     def _end(self, now_s: float, ending: Ending, to_blame: NodeSide | None = None) -> None:
--- a/flintlatch/exchange/messages.py
+++ b/flintlatch/exchange/messages.py
@@ -45,7 +45,7 @@
     repeat: bool = False  # marked by the client as another try of a request
 
 
-class Own(NamedTuple):
+class ProxyResponse(NamedTuple):
     """An answer of the proxy's own. 503: nothing ran, and `retry_after_ms` says when to come back; 504: sent,
     and not answered in time; 408: the request did not come."""
 
--- a/flintlatch/exchange/sides.py
+++ b/flintlatch/exchange/sides.py
@@ -5,7 +5,7 @@
 
 from typing import Protocol
 
-from flintlatch.exchange.messages import Fields, Own, Piece, Response
+from flintlatch.exchange.messages import Fields, Piece, ProxyResponse, Response
 
 
 class ClientSide(Protocol):
@@ -24,7 +24,7 @@
     def end(self, trailers: Fields) -> None:
         """All of the answer has been given."""
 
-    def own(self, answer: Own) -> None:
+    def own(self, answer: ProxyResponse) -> None:
         """The proxy's answer, whole."""
 
     def reset(self) -> None:
--- a/flintlatch/http/front.py
+++ b/flintlatch/http/front.py
@@ -6,7 +6,7 @@
 from math import ceil
 from typing import TYPE_CHECKING, cast
 
-from flintlatch.exchange import Exchange, Fields, Own, Phase, Piece, Request, Response, TooLong
+from flintlatch.exchange import Exchange, Fields, Phase, Piece, ProxyResponse, Request, Response, TooLong
 from flintlatch.http.body import Body, last_chunk
 from flintlatch.http.fields import Origin, to_client, to_node, upgrade_wanted
 from flintlatch.http.framing import Kind, Malformed
@@ -224,7 +224,7 @@
             self.exchange.client_faulty(now_ms() / 1000, error.status)
         else:
             self.front.engine.report_refusal(Refusal(error.status, error.reason, *self.asked))
-            self.own(Own(error.status, 1000.0 if error.status == 503 else 0.0))
+            self.own(ProxyResponse(error.status, 1000.0 if error.status == 503 else 0.0))
 
     def on_read_timeout(self) -> None:
         if self.request_started:
@@ -270,7 +270,7 @@
             self.transport.write(last_chunk(trailers))
         self._answered()
 
-    def own(self, answer: Own) -> None:
+    def own(self, answer: ProxyResponse) -> None:
         exchange = self.exchange
         if exchange is not None and not exchange.upload.complete:
             self.keep_alive = False
--- a/flintlatch/net/relay.py
+++ b/flintlatch/net/relay.py
@@ -20,7 +20,7 @@
     SetAttemptTimeout,
     Settings,
 )
-from flintlatch.exchange import Budget, Ending, Exchange, NodeSide, Own, Phase, Response, Terms
+from flintlatch.exchange import Budget, Ending, Exchange, NodeSide, Phase, ProxyResponse, Response, Terms
 from flintlatch.net.backends import Attempt, Backend, Backends, Connection
 from flintlatch.net.clock import now_ms
 from flintlatch.net.engine import AcceptedRequest, Answer, Engine, PendingRequest, log
@@ -135,7 +135,7 @@
         memory_bytes = self.reserved_bytes[ask.id]
 
         def respond(answer: Answer) -> None:
-            exchange.answer(now_ms() / 1000, Own(answer.status, answer.retry_after_ms))
+            exchange.answer(now_ms() / 1000, ProxyResponse(answer.status, answer.retry_after_ms))
 
         upload_fields = (ask.budget_ms, uploading, memory_bytes)
         fields = (ask.id, ask.cls, ask.tenant, ask.key, total_budget_ms, ask.repeat, b"", b"", respond)
@@ -324,7 +324,7 @@
         super()._restart_decision_module()
         for request_id, exchange in list(self.exchanges.items()):
             if request_id not in self.requests and exchange.phase is not Phase.GATHERING:
-                exchange.answer(now_ms() / 1000, Own(500))
+                exchange.answer(now_ms() / 1000, ProxyResponse(500))
                 self._remove_exchange(request_id)
 
     def close(self) -> None:
--- a/flintlatch/platform/front.py
+++ b/flintlatch/platform/front.py
@@ -7,7 +7,7 @@
 import socket
 from dataclasses import dataclass
 
-from flintlatch.exchange import Exchange, Fields, Own, Piece, Response, RoutingInfo, TooLong
+from flintlatch.exchange import Exchange, Fields, Piece, ProxyResponse, Response, RoutingInfo, TooLong
 from flintlatch.net.clock import now_ms
 from flintlatch.net.engine import Answer
 from flintlatch.net.frontend import READY_PATH, REASON_PHRASES, Client, Frontend
@@ -244,7 +244,7 @@
             self.transport.write(b"0\r\n\r\n")
         self._on_response_end()
 
-    def own(self, answer: Own) -> None:
+    def own(self, answer: ProxyResponse) -> None:
         exchange = self.exchange
         if exchange is not None and not exchange.upload.complete:
             self.keep_alive = False
--- a/tests/exchange/test_core.py
+++ b/tests/exchange/test_core.py
@@ -14,10 +14,10 @@
     Exchange,
     Fields,
     NodeSide,
-    Own,
     Pace,
     Phase,
     Piece,
+    ProxyResponse,
     Request,
     Response,
     RoutingInfo,
@@ -51,7 +51,7 @@
     def end(self, trailers: Fields) -> None:
         self.told.append("end")
 
-    def own(self, answer: Own) -> None:
+    def own(self, answer: ProxyResponse) -> None:
         self.told.append("own")
 
     def reset(self) -> None:
@@ -183,7 +183,7 @@
         exchange.detach(rig.now, node)
         rig.node = None
     elif event == "own":
-        exchange.answer(rig.now, Own(504))
+        exchange.answer(rig.now, ProxyResponse(504))
     elif event == "leave":
         exchange.client_left(rig.now)
     elif event == "faulty" and not exchange.upload.complete:
