--- a/flintlatch/exchange/__init__.py
+++ b/flintlatch/exchange/__init__.py
@@ -7,7 +7,7 @@
 from flintlatch.exchange.core import Exchange, Owner, Phase, TooLong
 from flintlatch.exchange.messages import Ending, Fields, Piece, ProxyResponse, Request, Response, RoutingInfo
 from flintlatch.exchange.sides import ClientSide, NodeSide
-from flintlatch.exchange.terms import Terms
+from flintlatch.exchange.terms import ExchangeLimits
 from flintlatch.exchange.transfer import Budget, Pace, Pipe, Side, Stall, Upload
 
 __all__ = [
@@ -15,6 +15,7 @@
     "ClientSide",
     "Ending",
     "Exchange",
+    "ExchangeLimits",
     "Fields",
     "NodeSide",
     "Owner",
@@ -28,7 +29,6 @@
     "RoutingInfo",
     "Side",
     "Stall",
-    "Terms",
     "TooLong",
     "Upload",
 ]
--- a/flintlatch/exchange/core.py
+++ b/flintlatch/exchange/core.py
@@ -15,7 +15,7 @@
 
 from flintlatch.exchange.messages import Ending, Fields, Piece, ProxyResponse, Request, Response, RoutingInfo
 from flintlatch.exchange.sides import ClientSide, NodeSide
-from flintlatch.exchange.terms import Terms
+from flintlatch.exchange.terms import ExchangeLimits
 from flintlatch.exchange.transfer import Pipe, Side, Stall, Upload
 
 
@@ -60,7 +60,13 @@
 
 class Exchange:
     def __init__(
-        self, request: Request, ask: RoutingInfo, terms: Terms, client: ClientSide, owner: Owner, now_s: float
+        self,
+        request: Request,
+        ask: RoutingInfo,
+        terms: ExchangeLimits,
+        client: ClientSide,
+        owner: Owner,
+        now_s: float,
     ) -> None:
         """A request without a body is to be told so at once, by `came_all`."""
         self.request, self.ask, self.terms = request, ask, terms
--- a/flintlatch/exchange/terms.py
+++ b/flintlatch/exchange/terms.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class ExchangeLimits:
     pace: Pace  # of the side that is waited for
     upload_ms: float  # how long a request may take to be here whole, beside its pace
     upload_bytes: int  # of a request's body held at most, and so what may be sent again
--- a/flintlatch/http/build.py
+++ b/flintlatch/http/build.py
@@ -8,7 +8,7 @@
 
 from flintlatch.config import Config
 from flintlatch.config.tables import HttpTable, TransferRow
-from flintlatch.exchange import Pace, Terms
+from flintlatch.exchange import ExchangeLimits, Pace
 from flintlatch.http.fields import Origin
 from flintlatch.http.front import HttpFrontend
 from flintlatch.http.head import Limits
@@ -57,13 +57,13 @@
     )
 
 
-def terms_of(config: Config, table: HttpTable) -> tuple[Terms, ...]:
+def terms_of(config: Config, table: HttpTable) -> tuple[ExchangeLimits, ...]:
     """By class: its own where it has any, else the table's."""
 
-    def of(own: TransferRow) -> Terms:
+    def of(own: TransferRow) -> ExchangeLimits:
         idle_s = table.idle_s if own.idle_s is None else own.idle_s
         rate = table.least_bytes_per_s if own.least_bytes_per_s is None else own.least_bytes_per_s
-        return Terms(
+        return ExchangeLimits(
             Pace(idle_s, rate, table.window_s),
             own.upload_s * 1000,
             table.upload_bytes if own.upload_bytes is None else own.upload_bytes,
--- a/flintlatch/net/relay.py
+++ b/flintlatch/net/relay.py
@@ -20,7 +20,16 @@
     SetAttemptTimeout,
     Settings,
 )
-from flintlatch.exchange import Budget, Ending, Exchange, NodeSide, Phase, ProxyResponse, Response, Terms
+from flintlatch.exchange import (
+    Budget,
+    Ending,
+    Exchange,
+    ExchangeLimits,
+    NodeSide,
+    Phase,
+    ProxyResponse,
+    Response,
+)
 from flintlatch.net.backends import Attempt, Backend, Backends, Connection
 from flintlatch.net.clock import now_ms
 from flintlatch.net.engine import AcceptedRequest, Answer, Engine, PendingRequest, log
@@ -82,7 +91,7 @@
         seed: int,
         max_connections: int,
         body_bytes: int,
-        terms: tuple[Terms, ...],
+        terms: tuple[ExchangeLimits, ...],
         connection_factory: Callable[[Backends, Backend], Connection],
     ) -> None:
         """`body_bytes`: memory for the bodies of all requests together. `terms`: by class.
--- a/tests/exchange/test_core.py
+++ b/tests/exchange/test_core.py
@@ -12,6 +12,7 @@
 from flintlatch.exchange import (
     Ending,
     Exchange,
+    ExchangeLimits,
     Fields,
     NodeSide,
     Pace,
@@ -23,11 +24,10 @@
     RoutingInfo,
     Side,
     Stall,
-    Terms,
     TooLong,
 )
 
-TERMS = Terms(Pace(5.0, 0.0), 60_000.0, 100, 300, 1000)
+TERMS = ExchangeLimits(Pace(5.0, 0.0), 60_000.0, 100, 300, 1000)
 HEAD = Response(200, [], b"OK", None)
 
 
@@ -111,7 +111,7 @@
 
 
 class Rig:
-    def __init__(self, terms: Terms = TERMS, length: int | None = None) -> None:
+    def __init__(self, terms: ExchangeLimits = TERMS, length: int | None = None) -> None:
         self.client, self.owner = Client(), Owner()
         self.now = 0.0
         request = Request(b"POST", b"/", b"x", [], length)
