--- a/flintlatch/exchange/__init__.py
+++ b/flintlatch/exchange/__init__.py
@@ -8,7 +8,7 @@
 from flintlatch.exchange.messages import Ending, Fields, Piece, ProxyResponse, Request, Response, RoutingInfo
 from flintlatch.exchange.sides import ClientSide, NodeSide
 from flintlatch.exchange.terms import ExchangeLimits
-from flintlatch.exchange.transfer import Budget, Pace, Pipe, Side, Stall, Upload
+from flintlatch.exchange.transfer import Budget, Pipe, ProgressLimits, Side, Stall, Upload
 
 __all__ = [
     "Budget",
@@ -19,10 +19,10 @@
     "Fields",
     "NodeSide",
     "Owner",
-    "Pace",
     "Phase",
     "Piece",
     "Pipe",
+    "ProgressLimits",
     "ProxyResponse",
     "Request",
     "Response",
--- a/flintlatch/exchange/terms.py
+++ b/flintlatch/exchange/terms.py
@@ -4,12 +4,12 @@
 
 from dataclasses import dataclass
 
-from flintlatch.exchange.transfer import Pace
+from flintlatch.exchange.transfer import ProgressLimits
 
 
 @dataclass(frozen=True, slots=True)
 class ExchangeLimits:
-    pace: Pace  # of the side that is waited for
+    pace: ProgressLimits  # of the side that is waited for
     upload_ms: float  # how long a request may take to be here whole, beside its pace
     upload_bytes: int  # of a request's body held at most, and so what may be sent again
     answer_bytes: int  # of an answer's
--- a/flintlatch/exchange/transfer.py
+++ b/flintlatch/exchange/transfer.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pace:
+class ProgressLimits:
     """What one side owes while it is waited for."""
 
     idle_s: float  # longest time without a byte
@@ -56,7 +56,7 @@
 
     __slots__ = ("bytes", "idle_s", "pace", "window_s")
 
-    def __init__(self, pace: Pace) -> None:
+    def __init__(self, pace: ProgressLimits) -> None:
         self.pace = pace
         self.idle_s = self.window_s = 0.0
         self.bytes = 0
@@ -81,7 +81,9 @@
     """One direction. `cap`: bytes held at most, in this process and for this pipe; a read may go over it by
     no more than the shell reads at once, and so the shell reads no more than `room`."""
 
-    def __init__(self, source: Side, cap: int, source_pace: Pace, sink_pace: Pace, now_s: float) -> None:
+    def __init__(
+        self, source: Side, cap: int, source_pace: ProgressLimits, sink_pace: ProgressLimits, now_s: float
+    ) -> None:
         if cap < LEAST_READ:
             raise ValueError(f"cap must be at least {LEAST_READ}")
         self.source, self.cap = source, cap
--- a/flintlatch/http/build.py
+++ b/flintlatch/http/build.py
@@ -8,7 +8,7 @@
 
 from flintlatch.config import Config
 from flintlatch.config.tables import HttpTable, TransferRow
-from flintlatch.exchange import ExchangeLimits, Pace
+from flintlatch.exchange import ExchangeLimits, ProgressLimits
 from flintlatch.http.fields import Origin
 from flintlatch.http.front import HttpFrontend
 from flintlatch.http.head import Limits
@@ -64,7 +64,7 @@
         idle_s = table.idle_s if own.idle_s is None else own.idle_s
         rate = table.least_bytes_per_s if own.least_bytes_per_s is None else own.least_bytes_per_s
         return ExchangeLimits(
-            Pace(idle_s, rate, table.window_s),
+            ProgressLimits(idle_s, rate, table.window_s),
             own.upload_s * 1000,
             table.upload_bytes if own.upload_bytes is None else own.upload_bytes,
             ANSWER_BYTES,
--- a/flintlatch/platform/limits.py
+++ b/flintlatch/platform/limits.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from flintlatch.exchange import ExchangeLimits, Pace
+from flintlatch.exchange import ExchangeLimits, ProgressLimits
 from flintlatch.net.frontend import PARSE_CHUNK_BYTES
 from flintlatch.net.http1 import MAX_BODY
 
@@ -20,7 +20,7 @@
 GATHER_TIMEOUT_S = 0.05  # for the end of a response without a length: most are short and arrive at once
 
 TERMS = ExchangeLimits(
-    Pace(TRANSFER_IDLE_TIMEOUT_S, 0.0),
+    ProgressLimits(TRANSFER_IDLE_TIMEOUT_S, 0.0),
     UPLOAD_TIMEOUT_MS,
     RETRY_BUFFER_BYTES,
     CLIENT_WRITE_BUFFER_BYTES + 2 * SERVER_RECEIVE_BUFFER_BYTES,
--- a/tests/exchange/test_core.py
+++ b/tests/exchange/test_core.py
@@ -15,9 +15,9 @@
     ExchangeLimits,
     Fields,
     NodeSide,
-    Pace,
     Phase,
     Piece,
+    ProgressLimits,
     ProxyResponse,
     Request,
     Response,
@@ -27,7 +27,7 @@
     TooLong,
 )
 
-TERMS = ExchangeLimits(Pace(5.0, 0.0), 60_000.0, 100, 300, 1000)
+TERMS = ExchangeLimits(ProgressLimits(5.0, 0.0), 60_000.0, 100, 300, 1000)
 HEAD = Response(200, [], b"OK", None)
 
 
--- a/tests/exchange/test_transfer.py
+++ b/tests/exchange/test_transfer.py
@@ -6,13 +6,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from flintlatch.exchange.transfer import Budget, Pace, Pipe, Side, Stall, Upload
+from flintlatch.exchange.transfer import Budget, Pipe, ProgressLimits, Side, Stall, Upload
 
-FAST = Pace(idle_s=5.0, least_bytes_per_s=0)
-STEADY = Pace(idle_s=5.0, least_bytes_per_s=100, window_s=10)
+FAST = ProgressLimits(idle_s=5.0, least_bytes_per_s=0)
+STEADY = ProgressLimits(idle_s=5.0, least_bytes_per_s=100, window_s=10)
 
 
-def download(client: Pace = FAST, node: Pace = FAST, cap: int = 1000) -> Pipe:
+def download(client: ProgressLimits = FAST, node: ProgressLimits = FAST, cap: int = 1000) -> Pipe:
     return Pipe(Side.NODE, cap, node, client, 0.0)
 
 
@@ -68,7 +68,7 @@
 
 
 def test_a_node_is_not_blamed_for_the_time_in_which_the_client_was_waited_for() -> None:
-    pipe = download(client=Pace(60.0, 0), node=Pace(2.0, 0))
+    pipe = download(client=ProgressLimits(60.0, 0), node=ProgressLimits(2.0, 0))
     pipe.arrived(0.0, 1000)
     pipe.taken(50.0, 1000)  # the client took 50 s over it
     assert pipe.stalled(51.9) is None
@@ -189,4 +189,4 @@
 @pytest.mark.parametrize("bad", [{"idle_s": 0}, {"window_s": 0}, {"least_bytes_per_s": -1}])
 def test_a_pace_that_means_nothing_is_refused(bad: dict[str, float]) -> None:
     with pytest.raises(ValueError, match=next(iter(bad))):
-        Pace(**({"idle_s": 1, "least_bytes_per_s": 1} | bad))
+        ProgressLimits(**({"idle_s": 1, "least_bytes_per_s": 1} | bad))
--- a/tests/http/support.py
+++ b/tests/http/support.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from flintlatch.api import Effect, RequestClass, ServerInfo, Settings
-from flintlatch.exchange import ExchangeLimits, Pace
+from flintlatch.exchange import ExchangeLimits, ProgressLimits
 from flintlatch.http.fields import Origin
 from flintlatch.http.front import HttpFrontend
 from flintlatch.http.head import Limits
@@ -117,7 +117,7 @@
         **changes.get("settings", {}),
     )
     terms = ExchangeLimits(
-        changes.get("pace", Pace(10.0, 0)),
+        changes.get("pace", ProgressLimits(10.0, 0)),
         changes.get("upload_ms", 3_600_000.0),
         changes.get("upload_bytes", 64 * 1024),
         ANSWER_BYTES,
--- a/tests/http/test_front.py
+++ b/tests/http/test_front.py
@@ -10,7 +10,7 @@
 import httpx
 import pytest
 
-from flintlatch.exchange import Pace
+from flintlatch.exchange import ProgressLimits
 from flintlatch.http.front import HttpClient
 from flintlatch.http.head import Limits
 from flintlatch.http.sockets import ANSWER_BYTES, READ_BYTES
@@ -364,7 +364,7 @@
         await reader.read()
 
     async def test() -> None:
-        async with front(node, pace=Pace(0.5, 0)) as made:
+        async with front(node, pace=ProgressLimits(0.5, 0)) as made:
             got = await made.whole(b"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\nhalf")
             assert got.startswith(b"HTTP/1.1 408 ")
             await made.nodes[0].closed.get()
@@ -383,7 +383,7 @@
             await writer.drain()
 
     async def test() -> None:
-        async with front(node, pace=Pace(0.5, 0)) as made:
+        async with front(node, pace=ProgressLimits(0.5, 0)) as made:
             sock = slow_socket(made)
             await asyncio.get_running_loop().sock_sendall(sock, GET)
             await made.nodes[0].closed.get()
@@ -403,7 +403,7 @@
         await reader.read()
 
     async def test() -> None:
-        async with front(node, pace=Pace(0.5, 0)) as made:
+        async with front(node, pace=ProgressLimits(0.5, 0)) as made:
             got = await made.whole(GET)
             assert got == b"(reset)" or got.endswith(b"half")
             while made.engine.exchanges:
--- a/tests/http/test_long.py
+++ b/tests/http/test_long.py
@@ -8,7 +8,7 @@
 import pytest
 
 from flintlatch.api import Effect, RequestClass
-from flintlatch.exchange import Pace
+from flintlatch.exchange import ProgressLimits
 from tests.http.support import Front, Handler, answering, front, head_of
 from tests.loopback import run
 
@@ -59,7 +59,7 @@
 
 def test_an_upload_that_stalls_past_the_aim_is_the_clients_stall() -> None:
     async def test() -> None:
-        pace = Pace(idle_s=3 * AIM_MS / 1000, least_bytes_per_s=0)
+        pace = ProgressLimits(idle_s=3 * AIM_MS / 1000, least_bytes_per_s=0)
         async with front(sink, classes=HURRIED, pace=pace) as made:
             got = await made.whole(b"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\nhalf")
             assert got.startswith(b"HTTP/1.1 408 ")
