--- a/flintlatch/exchange/__init__.py
+++ b/flintlatch/exchange/__init__.py
@@ -4,13 +4,14 @@
 asks the decision module implements `Owner`. Times are seconds of one clock that only goes forward.
 """
 
-from flintlatch.exchange.core import Exchange, Owner, Phase, TooLong
+from flintlatch.exchange.core import BodyTooLarge, Exchange, Owner, Phase
 from flintlatch.exchange.messages import Ending, Fields, Piece, ProxyResponse, Request, Response, RoutingInfo
 from flintlatch.exchange.sides import ClientSide, NodeSide
 from flintlatch.exchange.terms import ExchangeLimits
 from flintlatch.exchange.transfer import Budget, Pipe, ProgressLimits, Side, Stall, Upload
 
 __all__ = [
+    "BodyTooLarge",
     "Budget",
     "ClientSide",
     "Ending",
@@ -29,6 +30,5 @@
     "RoutingInfo",
     "Side",
     "Stall",
-    "TooLong",
     "Upload",
 ]
--- a/flintlatch/exchange/core.py
+++ b/flintlatch/exchange/core.py
@@ -19,7 +19,7 @@
 from flintlatch.exchange.transfer import Pipe, Side, Stall, Upload
 
 
-class TooLong(Exception):
+class BodyTooLarge(Exception):
     """The request's body is longer than its terms allow: 413."""
 
 
@@ -98,12 +98,12 @@
         return 0 if self.over else self.upload.room
 
     def came(self, now_s: float, pieces: list[Piece]) -> None:
-        """Some of the request's body, at most `room` in all. Raises TooLong."""
+        """Some of the request's body, at most `room` in all. Raises BodyTooLarge."""
         if self.over:
             return
         size = sum(map(len, pieces))
         if self.upload.total + size > self.terms.body_bytes:
-            raise TooLong(f"a body of more than {self.terms.body_bytes} bytes")
+            raise BodyTooLarge(f"a body of more than {self.terms.body_bytes} bytes")
         self.up.arrived(now_s, size)
         gone = self.upload.add(pieces, size)
         self._look(now_s)
--- a/flintlatch/http/front.py
+++ b/flintlatch/http/front.py
@@ -6,7 +6,7 @@
 from math import ceil
 from typing import TYPE_CHECKING, cast
 
-from flintlatch.exchange import Exchange, Fields, Phase, Piece, ProxyResponse, Request, Response, TooLong
+from flintlatch.exchange import BodyTooLarge, Exchange, Fields, Phase, Piece, ProxyResponse, Request, Response
 from flintlatch.http.body import Body, last_chunk
 from flintlatch.http.fields import Origin, to_client, to_node, upgrade_wanted
 from flintlatch.http.framing import Kind, Malformed
@@ -90,7 +90,7 @@
             self._take_body(exchange, body, data)
         except Malformed as error:
             self._refuse(error)
-        except TooLong as error:
+        except BodyTooLarge as error:
             self._refuse(Malformed(413, str(error)))
         if self.buffer or body.done or exchange.room <= 0 or exchange.over:
             self.read_on()
@@ -105,7 +105,7 @@
                 pass
         except Malformed as error:
             self._refuse(error)
-        except TooLong as error:
+        except BodyTooLarge as error:
             self._refuse(Malformed(413, str(error)))
         finally:
             self.stepping = False
--- a/flintlatch/platform/front.py
+++ b/flintlatch/platform/front.py
@@ -7,7 +7,7 @@
 import socket
 from dataclasses import dataclass
 
-from flintlatch.exchange import Exchange, Fields, Piece, ProxyResponse, Response, RoutingInfo, TooLong
+from flintlatch.exchange import BodyTooLarge, Exchange, Fields, Piece, ProxyResponse, Response, RoutingInfo
 from flintlatch.net.clock import now_ms
 from flintlatch.net.engine import Answer
 from flintlatch.net.frontend import READY_PATH, REASON_PHRASES, Client, Frontend
@@ -117,7 +117,7 @@
             return
         try:
             incoming.exchange.came(now_ms() / 1000, [body])
-        except TooLong:
+        except BodyTooLarge:
             self._reject(413)
 
     def on_message_complete(self) -> None:
--- a/tests/exchange/test_core.py
+++ b/tests/exchange/test_core.py
@@ -10,6 +10,7 @@
 from hypothesis import strategies as st
 
 from flintlatch.exchange import (
+    BodyTooLarge,
     Ending,
     Exchange,
     ExchangeLimits,
@@ -24,7 +25,6 @@
     RoutingInfo,
     Side,
     Stall,
-    TooLong,
 )
 
 TERMS = ExchangeLimits(ProgressLimits(5.0, 0.0), 60_000.0, 100, 300, 1000)
@@ -157,7 +157,7 @@
     if event == "come" and not exchange.upload.complete and exchange.room > 0:
         try:
             rig.come(size)
-        except TooLong:
+        except BodyTooLarge:
             exchange.client_faulty(rig.now, 413)
     elif event == "all" and not exchange.upload.complete:
         exchange.came_all(rig.now)
