--- a/flintlatch/exchange/core.py
+++ b/flintlatch/exchange/core.py
@@ -33,7 +33,7 @@
 class Owner(Protocol):
     """Whoever hosts exchanges: asks the decision module, starts attempts and ends them."""
 
-    def ask(self, exchange: Exchange, uploading: bool) -> None:
+    def request_server(self, exchange: Exchange, uploading: bool) -> None:
         """It wants a server. `uploading`: its body is not here whole."""
 
     def body_came(self, exchange: Exchange) -> None:
@@ -128,7 +128,7 @@
         """Wait no longer for the rest of the request."""
         if self.phase is Phase.GATHERING:
             self.phase = Phase.WAITING
-            self.owner.ask(self, not self.upload.complete)
+            self.owner.request_server(self, not self.upload.complete)
 
     def push(self) -> None:
         """The client's side has brought what it had: the node may take it."""
--- a/flintlatch/net/relay.py
+++ b/flintlatch/net/relay.py
@@ -136,7 +136,7 @@
 
     # `Owner` of the exchanges
 
-    def ask(self, exchange: Exchange, uploading: bool) -> None:
+    def request_server(self, exchange: Exchange, uploading: bool) -> None:
         ask, terms = exchange.ask, exchange.terms
         total_budget_ms = (
             ask.budget_ms if ask.whole_wait or not uploading else terms.upload_ms + ask.budget_ms
--- a/tests/exchange/test_core.py
+++ b/tests/exchange/test_core.py
@@ -84,7 +84,7 @@
         self.calls: list[str] = []
         self.blamed: list[NodeSide] = []
 
-    def ask(self, exchange: Exchange, uploading: bool) -> None:
+    def request_server(self, exchange: Exchange, uploading: bool) -> None:
         self.calls.append("ask")
 
     def body_came(self, exchange: Exchange) -> None:
