--- a/flintlatch/exchange/core.py
+++ b/flintlatch/exchange/core.py
@@ -62,14 +62,14 @@
     def __init__(
         self,
         request: Request,
-        ask: RoutingInfo,
+        routing: RoutingInfo,
         terms: ExchangeLimits,
         client: ClientSide,
         owner: Owner,
         now_s: float,
     ) -> None:
         """A request without a body is to be told so at once, by `came_all`."""
-        self.request, self.ask, self.terms = request, ask, terms
+        self.request, self.routing, self.terms = request, routing, terms
         self.client, self.owner = client, owner
         self.phase = Phase.GATHERING
         self.ending: Ending | None = None
--- a/flintlatch/http/node.py
+++ b/flintlatch/http/node.py
@@ -79,7 +79,7 @@
         self.sent_all, self.wrote, self.awaiting_response, self.held = False, True, True, False
         exchange.attach(self.begun_ms / 1000, self)
         budget = max(1, int(attempt.deadline_ms - self.begun_ms))
-        head = request_head(exchange.request, exchange.ask.id)
+        head = request_head(exchange.request, exchange.routing.id)
         self.transport.write(b"%bx-budget-ms: %d\r\n\r\n" % (head, budget))
         self.more()
 
--- a/flintlatch/net/relay.py
+++ b/flintlatch/net/relay.py
@@ -111,7 +111,7 @@
     def open(self, exchange: Exchange, uploading: bool) -> bool:
         """Registers the exchange and reserves the memory that it may need; false if too little is left.
         Raises KeyError if a request with its id is open or was recently."""
-        request_id = exchange.ask.id
+        request_id = exchange.routing.id
         self._expire_recent_ids()
         if request_id in self.exchanges or request_id in self.recent_ids or request_id in self.requests:
             raise KeyError(request_id)
@@ -131,13 +131,13 @@
         self.loop.call_later(GATHER_TIMEOUT_S, self._on_gather_timeout, exchange)
 
     def _on_gather_timeout(self, exchange: Exchange) -> None:
-        if self.exchanges.get(exchange.ask.id) is exchange:
+        if self.exchanges.get(exchange.routing.id) is exchange:
             exchange.offer(now_ms() / 1000)
 
     # `Owner` of the exchanges
 
     def request_server(self, exchange: Exchange, uploading: bool) -> None:
-        ask, terms = exchange.ask, exchange.terms
+        ask, terms = exchange.routing, exchange.terms
         total_budget_ms = (
             ask.budget_ms if ask.whole_wait or not uploading else terms.upload_ms + ask.budget_ms
         )
@@ -152,13 +152,13 @@
             raise AssertionError(f"id {ask.id} was free in open(), but is in use now")
 
     def body_came(self, exchange: Exchange) -> None:
-        self._post_event(BodyReceived(exchange.ask.id))
-        pending = self.requests.get(exchange.ask.id)
+        self._post_event(BodyReceived(exchange.routing.id))
+        pending = self.requests.get(exchange.routing.id)
         if pending is not None and not pending.completed:
-            self._shorten_deadline(pending, exchange.ask.budget_ms)
+            self._shorten_deadline(pending, exchange.routing.budget_ms)
 
     def body_gone(self, exchange: Exchange) -> None:
-        self._post_event(BodyDiscarded(exchange.ask.id))
+        self._post_event(BodyDiscarded(exchange.routing.id))
 
     def body_sent(self, exchange: Exchange, node: NodeSide) -> None:
         located = self._find_attempt(exchange, node)
@@ -166,8 +166,8 @@
             pending, number, attempt = located
             attempt.request_sent_ms = now_ms()
             if not pending.completed:
-                self._shorten_deadline(pending, exchange.ask.budget_ms)
-            self._post_event(BodyForwarded(exchange.ask.id, number))
+                self._shorten_deadline(pending, exchange.routing.budget_ms)
+            self._post_event(BodyForwarded(exchange.routing.id, number))
 
     def begun(self, exchange: Exchange, node: NodeSide, head: Response) -> None:
         """The final response has begun: the deadline is met, and only the limits of the transfer apply from
@@ -179,12 +179,12 @@
         if attempt.timer is not None:
             attempt.timer.cancel()
         delay = now_ms() - attempt.request_sent_ms if attempt.request_sent_ms else 0.0
-        attempt.stream_started = ResponseStarted(exchange.ask.id, number, delay, result_of_head(head))
+        attempt.stream_started = ResponseStarted(exchange.routing.id, number, delay, result_of_head(head))
         self._post_event(attempt.stream_started)
         self._complete(pending)
 
     def give_up(self, exchange: Exchange) -> None:
-        request_id = exchange.ask.id
+        request_id = exchange.routing.id
         pending = self.requests.get(request_id)
         if pending is None:
             return
@@ -199,12 +199,12 @@
             self.backends.time_out(located[2])
 
     def over(self, exchange: Exchange) -> None:
-        request_id = exchange.ask.id
+        request_id = exchange.routing.id
         if exchange.ending is Ending.ANSWERED:
-            self.on_final_status(exchange.ask.cls, exchange.status)
+            self.on_final_status(exchange.routing.cls, exchange.status)
         elif exchange.ending in (Ending.NODE_BROKE, Ending.NODE_STALLED):
             # Replaces the status of the head, which was reported when the response began.
-            self.on_final_status(exchange.ask.cls, BROKEN_RESPONSE_STATUS)
+            self.on_final_status(exchange.routing.cls, BROKEN_RESPONSE_STATUS)
         pending = self.requests.get(request_id)
         if pending is None or all(attempt.ended for attempt in pending.attempts):
             self._remove_exchange(request_id, pending)
@@ -217,7 +217,7 @@
     def _find_attempt(
         self, exchange: Exchange, node: NodeSide
     ) -> tuple[PendingRequest, int, RelayAttempt] | None:
-        pending = self.requests.get(exchange.ask.id)
+        pending = self.requests.get(exchange.routing.id)
         for number, attempt in enumerate(pending.attempts if pending is not None else ()):
             relayed = cast(RelayAttempt, attempt)
             if not relayed.ended and relayed.node is node:
@@ -249,7 +249,7 @@
         for exchange in list(self.exchanges.values()):
             stall = exchange.tick(now_s)
             if stall is not None:
-                log(f"{exchange.ask.id}: {stall.value}")
+                log(f"{exchange.routing.id}: {stall.value}")
 
     # Actions of the decision module
 
