--- a/flintlatch/exchange/core.py
+++ b/flintlatch/exchange/core.py
@@ -63,25 +63,25 @@
         self,
         request: Request,
         routing: RoutingInfo,
-        terms: ExchangeLimits,
+        limits: ExchangeLimits,
         client: ClientSide,
         owner: Owner,
         now_s: float,
     ) -> None:
         """A request without a body is to be told so at once, by `came_all`."""
-        self.request, self.routing, self.terms = request, routing, terms
+        self.request, self.routing, self.limits = request, routing, limits
         self.client, self.owner = client, owner
         self.phase = Phase.GATHERING
         self.ending: Ending | None = None
         self.status = 0  # of the final answer
-        self.upload = Upload(terms.upload_bytes, terms.flow_bytes)
+        self.upload = Upload(limits.upload_bytes, limits.flow_bytes)
         self.trailers: Fields = []  # behind the request's body
         self.node: NodeSide | None = None  # that takes the upload, or gives the answer
         self.began_s = now_s
         self.first_s = self.whole_s = self.over_s = (
             0.0  # answer's first byte, request's last, the end; 0: not
         )
-        self.up = Pipe(Side.CLIENT, self.upload.cap + self.upload.flow, terms.pace, terms.pace, now_s)
+        self.up = Pipe(Side.CLIENT, self.upload.cap + self.upload.flow, limits.pace, limits.pace, now_s)
         self.up.ends(now_s, True, False)
         self.down: Pipe | None = None
         self._told_sent = False  # of the present attempt
@@ -102,8 +102,8 @@
         if self.over:
             return
         size = sum(map(len, pieces))
-        if self.upload.total + size > self.terms.body_bytes:
-            raise BodyTooLarge(f"a body of more than {self.terms.body_bytes} bytes")
+        if self.upload.total + size > self.limits.body_bytes:
+            raise BodyTooLarge(f"a body of more than {self.limits.body_bytes} bytes")
         self.up.arrived(now_s, size)
         gone = self.upload.add(pieces, size)
         self._look(now_s)
@@ -179,7 +179,7 @@
         if self.phase is not Phase.WAITING:
             return
         self.phase, self.node, self.status, self.first_s = Phase.BEGUN, node, head.status, now_s
-        self.down = Pipe(Side.NODE, self.terms.answer_bytes, self.terms.pace, self.terms.pace, now_s)
+        self.down = Pipe(Side.NODE, self.limits.answer_bytes, self.limits.pace, self.limits.pace, now_s)
         self.owner.begun(self, node, head)
         self.client.begin(head)
 
--- a/flintlatch/net/relay.py
+++ b/flintlatch/net/relay.py
@@ -124,7 +124,7 @@
 
     def max_memory_bytes(self, exchange: Exchange, uploading: bool) -> int:
         """The largest number of bytes that the exchange may buffer."""
-        return exchange.terms.holds(uploading)
+        return exchange.limits.holds(uploading)
 
     def start_gather_timer(self, exchange: Exchange) -> None:
         """Waits GATHER_TIMEOUT_S for the rest of a request before it is offered to the decision module."""
@@ -137,7 +137,7 @@
     # `Owner` of the exchanges
 
     def request_server(self, exchange: Exchange, uploading: bool) -> None:
-        ask, terms = exchange.routing, exchange.terms
+        ask, terms = exchange.routing, exchange.limits
         total_budget_ms = (
             ask.budget_ms if ask.whole_wait or not uploading else terms.upload_ms + ask.budget_ms
         )
