--- a/flintlatch/exchange/core.py
+++ b/flintlatch/exchange/core.py
@@ -77,7 +77,7 @@
         self.upload = Upload(limits.upload_bytes, limits.flow_bytes)
         self.trailers: Fields = []  # behind the request's body
         self.node: NodeSide | None = None  # that takes the upload, or gives the answer
-        self.began_s = now_s
+        self.arrived_s = now_s
         self.first_s = self.whole_s = self.over_s = (
             0.0  # answer's first byte, request's last, the end; 0: not
         )
--- a/flintlatch/fleet/observe.py
+++ b/flintlatch/fleet/observe.py
@@ -34,7 +34,7 @@
             engine.request_observer = self.on_held
 
     def on_exchange(self, exchange: Exchange, attempts: list[Attempt]) -> None:
-        ask, began = exchange.routing, exchange.began_s
+        ask, began = exchange.routing, exchange.arrived_s
 
         def after(moment_s: float) -> float | None:
             return (moment_s - began) * 1000 if moment_s else None
