--- a/flintlatch/exchange/core.py
+++ b/flintlatch/exchange/core.py
@@ -78,7 +78,7 @@
         self.trailers: Fields = []  # behind the request's body
         self.node: NodeSide | None = None  # that takes the upload, or gives the answer
         self.arrived_s = now_s
-        self.first_s = self.whole_s = self.over_s = (
+        self.first_byte_s = self.whole_s = self.over_s = (
             0.0  # answer's first byte, request's last, the end; 0: not
         )
         self.up = Pipe(Side.CLIENT, self.upload.cap + self.upload.flow, limits.pace, limits.pace, now_s)
@@ -178,7 +178,7 @@
         """A final answer: from here on no other one can take its place."""
         if self.phase is not Phase.WAITING:
             return
-        self.phase, self.node, self.status, self.first_s = Phase.BEGUN, node, head.status, now_s
+        self.phase, self.node, self.status, self.first_byte_s = Phase.BEGUN, node, head.status, now_s
         self.down = Pipe(Side.NODE, self.limits.answer_bytes, self.limits.pace, self.limits.pace, now_s)
         self.owner.begun(self, node, head)
         self.client.begin(head)
@@ -259,7 +259,7 @@
         if self.phase is Phase.BEGUN:
             self._end(now_s, ending)
         elif not self.over:
-            self.status, self.first_s = status, now_s
+            self.status, self.first_byte_s = status, now_s
             self.client.own(ProxyResponse(status, retry_after_ms))
             self._end(now_s, ending)
 
--- a/flintlatch/fleet/observe.py
+++ b/flintlatch/fleet/observe.py
@@ -50,7 +50,7 @@
                 exchange.status,
                 exchange.ending.value if exchange.ending is not None else "",
                 (exchange.over_s - began) * 1000,
-                after(exchange.first_s),
+                after(exchange.first_byte_s),
                 after(exchange.whole_s),
                 exchange.upload.total,
                 exchange.down.arrived_bytes if exchange.down is not None else 0,
