--- a/flintlatch/exchange/core.py
+++ b/flintlatch/exchange/core.py
@@ -78,7 +78,7 @@
         self.trailers: Fields = []  # behind the request's body
         self.node: NodeSide | None = None  # that takes the upload, or gives the answer
         self.arrived_s = now_s
-        self.first_byte_s = self.whole_s = self.over_s = (
+        self.first_byte_s = self.request_complete_s = self.over_s = (
             0.0  # answer's first byte, request's last, the end; 0: not
         )
         self.up = Pipe(Side.CLIENT, self.upload.cap + self.upload.flow, limits.pace, limits.pace, now_s)
@@ -116,7 +116,7 @@
     def came_all(self, now_s: float, trailers: Fields | None = None) -> None:
         if self.over:
             return
-        self.trailers, self.whole_s = trailers or [], now_s
+        self.trailers, self.request_complete_s = trailers or [], now_s
         self.up.ended(now_s)
         self.upload.end()
         if self.phase is Phase.GATHERING:
--- a/flintlatch/fleet/observe.py
+++ b/flintlatch/fleet/observe.py
@@ -51,7 +51,7 @@
                 exchange.ending.value if exchange.ending is not None else "",
                 (exchange.over_s - began) * 1000,
                 after(exchange.first_byte_s),
-                after(exchange.whole_s),
+                after(exchange.request_complete_s),
                 exchange.upload.total,
                 exchange.down.arrived_bytes if exchange.down is not None else 0,
                 attempts_of(attempts, began * 1000),
