--- a/flintlatch/exchange/core.py
+++ b/flintlatch/exchange/core.py
@@ -78,7 +78,7 @@
         self.trailers: Fields = []  # behind the request's body
         self.node: NodeSide | None = None  # that takes the upload, or gives the answer
         self.arrived_s = now_s
-        self.first_byte_s = self.request_complete_s = self.over_s = (
+        self.first_byte_s = self.request_complete_s = self.ended_s = (
             0.0  # answer's first byte, request's last, the end; 0: not
         )
         self.up = Pipe(Side.CLIENT, self.upload.cap + self.upload.flow, limits.pace, limits.pace, now_s)
@@ -194,7 +194,7 @@
     def finish(self, now_s: float, node: NodeSide, trailers: Fields | None = None) -> None:
         """This node's answer is here whole."""
         if self.phase is Phase.BEGUN and node is self.node:
-            self.phase, self.ending, self.node, self.over_s = Phase.OVER, Ending.ANSWERED, None, now_s
+            self.phase, self.ending, self.node, self.ended_s = Phase.OVER, Ending.ANSWERED, None, now_s
             self.client.end(trailers or [])
             self.owner.over(self)
 
@@ -267,7 +267,7 @@
         if self.over:
             return
         begun, asked = self.phase is Phase.BEGUN, self.phase is not Phase.GATHERING
-        self.phase, self.ending, self.node, self.over_s = Phase.OVER, ending, None, now_s
+        self.phase, self.ending, self.node, self.ended_s = Phase.OVER, ending, None, now_s
         if begun and ending is not Ending.CLIENT_LEFT:
             self.client.reset()
         if to_blame is not None:
--- a/flintlatch/fleet/observe.py
+++ b/flintlatch/fleet/observe.py
@@ -49,7 +49,7 @@
                 path_of(exchange.request.target, self.paths),
                 exchange.status,
                 exchange.ending.value if exchange.ending is not None else "",
-                (exchange.over_s - began) * 1000,
+                (exchange.ended_s - began) * 1000,
                 after(exchange.first_byte_s),
                 after(exchange.request_complete_s),
                 exchange.upload.total,
