--- a/flintlatch/exchange/core.py
+++ b/flintlatch/exchange/core.py
@@ -81,8 +81,10 @@
         self.first_byte_s = self.request_complete_s = self.ended_s = (
             0.0  # answer's first byte, request's last, the end; 0: not
         )
-        self.up = Pipe(Side.CLIENT, self.upload.cap + self.upload.flow, limits.pace, limits.pace, now_s)
-        self.up.ends(now_s, True, False)
+        self.upload_pipe = Pipe(
+            Side.CLIENT, self.upload.cap + self.upload.flow, limits.pace, limits.pace, now_s
+        )
+        self.upload_pipe.ends(now_s, True, False)
         self.down: Pipe | None = None
         self._told_sent = False  # of the present attempt
 
@@ -104,7 +106,7 @@
         size = sum(map(len, pieces))
         if self.upload.total + size > self.limits.body_bytes:
             raise BodyTooLarge(f"a body of more than {self.limits.body_bytes} bytes")
-        self.up.arrived(now_s, size)
+        self.upload_pipe.arrived(now_s, size)
         gone = self.upload.add(pieces, size)
         self._look(now_s)
         if self.phase is Phase.GATHERING:
@@ -117,7 +119,7 @@
         if self.over:
             return
         self.trailers, self.request_complete_s = trailers or [], now_s
-        self.up.ended(now_s)
+        self.upload_pipe.ended(now_s)
         self.upload.end()
         if self.phase is Phase.GATHERING:
             self.offer(now_s)
@@ -158,9 +160,9 @@
     def take(self, now_s: float) -> tuple[list[Piece], int]:
         """What is here of the request's body and not taken yet, and its size."""
         pieces, size = self.upload.take()
-        if size and not self.up.done:
+        if size and not self.upload_pipe.done:
             # What an attempt takes again after another does not count again.
-            self.up.taken(now_s, min(size, self.up.held))
+            self.upload_pipe.taken(now_s, min(size, self.upload_pipe.held))
             self._look(now_s)
         return pieces, size
 
@@ -237,16 +239,16 @@
             stall = self.down.stalled(now_s)
             # A node that answers while it reads may wait for its client's next piece.
             if stall is Stall.NODE_SENDS_NOT and not self.upload.complete:
-                up = self.up.stalled(now_s)
+                up = self.upload_pipe.stalled(now_s)
                 return up if up is Stall.CLIENT_SENDS_NOT else stall if up is not None else None
             return stall
-        if self.over or self.up.done:
+        if self.over or self.upload_pipe.done:
             return None
-        return self.up.stalled(now_s)
+        return self.upload_pipe.stalled(now_s)
 
     def _look(self, now_s: float) -> None:
         """Who may be waited for in the upload."""
-        self.up.ends(now_s, self.upload.room > 0, self.node is not None)
+        self.upload_pipe.ends(now_s, self.upload.room > 0, self.node is not None)
 
     def _note_taken(self, now_s: float) -> None:
         """What has left the client's side, as far as it was of this body."""
--- a/tests/exchange/test_core.py
+++ b/tests/exchange/test_core.py
@@ -203,7 +203,10 @@
     assert calls.count("ask") <= 1 and calls.count("over") == exchange.over
     assert calls.count("begun") == told.count("begin")
     assert calls.count("give up") <= 1 and (exchange.ending is not None) == exchange.over
-    assert exchange.upload.held <= 2 * exchange.limits.upload_bytes and exchange.up.held <= exchange.up.cap
+    assert (
+        exchange.upload.held <= 2 * exchange.limits.upload_bytes
+        and exchange.upload_pipe.held <= exchange.upload_pipe.cap
+    )
     if exchange.down is not None:
         assert exchange.down.held <= exchange.limits.answer_bytes
     assert sum(stall.side is Side.CLIENT for stall in rig.stalls) <= 1
