--- a/flintlatch/exchange/core.py
+++ b/flintlatch/exchange/core.py
@@ -85,7 +85,7 @@
             Side.CLIENT, self.upload.cap + self.upload.flow, limits.pace, limits.pace, now_s
         )
         self.upload_pipe.ends(now_s, True, False)
-        self.down: Pipe | None = None
+        self.response_pipe: Pipe | None = None
         self._told_sent = False  # of the present attempt
 
     @property
@@ -181,16 +181,18 @@
         if self.phase is not Phase.WAITING:
             return
         self.phase, self.node, self.status, self.first_byte_s = Phase.BEGUN, node, head.status, now_s
-        self.down = Pipe(Side.NODE, self.limits.answer_bytes, self.limits.pace, self.limits.pace, now_s)
+        self.response_pipe = Pipe(
+            Side.NODE, self.limits.answer_bytes, self.limits.pace, self.limits.pace, now_s
+        )
         self.owner.begun(self, node, head)
         self.client.begin(head)
 
     def pieces(self, now_s: float, node: NodeSide, pieces: list[Piece]) -> None:
-        if self.phase is not Phase.BEGUN or node is not self.node or self.down is None:
+        if self.phase is not Phase.BEGUN or node is not self.node or self.response_pipe is None:
             return
         self._note_taken(now_s)
         size = sum(map(len, pieces))
-        self.down.arrived(now_s, min(size, self.down.room))
+        self.response_pipe.arrived(now_s, min(size, self.response_pipe.room))
         self.client.pieces(pieces, size)
 
     def finish(self, now_s: float, node: NodeSide, trailers: Fields | None = None) -> None:
@@ -234,9 +236,9 @@
         return stall
 
     def _stalled(self, now_s: float) -> Stall | None:
-        if self.phase is Phase.BEGUN and self.down is not None:
+        if self.phase is Phase.BEGUN and self.response_pipe is not None:
             self._note_taken(now_s)
-            stall = self.down.stalled(now_s)
+            stall = self.response_pipe.stalled(now_s)
             # A node that answers while it reads may wait for its client's next piece.
             if stall is Stall.NODE_SENDS_NOT and not self.upload.complete:
                 up = self.upload_pipe.stalled(now_s)
@@ -252,8 +254,8 @@
 
     def _note_taken(self, now_s: float) -> None:
         """What has left the client's side, as far as it was of this body."""
-        if self.down is not None and (gone := self.down.held - self.client.unread()) > 0:
-            self.down.taken(now_s, gone)
+        if self.response_pipe is not None and (gone := self.response_pipe.held - self.client.unread()) > 0:
+            self.response_pipe.taken(now_s, gone)
 
     # The end
 
--- a/flintlatch/fleet/observe.py
+++ b/flintlatch/fleet/observe.py
@@ -53,7 +53,7 @@
                 after(exchange.first_byte_s),
                 after(exchange.request_complete_s),
                 exchange.upload.total,
-                exchange.down.arrived_bytes if exchange.down is not None else 0,
+                exchange.response_pipe.arrived_bytes if exchange.response_pipe is not None else 0,
                 attempts_of(attempts, began * 1000),
             )
         )
--- a/tests/exchange/test_core.py
+++ b/tests/exchange/test_core.py
@@ -207,8 +207,8 @@
         exchange.upload.held <= 2 * exchange.limits.upload_bytes
         and exchange.upload_pipe.held <= exchange.upload_pipe.cap
     )
-    if exchange.down is not None:
-        assert exchange.down.held <= exchange.limits.answer_bytes
+    if exchange.response_pipe is not None:
+        assert exchange.response_pipe.held <= exchange.limits.answer_bytes
     assert sum(stall.side is Side.CLIENT for stall in rig.stalls) <= 1
     assert rig.owner.calls.count("blame") == sum(stall.side is Side.NODE for stall in rig.stalls)
     if exchange.ending is Ending.CLIENT_STALLED:
