--- a/flintlatch/exchange/core.py
+++ b/flintlatch/exchange/core.py
@@ -36,7 +36,7 @@
     def request_server(self, exchange: Exchange, uploading: bool) -> None:
         """It wants a server. `uploading`: its body is not here whole."""
 
-    def body_came(self, exchange: Exchange) -> None:
+    def on_body_received(self, exchange: Exchange) -> None:
         """An upload is here whole."""
 
     def body_gone(self, exchange: Exchange) -> None:
@@ -124,7 +124,7 @@
         if self.phase is Phase.GATHERING:
             self.offer(now_s)
         else:
-            self.owner.body_came(self)
+            self.owner.on_body_received(self)
 
     def offer(self, now_s: float) -> None:
         """Wait no longer for the rest of the request."""
--- a/flintlatch/net/relay.py
+++ b/flintlatch/net/relay.py
@@ -151,7 +151,7 @@
         if not self.accept(AcceptedRequest(*fields, *upload_fields)):
             raise AssertionError(f"id {ask.id} was free in open(), but is in use now")
 
-    def body_came(self, exchange: Exchange) -> None:
+    def on_body_received(self, exchange: Exchange) -> None:
         self._post_event(BodyReceived(exchange.routing.id))
         pending = self.requests.get(exchange.routing.id)
         if pending is not None and not pending.completed:
--- a/tests/exchange/test_core.py
+++ b/tests/exchange/test_core.py
@@ -87,7 +87,7 @@
     def request_server(self, exchange: Exchange, uploading: bool) -> None:
         self.calls.append("ask")
 
-    def body_came(self, exchange: Exchange) -> None:
+    def on_body_received(self, exchange: Exchange) -> None:
         self.calls.append("came")
 
     def body_gone(self, exchange: Exchange) -> None:
