--- a/flintlatch/exchange/core.py
+++ b/flintlatch/exchange/core.py
@@ -39,7 +39,7 @@
     def on_body_received(self, exchange: Exchange) -> None:
         """An upload is here whole."""
 
-    def body_gone(self, exchange: Exchange) -> None:
+    def on_body_discarded(self, exchange: Exchange) -> None:
         """A part of it is no longer held: no attempt may follow the one that has it."""
 
     def body_sent(self, exchange: Exchange, node: NodeSide) -> None:
@@ -113,7 +113,7 @@
             if self.upload.room <= 0:
                 self.offer(now_s)
         elif gone and self.phase is Phase.WAITING:
-            self.owner.body_gone(self)
+            self.owner.on_body_discarded(self)
 
     def came_all(self, now_s: float, trailers: Fields | None = None) -> None:
         if self.over:
--- a/flintlatch/net/relay.py
+++ b/flintlatch/net/relay.py
@@ -157,7 +157,7 @@
         if pending is not None and not pending.completed:
             self._shorten_deadline(pending, exchange.routing.budget_ms)
 
-    def body_gone(self, exchange: Exchange) -> None:
+    def on_body_discarded(self, exchange: Exchange) -> None:
         self._post_event(BodyDiscarded(exchange.routing.id))
 
     def body_sent(self, exchange: Exchange, node: NodeSide) -> None:
--- a/tests/exchange/test_core.py
+++ b/tests/exchange/test_core.py
@@ -90,7 +90,7 @@
     def on_body_received(self, exchange: Exchange) -> None:
         self.calls.append("came")
 
-    def body_gone(self, exchange: Exchange) -> None:
+    def on_body_discarded(self, exchange: Exchange) -> None:
         self.calls.append("gone")
 
     def body_sent(self, exchange: Exchange, node: NodeSide) -> None:
