--- a/flintlatch/exchange/core.py
+++ b/flintlatch/exchange/core.py
@@ -42,7 +42,7 @@
     def on_body_discarded(self, exchange: Exchange) -> None:
         """A part of it is no longer held: no attempt may follow the one that has it."""
 
-    def body_sent(self, exchange: Exchange, node: NodeSide) -> None:
+    def on_request_sent(self, exchange: Exchange, node: NodeSide) -> None:
         """This attempt's node has the whole request."""
 
     def begun(self, exchange: Exchange, node: NodeSide, head: Response) -> None:
@@ -170,7 +170,7 @@
         """This attempt's node has the whole request."""
         if node is self.node and not self._told_sent and not self.over:
             self._told_sent = True
-            self.owner.body_sent(self, node)
+            self.owner.on_request_sent(self, node)
 
     def interim(self, head: Response) -> None:
         if self.phase is Phase.WAITING:
--- a/flintlatch/net/relay.py
+++ b/flintlatch/net/relay.py
@@ -160,7 +160,7 @@
     def on_body_discarded(self, exchange: Exchange) -> None:
         self._post_event(BodyDiscarded(exchange.routing.id))
 
-    def body_sent(self, exchange: Exchange, node: NodeSide) -> None:
+    def on_request_sent(self, exchange: Exchange, node: NodeSide) -> None:
         located = self._find_attempt(exchange, node)
         if located is not None and not located[2].request_sent_ms:
             pending, number, attempt = located
--- a/tests/exchange/test_core.py
+++ b/tests/exchange/test_core.py
@@ -93,7 +93,7 @@
     def on_body_discarded(self, exchange: Exchange) -> None:
         self.calls.append("gone")
 
-    def body_sent(self, exchange: Exchange, node: NodeSide) -> None:
+    def on_request_sent(self, exchange: Exchange, node: NodeSide) -> None:
         self.calls.append("sent")
 
     def begun(self, exchange: Exchange, node: NodeSide, head: Response) -> None:
