--- a/flintlatch/exchange/core.py
+++ b/flintlatch/exchange/core.py
@@ -45,7 +45,7 @@
     def on_request_sent(self, exchange: Exchange, node: NodeSide) -> None:
         """This attempt's node has the whole request."""
 
-    def begun(self, exchange: Exchange, node: NodeSide, head: Response) -> None:
+    def on_response_begun(self, exchange: Exchange, node: NodeSide, head: Response) -> None:
         """This attempt's answer has begun, and is the final one."""
 
     def give_up(self, exchange: Exchange) -> None:
@@ -184,7 +184,7 @@
         self.response_pipe = Pipe(
             Side.NODE, self.limits.answer_bytes, self.limits.pace, self.limits.pace, now_s
         )
-        self.owner.begun(self, node, head)
+        self.owner.on_response_begun(self, node, head)
         self.client.begin(head)
 
     def pieces(self, now_s: float, node: NodeSide, pieces: list[Piece]) -> None:
--- a/flintlatch/net/relay.py
+++ b/flintlatch/net/relay.py
@@ -169,7 +169,7 @@
                 self._shorten_deadline(pending, exchange.routing.budget_ms)
             self._post_event(BodyForwarded(exchange.routing.id, number))
 
-    def begun(self, exchange: Exchange, node: NodeSide, head: Response) -> None:
+    def on_response_begun(self, exchange: Exchange, node: NodeSide, head: Response) -> None:
         """The final response has begun: the deadline is met, and only the limits of the transfer apply from
         now on."""
         located = self._find_attempt(exchange, node)
--- a/tests/exchange/test_core.py
+++ b/tests/exchange/test_core.py
@@ -96,7 +96,7 @@
     def on_request_sent(self, exchange: Exchange, node: NodeSide) -> None:
         self.calls.append("sent")
 
-    def begun(self, exchange: Exchange, node: NodeSide, head: Response) -> None:
+    def on_response_begun(self, exchange: Exchange, node: NodeSide, head: Response) -> None:
         self.calls.append("begun")
 
     def give_up(self, exchange: Exchange) -> None:
