--- a/flintlatch/exchange/core.py
+++ b/flintlatch/exchange/core.py
@@ -48,7 +48,7 @@
     def on_response_begun(self, exchange: Exchange, node: NodeSide, head: Response) -> None:
         """This attempt's answer has begun, and is the final one."""
 
-    def give_up(self, exchange: Exchange) -> None:
+    def cancel_attempts(self, exchange: Exchange) -> None:
         """The client no longer waits: all attempts end, and no node is to blame."""
 
     def blame(self, exchange: Exchange, node: NodeSide) -> None:
@@ -277,5 +277,5 @@
         if to_blame is not None:
             self.owner.blame(self, to_blame)
         elif asked:
-            self.owner.give_up(self)
+            self.owner.cancel_attempts(self)
         self.owner.over(self)
--- a/flintlatch/net/relay.py
+++ b/flintlatch/net/relay.py
@@ -183,7 +183,7 @@
         self._post_event(attempt.stream_started)
         self._complete(pending)
 
-    def give_up(self, exchange: Exchange) -> None:
+    def cancel_attempts(self, exchange: Exchange) -> None:
         request_id = exchange.routing.id
         pending = self.requests.get(request_id)
         if pending is None:
--- a/tests/exchange/test_core.py
+++ b/tests/exchange/test_core.py
@@ -99,7 +99,7 @@
     def on_response_begun(self, exchange: Exchange, node: NodeSide, head: Response) -> None:
         self.calls.append("begun")
 
-    def give_up(self, exchange: Exchange) -> None:
+    def cancel_attempts(self, exchange: Exchange) -> None:
         self.calls.append("give up")
 
     def blame(self, exchange: Exchange, node: NodeSide) -> None:
