--- a/flintlatch/exchange/core.py
+++ b/flintlatch/exchange/core.py
@@ -51,7 +51,7 @@
     def cancel_attempts(self, exchange: Exchange) -> None:
         """The client no longer waits: all attempts end, and no node is to blame."""
 
-    def blame(self, exchange: Exchange, node: NodeSide) -> None:
+    def time_out_attempt(self, exchange: Exchange, node: NodeSide) -> None:
         """This attempt's node stalls: its attempt ends, and the module hears why."""
 
     def over(self, exchange: Exchange) -> None:
@@ -232,7 +232,7 @@
             if begun:
                 self._end(now_s, Ending.NODE_STALLED, node)
             else:
-                self.owner.blame(self, node)
+                self.owner.time_out_attempt(self, node)
         return stall
 
     def _stalled(self, now_s: float) -> Stall | None:
@@ -275,7 +275,7 @@
         if begun and ending is not Ending.CLIENT_LEFT:
             self.client.reset()
         if to_blame is not None:
-            self.owner.blame(self, to_blame)
+            self.owner.time_out_attempt(self, to_blame)
         elif asked:
             self.owner.cancel_attempts(self)
         self.owner.over(self)
--- a/flintlatch/net/relay.py
+++ b/flintlatch/net/relay.py
@@ -193,7 +193,7 @@
             if not attempt.ended:
                 self.backends.cancel(attempt)
 
-    def blame(self, exchange: Exchange, node: NodeSide) -> None:
+    def time_out_attempt(self, exchange: Exchange, node: NodeSide) -> None:
         located = self._find_attempt(exchange, node)
         if located is not None:
             self.backends.time_out(located[2])
--- a/tests/exchange/test_core.py
+++ b/tests/exchange/test_core.py
@@ -102,7 +102,7 @@
     def cancel_attempts(self, exchange: Exchange) -> None:
         self.calls.append("give up")
 
-    def blame(self, exchange: Exchange, node: NodeSide) -> None:
+    def time_out_attempt(self, exchange: Exchange, node: NodeSide) -> None:
         self.calls.append("blame")
         self.blamed.append(node)
 
