--- a/flintlatch/exchange/core.py
+++ b/flintlatch/exchange/core.py
@@ -54,7 +54,7 @@
     def time_out_attempt(self, exchange: Exchange, node: NodeSide) -> None:
         """This attempt's node stalls: its attempt ends, and the module hears why."""
 
-    def over(self, exchange: Exchange) -> None:
+    def on_exchange_ended(self, exchange: Exchange) -> None:
         """The client has had its last byte, or is gone; `exchange.ending` says how."""
 
 
@@ -200,7 +200,7 @@
         if self.phase is Phase.BEGUN and node is self.node:
             self.phase, self.ending, self.node, self.ended_s = Phase.OVER, Ending.ANSWERED, None, now_s
             self.client.end(trailers or [])
-            self.owner.over(self)
+            self.owner.on_exchange_ended(self)
 
     def detach(self, now_s: float, node: NodeSide) -> None:
         """This attempt has ended without a whole answer."""
@@ -278,4 +278,4 @@
             self.owner.time_out_attempt(self, to_blame)
         elif asked:
             self.owner.cancel_attempts(self)
-        self.owner.over(self)
+        self.owner.on_exchange_ended(self)
--- a/flintlatch/net/relay.py
+++ b/flintlatch/net/relay.py
@@ -198,7 +198,7 @@
         if located is not None:
             self.backends.time_out(located[2])
 
-    def over(self, exchange: Exchange) -> None:
+    def on_exchange_ended(self, exchange: Exchange) -> None:
         request_id = exchange.routing.id
         if exchange.ending is Ending.ANSWERED:
             self.on_final_status(exchange.routing.cls, exchange.status)
--- a/tests/exchange/test_core.py
+++ b/tests/exchange/test_core.py
@@ -106,7 +106,7 @@
         self.calls.append("blame")
         self.blamed.append(node)
 
-    def over(self, exchange: Exchange) -> None:
+    def on_exchange_ended(self, exchange: Exchange) -> None:
         self.calls.append("over")
 
 
