--- a/flintlatch/exchange/core.py
+++ b/flintlatch/exchange/core.py
@@ -89,7 +89,7 @@
         self._told_sent = False  # of the present attempt
 
     @property
-    def over(self) -> bool:
+    def has_ended(self) -> bool:
         return self.phase is Phase.OVER
 
     # From the client's side
@@ -97,11 +97,11 @@
     @property
     def room(self) -> int:
         """Bytes of the request's body that may come now."""
-        return 0 if self.over else self.upload.room
+        return 0 if self.has_ended else self.upload.room
 
     def came(self, now_s: float, pieces: list[Piece]) -> None:
         """Some of the request's body, at most `room` in all. Raises BodyTooLarge."""
-        if self.over:
+        if self.has_ended:
             return
         size = sum(map(len, pieces))
         if self.upload.total + size > self.limits.body_bytes:
@@ -116,7 +116,7 @@
             self.owner.on_body_discarded(self)
 
     def came_all(self, now_s: float, trailers: Fields | None = None) -> None:
-        if self.over:
+        if self.has_ended:
             return
         self.trailers, self.request_complete_s = trailers or [], now_s
         self.upload_pipe.ended(now_s)
@@ -134,7 +134,7 @@
 
     def push(self) -> None:
         """The client's side has brought what it had: the node may take it."""
-        if self.node is not None and not self.over:
+        if self.node is not None and not self.has_ended:
             self.node.more()
 
     def client_left(self, now_s: float) -> None:
@@ -168,7 +168,7 @@
 
     def sent(self, now_s: float, node: NodeSide) -> None:
         """This attempt's node has the whole request."""
-        if node is self.node and not self._told_sent and not self.over:
+        if node is self.node and not self._told_sent and not self.has_ended:
             self._told_sent = True
             self.owner.on_request_sent(self, node)
 
@@ -244,7 +244,7 @@
                 up = self.upload_pipe.stalled(now_s)
                 return up if up is Stall.CLIENT_SENDS_NOT else stall if up is not None else None
             return stall
-        if self.over or self.upload_pipe.done:
+        if self.has_ended or self.upload_pipe.done:
             return None
         return self.upload_pipe.stalled(now_s)
 
@@ -262,13 +262,13 @@
     def _refuse(self, now_s: float, status: int, ending: Ending, retry_after_ms: float = 0.0) -> None:
         if self.phase is Phase.BEGUN:
             self._end(now_s, ending)
-        elif not self.over:
+        elif not self.has_ended:
             self.status, self.first_byte_s = status, now_s
             self.client.own(ProxyResponse(status, retry_after_ms))
             self._end(now_s, ending)
 
     def _end(self, now_s: float, ending: Ending, to_blame: NodeSide | None = None) -> None:
-        if self.over:
+        if self.has_ended:
             return
         begun, asked = self.phase is Phase.BEGUN, self.phase is not Phase.GATHERING
         self.phase, self.ending, self.node, self.ended_s = Phase.OVER, ending, None, now_s
--- a/flintlatch/http/front.py
+++ b/flintlatch/http/front.py
@@ -92,7 +92,7 @@
             self._refuse(error)
         except BodyTooLarge as error:
             self._refuse(Malformed(413, str(error)))
-        if self.buffer or body.done or exchange.room <= 0 or exchange.over:
+        if self.buffer or body.done or exchange.room <= 0 or exchange.has_ended:
             self.read_on()
 
     def read_on(self) -> None:
--- a/flintlatch/http/node.py
+++ b/flintlatch/http/node.py
@@ -91,7 +91,7 @@
 
     def more(self) -> None:
         exchange, transport = self.exchange, self.transport
-        if exchange is None or transport is None or transport.is_closing() or exchange.over:
+        if exchange is None or transport is None or transport.is_closing() or exchange.has_ended:
             return
         now_s = now_ms() / 1000
         chunked = exchange.request.length is None
--- a/flintlatch/net/relay.py
+++ b/flintlatch/net/relay.py
@@ -318,7 +318,7 @@
         if (
             pending.completed
             and all(attempt.ended for attempt in pending.attempts)
-            and (exchange is None or exchange.over)
+            and (exchange is None or exchange.has_ended)
         ):
             self._remove_exchange(request_id, pending)
 
--- a/flintlatch/platform/engine.py
+++ b/flintlatch/platform/engine.py
@@ -23,7 +23,9 @@
     def open_requests(self) -> int:
         """Requests that are complete and have not ended; one whose response is still passed on has not
         ended."""
-        return sum(exchange.upload.complete and not exchange.over for exchange in self.exchanges.values())
+        return sum(
+            exchange.upload.complete and not exchange.has_ended for exchange in self.exchanges.values()
+        )
 
     def _on_deadline(self, pending: PendingRequest) -> None:
         # The client gives up at this moment too, so there is no 503 with a Retry-After as in RelayEngine.
--- a/tests/exchange/test_core.py
+++ b/tests/exchange/test_core.py
@@ -200,9 +200,9 @@
     for last in ("own", "end", "reset"):
         assert last not in told or told[-1] == last  # nothing after it
     assert not (set(told) & {"end", "reset", "piece"}) or "begin" in told
-    assert calls.count("ask") <= 1 and calls.count("over") == exchange.over
+    assert calls.count("ask") <= 1 and calls.count("over") == exchange.has_ended
     assert calls.count("begun") == told.count("begin")
-    assert calls.count("give up") <= 1 and (exchange.ending is not None) == exchange.over
+    assert calls.count("give up") <= 1 and (exchange.ending is not None) == exchange.has_ended
     assert (
         exchange.upload.held <= 2 * exchange.limits.upload_bytes
         and exchange.upload_pipe.held <= exchange.upload_pipe.cap
@@ -225,7 +225,7 @@
         check(rig)
     rig.exchange.client_left(rig.now)
     check(rig)
-    assert rig.exchange.over
+    assert rig.exchange.has_ended
 
 
 def test_a_request_is_offered_whole_or_full_and_not_before() -> None:
@@ -258,7 +258,7 @@
     rig.connect()
     assert rig.tick(4.0) is None
     assert rig.tick(2.0) is Stall.NODE_READS_NOT
-    assert rig.owner.calls.count("blame") == 1 and not rig.exchange.over
+    assert rig.owner.calls.count("blame") == 1 and not rig.exchange.has_ended
     rig.connect()  # another one gets all of it
     rig.take()
     assert rig.node is not None and rig.node.got == 100 and rig.tick(4.0) is None
