--- a/flintlatch/exchange/core.py
+++ b/flintlatch/exchange/core.py
@@ -99,7 +99,7 @@
         """Bytes of the request's body that may come now."""
         return 0 if self.has_ended else self.upload.room
 
-    def came(self, now_s: float, pieces: list[Piece]) -> None:
+    def receive_body(self, now_s: float, pieces: list[Piece]) -> None:
         """Some of the request's body, at most `room` in all. Raises BodyTooLarge."""
         if self.has_ended:
             return
--- a/flintlatch/http/front.py
+++ b/flintlatch/http/front.py
@@ -162,7 +162,7 @@
             self.buffer[:0] = rest
         now_s = now_ms() / 1000
         if pieces:
-            exchange.came(now_s, pieces)
+            exchange.receive_body(now_s, pieces)
         if body.done:
             exchange.came_all(now_s, body.trailers)
         exchange.push()
--- a/flintlatch/platform/front.py
+++ b/flintlatch/platform/front.py
@@ -116,7 +116,7 @@
             self._body += body  # exceeds the limit of a short body by at most one parsed chunk
             return
         try:
-            incoming.exchange.came(now_ms() / 1000, [body])
+            incoming.exchange.receive_body(now_ms() / 1000, [body])
         except BodyTooLarge:
             self._reject(413)
 
@@ -162,7 +162,7 @@
             return
         now_s = now_ms() / 1000
         if self._body:
-            incoming.exchange.came(now_s, [bytes(self._body)])
+            incoming.exchange.receive_body(now_s, [bytes(self._body)])
             self._body = bytearray()
         incoming.exchange.offer(now_s)
 
@@ -192,7 +192,7 @@
         exchange = self._open(request, ask, False)
         now_s = now_ms() / 1000
         if message.body:
-            exchange.came(now_s, [message.body])
+            exchange.receive_body(now_s, [message.body])
         exchange.came_all(now_s)
 
     def _reject(self, status: int) -> None:
--- a/tests/exchange/test_core.py
+++ b/tests/exchange/test_core.py
@@ -122,7 +122,7 @@
         self.stalls: list[Stall] = []
 
     def come(self, size: int) -> None:
-        self.exchange.came(self.now, [b"x" * min(size, self.exchange.room)])
+        self.exchange.receive_body(self.now, [b"x" * min(size, self.exchange.room)])
 
     def connect(self) -> Node:
         self.node = Node()
