--- a/flintlatch/exchange/core.py
+++ b/flintlatch/exchange/core.py
@@ -68,7 +68,7 @@
         owner: Owner,
         now_s: float,
     ) -> None:
-        """A request without a body is to be told so at once, by `came_all`."""
+        """A request without a body is to be told so at once, by `receive_end`."""
         self.request, self.routing, self.limits = request, routing, limits
         self.client, self.owner = client, owner
         self.phase = Phase.GATHERING
@@ -115,7 +115,7 @@
         elif gone and self.phase is Phase.WAITING:
             self.owner.on_body_discarded(self)
 
-    def came_all(self, now_s: float, trailers: Fields | None = None) -> None:
+    def receive_end(self, now_s: float, trailers: Fields | None = None) -> None:
         if self.has_ended:
             return
         self.trailers, self.request_complete_s = trailers or [], now_s
--- a/flintlatch/http/front.py
+++ b/flintlatch/http/front.py
@@ -164,7 +164,7 @@
         if pieces:
             exchange.receive_body(now_s, pieces)
         if body.done:
-            exchange.came_all(now_s, body.trailers)
+            exchange.receive_end(now_s, body.trailers)
         exchange.push()
 
     def _head(self) -> bool:
@@ -209,7 +209,7 @@
             raise Malformed(400, f"the id {ask.id[:40]!r} is another request's") from None
         self.exchange, self.body, self.chunked = exchange, body, False
         if body.done:
-            exchange.came_all(now_s)
+            exchange.receive_end(now_s)
         elif request.expects:
             exchange.offer(now_s)
         else:
--- a/flintlatch/platform/front.py
+++ b/flintlatch/platform/front.py
@@ -130,7 +130,7 @@
             return
         self.request_started = False
         self._reset()
-        exchange.came_all(now_ms() / 1000)
+        exchange.receive_end(now_ms() / 1000)
 
     def _start_upload(self) -> None:
         """Offers a long request to the decision module while its body arrives, once earlier requests are
@@ -193,7 +193,7 @@
         now_s = now_ms() / 1000
         if message.body:
             exchange.receive_body(now_s, [message.body])
-        exchange.came_all(now_s)
+        exchange.receive_end(now_s)
 
     def _reject(self, status: int) -> None:
         exchange = self.incoming.exchange if self.incoming is not None else None
--- a/tests/exchange/test_core.py
+++ b/tests/exchange/test_core.py
@@ -160,7 +160,7 @@
         except BodyTooLarge:
             exchange.client_faulty(rig.now, 413)
     elif event == "all" and not exchange.upload.complete:
-        exchange.came_all(rig.now)
+        exchange.receive_end(rig.now)
     elif event == "offer":
         exchange.offer(rig.now)
     elif event == "connect" and node is None and not exchange.upload.gone and exchange.phase is Phase.WAITING:
@@ -232,7 +232,7 @@
     rig = Rig()
     rig.come(10)
     assert rig.owner.calls == []
-    rig.exchange.came_all(0.0)
+    rig.exchange.receive_end(0.0)
     assert rig.owner.calls == ["ask"]
     rig = Rig()
     rig.come(100)
@@ -277,7 +277,7 @@
 def test_a_second_attempts_answer_can_not_follow_the_firsts() -> None:
     rig = Rig()
     rig.come(10)
-    rig.exchange.came_all(0.0)
+    rig.exchange.receive_end(0.0)
     first = rig.connect()
     rig.exchange.begin(0.0, first, HEAD)
     rig.exchange.begin(0.0, Node(), HEAD)
