--- a/flintlatch/exchange/core.py
+++ b/flintlatch/exchange/core.py
@@ -140,7 +140,7 @@
     def client_left(self, now_s: float) -> None:
         self._end(now_s, Ending.CLIENT_LEFT)
 
-    def client_faulty(self, now_s: float, status: int) -> None:
+    def reject_request(self, now_s: float, status: int) -> None:
         """The rest of the request can't be read, or is not wanted."""
         self._refuse(now_s, status, Ending.CLIENT_FAULT)
 
--- a/flintlatch/http/front.py
+++ b/flintlatch/http/front.py
@@ -221,7 +221,7 @@
         """What follows can't be told apart, or is not wanted: answer, and close."""
         self.keep_alive = False
         if self.exchange is not None:
-            self.exchange.client_faulty(now_ms() / 1000, error.status)
+            self.exchange.reject_request(now_ms() / 1000, error.status)
         else:
             self.front.engine.report_refusal(Refusal(error.status, error.reason, *self.asked))
             self.own(ProxyResponse(error.status, 1000.0 if error.status == 503 else 0.0))
--- a/flintlatch/platform/front.py
+++ b/flintlatch/platform/front.py
@@ -202,7 +202,7 @@
             super()._reject(status)
             return
         self.closing, self.unparsed, self.keep_alive = True, b"", False
-        exchange.client_faulty(now_ms() / 1000, status)
+        exchange.reject_request(now_ms() / 1000, status)
 
     # `ClientSide` of an exchange
 
--- a/tests/exchange/test_core.py
+++ b/tests/exchange/test_core.py
@@ -158,7 +158,7 @@
         try:
             rig.come(size)
         except BodyTooLarge:
-            exchange.client_faulty(rig.now, 413)
+            exchange.reject_request(rig.now, 413)
     elif event == "all" and not exchange.upload.complete:
         exchange.receive_end(rig.now)
     elif event == "offer":
@@ -187,7 +187,7 @@
     elif event == "leave":
         exchange.client_left(rig.now)
     elif event == "faulty" and not exchange.upload.complete:
-        exchange.client_faulty(rig.now, 400)
+        exchange.reject_request(rig.now, 400)
     elif event in ("tick", "wait"):
         rig.tick(0.25 if event == "tick" else 6.0)
 
