--- a/flintlatch/exchange/core.py
+++ b/flintlatch/exchange/core.py
@@ -144,7 +144,7 @@
         """The rest of the request can't be read, or is not wanted."""
         self._refuse(now_s, status, Ending.CLIENT_FAULT)
 
-    def client_full(self, full: bool) -> None:
+    def set_client_blocked(self, full: bool) -> None:
         """What the client does not take, the node must keep."""
         if self.phase is Phase.BEGUN and self.node is not None:
             self.node.hold(full)
--- a/flintlatch/http/front.py
+++ b/flintlatch/http/front.py
@@ -69,11 +69,11 @@
 
     def pause_writing(self) -> None:
         if self.exchange is not None:
-            self.exchange.client_full(True)
+            self.exchange.set_client_blocked(True)
 
     def resume_writing(self) -> None:
         if self.exchange is not None:
-            self.exchange.client_full(False)
+            self.exchange.set_client_blocked(False)
 
     # Reading
 
--- a/tests/exchange/test_core.py
+++ b/tests/exchange/test_core.py
@@ -173,10 +173,10 @@
         exchange.begin(rig.now, node, HEAD)
     elif event == "piece" and node is not None and not node.holding:
         exchange.pieces(rig.now, node, [b"y" * size])
-        exchange.client_full(rig.client.held > 100)
+        exchange.set_client_blocked(rig.client.held > 100)
     elif event == "drain":
         rig.client.held //= 2
-        exchange.client_full(rig.client.held > 100)
+        exchange.set_client_blocked(rig.client.held > 100)
     elif event == "finish" and node is not None:
         exchange.finish(rig.now, node)
     elif event == "die" and node is not None:
