--- a/flintlatch/exchange/core.py
+++ b/flintlatch/exchange/core.py
@@ -264,7 +264,7 @@
             self._end(now_s, ending)
         elif not self.has_ended:
             self.status, self.first_byte_s = status, now_s
-            self.client.own(ProxyResponse(status, retry_after_ms))
+            self.client.send_proxy_response(ProxyResponse(status, retry_after_ms))
             self._end(now_s, ending)
 
     def _end(self, now_s: float, ending: Ending, to_blame: NodeSide | None = None) -> None:
--- a/flintlatch/exchange/sides.py
+++ b/flintlatch/exchange/sides.py
@@ -24,7 +24,7 @@
     def end(self, trailers: Fields) -> None:
         """All of the answer has been given."""
 
-    def own(self, answer: ProxyResponse) -> None:
+    def send_proxy_response(self, answer: ProxyResponse) -> None:
         """The proxy's answer, whole."""
 
     def reset(self) -> None:
--- a/flintlatch/http/front.py
+++ b/flintlatch/http/front.py
@@ -224,7 +224,7 @@
             self.exchange.reject_request(now_ms() / 1000, error.status)
         else:
             self.front.engine.report_refusal(Refusal(error.status, error.reason, *self.asked))
-            self.own(ProxyResponse(error.status, 1000.0 if error.status == 503 else 0.0))
+            self.send_proxy_response(ProxyResponse(error.status, 1000.0 if error.status == 503 else 0.0))
 
     def on_read_timeout(self) -> None:
         if self.request_started:
@@ -270,7 +270,7 @@
             self.transport.write(last_chunk(trailers))
         self._answered()
 
-    def own(self, answer: ProxyResponse) -> None:
+    def send_proxy_response(self, answer: ProxyResponse) -> None:
         exchange = self.exchange
         if exchange is not None and not exchange.upload.complete:
             self.keep_alive = False
--- a/flintlatch/platform/front.py
+++ b/flintlatch/platform/front.py
@@ -244,7 +244,7 @@
             self.transport.write(b"0\r\n\r\n")
         self._on_response_end()
 
-    def own(self, answer: ProxyResponse) -> None:
+    def send_proxy_response(self, answer: ProxyResponse) -> None:
         exchange = self.exchange
         if exchange is not None and not exchange.upload.complete:
             self.keep_alive = False
--- a/tests/exchange/test_core.py
+++ b/tests/exchange/test_core.py
@@ -51,7 +51,7 @@
     def end(self, trailers: Fields) -> None:
         self.told.append("end")
 
-    def own(self, answer: ProxyResponse) -> None:
+    def send_proxy_response(self, answer: ProxyResponse) -> None:
         self.told.append("own")
 
     def reset(self) -> None:
