--- a/flintlatch/exchange/core.py
+++ b/flintlatch/exchange/core.py
@@ -147,7 +147,7 @@
     def set_client_blocked(self, full: bool) -> None:
         """What the client does not take, the node must keep."""
         if self.phase is Phase.BEGUN and self.node is not None:
-            self.node.hold(full)
+            self.node.set_reading_paused(full)
 
     # From a node's side
 
--- a/flintlatch/exchange/sides.py
+++ b/flintlatch/exchange/sides.py
@@ -46,5 +46,5 @@
     def more(self) -> None:
         """Of the request's body there is more to take, or its end."""
 
-    def hold(self, hold: bool) -> None:
+    def set_reading_paused(self, hold: bool) -> None:
         """Read no more of the answer for now; or do again."""
--- a/flintlatch/http/node.py
+++ b/flintlatch/http/node.py
@@ -115,7 +115,7 @@
 
     # The answer
 
-    def hold(self, hold: bool) -> None:
+    def set_reading_paused(self, hold: bool) -> None:
         if self.transport is not None and hold is not self.held:
             self.held = hold
             if hold:
@@ -183,7 +183,7 @@
             response.keep and self.sent_all and not surplus and response.framing.kind is not Kind.UNTIL_CLOSE
         )
         exchange.finish(now_ms() / 1000, self, body.trailers)
-        self.hold(False)
+        self.set_reading_paused(False)
         self.attempt = None
         self.pool.release_connection(self)
         if response.status >= 500:
--- a/flintlatch/platform/node.py
+++ b/flintlatch/platform/node.py
@@ -190,10 +190,10 @@
                 if response.body:
                     exchange.pieces(now_s, self, [response.body])
             exchange.finish(now_s, self)
-            self.hold(False)
+            self.set_reading_paused(False)
         super().on_response(response)
 
-    def hold(self, hold: bool) -> None:
+    def set_reading_paused(self, hold: bool) -> None:
         transport = self.transport
         if transport is None or hold is self.reading_paused or transport.is_closing():
             return
--- a/tests/exchange/test_core.py
+++ b/tests/exchange/test_core.py
@@ -75,7 +75,7 @@
     def more(self) -> None:
         pass
 
-    def hold(self, hold: bool) -> None:
+    def set_reading_paused(self, hold: bool) -> None:
         self.holding = hold
 
 
