--- a/flintlatch/exchange/sides.py
+++ b/flintlatch/exchange/sides.py
@@ -1,5 +1,5 @@
 """What an exchange asks of its two sides. Nothing here calls back into it at once, except `NodeSide.more`
-and `ClientSide.more`, which may take and bring bytes there and then."""
+and `ClientSide.resume_upload`, which may take and bring bytes there and then."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     def reset(self) -> None:
         """The answer has begun and can't be finished: the client must see that it is broken."""
 
-    def more(self) -> None:
+    def resume_upload(self) -> None:
         """There is room again for what the client sends."""
 
     def unread(self) -> int:
--- a/flintlatch/http/front.py
+++ b/flintlatch/http/front.py
@@ -127,7 +127,7 @@
             self._read(len(self.buffer) <= most and (most > 0 or exchange.room > 0))
             self.frontend.move_client(self, None)
 
-    more = read_on  # there is room again for the upload
+    resume_upload = read_on  # there is room again for the upload
 
     def _read(self, reading: bool) -> None:
         if reading != self.reading and not self.half_closed:
--- a/flintlatch/http/node.py
+++ b/flintlatch/http/node.py
@@ -104,7 +104,7 @@
         if self.sent_all and not self.paused:
             exchange.sent(now_s, self)
         else:
-            exchange.client.more()
+            exchange.client.resume_upload()
 
     def pause_writing(self) -> None:
         self.paused = True
--- a/flintlatch/platform/front.py
+++ b/flintlatch/platform/front.py
@@ -76,7 +76,7 @@
         finally:
             self.processing = False
 
-    more = _process  # called when the upload buffer has room again
+    resume_upload = _process  # called when the upload buffer has room again
 
     def parse_limit(self) -> int:
         incoming = self.incoming
--- a/flintlatch/platform/node.py
+++ b/flintlatch/platform/node.py
@@ -92,7 +92,7 @@
             self.uploading = self.write_incomplete = False
             self.on_written()
         else:
-            exchange.client.more()
+            exchange.client.resume_upload()
 
     def pause_writing(self) -> None:
         self.writing_paused = self.write_incomplete = True
--- a/tests/exchange/test_core.py
+++ b/tests/exchange/test_core.py
@@ -57,7 +57,7 @@
     def reset(self) -> None:
         self.told.append("reset")
 
-    def more(self) -> None:
+    def resume_upload(self) -> None:
         pass
 
     def gone(self) -> bool:
