--- a/flintlatch/exchange/core.py
+++ b/flintlatch/exchange/core.py
@@ -135,7 +135,7 @@
     def push(self) -> None:
         """The client's side has brought what it had: the node may take it."""
         if self.node is not None and not self.has_ended:
-            self.node.more()
+            self.node.send_upload()
 
     def client_left(self, now_s: float) -> None:
         self._end(now_s, Ending.CLIENT_LEFT)
--- a/flintlatch/exchange/sides.py
+++ b/flintlatch/exchange/sides.py
@@ -1,4 +1,4 @@
-"""What an exchange asks of its two sides. Nothing here calls back into it at once, except `NodeSide.more`
+"""What an exchange asks of its two sides. Nothing here calls back into it at once, except `NodeSide.send_upload`
 and `ClientSide.resume_upload`, which may take and bring bytes there and then."""
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
 class NodeSide(Protocol):
     """An attempt's end at its node."""
 
-    def more(self) -> None:
+    def send_upload(self) -> None:
         """Of the request's body there is more to take, or its end."""
 
     def set_reading_paused(self, hold: bool) -> None:
--- a/flintlatch/http/node.py
+++ b/flintlatch/http/node.py
@@ -81,7 +81,7 @@
         budget = max(1, int(attempt.deadline_ms - self.begun_ms))
         head = request_head(exchange.request, exchange.routing.id)
         self.transport.write(b"%bx-budget-ms: %d\r\n\r\n" % (head, budget))
-        self.more()
+        self.send_upload()
 
     def never_ran(self) -> bool:
         """A node may begin with the head alone: only one that has nothing of it has surely not run it."""
@@ -89,7 +89,7 @@
 
     # The request's body
 
-    def more(self) -> None:
+    def send_upload(self) -> None:
         exchange, transport = self.exchange, self.transport
         if exchange is None or transport is None or transport.is_closing() or exchange.has_ended:
             return
@@ -111,7 +111,7 @@
 
     def resume_writing(self) -> None:
         self.paused = False
-        self.more()
+        self.send_upload()
 
     # The answer
 
--- a/flintlatch/platform/node.py
+++ b/flintlatch/platform/node.py
@@ -68,14 +68,14 @@
             else:
                 self.send_request(head + b"content-length: %d\r\n\r\n" % request.length)
             self.write_incomplete = True
-            self.more()
+            self.send_upload()
         else:
             pieces, size = exchange.take(now / 1000)
             if request.method == b"POST":
                 head += b"content-length: %d\r\n" % size
             self.send_request(b"".join((head, b"\r\n", *pieces)))
 
-    def more(self) -> None:
+    def send_upload(self) -> None:
         exchange, transport = self.exchange, self.transport
         if exchange is None or transport is None or not self.uploading or transport.is_closing():
             return
@@ -100,7 +100,7 @@
     def resume_writing(self) -> None:
         self.writing_paused = False
         if self.uploading:
-            self.more()
+            self.send_upload()
         else:
             super().resume_writing()
 
--- a/tests/exchange/test_core.py
+++ b/tests/exchange/test_core.py
@@ -72,7 +72,7 @@
         self.got = 0
         self.holding = False
 
-    def more(self) -> None:
+    def send_upload(self) -> None:
         pass
 
     def set_reading_paused(self, hold: bool) -> None:
