--- a/flintlatch/exchange/core.py
+++ b/flintlatch/exchange/core.py
@@ -254,7 +254,10 @@
 
     def _note_taken(self, now_s: float) -> None:
         """What has left the client's side, as far as it was of this body."""
-        if self.response_pipe is not None and (gone := self.response_pipe.held - self.client.unread()) > 0:
+        if (
+            self.response_pipe is not None
+            and (gone := self.response_pipe.held - self.client.unsent_bytes()) > 0
+        ):
             self.response_pipe.taken(now_s, gone)
 
     # The end
--- a/flintlatch/exchange/sides.py
+++ b/flintlatch/exchange/sides.py
@@ -33,7 +33,7 @@
     def resume_upload(self) -> None:
         """There is room again for what the client sends."""
 
-    def unread(self) -> int:
+    def unsent_bytes(self) -> int:
         """Bytes of the answer that this side holds still."""
 
     def gone(self) -> bool:
--- a/flintlatch/http/front.py
+++ b/flintlatch/http/front.py
@@ -286,7 +286,7 @@
         """No last chunk, and the end of the connection: the client can tell."""
         self.transport.abort()
 
-    def unread(self) -> int:
+    def unsent_bytes(self) -> int:
         return self.transport.get_write_buffer_size()
 
     # Answers
--- a/flintlatch/platform/front.py
+++ b/flintlatch/platform/front.py
@@ -258,7 +258,7 @@
     def reset(self) -> None:
         self.transport.abort()
 
-    def unread(self) -> int:
+    def unsent_bytes(self) -> int:
         return self.transport.get_write_buffer_size()
 
     def _on_response_end(self) -> None:
--- a/tests/exchange/test_core.py
+++ b/tests/exchange/test_core.py
@@ -63,7 +63,7 @@
     def gone(self) -> bool:
         return False
 
-    def unread(self) -> int:
+    def unsent_bytes(self) -> int:
         return self.held
 
 
