--- a/flintlatch/exchange/messages.py
+++ b/flintlatch/exchange/messages.py
@@ -41,7 +41,7 @@
     tenant: int
     key: int | None
     budget_ms: float  # the client's wait for the first byte of an answer, once its request is here whole
-    whole_wait: bool = False  # that budget is the client's own word, and holds for the upload too
+    budget_includes_upload: bool = False  # that budget is the client's own word, and holds for the upload too
     repeat: bool = False  # marked by the client as another try of a request
 
 
--- a/flintlatch/net/relay.py
+++ b/flintlatch/net/relay.py
@@ -139,7 +139,7 @@
     def request_server(self, exchange: Exchange, uploading: bool) -> None:
         ask, terms = exchange.routing, exchange.limits
         total_budget_ms = (
-            ask.budget_ms if ask.whole_wait or not uploading else terms.upload_ms + ask.budget_ms
+            ask.budget_ms if ask.budget_includes_upload or not uploading else terms.upload_ms + ask.budget_ms
         )
         memory_bytes = self.reserved_bytes[ask.id]
 
