--- a/flintlatch/exchange/messages.py
+++ b/flintlatch/exchange/messages.py
@@ -42,7 +42,7 @@
     key: int | None
     budget_ms: float  # the client's wait for the first byte of an answer, once its request is here whole
     budget_includes_upload: bool = False  # that budget is the client's own word, and holds for the upload too
-    repeat: bool = False  # marked by the client as another try of a request
+    is_retry: bool = False  # marked by the client as another try of a request
 
 
 class ProxyResponse(NamedTuple):
--- a/flintlatch/net/relay.py
+++ b/flintlatch/net/relay.py
@@ -147,7 +147,7 @@
             exchange.answer(now_ms() / 1000, ProxyResponse(answer.status, answer.retry_after_ms))
 
         upload_fields = (ask.budget_ms, uploading, memory_bytes)
-        fields = (ask.id, ask.cls, ask.tenant, ask.key, total_budget_ms, ask.repeat, b"", b"", respond)
+        fields = (ask.id, ask.cls, ask.tenant, ask.key, total_budget_ms, ask.is_retry, b"", b"", respond)
         if not self.accept(AcceptedRequest(*fields, *upload_fields)):
             raise AssertionError(f"id {ask.id} was free in open(), but is in use now")
 
--- a/flintlatch/platform/front.py
+++ b/flintlatch/platform/front.py
@@ -153,7 +153,7 @@
                 accepted.tenant,
                 accepted.key,
                 accepted.budget_ms,
-                repeat=accepted.repeat,
+                is_retry=accepted.repeat,
             )
             request = ForwardedRequest(method, message.target, b"", [], incoming.length, head=accepted.head)
             incoming.exchange = self._open(request, ask, True)
@@ -184,7 +184,7 @@
         accepted = self.frontend.reader.read(message, self.on_answer, with_length=False)
         budget = min(accepted.budget_ms, self.engine.settings.classes[accepted.cls].deadline_ms)
         ask = RoutingInfo(
-            accepted.id, accepted.cls, accepted.tenant, accepted.key, budget, repeat=accepted.repeat
+            accepted.id, accepted.cls, accepted.tenant, accepted.key, budget, is_retry=accepted.repeat
         )
         request = ForwardedRequest(
             message.method, message.target, b"", [], len(message.body), head=accepted.head
