--- a/flintlatch/exchange/messages.py
+++ b/flintlatch/exchange/messages.py
@@ -19,7 +19,7 @@
     authority: bytes
     fields: Fields
     length: int | None = 0  # bytes of the body; None: told by its end alone
-    expects: bool = False  # its client waits for a word (100) before it sends the body
+    expects_continue: bool = False  # its client waits for a word (100) before it sends the body
 
 
 @dataclass(frozen=True, slots=True)
--- a/flintlatch/http/front.py
+++ b/flintlatch/http/front.py
@@ -210,7 +210,7 @@
         self.exchange, self.body, self.chunked = exchange, body, False
         if body.done:
             exchange.receive_end(now_s)
-        elif request.expects:
+        elif request.expects_continue:
             exchange.offer(now_s)
         else:
             self._step()  # most short bodies come with their head
