--- a/flintlatch/exchange/terms.py
+++ b/flintlatch/exchange/terms.py
@@ -23,7 +23,7 @@
         if not self.body_bytes >= 0:
             raise ValueError("body_bytes must not be negative")
 
-    def holds(self, uploading: bool) -> int:
+    def max_buffered_bytes(self, uploading: bool) -> int:
         """Bytes that an exchange may hold; an upload is held twice over while an attempt begins anew."""
         if not uploading:
             return self.answer_bytes
--- a/flintlatch/net/relay.py
+++ b/flintlatch/net/relay.py
@@ -124,7 +124,7 @@
 
     def max_memory_bytes(self, exchange: Exchange, uploading: bool) -> int:
         """The largest number of bytes that the exchange may buffer."""
-        return exchange.limits.holds(uploading)
+        return exchange.limits.max_buffered_bytes(uploading)
 
     def start_gather_timer(self, exchange: Exchange) -> None:
         """Waits GATHER_TIMEOUT_S for the rest of a request before it is offered to the decision module."""
--- a/flintlatch/platform/engine.py
+++ b/flintlatch/platform/engine.py
@@ -34,4 +34,4 @@
     def max_memory_bytes(self, exchange: Exchange, uploading: bool) -> int:
         # Short bodies are bounded by the number of clients, long responses by the buffers of their
         # connections.
-        return exchange.limits.holds(True) if uploading else 0
+        return exchange.limits.max_buffered_bytes(True) if uploading else 0
