--- a/flintlatch/exchange/transfer.py
+++ b/flintlatch/exchange/transfer.py
@@ -211,7 +211,7 @@
         """`flow`: bytes that may wait once a part was let go, if that is more than `cap`: one read of the
         shell's, so that it need not be cut up."""
         self.cap, self.flow = cap, max(cap, flow)
-        self.gone = False  # a part of it was let go: no attempt may begin
+        self.discarded = False  # a part of it was let go: no attempt may begin
         self.complete = False
         self.total = 0
         self._pieces: list[Piece] = []
@@ -233,7 +233,7 @@
         """Bytes that may come. With an attempt that takes them, what it took gives way."""
         if self.complete:
             return 0
-        if self.gone:
+        if self.discarded:
             return self.flow - self._waiting
         return self.cap - (self._waiting if self._next else self._size)
 
@@ -250,8 +250,8 @@
         self._size += size
         self._waiting += size
         self.total += size
-        if not self.gone and self._size > self.cap:
-            self.gone = True
+        if not self.discarded and self._size > self.cap:
+            self.discarded = True
             self._trim()
             return True
         return False
@@ -261,7 +261,7 @@
 
     def begin(self) -> None:
         """A new attempt takes it from its first byte. Raises ValueError if that is not held any more."""
-        if self.gone:
+        if self.discarded:
             raise ValueError("a part of the body was let go")
         self._next, self._waiting = 0, self._size
 
@@ -270,7 +270,7 @@
         if self._next >= len(self._pieces):
             return [], 0
         pieces, size = (self._pieces[self._next :] if self._next else self._pieces), self._waiting
-        if self.gone:
+        if self.discarded:
             self._pieces, self._size, self._next = [], 0, 0
         else:
             pieces, self._next = list(pieces), len(self._pieces)
--- a/flintlatch/net/relay.py
+++ b/flintlatch/net/relay.py
@@ -287,7 +287,7 @@
             action.write_within_ms,
         )
         pending.attempts.append(attempt)
-        if pending.completed or number >= self.settings.max_attempts or exchange.upload.gone:
+        if pending.completed or number >= self.settings.max_attempts or exchange.upload.discarded:
             attempt.end(Result.NOT_SENT)
         else:
             self.backends.start(attempt)
--- a/tests/exchange/test_core.py
+++ b/tests/exchange/test_core.py
@@ -163,7 +163,12 @@
         exchange.receive_end(rig.now)
     elif event == "offer":
         exchange.offer(rig.now)
-    elif event == "connect" and node is None and not exchange.upload.gone and exchange.phase is Phase.WAITING:
+    elif (
+        event == "connect"
+        and node is None
+        and not exchange.upload.discarded
+        and exchange.phase is Phase.WAITING
+    ):
         rig.connect()
     elif event == "take":
         rig.take()
--- a/tests/exchange/test_transfer.py
+++ b/tests/exchange/test_transfer.py
@@ -165,12 +165,12 @@
             sent += piece
             told += upload.add([piece], len(piece))
         assert upload.waiting <= cap and upload.held <= 2 * cap
-        assert upload.gone is (told == 1) and told <= 1
-        assert upload.gone or upload.held == len(sent) <= cap
+        assert upload.discarded is (told == 1) and told <= 1
+        assert upload.discarded or upload.held == len(sent) <= cap
     upload.end()
     got += b"".join(upload.take()[0])
     assert got == sent and upload.taken
-    if upload.gone:
+    if upload.discarded:
         with pytest.raises(ValueError, match="let go"):
             upload.begin()
     else:
@@ -181,7 +181,7 @@
 def test_an_upload_that_nobody_takes_is_held_back_at_the_cap() -> None:
     upload = Upload(10)
     upload.add([b"x" * 10], 10)
-    assert upload.room == 0 and not upload.gone
+    assert upload.room == 0 and not upload.discarded
     with pytest.raises(ValueError, match="room for 0"):
         upload.add([b"y"], 1)
 
--- a/tests/platform/test_long.py
+++ b/tests/platform/test_long.py
@@ -228,7 +228,7 @@
             if buffered:
                 await until_uploading(p)
             else:
-                while not p.engine.exchanges["up"].upload.gone:
+                while not p.engine.exchanges["up"].upload.discarded:
                     await asyncio.sleep(0.001)
             writers[0].transport.abort()
             if buffered:
