--- a/flintlatch/exchange/core.py
+++ b/flintlatch/exchange/core.py
@@ -104,7 +104,7 @@
         if self.has_ended:
             return
         size = sum(map(len, pieces))
-        if self.upload.total + size > self.limits.body_bytes:
+        if self.upload.total_bytes + size > self.limits.body_bytes:
             raise BodyTooLarge(f"a body of more than {self.limits.body_bytes} bytes")
         self.upload_pipe.arrived(now_s, size)
         gone = self.upload.add(pieces, size)
--- a/flintlatch/exchange/transfer.py
+++ b/flintlatch/exchange/transfer.py
@@ -213,7 +213,7 @@
         self.cap, self.flow = cap, max(cap, flow)
         self.discarded = False  # a part of it was let go: no attempt may begin
         self.complete = False
-        self.total = 0
+        self.total_bytes = 0
         self._pieces: list[Piece] = []
         self._size = 0  # bytes in `_pieces`
         self._next = 0  # of the pieces, which the attempt takes next
@@ -249,7 +249,7 @@
             self._next = min(self._next, 1)
         self._size += size
         self._waiting += size
-        self.total += size
+        self.total_bytes += size
         if not self.discarded and self._size > self.cap:
             self.discarded = True
             self._trim()
--- a/flintlatch/fleet/observe.py
+++ b/flintlatch/fleet/observe.py
@@ -52,7 +52,7 @@
                 (exchange.ended_s - began) * 1000,
                 after(exchange.first_byte_s),
                 after(exchange.request_complete_s),
-                exchange.upload.total,
+                exchange.upload.total_bytes,
                 exchange.response_pipe.arrived_bytes if exchange.response_pipe is not None else 0,
                 attempts_of(attempts, began * 1000),
             )
