--- a/flintlatch/exchange/transfer.py
+++ b/flintlatch/exchange/transfer.py
@@ -224,7 +224,7 @@
         return self._size
 
     @property
-    def waiting(self) -> int:
+    def untaken_bytes(self) -> int:
         """Bytes that the attempt has not taken."""
         return self._waiting
 
--- a/flintlatch/http/node.py
+++ b/flintlatch/http/node.py
@@ -95,7 +95,7 @@
             return
         now_s = now_ms() / 1000
         chunked = exchange.request.length is None
-        if not self.paused and exchange.upload.waiting:
+        if not self.paused and exchange.upload.untaken_bytes:
             write_body(transport, *exchange.take(now_s), chunked)
         if exchange.upload.taken and not self.sent_all:
             self.sent_all = True
--- a/tests/exchange/test_transfer.py
+++ b/tests/exchange/test_transfer.py
@@ -164,7 +164,7 @@
             piece = bytes(len(sent) + n & 255 for n in range(size))
             sent += piece
             told += upload.add([piece], len(piece))
-        assert upload.waiting <= cap and upload.held <= 2 * cap
+        assert upload.untaken_bytes <= cap and upload.held <= 2 * cap
         assert upload.discarded is (told == 1) and told <= 1
         assert upload.discarded or upload.held == len(sent) <= cap
     upload.end()
--- a/tests/platform/test_long.py
+++ b/tests/platform/test_long.py
@@ -253,7 +253,11 @@
 
 
 async def until_uploading(p: Proxy) -> None:
-    while not (exchange := p.engine.exchanges.get("up")) or exchange.node is None or exchange.upload.waiting:
+    while (
+        not (exchange := p.engine.exchanges.get("up"))
+        or exchange.node is None
+        or exchange.upload.untaken_bytes
+    ):
         await asyncio.sleep(0.001)
 
 
