--- a/flintlatch/exchange/transfer.py
+++ b/flintlatch/exchange/transfer.py
@@ -278,7 +278,7 @@
         return pieces, size
 
     @property
-    def taken(self) -> bool:
+    def fully_taken(self) -> bool:
         """The attempt has all of it."""
         return self.complete and not self._waiting
 
--- a/flintlatch/http/node.py
+++ b/flintlatch/http/node.py
@@ -97,7 +97,7 @@
         chunked = exchange.request.length is None
         if not self.paused and exchange.upload.untaken_bytes:
             write_body(transport, *exchange.take(now_s), chunked)
-        if exchange.upload.taken and not self.sent_all:
+        if exchange.upload.fully_taken and not self.sent_all:
             self.sent_all = True
             if chunked:
                 transport.write(last_chunk(exchange.trailers))
--- a/flintlatch/platform/node.py
+++ b/flintlatch/platform/node.py
@@ -84,7 +84,7 @@
             pieces, size = exchange.take(now_ms() / 1000)
             if size:
                 transport.writelines([b"%x\r\n" % size, *pieces, b"\r\n"] if chunked else pieces)
-        if exchange.upload.taken and not self.sent_all:
+        if exchange.upload.fully_taken and not self.sent_all:
             self.sent_all = True
             if chunked:
                 transport.write(b"0\r\n\r\n")
--- a/tests/exchange/test_core.py
+++ b/tests/exchange/test_core.py
@@ -132,7 +132,7 @@
     def take(self) -> None:
         if self.node is not None:
             self.node.got += self.exchange.take(self.now)[1]
-        if self.node is not None and self.exchange.upload.taken:
+        if self.node is not None and self.exchange.upload.fully_taken:
             self.exchange.sent(self.now, self.node)
 
     def tick(self, after: float) -> Stall | None:
--- a/tests/exchange/test_transfer.py
+++ b/tests/exchange/test_transfer.py
@@ -148,7 +148,7 @@
     upload.end()
     for _ in range(3):
         upload.begin()
-        assert b"".join(upload.take()[0]) == data and upload.taken
+        assert b"".join(upload.take()[0]) == data and upload.fully_taken
 
 
 @given(st.integers(1, 50), st.lists(st.tuples(st.booleans(), st.floats(0, 1)), max_size=60))
@@ -169,7 +169,7 @@
         assert upload.discarded or upload.held == len(sent) <= cap
     upload.end()
     got += b"".join(upload.take()[0])
-    assert got == sent and upload.taken
+    assert got == sent and upload.fully_taken
     if upload.discarded:
         with pytest.raises(ValueError, match="let go"):
             upload.begin()
