--- a/flintlatch/exchange/core.py
+++ b/flintlatch/exchange/core.py
@@ -25,7 +25,7 @@
 
 class Phase(Enum):
     GATHERING = "gathering"  # the request comes, and nobody has been asked for a server
-    WAITING = "waiting"  # the module has it; nothing of an answer has gone out
+    AWAITING_RESPONSE = "waiting"  # the module has it; nothing of an answer has gone out
     BEGUN = "begun"  # a node's answer has: it ends whole, or visibly broken
     OVER = "over"
 
@@ -112,7 +112,7 @@
         if self.phase is Phase.GATHERING:
             if self.upload.room <= 0:
                 self.offer(now_s)
-        elif gone and self.phase is Phase.WAITING:
+        elif gone and self.phase is Phase.AWAITING_RESPONSE:
             self.owner.on_body_discarded(self)
 
     def receive_end(self, now_s: float, trailers: Fields | None = None) -> None:
@@ -129,7 +129,7 @@
     def offer(self, now_s: float) -> None:
         """Wait no longer for the rest of the request."""
         if self.phase is Phase.GATHERING:
-            self.phase = Phase.WAITING
+            self.phase = Phase.AWAITING_RESPONSE
             self.owner.request_server(self, not self.upload.complete)
 
     def push(self) -> None:
@@ -173,12 +173,12 @@
             self.owner.on_request_sent(self, node)
 
     def interim(self, head: Response) -> None:
-        if self.phase is Phase.WAITING:
+        if self.phase is Phase.AWAITING_RESPONSE:
             self.client.interim(head)
 
     def begin(self, now_s: float, node: NodeSide, head: Response) -> None:
         """A final answer: from here on no other one can take its place."""
-        if self.phase is not Phase.WAITING:
+        if self.phase is not Phase.AWAITING_RESPONSE:
             return
         self.phase, self.node, self.status, self.first_byte_s = Phase.BEGUN, node, head.status, now_s
         self.response_pipe = Pipe(
--- a/tests/exchange/test_core.py
+++ b/tests/exchange/test_core.py
@@ -167,7 +167,7 @@
         event == "connect"
         and node is None
         and not exchange.upload.discarded
-        and exchange.phase is Phase.WAITING
+        and exchange.phase is Phase.AWAITING_RESPONSE
     ):
         rig.connect()
     elif event == "take":
@@ -241,7 +241,7 @@
     assert rig.owner.calls == ["ask"]
     rig = Rig()
     rig.come(100)
-    assert rig.owner.calls == ["ask"] and rig.exchange.phase is Phase.WAITING
+    assert rig.owner.calls == ["ask"] and rig.exchange.phase is Phase.AWAITING_RESPONSE
 
 
 def test_time_without_a_node_is_nobodys_and_a_client_that_can_send_is_waited_for() -> None:
