--- a/flintlatch/exchange/core.py
+++ b/flintlatch/exchange/core.py
@@ -26,7 +26,7 @@
 class Phase(Enum):
     GATHERING = "gathering"  # the request comes, and nobody has been asked for a server
     AWAITING_RESPONSE = "waiting"  # the module has it; nothing of an answer has gone out
-    BEGUN = "begun"  # a node's answer has: it ends whole, or visibly broken
+    RESPONDING = "begun"  # a node's answer has: it ends whole, or visibly broken
     OVER = "over"
 
 
@@ -146,7 +146,7 @@
 
     def set_client_blocked(self, full: bool) -> None:
         """What the client does not take, the node must keep."""
-        if self.phase is Phase.BEGUN and self.node is not None:
+        if self.phase is Phase.RESPONDING and self.node is not None:
             self.node.set_reading_paused(full)
 
     # From a node's side
@@ -180,7 +180,7 @@
         """A final answer: from here on no other one can take its place."""
         if self.phase is not Phase.AWAITING_RESPONSE:
             return
-        self.phase, self.node, self.status, self.first_byte_s = Phase.BEGUN, node, head.status, now_s
+        self.phase, self.node, self.status, self.first_byte_s = Phase.RESPONDING, node, head.status, now_s
         self.response_pipe = Pipe(
             Side.NODE, self.limits.answer_bytes, self.limits.pace, self.limits.pace, now_s
         )
@@ -188,7 +188,7 @@
         self.client.begin(head)
 
     def pieces(self, now_s: float, node: NodeSide, pieces: list[Piece]) -> None:
-        if self.phase is not Phase.BEGUN or node is not self.node or self.response_pipe is None:
+        if self.phase is not Phase.RESPONDING or node is not self.node or self.response_pipe is None:
             return
         self._note_taken(now_s)
         size = sum(map(len, pieces))
@@ -197,7 +197,7 @@
 
     def finish(self, now_s: float, node: NodeSide, trailers: Fields | None = None) -> None:
         """This node's answer is here whole."""
-        if self.phase is Phase.BEGUN and node is self.node:
+        if self.phase is Phase.RESPONDING and node is self.node:
             self.phase, self.ending, self.node, self.ended_s = Phase.OVER, Ending.ANSWERED, None, now_s
             self.client.end(trailers or [])
             self.owner.on_exchange_ended(self)
@@ -206,7 +206,7 @@
         """This attempt has ended without a whole answer."""
         if node is not self.node:
             return
-        if self.phase is Phase.BEGUN:
+        if self.phase is Phase.RESPONDING:
             self._end(now_s, Ending.NODE_BROKE)
             return
         self.node = None
@@ -228,7 +228,7 @@
         if stall.side is Side.CLIENT:
             self._refuse(now_s, 408, Ending.CLIENT_STALLED)
         elif self.node is not None:
-            node, begun = self.node, self.phase is Phase.BEGUN
+            node, begun = self.node, self.phase is Phase.RESPONDING
             if begun:
                 self._end(now_s, Ending.NODE_STALLED, node)
             else:
@@ -236,7 +236,7 @@
         return stall
 
     def _stalled(self, now_s: float) -> Stall | None:
-        if self.phase is Phase.BEGUN and self.response_pipe is not None:
+        if self.phase is Phase.RESPONDING and self.response_pipe is not None:
             self._note_taken(now_s)
             stall = self.response_pipe.stalled(now_s)
             # A node that answers while it reads may wait for its client's next piece.
@@ -263,7 +263,7 @@
     # The end
 
     def _refuse(self, now_s: float, status: int, ending: Ending, retry_after_ms: float = 0.0) -> None:
-        if self.phase is Phase.BEGUN:
+        if self.phase is Phase.RESPONDING:
             self._end(now_s, ending)
         elif not self.has_ended:
             self.status, self.first_byte_s = status, now_s
@@ -273,7 +273,7 @@
     def _end(self, now_s: float, ending: Ending, to_blame: NodeSide | None = None) -> None:
         if self.has_ended:
             return
-        begun, asked = self.phase is Phase.BEGUN, self.phase is not Phase.GATHERING
+        begun, asked = self.phase is Phase.RESPONDING, self.phase is not Phase.GATHERING
         self.phase, self.ending, self.node, self.ended_s = Phase.OVER, ending, None, now_s
         if begun and ending is not Ending.CLIENT_LEFT:
             self.client.reset()
--- a/flintlatch/platform/node.py
+++ b/flintlatch/platform/node.py
@@ -172,7 +172,7 @@
         now_s = now_ms() / 1000
         body, self._body = bytes(self._body), bytearray()
         exchange.begin(now_s, self, Head(200, self._forwarded_headers(), length=self.body_length))
-        if exchange.phase is not Phase.BEGUN or exchange.node is not self:
+        if exchange.phase is not Phase.RESPONDING or exchange.node is not self:
             self._malformed = True  # another attempt's response was first: this one is dropped
         elif body:
             exchange.pieces(now_s, self, [body])
