--- a/flintlatch/exchange/core.py
+++ b/flintlatch/exchange/core.py
@@ -27,7 +27,7 @@
     GATHERING = "gathering"  # the request comes, and nobody has been asked for a server
     AWAITING_RESPONSE = "waiting"  # the module has it; nothing of an answer has gone out
     RESPONDING = "begun"  # a node's answer has: it ends whole, or visibly broken
-    OVER = "over"
+    ENDED = "over"
 
 
 class Owner(Protocol):
@@ -90,7 +90,7 @@
 
     @property
     def has_ended(self) -> bool:
-        return self.phase is Phase.OVER
+        return self.phase is Phase.ENDED
 
     # From the client's side
 
@@ -198,7 +198,7 @@
     def finish(self, now_s: float, node: NodeSide, trailers: Fields | None = None) -> None:
         """This node's answer is here whole."""
         if self.phase is Phase.RESPONDING and node is self.node:
-            self.phase, self.ending, self.node, self.ended_s = Phase.OVER, Ending.ANSWERED, None, now_s
+            self.phase, self.ending, self.node, self.ended_s = Phase.ENDED, Ending.ANSWERED, None, now_s
             self.client.end(trailers or [])
             self.owner.on_exchange_ended(self)
 
@@ -274,7 +274,7 @@
         if self.has_ended:
             return
         begun, asked = self.phase is Phase.RESPONDING, self.phase is not Phase.GATHERING
-        self.phase, self.ending, self.node, self.ended_s = Phase.OVER, ending, None, now_s
+        self.phase, self.ending, self.node, self.ended_s = Phase.ENDED, ending, None, now_s
         if begun and ending is not Ending.CLIENT_LEFT:
             self.client.reset()
         if to_blame is not None:
