--- a/bench/bodies.py
+++ b/bench/bodies.py
@@ -25,7 +25,7 @@
 
 from bench.fleet import child as fleet_child
 from bench.fleet import cpu_s, measure, measure_one
-from flintlatch.http.sockets import ANSWER_BYTES
+from flintlatch.http.sockets import RESPONSE_BUFFER_BYTES
 from flintlatch.standin.bulk import address_of, connect, digest, serve_node, serve_relay
 from flintlatch.standin.process import FleetProcess, alive
 from flintlatch.standin.rig import configuration
@@ -272,7 +272,7 @@
         peak = hwm_mb(instance.pid)
         each = (peak - before) * MIB / count
         # An upload holds its cap and a read; an export what is held for its client.
-        cap = max(ANSWER_BYTES, 3 * UPLOAD_BYTES) + SLACK_BYTES
+        cap = max(RESPONSE_BUFFER_BYTES, 3 * UPLOAD_BYTES) + SLACK_BYTES
         held = (peak - before) * MIB <= cap * count + PAGES_MB * MIB
         for crawler in crawlers:
             crawler.sock.close()
--- a/flintlatch/http/build.py
+++ b/flintlatch/http/build.py
@@ -14,7 +14,7 @@
 from flintlatch.http.head import Limits
 from flintlatch.http.node import NodeConnection
 from flintlatch.http.rules import Names, Rule, Rules
-from flintlatch.http.sockets import ANSWER_BYTES, READ_BYTES
+from flintlatch.http.sockets import READ_BYTES, RESPONSE_BUFFER_BYTES
 from flintlatch.net.relay import RelayEngine
 
 TRANSFER_PART = 0.9  # of connections to nodes and of the bodies' memory that transfers known as such may take
@@ -67,7 +67,7 @@
             ProgressLimits(idle_s, rate, table.window_s),
             own.upload_s * 1000,
             table.upload_bytes if own.upload_bytes is None else own.upload_bytes,
-            ANSWER_BYTES,
+            RESPONSE_BUFFER_BYTES,
             table.body_bytes if own.body_bytes is None else own.body_bytes,
             READ_BYTES,
         )
--- a/flintlatch/http/sockets.py
+++ b/flintlatch/http/sockets.py
@@ -13,7 +13,9 @@
     128 * 1024
 )  # the kernel's for what leaves, doubled too: left to itself it takes 4 MB a slow client
 HIGH_BYTES = 64 * 1024  # of a write buffer, before the other side is held back
-ANSWER_BYTES = HIGH_BYTES + 2 * READ_BYTES  # of an answer at most: the buffer up to its mark, and one read
+RESPONSE_BUFFER_BYTES = (
+    HIGH_BYTES + 2 * READ_BYTES
+)  # of an answer at most: the buffer up to its mark, and one read
 
 
 def write_body(transport: asyncio.Transport, pieces: list[Piece], size: int, chunked: bool) -> None:
--- a/tests/http/support.py
+++ b/tests/http/support.py
@@ -15,7 +15,7 @@
 from flintlatch.http.head import Limits
 from flintlatch.http.node import NodeConnection
 from flintlatch.http.rules import Names, Rule, Rules
-from flintlatch.http.sockets import ANSWER_BYTES, READ_BYTES
+from flintlatch.http.sockets import READ_BYTES, RESPONSE_BUFFER_BYTES
 from flintlatch.net.discovery import Listing, Target
 from flintlatch.net.relay import RelayEngine
 from flintlatch.settings import SocketSettings
@@ -120,7 +120,7 @@
         changes.get("pace", ProgressLimits(10.0, 0)),
         changes.get("upload_ms", 3_600_000.0),
         changes.get("upload_bytes", 64 * 1024),
-        ANSWER_BYTES,
+        RESPONSE_BUFFER_BYTES,
         changes.get("most_body", 2**31),
         READ_BYTES,
     )
--- a/tests/http/test_front.py
+++ b/tests/http/test_front.py
@@ -13,7 +13,7 @@
 from flintlatch.exchange import ProgressLimits
 from flintlatch.http.front import HttpClient
 from flintlatch.http.head import Limits
-from flintlatch.http.sockets import ANSWER_BYTES, READ_BYTES
+from flintlatch.http.sockets import READ_BYTES, RESPONSE_BUFFER_BYTES
 from flintlatch.net.backends import REUSE_DELAY_MS
 from tests.http.support import Front, answering, front, head_of
 from tests.loopback import run
@@ -241,7 +241,7 @@
                 for client in made.frontend.clients:
                     most = max(most, client.transport.get_write_buffer_size())
             sock.close()
-            assert got == BIG and 0 < most <= ANSWER_BYTES
+            assert got == BIG and 0 < most <= RESPONSE_BUFFER_BYTES
             assert digest.digest() == hashlib.sha256(BLOCK * (BIG // len(BLOCK))).digest()
 
     run(test())
