--- a/flintlatch/accesslog/record.py
+++ b/flintlatch/accesslog/record.py
@@ -9,7 +9,7 @@
 MOST_PATH = 2048  # bytes of a path: a target of the longest kind would make lines that no tool likes
 
 
-class Paths(Enum):
+class PathDetail(Enum):
     """How much of a request's target is told: it may hold what nobody should read in a log."""
 
     NONE = "none"
@@ -74,8 +74,8 @@
     }
 
 
-def path_of(target: bytes, paths: Paths) -> str:
-    if paths is Paths.NONE:
+def path_of(target: bytes, paths: PathDetail) -> str:
+    if paths is PathDetail.NONE:
         return ""
-    shown = target.partition(b"?")[0] if paths is Paths.PATH else target
+    shown = target.partition(b"?")[0] if paths is PathDetail.PATH else target
     return shown[:MOST_PATH].decode("latin-1")
--- a/flintlatch/fleet/observe.py
+++ b/flintlatch/fleet/observe.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from flintlatch.accesslog import AccessLog, AttemptRecord, Paths, Record, path_of
+from flintlatch.accesslog import AccessLog, AttemptRecord, PathDetail, Record, path_of
 from flintlatch.api import NEVER_RAN
 from flintlatch.config import Config, beside
 from flintlatch.exchange import Exchange
@@ -21,7 +21,7 @@
         self.counts = Counts()
         self.classes = [row.name for row in config.classes]
         self.tenants = [row.name for row in config.tenants]
-        self.paths = Paths(table.paths) if table is not None else Paths.NONE
+        self.paths = PathDetail(table.paths) if table is not None else PathDetail.NONE
         self.log: AccessLog | None = None
         if table is not None:
             self.log = AccessLog(beside(config.path, table.file), config.fleet.name, number)
