--- a/flintlatch/accesslog/record.py
+++ b/flintlatch/accesslog/record.py
@@ -74,7 +74,7 @@
     }
 
 
-def path_of(target: bytes, paths: PathDetail) -> str:
+def logged_path(target: bytes, paths: PathDetail) -> str:
     if paths is PathDetail.NONE:
         return ""
     shown = target.partition(b"?")[0] if paths is PathDetail.PATH else target
--- a/flintlatch/fleet/observe.py
+++ b/flintlatch/fleet/observe.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from flintlatch.accesslog import AccessLog, AttemptRecord, PathDetail, Record, path_of
+from flintlatch.accesslog import AccessLog, AttemptRecord, PathDetail, Record, logged_path
 from flintlatch.api import NEVER_RAN
 from flintlatch.config import Config, beside
 from flintlatch.exchange import Exchange
@@ -46,7 +46,7 @@
                 self.classes[ask.cls],
                 self._tenant(ask.tenant),
                 exchange.request.method.decode("latin-1"),
-                path_of(exchange.request.target, self.paths),
+                logged_path(exchange.request.target, self.paths),
                 exchange.status,
                 exchange.ending.value if exchange.ending is not None else "",
                 (exchange.ended_s - began) * 1000,
@@ -59,7 +59,7 @@
         )
 
     def on_refusal(self, refusal: Refusal) -> None:
-        path, method = path_of(refusal.target, self.paths), refusal.method.decode("latin-1")
+        path, method = logged_path(refusal.target, self.paths), refusal.method.decode("latin-1")
         at = now_ms()
         self.put(
             Record(at, "", "", "", method, path, refusal.status, refusal.reason, 0.0, 0.0, None, 0, 0, ())
@@ -77,7 +77,7 @@
                 self.classes[taken.cls],
                 self._tenant(taken.tenant),
                 method.decode("latin-1"),
-                path_of(target, self.paths),
+                logged_path(target, self.paths),
                 held.status,
                 "client left" if not held.status else "answered" if held.status == 200 else "own answer",
                 total,
--- a/tests/accesslog/test_writer.py
+++ b/tests/accesslog/test_writer.py
@@ -16,7 +16,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from flintlatch.accesslog import VERSION, AccessLog, AttemptRecord, PathDetail, Record, as_fields, path_of
+from flintlatch.accesslog import VERSION, AccessLog, AttemptRecord, PathDetail, Record, as_fields, logged_path
 
 LIMIT_S = 30.0
 ATTEMPT = AttemptRecord("n1", "ok", 1.234, 5.678, True)
@@ -160,7 +160,7 @@
 def test_any_text_makes_one_line(text: str, path: str, total: float, count: int) -> None:
     name, shown = (
         text.encode("utf-8", "replace").decode(),
-        path_of(path.encode("utf-8", "replace"), PathDetail.FULL),
+        logged_path(path.encode("utf-8", "replace"), PathDetail.FULL),
     )
     record = RECORD._replace(id=name, path=shown)
     line = orjson.dumps(as_fields(record._replace(total_ms=total, up_bytes=count), "f", 0))
@@ -169,5 +169,5 @@
 
 def test_a_path_is_told_as_far_as_the_settings_allow() -> None:
     target = b"/a/b?token=secret"
-    assert [path_of(target, paths) for paths in PathDetail] == ["", "/a/b", "/a/b?token=secret"]
-    assert len(path_of(b"/" + b"a" * 9000, PathDetail.PATH)) == 2048
+    assert [logged_path(target, paths) for paths in PathDetail] == ["", "/a/b", "/a/b?token=secret"]
+    assert len(logged_path(b"/" + b"a" * 9000, PathDetail.PATH)) == 2048
