--- a/flintlatch/fleet/supervisor.py
+++ b/flintlatch/fleet/supervisor.py
@@ -282,14 +282,14 @@
 
     def now(self) -> Any:
         """For the page's thread: whole values, read once each."""
-        from flintlatch.metrics.page import Now
+        from flintlatch.metrics.page import FleetSnapshot
 
         lasts = [process.last for process in list(self.processes.values())]
         states = Counter(worker.state.value for worker in list(self.core.workers.values()))
         lost = sum((last.get("access_log") or {}).get("lost", 0) for last in lasts)
         flight, clients = (sum(last.get(name) or 0 for last in lasts) for name in ("in_flight", "clients"))
         members, told = (self.agreed.states(), self.agreed.counts()) if self.agreed is not None else ({}, {})
-        return Now(self.totals.all(), dict(states), flight, clients, lost, members, told)
+        return FleetSnapshot(self.totals.all(), dict(states), flight, clients, lost, members, told)
 
     def _inherit(self) -> None:
         """Take the listening sockets that a dead supervisor's workers hold, with all that waits there."""
--- a/flintlatch/metrics/page.py
+++ b/flintlatch/metrics/page.py
@@ -11,7 +11,7 @@
 from flintlatch.metrics.counts import BOUNDS_S, Counts
 
 
-class Now(NamedTuple):
+class FleetSnapshot(NamedTuple):
     """A moment of a fleet, made on its loop and read by the page's thread."""
 
     counts: Counts
@@ -24,7 +24,7 @@
 
 
 class Collector:
-    def __init__(self, now: Callable[[], Now]) -> None:
+    def __init__(self, now: Callable[[], FleetSnapshot]) -> None:
         self.now = now
 
     def collect(self) -> Iterable[Metric]:
@@ -78,7 +78,7 @@
 class Page:
     """Serves `/metrics` at `host:port` from a thread, until closed. OSError if the address is taken."""
 
-    def __init__(self, address: str, now: Callable[[], Now]) -> None:
+    def __init__(self, address: str, now: Callable[[], FleetSnapshot]) -> None:
         registry = CollectorRegistry()
         registry.register(Collector(now))
         host, _, port = address.rpartition(":")
