--- a/flintlatch/fleet/supervisor.py
+++ b/flintlatch/fleet/supervisor.py
@@ -246,9 +246,9 @@
         if not config.fleet.metrics:
             return
         try:
-            from flintlatch.metrics.page import Page  # only where it is wanted
+            from flintlatch.metrics.page import MetricsServer  # only where it is wanted
 
-            self.page = Page(config.fleet.metrics, self.now)
+            self.page = MetricsServer(config.fleet.metrics, self.now)
         except (OSError, ImportError) as error:
             self.log("error", f"metrics {config.fleet.metrics}: {error}")
         else:
--- a/flintlatch/metrics/page.py
+++ b/flintlatch/metrics/page.py
@@ -75,7 +75,7 @@
         yield CounterMetricFamily("flintlatch_access_log_lost", "Records lost", now.lost)
 
 
-class Page:
+class MetricsServer:
     """Serves `/metrics` at `host:port` from a thread, until closed. OSError if the address is taken."""
 
     def __init__(self, address: str, now: Callable[[], FleetSnapshot]) -> None:
--- a/tests/metrics/test_counts.py
+++ b/tests/metrics/test_counts.py
@@ -13,7 +13,7 @@
 from prometheus_client.parser import text_string_to_metric_families
 
 from flintlatch.metrics import BOUNDS_S, Counts, Totals
-from flintlatch.metrics.page import FleetSnapshot, Page
+from flintlatch.metrics.page import FleetSnapshot, MetricsServer
 from tests.fleet.support import LIMIT_S, daemon, run
 
 
@@ -42,7 +42,7 @@
         counts.request("answer", 200, first_s, 10, 20)
     counts.request("", 405, None, 0, 0)
     counts.attempt("ok")
-    page = Page(
+    page = MetricsServer(
         "127.0.0.1:0", lambda: FleetSnapshot(counts, {"serving": 2}, 3, 4, 5, {"alive": 6}, {"died": 1})
     )
     try:
