--- a/flintlatch/fleet/worker.py
+++ b/flintlatch/fleet/worker.py
@@ -255,7 +255,7 @@
                 "nodes": len(engine.backends.backends),
                 "access_log": self._access_log(),
                 "proxies": self.heard.used.proxies if self.heard is not None else None,
-                "counts": self.observer.counts.told() if self.observer is not None else None,
+                "counts": self.observer.counts.as_json() if self.observer is not None else None,
             }
         )
 
--- a/flintlatch/metrics/counts.py
+++ b/flintlatch/metrics/counts.py
@@ -36,7 +36,7 @@
     def attempt(self, result: str) -> None:
         self.attempts[result] += 1
 
-    def told(self) -> dict[str, Any]:
+    def as_json(self) -> dict[str, Any]:
         """All of it, as JSON."""
         return {
             "requests": [[cls, status, count] for (cls, status), count in self.requests.items()],
