--- a/flintlatch/fleet/supervisor.py
+++ b/flintlatch/fleet/supervisor.py
@@ -519,7 +519,7 @@
             if worker in self.processes:
                 self.processes[worker].last = message
                 if message.get("counts") is not None:
-                    self.totals.heard(worker, message["counts"])
+                    self.totals.replace_report(worker, message["counts"])
             self._step(core.WorkerBeat(worker, float(message.get("rss_mb", 0))))
         elif kind == "limits":
             if self.agreed is not None and self.agreed.limiting is not None and worker in self.processes:
--- a/flintlatch/metrics/counts.py
+++ b/flintlatch/metrics/counts.py
@@ -48,13 +48,13 @@
 
 
 class Totals:
-    """Of a fleet. `heard` and `ended` are told of each instance by its worker's number."""
+    """Of a fleet. `replace_report` and `ended` are told of each instance by its worker's number."""
 
     def __init__(self) -> None:
         self.gone = Counts()
         self.last: dict[int, Counts] = {}
 
-    def heard(self, worker: int, told: dict[str, Any]) -> None:
+    def replace_report(self, worker: int, told: dict[str, Any]) -> None:
         self.last[worker] = read(told)
 
     def ended(self, worker: int) -> None:
--- a/tests/metrics/test_counts.py
+++ b/tests/metrics/test_counts.py
@@ -24,9 +24,9 @@
         if event == "count":
             alive[number].request("a", 200, 0.02, 1, 2)
         elif event == "tell":
-            totals.heard(number, json.loads(json.dumps(alive[number].as_json())))
+            totals.replace_report(number, json.loads(json.dumps(alive[number].as_json())))
         else:
-            totals.heard(number, alive[number].as_json())
+            totals.replace_report(number, alive[number].as_json())
             totals.ended(number)
             alive[number] = Counts()  # the next in its place counts from nothing
         whole = totals.all()
