--- a/flintlatch/fleet/supervisor.py
+++ b/flintlatch/fleet/supervisor.py
@@ -447,7 +447,7 @@
         if process.channel is not None:
             process.channel.close()
         self.spread.leave(action.worker)
-        self.totals.ended(action.worker)
+        self.totals.on_instance_ended(action.worker)
         del self.processes[action.worker]
         if self.agreed is not None:
             self.agreed.gone(action.worker)
--- a/flintlatch/metrics/counts.py
+++ b/flintlatch/metrics/counts.py
@@ -48,7 +48,7 @@
 
 
 class Totals:
-    """Of a fleet. `replace_report` and `ended` are told of each instance by its worker's number."""
+    """Of a fleet. `replace_report` and `on_instance_ended` take the worker number of an instance."""
 
     def __init__(self) -> None:
         self.gone = Counts()
@@ -57,7 +57,7 @@
     def replace_report(self, worker: int, told: dict[str, Any]) -> None:
         self.last[worker] = read(told)
 
-    def ended(self, worker: int) -> None:
+    def on_instance_ended(self, worker: int) -> None:
         if (last := self.last.pop(worker, None)) is not None:
             add(self.gone, last)
 
--- a/tests/metrics/test_counts.py
+++ b/tests/metrics/test_counts.py
@@ -27,7 +27,7 @@
             totals.replace_report(number, json.loads(json.dumps(alive[number].as_json())))
         else:
             totals.replace_report(number, alive[number].as_json())
-            totals.ended(number)
+            totals.on_instance_ended(number)
             alive[number] = Counts()  # the next in its place counts from nothing
         whole = totals.all()
         seen.append(whole.requests["a", 200])
