--- a/flintlatch/fleet/supervisor.py
+++ b/flintlatch/fleet/supervisor.py
@@ -289,7 +289,7 @@
         lost = sum((last.get("access_log") or {}).get("lost", 0) for last in lasts)
         flight, clients = (sum(last.get(name) or 0 for last in lasts) for name in ("in_flight", "clients"))
         members, told = (self.agreed.states(), self.agreed.counts()) if self.agreed is not None else ({}, {})
-        return FleetSnapshot(self.totals.all(), dict(states), flight, clients, lost, members, told)
+        return FleetSnapshot(self.totals.fleet_counts(), dict(states), flight, clients, lost, members, told)
 
     def _inherit(self) -> None:
         """Take the listening sockets that a dead supervisor's workers hold, with all that waits there."""
--- a/flintlatch/metrics/counts.py
+++ b/flintlatch/metrics/counts.py
@@ -61,7 +61,7 @@
         if (last := self.last.pop(worker, None)) is not None:
             add(self.gone, last)
 
-    def all(self) -> Counts:
+    def fleet_counts(self) -> Counts:
         total = Counts()
         for counts in (self.gone, *self.last.values()):
             add(total, counts)
--- a/tests/metrics/test_counts.py
+++ b/tests/metrics/test_counts.py
@@ -29,7 +29,7 @@
             totals.replace_report(number, alive[number].as_json())
             totals.on_instance_ended(number)
             alive[number] = Counts()  # the next in its place counts from nothing
-        whole = totals.all()
+        whole = totals.fleet_counts()
         seen.append(whole.requests["a", 200])
         assert whole.down_bytes == 2 * seen[-1]
         assert sum(whole.seconds.get("a", ([], 0.0))[0]) == seen[-1]
