--- a/flintlatch/exchange/transfer.py
+++ b/flintlatch/exchange/transfer.py
@@ -185,14 +185,14 @@
 
     def __init__(self, most: int) -> None:
         self.most = most
-        self.used = self.most_used = 0
+        self.used = self.peak_bytes = 0
 
     def reserve(self, count: int) -> bool:
         """Take a pipe's cap out of the budget; false if it does not hold so much, and nothing is taken."""
         if self.used + count > self.most:
             return False
         self.used += count
-        self.most_used = max(self.most_used, self.used)
+        self.peak_bytes = max(self.peak_bytes, self.used)
         return True
 
     def release(self, count: int) -> None:
--- a/tests/exchange/test_transfer.py
+++ b/tests/exchange/test_transfer.py
@@ -135,7 +135,7 @@
     budget = Budget(100)
     assert budget.reserve(60) and not budget.reserve(41) and budget.reserve(40)
     budget.release(60)
-    assert budget.reserve(60) and budget.most_used == 100
+    assert budget.reserve(60) and budget.peak_bytes == 100
     with pytest.raises(ValueError, match="100 are out"):
         budget.release(101)
 
--- a/tests/platform/test_long.py
+++ b/tests/platform/test_long.py
@@ -95,7 +95,7 @@
             assert answer.content[:64].decode() == digest(count)
             assert hashlib.sha256(answer.content[64:]).hexdigest() == digest(count)
             assert not p.engine.requests and not p.engine.exchanges
-            assert p.engine.body_memory.used == 0 and p.engine.body_memory.most_used < 1 * MIB
+            assert p.engine.body_memory.used == 0 and p.engine.body_memory.peak_bytes < 1 * MIB
 
     run(test())
 
