--- a/flintlatch/exchange/transfer.py
+++ b/flintlatch/exchange/transfer.py
@@ -185,20 +185,20 @@
 
     def __init__(self, most: int) -> None:
         self.most = most
-        self.used = self.peak_bytes = 0
+        self.used_bytes = self.peak_bytes = 0
 
     def reserve(self, count: int) -> bool:
         """Take a pipe's cap out of the budget; false if it does not hold so much, and nothing is taken."""
-        if self.used + count > self.most:
+        if self.used_bytes + count > self.most:
             return False
-        self.used += count
-        self.peak_bytes = max(self.peak_bytes, self.used)
+        self.used_bytes += count
+        self.peak_bytes = max(self.peak_bytes, self.used_bytes)
         return True
 
     def release(self, count: int) -> None:
-        if count > self.used:
-            raise ValueError(f"{count} bytes given back, and {self.used} are out")
-        self.used -= count
+        if count > self.used_bytes:
+            raise ValueError(f"{count} bytes given back, and {self.used_bytes} are out")
+        self.used_bytes -= count
 
 
 class Upload:
--- a/tests/http/test_long.py
+++ b/tests/http/test_long.py
@@ -218,7 +218,7 @@
                 await asyncio.sleep(0.01)
             (server,) = made.engine.balancer.servers.values()
             assert (server.inflight, server.transfers, server.consecutive_failures) == (0, 0, 0)
-            assert made.engine.body_memory.used == 0
+            assert made.engine.body_memory.used_bytes == 0
 
     run(test())
 
