--- a/flintlatch/exchange/core.py
+++ b/flintlatch/exchange/core.py
@@ -82,11 +82,11 @@
             0.0  # answer's first byte, request's last, the end; 0: not
         )
         self.upload_pipe = Pipe(
-            Side.CLIENT, self.upload.cap + self.upload.flow, limits.pace, limits.pace, now_s
+            Side.CLIENT, self.upload.cap + self.upload.flow_bytes, limits.pace, limits.pace, now_s
         )
-        self.upload_pipe.ends(now_s, True, False)
+        self.upload_pipe.set_waiting_sides(now_s, True, False)
         self.response_pipe: Pipe | None = None
-        self._told_sent = False  # of the present attempt
+        self._sent_reported = False  # of the present attempt
 
     @property
     def has_ended(self) -> bool:
@@ -106,9 +106,9 @@
         size = sum(map(len, pieces))
         if self.upload.total_bytes + size > self.limits.body_bytes:
             raise BodyTooLarge(f"a body of more than {self.limits.body_bytes} bytes")
-        self.upload_pipe.arrived(now_s, size)
+        self.upload_pipe.add_arrived(now_s, size)
         gone = self.upload.add(pieces, size)
-        self._look(now_s)
+        self._update_waiting_sides(now_s)
         if self.phase is Phase.GATHERING:
             if self.upload.room <= 0:
                 self.offer(now_s)
@@ -119,7 +119,7 @@
         if self.has_ended:
             return
         self.trailers, self.request_complete_s = trailers or [], now_s
-        self.upload_pipe.ended(now_s)
+        self.upload_pipe.end_source(now_s)
         self.upload.end()
         if self.phase is Phase.GATHERING:
             self.offer(now_s)
@@ -142,7 +142,7 @@
 
     def reject_request(self, now_s: float, status: int) -> None:
         """The rest of the request can't be read, or is not wanted."""
-        self._refuse(now_s, status, Ending.CLIENT_FAULT)
+        self._respond_or_abort(now_s, status, Ending.CLIENT_FAULT)
 
     def set_client_blocked(self, full: bool) -> None:
         """What the client does not take, the node must keep."""
@@ -154,22 +154,22 @@
     def attach(self, now_s: float, node: NodeSide) -> None:
         """An attempt begins to take the request from its first byte."""
         self.upload.begin()
-        self.node, self._told_sent = node, False
-        self._look(now_s)
+        self.node, self._sent_reported = node, False
+        self._update_waiting_sides(now_s)
 
     def take(self, now_s: float) -> tuple[list[Piece], int]:
         """What is here of the request's body and not taken yet, and its size."""
         pieces, size = self.upload.take()
         if size and not self.upload_pipe.done:
             # What an attempt takes again after another does not count again.
-            self.upload_pipe.taken(now_s, min(size, self.upload_pipe.held))
-            self._look(now_s)
+            self.upload_pipe.add_taken(now_s, min(size, self.upload_pipe.held))
+            self._update_waiting_sides(now_s)
         return pieces, size
 
     def sent(self, now_s: float, node: NodeSide) -> None:
         """This attempt's node has the whole request."""
-        if node is self.node and not self._told_sent and not self.has_ended:
-            self._told_sent = True
+        if node is self.node and not self._sent_reported and not self.has_ended:
+            self._sent_reported = True
             self.owner.on_request_sent(self, node)
 
     def interim(self, head: Response) -> None:
@@ -190,9 +190,9 @@
     def pieces(self, now_s: float, node: NodeSide, pieces: list[Piece]) -> None:
         if self.phase is not Phase.RESPONDING or node is not self.node or self.response_pipe is None:
             return
-        self._note_taken(now_s)
+        self._record_client_reads(now_s)
         size = sum(map(len, pieces))
-        self.response_pipe.arrived(now_s, min(size, self.response_pipe.room))
+        self.response_pipe.add_arrived(now_s, min(size, self.response_pipe.room))
         self.client.pieces(pieces, size)
 
     def finish(self, now_s: float, node: NodeSide, trailers: Fields | None = None) -> None:
@@ -210,23 +210,23 @@
             self._end(now_s, Ending.NODE_BROKE)
             return
         self.node = None
-        self._look(now_s)
+        self._update_waiting_sides(now_s)
 
     # From the owner
 
     def answer(self, now_s: float, answer: ProxyResponse) -> None:
         """The proxy's own: the module has given it up, or its time is over."""
-        self._refuse(now_s, answer.status, Ending.OWN, answer.retry_after_ms)
+        self._respond_or_abort(now_s, answer.status, Ending.OWN, answer.retry_after_ms)
 
     # Time
 
     def tick(self, now_s: float) -> Stall | None:
         """Ends what no side moves any more; the stall says which side is to blame."""
-        stall = self._stalled(now_s)
+        stall = self._find_stall(now_s)
         if stall is None:
             return None
         if stall.side is Side.CLIENT:
-            self._refuse(now_s, 408, Ending.CLIENT_STALLED)
+            self._respond_or_abort(now_s, 408, Ending.CLIENT_STALLED)
         elif self.node is not None:
             node, begun = self.node, self.phase is Phase.RESPONDING
             if begun:
@@ -235,34 +235,36 @@
                 self.owner.time_out_attempt(self, node)
         return stall
 
-    def _stalled(self, now_s: float) -> Stall | None:
+    def _find_stall(self, now_s: float) -> Stall | None:
         if self.phase is Phase.RESPONDING and self.response_pipe is not None:
-            self._note_taken(now_s)
-            stall = self.response_pipe.stalled(now_s)
+            self._record_client_reads(now_s)
+            stall = self.response_pipe.find_stall(now_s)
             # A node that answers while it reads may wait for its client's next piece.
-            if stall is Stall.NODE_SENDS_NOT and not self.upload.complete:
-                up = self.upload_pipe.stalled(now_s)
-                return up if up is Stall.CLIENT_SENDS_NOT else stall if up is not None else None
+            if stall is Stall.NODE_NOT_SENDING and not self.upload.complete:
+                up = self.upload_pipe.find_stall(now_s)
+                return up if up is Stall.CLIENT_NOT_SENDING else stall if up is not None else None
             return stall
         if self.has_ended or self.upload_pipe.done:
             return None
-        return self.upload_pipe.stalled(now_s)
+        return self.upload_pipe.find_stall(now_s)
 
-    def _look(self, now_s: float) -> None:
+    def _update_waiting_sides(self, now_s: float) -> None:
         """Who may be waited for in the upload."""
-        self.upload_pipe.ends(now_s, self.upload.room > 0, self.node is not None)
+        self.upload_pipe.set_waiting_sides(now_s, self.upload.room > 0, self.node is not None)
 
-    def _note_taken(self, now_s: float) -> None:
+    def _record_client_reads(self, now_s: float) -> None:
         """What has left the client's side, as far as it was of this body."""
         if (
             self.response_pipe is not None
             and (gone := self.response_pipe.held - self.client.unsent_bytes()) > 0
         ):
-            self.response_pipe.taken(now_s, gone)
+            self.response_pipe.add_taken(now_s, gone)
 
     # The end
 
-    def _refuse(self, now_s: float, status: int, ending: Ending, retry_after_ms: float = 0.0) -> None:
+    def _respond_or_abort(
+        self, now_s: float, status: int, ending: Ending, retry_after_ms: float = 0.0
+    ) -> None:
         if self.phase is Phase.RESPONDING:
             self._end(now_s, ending)
         elif not self.has_ended:
@@ -270,15 +272,15 @@
             self.client.send_proxy_response(ProxyResponse(status, retry_after_ms))
             self._end(now_s, ending)
 
-    def _end(self, now_s: float, ending: Ending, to_blame: NodeSide | None = None) -> None:
+    def _end(self, now_s: float, ending: Ending, stalled_node: NodeSide | None = None) -> None:
         if self.has_ended:
             return
         begun, asked = self.phase is Phase.RESPONDING, self.phase is not Phase.GATHERING
         self.phase, self.ending, self.node, self.ended_s = Phase.ENDED, ending, None, now_s
         if begun and ending is not Ending.CLIENT_LEFT:
             self.client.reset()
-        if to_blame is not None:
-            self.owner.time_out_attempt(self, to_blame)
+        if stalled_node is not None:
+            self.owner.time_out_attempt(self, stalled_node)
         elif asked:
             self.owner.cancel_attempts(self)
         self.owner.on_exchange_ended(self)
--- a/flintlatch/exchange/transfer.py
+++ b/flintlatch/exchange/transfer.py
@@ -1,8 +1,9 @@
-"""A body on its way from one side to the other: what may be read, what is held, and who keeps it waiting.
+"""A body on its way from one side to the other: flow control, buffering and stall detection.
 
-No I/O and no clock: the shell reports bytes with the time, obeys `may_read`, and asks `stalled` now and
-then. At each moment one side is waited for: the sink while bytes are held for it, else the source. Time
-counts against that side alone, so a node is not blamed for a client that crawls, nor the other way round.
+No I/O and no clock: the caller reports bytes together with the time, obeys `may_read`, and calls `find_stall`
+regularly. At each moment the transfer waits for one side: for the sink while bytes are buffered for it, else
+for the source. Time counts against that side only, so that a node is not blamed for a slow client, nor a
+client for a slow node.
 """
 
 from __future__ import annotations
@@ -12,9 +13,11 @@
 
 from flintlatch.exchange.messages import Piece
 
-RESUME_PART = 0.5  # part of the cap below which reading goes on: at each byte, it would flutter
-MOST_PIECES = 64  # of a body that are held apart
-LEAST_READ = 1  # bytes: a pipe that may read at all may read this much
+# Fraction of the cap at which reading resumes. Resuming at the first free byte would switch reading on and
+# off all the time.
+RESUME_FRACTION = 0.5
+MAX_PIECES = 64  # pieces of a body that are buffered separately; more are joined
+MIN_CAP_BYTES = 1
 
 
 class Side(Enum):
@@ -24,10 +27,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ProgressLimits:
-    """What one side owes while it is waited for."""
+    """The progress that one side must make while the transfer waits for it."""
 
     idle_s: float  # longest time without a byte
-    least_bytes_per_s: float  # over `window_s` of waiting for it; 0 asks for none
+    least_bytes_per_s: float  # average over `window_s` of waiting for this side; 0: no minimum
     window_s: float = 10.0
 
     def __post_init__(self) -> None:
@@ -39,62 +42,65 @@
 
 
 class Stall(Enum):
-    """How a transfer that no side moves any more ends; each names the side to blame."""
+    """Why a transfer makes no progress; `side` is the side that causes it."""
 
-    CLIENT_SENDS_NOT = "client stalls in its upload"  # 408 while there is no answer, else an abort
-    CLIENT_READS_NOT = "client does not read its answer"  # an abort: the answer has begun
-    NODE_READS_NOT = "node does not read the upload"  # 504 if no attempt may follow
-    NODE_SENDS_NOT = "node stalls in its answer"  # an abort: the answer has begun
+    CLIENT_NOT_SENDING = "client stalls in its upload"  # answered 408 before a response, else aborted
+    CLIENT_NOT_READING = "client does not read its answer"  # aborted: the response has begun
+    NODE_NOT_READING = "node does not read the upload"  # answered 504 if no retry is possible
+    NODE_NOT_SENDING = "node stalls in its answer"  # aborted: the response has begun
 
     @property
     def side(self) -> Side:
-        return Side.CLIENT if self in (Stall.CLIENT_SENDS_NOT, Stall.CLIENT_READS_NOT) else Side.NODE
+        return Side.CLIENT if self in (Stall.CLIENT_NOT_SENDING, Stall.CLIENT_NOT_READING) else Side.NODE
 
 
-class _Wait:
-    """The time that was spent waiting for one side, and what it moved in that time."""
+class _WaitTime:
+    """The time spent waiting for one side, and the bytes that it moved in that time."""
 
-    __slots__ = ("bytes", "idle_s", "pace", "window_s")
+    __slots__ = ("bytes", "idle_s", "limits", "window_s")
 
-    def __init__(self, pace: ProgressLimits) -> None:
-        self.pace = pace
+    def __init__(self, limits: ProgressLimits) -> None:
+        self.limits = limits
         self.idle_s = self.window_s = 0.0
         self.bytes = 0
 
-    def moved(self, count: int) -> None:
+    def add_bytes(self, count: int) -> None:
         self.idle_s = 0.0
         self.bytes += count
 
     def too_slow(self) -> bool:
-        pace = self.pace
-        if self.idle_s >= pace.idle_s:
+        limits = self.limits
+        if self.idle_s >= limits.idle_s:
             return True
-        if self.window_s < pace.window_s:
+        if self.window_s < limits.window_s:
             return False
-        slow = self.bytes < pace.least_bytes_per_s * self.window_s
-        # The next window begins with half of this one: a short burst must not pay for a long crawl.
+        slow = self.bytes < limits.least_bytes_per_s * self.window_s
+        # The next window starts with half of this one, so that a short burst doesn't compensate for a long
+        # time below the minimum rate.
         self.window_s, self.bytes = self.window_s / 2, self.bytes // 2
         return slow
 
 
 class Pipe:
-    """One direction. `cap`: bytes held at most, in this process and for this pipe; a read may go over it by
-    no more than the shell reads at once, and so the shell reads no more than `room`."""
+    """One direction of a transfer, from a source to a sink.
+
+    `cap`: bytes that this process buffers at most for the transfer. The caller must not read more than `room`
+    bytes at once."""
 
     def __init__(
-        self, source: Side, cap: int, source_pace: ProgressLimits, sink_pace: ProgressLimits, now_s: float
+        self, source: Side, cap: int, source_limits: ProgressLimits, sink_limits: ProgressLimits, now_s: float
     ) -> None:
-        if cap < LEAST_READ:
-            raise ValueError(f"cap must be at least {LEAST_READ}")
+        if cap < MIN_CAP_BYTES:
+            raise ValueError(f"cap must be at least {MIN_CAP_BYTES}")
         self.source, self.cap = source, cap
         self.arrived_bytes = self.taken_bytes = 0
-        self.most_held = 0
+        self.max_held = 0
         self.source_ended = False
-        self.source_free = True  # it may send, as far as whoever reads it is concerned
-        self.sink_there = True  # somebody takes what is held; without anybody it just waits
+        self.source_may_send = True  # false while the proxy has paused reading from the source
+        self.sink_attached = True  # false while nothing consumes the buffered bytes
         self._reading = True
         self._now_s = now_s
-        self._from, self._to = _Wait(source_pace), _Wait(sink_pace)
+        self._source_wait, self._sink_wait = _WaitTime(source_limits), _WaitTime(sink_limits)
 
     @property
     def held(self) -> int:
@@ -110,86 +116,89 @@
 
     @property
     def may_read(self) -> bool:
-        """Whether the source should be read: paused at the cap, and resumed at half of it."""
+        """Whether to read from the source: pauses at the cap, resumes at RESUME_FRACTION of it."""
         if self.source_ended or self.held >= self.cap:
             self._reading = False
-        elif self.held <= self.cap * RESUME_PART:
+        elif self.held <= self.cap * RESUME_FRACTION:
             self._reading = True
         return self._reading
 
-    def arrived(self, now_s: float, count: int) -> None:
-        """So many bytes came from the source. Raises ValueError beyond `room`: the cap is a promise."""
+    def add_arrived(self, now_s: float, count: int) -> None:
+        """Records `count` bytes from the source. Raises ValueError beyond `room`, so that the cap always
+        holds."""
         if count > self.room:
-            raise ValueError(f"{count} bytes, and room for {self.room}")
-        self._pass(now_s)
-        self._from.moved(count)
+            raise ValueError(f"{count} bytes arrived, expected no more than the room for {self.room}")
+        self._account_waiting_time(now_s)
+        self._source_wait.add_bytes(count)
         self.arrived_bytes += count
-        self.most_held = max(self.most_held, self.held)
+        self.max_held = max(self.max_held, self.held)
 
-    def taken(self, now_s: float, count: int) -> None:
-        """So many of the bytes held went out to the sink."""
+    def add_taken(self, now_s: float, count: int) -> None:
+        """Records that the sink took `count` of the buffered bytes. Raises ValueError if fewer are
+        buffered."""
         if count > self.held:
-            raise ValueError(f"{count} bytes, and {self.held} held")
-        self._pass(now_s)
-        self._to.moved(count)
+            raise ValueError(f"{count} bytes taken, expected no more than the {self.held} held")
+        self._account_waiting_time(now_s)
+        self._sink_wait.add_bytes(count)
         self.taken_bytes += count
 
-    def ended(self, now_s: float) -> None:
-        """The source has sent all."""
-        self._pass(now_s)
+    def end_source(self, now_s: float) -> None:
+        """Records that the source has sent everything."""
+        self._account_waiting_time(now_s)
         self.source_ended = True
 
-    def stalled(self, now_s: float) -> Stall | None:
-        """Who is to blame, if a side has been waited for too long."""
-        self._pass(now_s)
+    def find_stall(self, now_s: float) -> Stall | None:
+        """The stall, if the transfer has waited too long for one side."""
+        self._account_waiting_time(now_s)
         if self.done:
             return None
-        if self._for_sink():
-            if self._to.too_slow():
+        if self._awaits_sink():
+            if self._sink_wait.too_slow():
                 upload = self.source is Side.CLIENT
-                return Stall.NODE_READS_NOT if upload else Stall.CLIENT_READS_NOT
-        elif self._for_source() and self._from.too_slow():
-            return Stall.CLIENT_SENDS_NOT if self.source is Side.CLIENT else Stall.NODE_SENDS_NOT
+                return Stall.NODE_NOT_READING if upload else Stall.CLIENT_NOT_READING
+        elif self._awaits_source() and self._source_wait.too_slow():
+            return Stall.CLIENT_NOT_SENDING if self.source is Side.CLIENT else Stall.NODE_NOT_SENDING
         return None
 
-    def _pass(self, now_s: float) -> None:
+    def _account_waiting_time(self, now_s: float) -> None:
         seconds, self._now_s = now_s - self._now_s, now_s
         held = self.arrived_bytes - self.taken_bytes
-        if held > 0 and self.sink_there:
-            wait = self._to
-        elif not self.source_ended and self.source_free and held < self.cap:
-            wait = self._from
+        if held > 0 and self.sink_attached:
+            wait = self._sink_wait
+        elif not self.source_ended and self.source_may_send and held < self.cap:
+            wait = self._source_wait
         else:
             return
         wait.idle_s += seconds
         wait.window_s += seconds
 
-    def _for_sink(self) -> bool:
-        return self.held > 0 and self.sink_there
+    def _awaits_sink(self) -> bool:
+        return self.held > 0 and self.sink_attached
 
-    def _for_source(self) -> bool:
-        return self.source_free and self.room > 0
+    def _awaits_source(self) -> bool:
+        return self.source_may_send and self.room > 0
 
-    def ends(self, now_s: float, source: bool, sink: bool) -> None:
-        """Whether the source may send, and whether a sink is there. A new sink is judged by itself alone."""
-        if source is self.source_free and sink is self.sink_there:
+    def set_waiting_sides(self, now_s: float, source: bool, sink: bool) -> None:
+        """Sets whether the source may send and whether a sink is attached. The wait for a newly attached sink
+        starts at zero: it is not charged for the sink before it."""
+        if source is self.source_may_send and sink is self.sink_attached:
             return
-        self._pass(now_s)
-        if sink and not self.sink_there:
-            self._to = _Wait(self._to.pace)
-        self.source_free, self.sink_there = source, sink
+        self._account_waiting_time(now_s)
+        if sink and not self.sink_attached:
+            self._sink_wait = _WaitTime(self._sink_wait.limits)
+        self.source_may_send, self.sink_attached = source, sink
 
 
 class Budget:
-    """Bytes that the bodies of all connections may hold together."""
+    """Memory for the bodies of all connections together."""
 
-    def __init__(self, most: int) -> None:
-        self.most = most
+    def __init__(self, limit_bytes: int) -> None:
+        self.limit_bytes = limit_bytes
         self.used_bytes = self.peak_bytes = 0
 
     def reserve(self, count: int) -> bool:
-        """Take a pipe's cap out of the budget; false if it does not hold so much, and nothing is taken."""
-        if self.used_bytes + count > self.most:
+        """Reserves `count` bytes; returns false and reserves nothing if less is left."""
+        if self.used_bytes + count > self.limit_bytes:
             return False
         self.used_bytes += count
         self.peak_bytes = max(self.peak_bytes, self.used_bytes)
@@ -197,62 +206,66 @@
 
     def release(self, count: int) -> None:
         if count > self.used_bytes:
-            raise ValueError(f"{count} bytes given back, and {self.used_bytes} are out")
+            raise ValueError(f"{count} bytes released, but only {self.used_bytes} are out")
         self.used_bytes -= count
 
 
 class Upload:
-    """A request's body on its way to whichever node gets it. Held whole up to `cap`, so that another attempt
-    may begin anew; beyond that, what an attempt has taken is let go for good.
+    """The buffer of a request's body on its way to a node.
 
-    Of what is not yet taken no more than `cap` bytes are held; `room` says how much may be read."""
+    A body of up to `cap` bytes is kept whole, so that another attempt can send it from the start. From a
+    longer body, the bytes that an attempt has taken are discarded, and no further attempt is possible. At
+    most `cap` bytes wait to be taken; `room` is the number of bytes that may be read."""
 
-    def __init__(self, cap: int, flow: int = 0) -> None:
-        """`flow`: bytes that may wait once a part was let go, if that is more than `cap`: one read of the
-        shell's, so that it need not be cut up."""
-        self.cap, self.flow = cap, max(cap, flow)
-        self.discarded = False  # a part of it was let go: no attempt may begin
+    def __init__(self, cap: int, flow_bytes: int = 0) -> None:
+        """`flow_bytes`: bytes that may wait to be taken once a part was discarded, if that is more than
+        `cap`. It is the size of one read, so that a read need not be split."""
+        self.cap, self.flow_bytes = cap, max(cap, flow_bytes)
+        self.discarded = False  # a part of the body was discarded: no further attempt may begin
         self.complete = False
         self.total_bytes = 0
         self._pieces: list[Piece] = []
-        self._size = 0  # bytes in `_pieces`
-        self._next = 0  # of the pieces, which the attempt takes next
-        self._waiting = 0  # bytes from there on
+        self._held_bytes = 0  # bytes in `_pieces`
+        self._next_index = 0  # in `_pieces`, of the piece that the attempt takes next
+        self._untaken_bytes = 0  # bytes in `_pieces` from there on
 
     @property
     def held(self) -> int:
-        return self._size
+        return self._held_bytes
 
     @property
     def untaken_bytes(self) -> int:
-        """Bytes that the attempt has not taken."""
-        return self._waiting
+        """Bytes that the current attempt has not taken."""
+        return self._untaken_bytes
 
     @property
     def room(self) -> int:
-        """Bytes that may come. With an attempt that takes them, what it took gives way."""
+        """Bytes that may be added. Bytes that the current attempt has taken don't count, because they are
+        discarded if the room is needed."""
         if self.complete:
             return 0
         if self.discarded:
-            return self.flow - self._waiting
-        return self.cap - (self._waiting if self._next else self._size)
+            return self.flow_bytes - self._untaken_bytes
+        return self.cap - (self._untaken_bytes if self._next_index else self._held_bytes)
 
     def add(self, pieces: list[Piece], size: int) -> bool:
-        """`size` bytes in all. True if with them a part was let go just now. ValueError beyond `room`."""
+        """Appends `pieces`, of `size` bytes in total. Returns true if this call discarded the first part of
+        the body. Raises ValueError beyond `room`."""
         if size > self.room:
-            raise ValueError(f"{size} bytes, and room for {self.room}")
+            raise ValueError(f"{size} bytes added, expected no more than the room for {self.room}")
         self._pieces += pieces
-        if len(self._pieces) > MOST_PIECES:
-            # A byte a piece, each an object of its own: as one, they cost no more than they say.
-            old, new = self._pieces[: self._next], self._pieces[self._next :]
-            self._pieces = [b"".join(part) for part in (old, new) if part]
-            self._next = min(self._next, 1)
-        self._size += size
-        self._waiting += size
+        if len(self._pieces) > MAX_PIECES:
+            # Each piece is an object with its own overhead. A body that arrives byte by byte would cost many
+            # times its size if its pieces were not joined.
+            taken, untaken = self._pieces[: self._next_index], self._pieces[self._next_index :]
+            self._pieces = [b"".join(part) for part in (taken, untaken) if part]
+            self._next_index = min(self._next_index, 1)
+        self._held_bytes += size
+        self._untaken_bytes += size
         self.total_bytes += size
-        if not self.discarded and self._size > self.cap:
+        if not self.discarded and self._held_bytes > self.cap:
             self.discarded = True
-            self._trim()
+            self._discard_taken()
             return True
         return False
 
@@ -260,29 +273,32 @@
         self.complete = True
 
     def begin(self) -> None:
-        """A new attempt takes it from its first byte. Raises ValueError if that is not held any more."""
+        """Starts a new attempt at the first byte. Raises ValueError if a part was discarded."""
         if self.discarded:
-            raise ValueError("a part of the body was let go")
-        self._next, self._waiting = 0, self._size
+            raise ValueError("the body can't be sent again: a part of it was discarded")
+        self._next_index, self._untaken_bytes = 0, self._held_bytes
 
     def take(self) -> tuple[list[Piece], int]:
-        """All that the attempt does not have, and its size."""
-        if self._next >= len(self._pieces):
+        """All pieces that the current attempt has not taken, and their size in bytes."""
+        if self._next_index >= len(self._pieces):
             return [], 0
-        pieces, size = (self._pieces[self._next :] if self._next else self._pieces), self._waiting
+        pieces, size = (
+            (self._pieces[self._next_index :] if self._next_index else self._pieces),
+            self._untaken_bytes,
+        )
         if self.discarded:
-            self._pieces, self._size, self._next = [], 0, 0
+            self._pieces, self._held_bytes, self._next_index = [], 0, 0
         else:
-            pieces, self._next = list(pieces), len(self._pieces)
-        self._waiting = 0
+            pieces, self._next_index = list(pieces), len(self._pieces)
+        self._untaken_bytes = 0
         return pieces, size
 
     @property
     def fully_taken(self) -> bool:
-        """The attempt has all of it."""
-        return self.complete and not self._waiting
+        """Whether the current attempt has taken the complete body."""
+        return self.complete and not self._untaken_bytes
 
-    def _trim(self) -> None:
-        self._size -= sum(map(len, self._pieces[: self._next]))
-        del self._pieces[: self._next]
-        self._next = 0
+    def _discard_taken(self) -> None:
+        self._held_bytes -= sum(map(len, self._pieces[: self._next_index]))
+        del self._pieces[: self._next_index]
+        self._next_index = 0
--- a/tests/exchange/test_core.py
+++ b/tests/exchange/test_core.py
@@ -251,7 +251,7 @@
     rig = Rig()
     rig.come(10)
     rig.exchange.offer(0.0)
-    assert rig.tick(4.0) is None and rig.tick(2.0) is Stall.CLIENT_SENDS_NOT
+    assert rig.tick(4.0) is None and rig.tick(2.0) is Stall.CLIENT_NOT_SENDING
     assert rig.client.told == ["own"] and rig.exchange.status == 408
     assert rig.tick(100.0) is None
 
@@ -262,12 +262,12 @@
     rig.tick(100.0)
     rig.connect()
     assert rig.tick(4.0) is None
-    assert rig.tick(2.0) is Stall.NODE_READS_NOT
+    assert rig.tick(2.0) is Stall.NODE_NOT_READING
     assert rig.owner.calls.count("blame") == 1 and not rig.exchange.has_ended
     rig.connect()  # another one gets all of it
     rig.take()
     assert rig.node is not None and rig.node.got == 100 and rig.tick(4.0) is None
-    assert rig.tick(2.0) is Stall.CLIENT_SENDS_NOT
+    assert rig.tick(2.0) is Stall.CLIENT_NOT_SENDING
 
 
 def test_a_node_that_answers_while_it_reads_is_not_blamed_for_its_client() -> None:
@@ -276,7 +276,7 @@
     node = rig.connect()
     rig.take()
     rig.exchange.begin(rig.now, node, HEAD)
-    assert rig.tick(6.0) is Stall.CLIENT_SENDS_NOT and rig.client.told == ["begin", "reset"]
+    assert rig.tick(6.0) is Stall.CLIENT_NOT_SENDING and rig.client.told == ["begin", "reset"]
 
 
 def test_a_second_attempts_answer_can_not_follow_the_firsts() -> None:
--- a/tests/exchange/test_transfer.py
+++ b/tests/exchange/test_transfer.py
@@ -22,57 +22,57 @@
         now += 0.01
         if pipe.may_read:
             sent += pipe.room
-            pipe.arrived(now, pipe.room)
-        pipe.taken(now, min(200, pipe.held))
-        assert pipe.stalled(now) is None
-    assert pipe.most_held == 1000
-    pipe.ended(now)
-    pipe.taken(now, pipe.held)
+            pipe.add_arrived(now, pipe.room)
+        pipe.add_taken(now, min(200, pipe.held))
+        assert pipe.find_stall(now) is None
+    assert pipe.max_held == 1000
+    pipe.end_source(now)
+    pipe.add_taken(now, pipe.held)
     assert pipe.done and pipe.taken_bytes == sent
 
 
 def test_reading_stops_at_the_cap_and_goes_on_at_half_of_it() -> None:
     pipe = download()
-    pipe.arrived(1, 1000)
+    pipe.add_arrived(1, 1000)
     assert not pipe.may_read and pipe.room == 0
-    pipe.taken(2, 499)
+    pipe.add_taken(2, 499)
     assert not pipe.may_read
-    pipe.taken(3, 1)
+    pipe.add_taken(3, 1)
     assert pipe.may_read and pipe.room == 500
 
 
 def test_more_than_the_room_is_never_held() -> None:
     pipe = download()
     with pytest.raises(ValueError, match="room for 1000"):
-        pipe.arrived(1, 1001)
-    pipe.arrived(1, 5)
+        pipe.add_arrived(1, 1001)
+    pipe.add_arrived(1, 5)
     with pytest.raises(ValueError, match="5 held"):
-        pipe.taken(1, 6)
+        pipe.add_taken(1, 6)
 
 
 @pytest.mark.parametrize(
     ("source", "held", "stall", "side"),
     [
-        (Side.CLIENT, 0, Stall.CLIENT_SENDS_NOT, Side.CLIENT),
-        (Side.CLIENT, 10, Stall.NODE_READS_NOT, Side.NODE),
-        (Side.NODE, 0, Stall.NODE_SENDS_NOT, Side.NODE),
-        (Side.NODE, 10, Stall.CLIENT_READS_NOT, Side.CLIENT),
+        (Side.CLIENT, 0, Stall.CLIENT_NOT_SENDING, Side.CLIENT),
+        (Side.CLIENT, 10, Stall.NODE_NOT_READING, Side.NODE),
+        (Side.NODE, 0, Stall.NODE_NOT_SENDING, Side.NODE),
+        (Side.NODE, 10, Stall.CLIENT_NOT_READING, Side.CLIENT),
     ],
 )
 def test_who_moves_nothing_is_named(source: Side, held: int, stall: Stall, side: Side) -> None:
     pipe = Pipe(source, 100, FAST, FAST, 0.0)
     if held:
-        pipe.arrived(0.0, held)
-    assert pipe.stalled(4.9) is None
-    assert pipe.stalled(5.0) is stall and stall.side is side
+        pipe.add_arrived(0.0, held)
+    assert pipe.find_stall(4.9) is None
+    assert pipe.find_stall(5.0) is stall and stall.side is side
 
 
 def test_a_node_is_not_blamed_for_the_time_in_which_the_client_was_waited_for() -> None:
     pipe = download(client=ProgressLimits(60.0, 0), node=ProgressLimits(2.0, 0))
-    pipe.arrived(0.0, 1000)
-    pipe.taken(50.0, 1000)  # the client took 50 s over it
-    assert pipe.stalled(51.9) is None
-    assert pipe.stalled(52.0) is Stall.NODE_SENDS_NOT
+    pipe.add_arrived(0.0, 1000)
+    pipe.add_taken(50.0, 1000)  # the client took 50 s over it
+    assert pipe.find_stall(51.9) is None
+    assert pipe.find_stall(52.0) is Stall.NODE_NOT_SENDING
 
 
 def test_a_byte_now_and_then_keeps_no_side_from_its_least_rate() -> None:
@@ -80,27 +80,27 @@
     found = None
     while found is None and now < 60:
         now += 1.0
-        pipe.arrived(now, 1)  # slow, yet never idle
-        pipe.taken(now, 1)
-        found = pipe.stalled(now)
-    assert found is Stall.CLIENT_SENDS_NOT and now == 10
+        pipe.add_arrived(now, 1)  # slow, yet never idle
+        pipe.add_taken(now, 1)
+        found = pipe.find_stall(now)
+    assert found is Stall.CLIENT_NOT_SENDING and now == 10
 
 
 def test_one_that_keeps_the_rate_is_left_alone_for_hours_and_a_burst_does_not_pay_for_a_crawl() -> None:
     pipe, now = Pipe(Side.CLIENT, 1000, STEADY, FAST, 0.0), 0.0
     while now < 7200:
         now += 1.0
-        pipe.arrived(now, 110)
-        pipe.taken(now, 110)
-        assert pipe.stalled(now) is None
+        pipe.add_arrived(now, 110)
+        pipe.add_taken(now, 110)
+        assert pipe.find_stall(now) is None
     for _ in range(100):
-        pipe.arrived(now, 1000)
-        pipe.taken(now, 1000)
+        pipe.add_arrived(now, 1000)
+        pipe.add_taken(now, 1000)
     crawl = now
-    while pipe.stalled(now) is None:
+    while pipe.find_stall(now) is None:
         now += 1.0
-        pipe.arrived(now, 1)
-        pipe.taken(now, 1)
+        pipe.add_arrived(now, 1)
+        pipe.add_taken(now, 1)
         assert now < crawl + 120
     assert now > crawl + 10
 
@@ -116,19 +116,19 @@
     for what, part, seconds in steps:
         now += seconds
         if what == "arrive" and pipe.may_read:
-            pipe.arrived(now, int(part * pipe.room))
+            pipe.add_arrived(now, int(part * pipe.room))
         elif what == "take":
-            pipe.taken(now, int(part * pipe.held))
+            pipe.add_taken(now, int(part * pipe.held))
         else:
-            stall = pipe.stalled(now)
+            stall = pipe.find_stall(now)
             if stall is not None:
                 assert stall.side is (Side.NODE if pipe.held else Side.CLIENT)
-        assert 0 <= pipe.held <= cap and pipe.most_held <= cap
+        assert 0 <= pipe.held <= cap and pipe.max_held <= cap
         assert pipe.may_read or pipe.held > 0  # one of the two can always go on
-    pipe.ended(now)
-    pipe.taken(now, pipe.held)
+    pipe.end_source(now)
+    pipe.add_taken(now, pipe.held)
     assert pipe.done and pipe.arrived_bytes == pipe.taken_bytes
-    assert pipe.stalled(now + 1e6) is None
+    assert pipe.find_stall(now + 1e6) is None
 
 
 def test_a_budget_is_never_passed_and_gives_back_what_it_gave() -> None:
@@ -171,7 +171,7 @@
     got += b"".join(upload.take()[0])
     assert got == sent and upload.fully_taken
     if upload.discarded:
-        with pytest.raises(ValueError, match="let go"):
+        with pytest.raises(ValueError, match="discarded"):
             upload.begin()
     else:
         upload.begin()
