--- a/flintlatch/exchange/__init__.py
+++ b/flintlatch/exchange/__init__.py
@@ -1,8 +1,8 @@
-"""One request with its answer, between a client's side and a node's side; no protocol owns it, and no I/O.
+"""Exchanges: one request and its response, passed between a client's side and a node's side.
 
-A front implements `ClientSide`, a node's connection implements `NodeSide`, and whoever hosts exchanges and
-asks the decision module implements `Owner`. Times are seconds of one clock that only goes forward.
-"""
+The package is independent of the protocol and does no I/O. A front end implements `ClientSide`, a connection
+to a node implements `NodeSide`, and the host of the exchanges, which asks the decision module, implements
+`Owner`. Times are seconds of one monotonic clock."""
 
 from flintlatch.exchange.core import BodyTooLarge, Exchange, Owner, Phase
 from flintlatch.exchange.messages import Ending, Fields, Piece, ProxyResponse, Request, Response, RoutingInfo
--- a/flintlatch/exchange/core.py
+++ b/flintlatch/exchange/core.py
@@ -1,11 +1,13 @@
-"""The state machine of one exchange. Its rules:
-
-1. One final answer, and nothing after it. Until a node's answer begins another attempt may still give it;
-   from there on it is that attempt's, whole or visibly broken.
-2. A request is offered to the decision module once it is here whole, or when it is plain that it will
-   take its time: it is full to its cap, its client waits for a word, or `offer` says so.
-3. Bytes held stay under the terms' caps, both ways; room regained is told.
-4. A side that keeps the other waiting is blamed, once; an upload's time is never the node's.
+"""The state machine of one exchange: a request and its response. Its rules:
+
+1. The client gets one final response and nothing after it. Until a node's response begins, any attempt may
+   provide it. After that, it comes from this attempt, and either ends complete or is visibly aborted.
+2. A request is offered to the decision module when it is complete, or earlier if the rest may take long: when
+   its buffer is full, when the client waits for 100 Continue, or when `offer` is called.
+3. The buffered bytes stay within the limits in both directions; a side that was paused is told when there is
+   room again.
+4. A side that stalls the transfer is reported once. The time that the client takes to upload never counts
+   against the node.
 """
 
 from __future__ import annotations
@@ -20,42 +22,42 @@
 
 
 class BodyTooLarge(Exception):
-    """The request's body is longer than its terms allow: 413."""
+    """The request's body is longer than its limit; answered with status 413."""
 
 
 class Phase(Enum):
-    GATHERING = "gathering"  # the request comes, and nobody has been asked for a server
-    AWAITING_RESPONSE = "waiting"  # the module has it; nothing of an answer has gone out
-    RESPONDING = "begun"  # a node's answer has: it ends whole, or visibly broken
+    GATHERING = "gathering"  # the request arrives and was not offered to the decision module yet
+    AWAITING_RESPONSE = "waiting"  # the decision module has it; no part of a final response was sent
+    RESPONDING = "begun"  # a node's response has begun; it ends complete or is aborted
     ENDED = "over"
 
 
 class Owner(Protocol):
-    """Whoever hosts exchanges: asks the decision module, starts attempts and ends them."""
+    """The host of exchanges: asks the decision module for servers, starts attempts and ends them."""
 
     def request_server(self, exchange: Exchange, uploading: bool) -> None:
-        """It wants a server. `uploading`: its body is not here whole."""
+        """Offers the exchange to the decision module. `uploading`: its body is not complete yet."""
 
     def on_body_received(self, exchange: Exchange) -> None:
-        """An upload is here whole."""
+        """The body of an upload is complete."""
 
     def on_body_discarded(self, exchange: Exchange) -> None:
-        """A part of it is no longer held: no attempt may follow the one that has it."""
+        """A part of the body is no longer buffered: no attempt may follow the current one."""
 
     def on_request_sent(self, exchange: Exchange, node: NodeSide) -> None:
-        """This attempt's node has the whole request."""
+        """The complete request was sent to the node of this attempt."""
 
     def on_response_begun(self, exchange: Exchange, node: NodeSide, head: Response) -> None:
-        """This attempt's answer has begun, and is the final one."""
+        """The final response has begun; it comes from the attempt at this node."""
 
     def cancel_attempts(self, exchange: Exchange) -> None:
-        """The client no longer waits: all attempts end, and no node is to blame."""
+        """The client no longer waits: ends all attempts, without a failure of any node."""
 
     def time_out_attempt(self, exchange: Exchange, node: NodeSide) -> None:
-        """This attempt's node stalls: its attempt ends, and the module hears why."""
+        """The node stalls: ends its attempt with a timeout, which the decision module is told."""
 
     def on_exchange_ended(self, exchange: Exchange) -> None:
-        """The client has had its last byte, or is gone; `exchange.ending` says how."""
+        """The client got the last byte or has left; `exchange.ending` tells how the exchange ended."""
 
 
 class Exchange:
@@ -68,51 +70,51 @@
         owner: Owner,
         now_s: float,
     ) -> None:
-        """A request without a body is to be told so at once, by `receive_end`."""
+        """The caller calls `receive_end` at once for a request without a body."""
         self.request, self.routing, self.limits = request, routing, limits
         self.client, self.owner = client, owner
         self.phase = Phase.GATHERING
         self.ending: Ending | None = None
-        self.status = 0  # of the final answer
+        self.status = 0  # of the final response; 0: none
         self.upload = Upload(limits.upload_bytes, limits.flow_bytes)
-        self.trailers: Fields = []  # behind the request's body
-        self.node: NodeSide | None = None  # that takes the upload, or gives the answer
+        self.trailers: Fields = []  # trailer fields of the request
+        self.node: NodeSide | None = None  # takes the request, or sends the response
         self.arrived_s = now_s
         self.first_byte_s = self.request_complete_s = self.ended_s = (
-            0.0  # answer's first byte, request's last, the end; 0: not
+            0.0  # first byte of the response, last byte of the request, end of the exchange; 0: not yet
         )
         self.upload_pipe = Pipe(
-            Side.CLIENT, self.upload.cap + self.upload.flow_bytes, limits.pace, limits.pace, now_s
+            Side.CLIENT, self.upload.cap + self.upload.flow_bytes, limits.progress, limits.progress, now_s
         )
         self.upload_pipe.set_waiting_sides(now_s, True, False)
         self.response_pipe: Pipe | None = None
-        self._sent_reported = False  # of the present attempt
+        self._sent_reported = False  # `on_request_sent` was called for the current attempt
 
     @property
     def has_ended(self) -> bool:
         return self.phase is Phase.ENDED
 
-    # From the client's side
+    # Called by the client's side
 
     @property
     def room(self) -> int:
-        """Bytes of the request's body that may come now."""
+        """Bytes of the request's body that may be passed to `receive_body` now."""
         return 0 if self.has_ended else self.upload.room
 
     def receive_body(self, now_s: float, pieces: list[Piece]) -> None:
-        """Some of the request's body, at most `room` in all. Raises BodyTooLarge."""
+        """Takes the next pieces of the request's body, of `room` bytes at most. Raises BodyTooLarge."""
         if self.has_ended:
             return
         size = sum(map(len, pieces))
         if self.upload.total_bytes + size > self.limits.body_bytes:
             raise BodyTooLarge(f"a body of more than {self.limits.body_bytes} bytes")
         self.upload_pipe.add_arrived(now_s, size)
-        gone = self.upload.add(pieces, size)
+        discarded = self.upload.add(pieces, size)
         self._update_waiting_sides(now_s)
         if self.phase is Phase.GATHERING:
             if self.upload.room <= 0:
                 self.offer(now_s)
-        elif gone and self.phase is Phase.AWAITING_RESPONSE:
+        elif discarded and self.phase is Phase.AWAITING_RESPONSE:
             self.owner.on_body_discarded(self)
 
     def receive_end(self, now_s: float, trailers: Fields | None = None) -> None:
@@ -127,13 +129,13 @@
             self.owner.on_body_received(self)
 
     def offer(self, now_s: float) -> None:
-        """Wait no longer for the rest of the request."""
+        """Offers the request to the decision module without waiting for the rest of it."""
         if self.phase is Phase.GATHERING:
             self.phase = Phase.AWAITING_RESPONSE
             self.owner.request_server(self, not self.upload.complete)
 
     def push(self) -> None:
-        """The client's side has brought what it had: the node may take it."""
+        """Lets the node take what `receive_body` and `receive_end` have added."""
         if self.node is not None and not self.has_ended:
             self.node.send_upload()
 
@@ -141,33 +143,33 @@
         self._end(now_s, Ending.CLIENT_LEFT)
 
     def reject_request(self, now_s: float, status: int) -> None:
-        """The rest of the request can't be read, or is not wanted."""
+        """The rest of the request can't be read, or will not be read."""
         self._respond_or_abort(now_s, status, Ending.CLIENT_FAULT)
 
     def set_client_blocked(self, full: bool) -> None:
-        """What the client does not take, the node must keep."""
+        """Backpressure: stops reading from the node while the client's write buffer is full."""
         if self.phase is Phase.RESPONDING and self.node is not None:
             self.node.set_reading_paused(full)
 
-    # From a node's side
+    # Called by a node's side
 
     def attach(self, now_s: float, node: NodeSide) -> None:
-        """An attempt begins to take the request from its first byte."""
+        """Starts an attempt, which takes the request from its first byte."""
         self.upload.begin()
         self.node, self._sent_reported = node, False
         self._update_waiting_sides(now_s)
 
     def take(self, now_s: float) -> tuple[list[Piece], int]:
-        """What is here of the request's body and not taken yet, and its size."""
+        """The pieces of the request's body that this attempt has not taken, and their size in bytes."""
         pieces, size = self.upload.take()
         if size and not self.upload_pipe.done:
-            # What an attempt takes again after another does not count again.
+            # Bytes that an earlier attempt has taken are not counted again.
             self.upload_pipe.add_taken(now_s, min(size, self.upload_pipe.held))
             self._update_waiting_sides(now_s)
         return pieces, size
 
     def sent(self, now_s: float, node: NodeSide) -> None:
-        """This attempt's node has the whole request."""
+        """The complete request was sent to this node."""
         if node is self.node and not self._sent_reported and not self.has_ended:
             self._sent_reported = True
             self.owner.on_request_sent(self, node)
@@ -177,12 +179,12 @@
             self.client.interim(head)
 
     def begin(self, now_s: float, node: NodeSide, head: Response) -> None:
-        """A final answer: from here on no other one can take its place."""
+        """Starts the final response. A response of another attempt is ignored from now on."""
         if self.phase is not Phase.AWAITING_RESPONSE:
             return
         self.phase, self.node, self.status, self.first_byte_s = Phase.RESPONDING, node, head.status, now_s
         self.response_pipe = Pipe(
-            Side.NODE, self.limits.answer_bytes, self.limits.pace, self.limits.pace, now_s
+            Side.NODE, self.limits.answer_bytes, self.limits.progress, self.limits.progress, now_s
         )
         self.owner.on_response_begun(self, node, head)
         self.client.begin(head)
@@ -196,14 +198,14 @@
         self.client.pieces(pieces, size)
 
     def finish(self, now_s: float, node: NodeSide, trailers: Fields | None = None) -> None:
-        """This node's answer is here whole."""
+        """The response of this node is complete."""
         if self.phase is Phase.RESPONDING and node is self.node:
             self.phase, self.ending, self.node, self.ended_s = Phase.ENDED, Ending.ANSWERED, None, now_s
             self.client.end(trailers or [])
             self.owner.on_exchange_ended(self)
 
     def detach(self, now_s: float, node: NodeSide) -> None:
-        """This attempt has ended without a whole answer."""
+        """The attempt at this node has ended without a complete response."""
         if node is not self.node:
             return
         if self.phase is Phase.RESPONDING:
@@ -212,24 +214,25 @@
         self.node = None
         self._update_waiting_sides(now_s)
 
-    # From the owner
+    # Called by the owner
 
     def answer(self, now_s: float, answer: ProxyResponse) -> None:
-        """The proxy's own: the module has given it up, or its time is over."""
+        """Answers with a response of the proxy: the decision module rejected the request, or its deadline has
+        passed."""
         self._respond_or_abort(now_s, answer.status, Ending.OWN, answer.retry_after_ms)
 
-    # Time
+    # Stalls
 
     def tick(self, now_s: float) -> Stall | None:
-        """Ends what no side moves any more; the stall says which side is to blame."""
+        """Ends the exchange or the attempt if one side has stalled, and returns the stall."""
         stall = self._find_stall(now_s)
         if stall is None:
             return None
         if stall.side is Side.CLIENT:
             self._respond_or_abort(now_s, 408, Ending.CLIENT_STALLED)
         elif self.node is not None:
-            node, begun = self.node, self.phase is Phase.RESPONDING
-            if begun:
+            node, responding = self.node, self.phase is Phase.RESPONDING
+            if responding:
                 self._end(now_s, Ending.NODE_STALLED, node)
             else:
                 self.owner.time_out_attempt(self, node)
@@ -239,28 +242,35 @@
         if self.phase is Phase.RESPONDING and self.response_pipe is not None:
             self._record_client_reads(now_s)
             stall = self.response_pipe.find_stall(now_s)
-            # A node that answers while it reads may wait for its client's next piece.
+            # A node that responds while it still reads the request may be waiting for the client's next
+            # bytes.
             if stall is Stall.NODE_NOT_SENDING and not self.upload.complete:
-                up = self.upload_pipe.find_stall(now_s)
-                return up if up is Stall.CLIENT_NOT_SENDING else stall if up is not None else None
+                upload_stall = self.upload_pipe.find_stall(now_s)
+                return (
+                    upload_stall
+                    if upload_stall is Stall.CLIENT_NOT_SENDING
+                    else stall
+                    if upload_stall is not None
+                    else None
+                )
             return stall
         if self.has_ended or self.upload_pipe.done:
             return None
         return self.upload_pipe.find_stall(now_s)
 
     def _update_waiting_sides(self, now_s: float) -> None:
-        """Who may be waited for in the upload."""
+        """Updates which sides the upload may be waiting for."""
         self.upload_pipe.set_waiting_sides(now_s, self.upload.room > 0, self.node is not None)
 
     def _record_client_reads(self, now_s: float) -> None:
-        """What has left the client's side, as far as it was of this body."""
+        """Records how much of the response's body has left the client side's write buffer."""
         if (
             self.response_pipe is not None
-            and (gone := self.response_pipe.held - self.client.unsent_bytes()) > 0
+            and (read_bytes := self.response_pipe.held - self.client.unsent_bytes()) > 0
         ):
-            self.response_pipe.add_taken(now_s, gone)
+            self.response_pipe.add_taken(now_s, read_bytes)
 
-    # The end
+    # End of the exchange
 
     def _respond_or_abort(
         self, now_s: float, status: int, ending: Ending, retry_after_ms: float = 0.0
@@ -275,12 +285,12 @@
     def _end(self, now_s: float, ending: Ending, stalled_node: NodeSide | None = None) -> None:
         if self.has_ended:
             return
-        begun, asked = self.phase is Phase.RESPONDING, self.phase is not Phase.GATHERING
+        responding, offered = self.phase is Phase.RESPONDING, self.phase is not Phase.GATHERING
         self.phase, self.ending, self.node, self.ended_s = Phase.ENDED, ending, None, now_s
-        if begun and ending is not Ending.CLIENT_LEFT:
+        if responding and ending is not Ending.CLIENT_LEFT:
             self.client.reset()
         if stalled_node is not None:
             self.owner.time_out_attempt(self, stalled_node)
-        elif asked:
+        elif offered:
             self.owner.cancel_attempts(self)
         self.owner.on_exchange_ended(self)
--- a/flintlatch/exchange/sides.py
+++ b/flintlatch/exchange/sides.py
@@ -1,5 +1,8 @@
-"""What an exchange asks of its two sides. Nothing here calls back into it at once, except `NodeSide.send_upload`
-and `ClientSide.resume_upload`, which may take and bring bytes there and then."""
+"""The interfaces of an exchange to its two sides.
+
+The methods must not call back into the exchange before they return. The exceptions are
+`NodeSide.send_upload` and `ClientSide.resume_upload`, which may take and add bytes at once.
+"""
 
 from __future__ import annotations
 
@@ -9,42 +12,44 @@
 
 
 class ClientSide(Protocol):
-    """A front's end of one request. Calls come in this order: `interim` any number of times, then either
-    `own` once, or `begin`, `pieces` any number of times and `end`; `reset` may come once after `begin`."""
+    """The front end's part of one request.
+
+    The order of calls: `interim` any number of times, then either `send_proxy_response` once, or `begin`,
+    `pieces` any number of times and `end`. `reset` may be called once after `begin`."""
 
     def interim(self, head: Response) -> None:
-        """An answer of 1xx, RFC 9110 section 15.2."""
+        """Sends an interim (1xx) response, RFC 9110 section 15.2."""
 
     def begin(self, head: Response) -> None:
-        """The final answer's head."""
+        """Sends the head of the final response."""
 
     def pieces(self, pieces: list[Piece], size: int) -> None:
-        """Some of its body, `size` bytes in all."""
+        """Sends the next pieces of the response's body, `size` bytes in total."""
 
     def end(self, trailers: Fields) -> None:
-        """All of the answer has been given."""
+        """Completes the response."""
 
     def send_proxy_response(self, answer: ProxyResponse) -> None:
-        """The proxy's answer, whole."""
+        """Sends a complete response of the proxy itself."""
 
     def reset(self) -> None:
-        """The answer has begun and can't be finished: the client must see that it is broken."""
+        """Aborts a response that has begun, so that the client can detect that it is incomplete."""
 
     def resume_upload(self) -> None:
-        """There is room again for what the client sends."""
+        """There is room again for the request's body."""
 
     def unsent_bytes(self) -> int:
-        """Bytes of the answer that this side holds still."""
+        """Bytes in this side's write buffer that were not sent to the client yet."""
 
     def gone(self) -> bool:
-        """Whether nobody waits there any more, by what the system knows at this moment."""
+        """Whether the client has left, by what the operating system knows at this moment."""
 
 
 class NodeSide(Protocol):
-    """An attempt's end at its node."""
+    """The node's part of one attempt."""
 
     def send_upload(self) -> None:
-        """Of the request's body there is more to take, or its end."""
+        """More of the request's body, or its end, can be taken."""
 
-    def set_reading_paused(self, hold: bool) -> None:
-        """Read no more of the answer for now; or do again."""
+    def set_reading_paused(self, paused: bool) -> None:
+        """Pauses or resumes reading of the response."""
--- a/flintlatch/exchange/terms.py
+++ b/flintlatch/exchange/terms.py
@@ -1,4 +1,4 @@
-"""What an exchange may cost in time and memory; a class may have its own."""
+"""Limits on the time and memory of an exchange, which can differ by class."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ExchangeLimits:
-    pace: ProgressLimits  # of the side that is waited for
-    upload_ms: float  # how long a request may take to be here whole, beside its pace
-    upload_bytes: int  # of a request's body held at most, and so what may be sent again
-    answer_bytes: int  # of an answer's
-    body_bytes: int  # of a request's body in all
-    flow_bytes: int = 0  # of an upload that may wait beyond the part held; 0: as much as `upload_bytes`
+    progress: ProgressLimits  # for the side that a transfer waits for
+    upload_ms: float  # time for the whole request to arrive; `progress` applies as well
+    upload_bytes: int  # buffered of a request's body at most; a longer body can't be retried
+    answer_bytes: int  # buffered of a response's body at most
+    body_bytes: int  # maximum length of a request's body
+    flow_bytes: int = 0  # buffered of a body that can't be retried; 0: as `upload_bytes`
 
     def __post_init__(self) -> None:
         for name in ("upload_ms", "upload_bytes", "answer_bytes"):
@@ -24,7 +24,8 @@
             raise ValueError("body_bytes must not be negative")
 
     def max_buffered_bytes(self, uploading: bool) -> int:
-        """Bytes that an exchange may hold; an upload is held twice over while an attempt begins anew."""
+        """Bytes that an exchange may buffer. An upload may take its buffer twice: for the bytes that are kept
+        for a retry and for the bytes that wait to be taken."""
         if not uploading:
             return self.answer_bytes
         return self.answer_bytes + self.upload_bytes + max(self.upload_bytes, self.flow_bytes)
