--- a/flintlatch/http/__init__.py
+++ b/flintlatch/http/__init__.py
@@ -1,6 +1,6 @@
-"""Ordinary HTTP for installations other than the platform's. So far its core: framing, fields and rules.
+"""Ordinary HTTP/1.1 for installations that don't use the platform's protocol.
 
-No module here does I/O. Sources: RFC 9110 (semantics), RFC 9112 (HTTP/1.1), RFC 7239 (Forwarded).
+Sources: RFC 9110 (semantics), RFC 9112 (HTTP/1.1), RFC 7239 (Forwarded).
 """
 
 from flintlatch.http.body import Body
--- a/flintlatch/http/body.py
+++ b/flintlatch/http/body.py
@@ -1,8 +1,7 @@
-"""A body as it arrives: by length, in chunks, or up to the end of the connection. RFC 9112 sections 6 and 7.
+"""Incremental parser of message bodies: with a length, chunked, or up to the end of the connection.
 
-Nothing is held back but a chunk's size line and the trailers, so memory is bounded by MAX_LINE_BYTES and
-MAX_TRAILER_BYTES whatever the body's size.
-"""
+RFC 9112 sections 6 and 7. Only the size line of a chunk and the trailers are buffered, so memory is bounded
+by MAX_LINE_BYTES and MAX_TRAILER_BYTES, independently of the body's size."""
 
 from __future__ import annotations
 
@@ -12,19 +11,15 @@
 from flintlatch.exchange import Piece
 from flintlatch.http.framing import TOKEN, BodyKind, Fields, Framing, HttpError, read_field_line
 
-MAX_LINE_BYTES = (
-    256  # bytes of a chunk's size line: a size and a small extension; the rest is somebody's trick
-)
-MAX_EXTENSION_BYTES = (
-    16 * 1024
-)  # bytes of extensions in one body, RFC 9112 section 7.1.1 asks for such a limit
-MAX_TRAILER_BYTES = 8 * 1024  # bytes
+MAX_LINE_BYTES = 256  # of a chunk's size line: enough for a size and a small extension
+MAX_EXTENSION_BYTES = 16 * 1024  # of all chunk extensions of a body; RFC 9112 section 7.1.1 asks for a limit
+MAX_TRAILER_BYTES = 8 * 1024
 SIZE_LINE = re.compile(
     rb"([0-9A-Fa-f]{1,15})((?:[\t ]*;[\t ]*" + TOKEN + rb"(?:[\t ]*=[\t ]*(?:" + TOKEN
     + rb'|"(?:[\t !#-\[\]-~\x80-\xff]|\\[\t -~\x80-\xff])*"))?)*)'
 )  # fmt: skip
-# What says where a message ends, who it is for, or how to treat it has no position behind the body
-# (RFC 9110 section 6.5.1): a reader that merges trailers would see it.
+# Fields for framing, routing, authentication and content handling are not allowed in trailers (RFC 9110
+# section 6.5.1), because a recipient that merges trailers into the header would act on them.
 FORBIDDEN_TRAILERS = frozenset(
     (b"transfer-encoding", b"content-length", b"host", b"connection", b"keep-alive", b"te", b"trailer",
      b"upgrade", b"expect", b"max-forwards", b"authorization", b"proxy-authorization", b"cookie",
@@ -34,10 +29,10 @@
 
 
 class State(Enum):
-    DATA = "data"  # of the length, or up to the close
-    SIZE = "size"  # a chunk's size line comes
-    CHUNK = "chunk"  # its data
-    CHUNK_END = "chunk end"  # the CRLF behind it
+    DATA = "data"  # in a body with a length or up to the end of the connection
+    SIZE = "size"  # in the size line of a chunk
+    CHUNK = "chunk"  # in the data of a chunk
+    CHUNK_END = "chunk end"  # in the CRLF after the data of a chunk
     TRAILERS = "trailers"
     DONE = "done"
 
@@ -51,15 +46,16 @@
 
 
 class Body:
-    """Feed it what comes behind the head; `done` says when the message is over, and `trailers` what followed.
+    """Parses the bytes after a head; `done` tells whether the message is complete, `trailers` are its
+    trailers.
 
-    Raises HttpError(400); for a node's answer the caller makes that a 502."""
+    Raises HttpError with status 400; the caller turns that into 502 for a node's response."""
 
     def __init__(self, framing: Framing) -> None:
         self.framing = framing
-        self.remaining_bytes = framing.length  # bytes of the body or of the chunk that are still to come
+        self.remaining_bytes = framing.length  # of the body, or of the current chunk
         self.trailers: Fields = []
-        self._partial_line = bytearray()  # a line that is not here whole
+        self._partial_line = bytearray()  # a line whose end has not arrived
         self._extensions = self._trailer_bytes = 0
         self.state = INITIAL_STATE[framing.kind]
         if framing.kind is BodyKind.LENGTH and not framing.length:
@@ -70,13 +66,13 @@
         return self.state is State.DONE
 
     def buffered_bytes(self) -> int:
-        """Bytes held back."""
+        """Bytes of incomplete lines and of trailers."""
         return len(self._partial_line) + self._trailer_bytes
 
     def feed(self, data: bytes) -> tuple[list[Piece], bytes]:
-        """The pieces of the body in `data`, and what lies behind its end."""
+        """Returns the pieces of the body in `data`, and the bytes after the end of the message."""
         if self.remaining_bytes > len(data) and self.state in (State.DATA, State.CHUNK):
-            self.remaining_bytes -= len(data)  # the common case: all of it belongs to what is open
+            self.remaining_bytes -= len(data)  # the common case: everything belongs to the current part
             return [data], b""
         pieces: list[Piece] = []
         view, position = memoryview(data), 0
@@ -96,14 +92,14 @@
         return pieces, bytes(view[position:])
 
     def end(self) -> None:
-        """The connection has ended. Raises HttpError if the body has not."""
+        """Handles the end of the connection. Raises HttpError if the body is not complete."""
         if self.framing.kind is BodyKind.UNTIL_CLOSE:
             self.state = State.DONE
         if not self.done:
             raise HttpError(400, "the connection ended within the body")
 
     def _read_line(self, data: bytes, position: int) -> int:
-        """Take one line, or hold the part that is here; the position behind it."""
+        """Processes one line, or buffers the part that has arrived. Returns the position after it."""
         newline = data.find(b"\n", position)
         line_end = len(data) if newline < 0 else newline + 1
         max_bytes = 2 if self.state is State.CHUNK_END else MAX_LINE_BYTES
@@ -151,7 +147,7 @@
 
 
 def chunk(data: bytes) -> bytes:
-    """One chunk; empty data would end the body, and gives nothing."""
+    """Encodes one chunk. Returns nothing for empty data, because an empty chunk would end the body."""
     return b"%x\r\n%b\r\n" % (len(data), data) if data else b""
 
 
--- a/flintlatch/http/build.py
+++ b/flintlatch/http/build.py
@@ -1,4 +1,4 @@
-"""From the configuration's [http] table to a front that serves by it."""
+"""Builds the HTTP front end and its engine from the [http] table of the configuration."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 from flintlatch.http.sockets import MAX_READ_BYTES, RESPONSE_BUFFER_BYTES
 from flintlatch.net.relay import RelayEngine
 
-TRANSFER_FRACTION = (
-    0.9  # of connections to nodes and of the bodies' memory that transfers known as such may take
-)
+# Of the connections to nodes and of the memory for bodies; requests known to be transfers get no more.
+TRANSFER_FRACTION = 0.9
 
 
 def routing_rules(config: Config, table: HttpTable, seed: int) -> RoutingRules:
-    """`seed` begins the ids that are made, so that no two instances make the same."""
+    """The rules that classify requests. `seed` is the prefix of generated request ids; it differs between
+    instances, so that ids are unique."""
     class_indexes = {row.name: index for index, row in enumerate(config.classes)}
     numbers = count(1)
     rules = [
@@ -60,7 +60,7 @@
 
 
 def limits_by_class(config: Config, table: HttpTable) -> tuple[ExchangeLimits, ...]:
-    """By class: its own where it has any, else the table's."""
+    """The limits of each class: its own values where it sets them, else those of the [http] table."""
 
     def merged(transfer: TransferRow) -> ExchangeLimits:
         idle_s = table.idle_s if transfer.idle_s is None else transfer.idle_s
@@ -88,14 +88,14 @@
     max_clients: int,
     accepts_per_turn: int,
 ) -> tuple[RelayEngine, HttpFrontend]:
-    """One instance's engine and front; `number`: its index in the fleet."""
+    """Builds the engine and the front end of one instance; `number`: its index in the fleet."""
     limits = HeadLimits(table.head_bytes, table.target_bytes, table.fields)
     settings = replace(
         config.settings(number),
         refuse_unsent=True,
         node_transfers=table.node_transfers,
         node_transfer_bytes=table.node_transfer_bytes or 1 << 60,
-        # The rest is for requests that are no transfers, or are not known to be any.
+        # The rest is reserved for requests that are not transfers, or not known to be transfers.
         all_transfers=max(1, int(max_node_connections * TRANSFER_FRACTION)),
         all_transfer_bytes=int(table.process_bytes * TRANSFER_FRACTION),
     )
--- a/flintlatch/http/fields.py
+++ b/flintlatch/http/fields.py
@@ -1,7 +1,7 @@
-"""Fields on their way through a proxy: RFC 9110 sections 7.6 and 10, RFC 7239.
+"""Header fields that a proxy removes, adds and passes on: RFC 9110 sections 7.6 and 10, RFC 7239.
 
-What concerns one connection alone ends here; what says where a request came from is added, and is kept
-from before only if it came from somebody who is trusted to say it.
+Hop-by-hop fields are removed. Fields that describe the origin of a request are added; received ones are kept
+only if the peer that sent them is trusted.
 """
 
 from __future__ import annotations
@@ -13,35 +13,36 @@
 
 from flintlatch.http.framing import Fields, HttpError, ParsedFields, list_members
 
-# RFC 9110 section 7.6.1, and those of old that some still send.
+# RFC 9110 section 7.6.1, and obsolete fields that some peers still send.
 HOP_BY_HOP = frozenset(
     (b"connection", b"keep-alive", b"proxy-connection", b"proxy-authenticate", b"proxy-authorization", b"te",
      b"trailer", b"transfer-encoding", b"upgrade", b"http2-settings", b"content-length")
 )  # fmt: skip
-# Named by Connection they would be taken from a message that needs them, on the word of one hop.
+# Fields that Connection must not name. They would be removed from a message that needs them because one hop
+# asked for it.
 NOT_REMOVABLE = frozenset(
     (b"host", b"content-length", b"transfer-encoding", b"content-type", b"content-encoding", b"authorization",
      b"cookie", b"cache-control", b"range", b"idempotency-key", b"forwarded", b"x-forwarded-for",
      b"x-forwarded-host", b"x-forwarded-proto", b"via", b"x-call-id", b"x-budget-ms")
 )  # fmt: skip
 FORWARDING_FIELDS = frozenset((b"forwarded", b"x-forwarded-for", b"x-forwarded-host", b"x-forwarded-proto"))
-MAX_VIA_HOPS = 16  # hops; more is a loop or nobody's path
+MAX_VIA_HOPS = 16  # a request with more hops is in a loop
 Address = IPv4Address | IPv6Address
 Network = IPv4Network | IPv6Network
 
 
 @dataclass(frozen=True, slots=True)
 class ForwardingPolicy:
-    """How a request's origin is present. `style`: "forwarded" (RFC 7239), "x-forwarded", or "none"."""
+    """How nodes are told of the origin of a request."""
 
-    style: str = "forwarded"
-    trusted: tuple[Network, ...] = ()  # peers whose word on it is passed on
+    style: str = "forwarded"  # "forwarded" (RFC 7239), "x-forwarded", or "none"
+    trusted: tuple[Network, ...] = ()  # peers whose forwarding fields are passed on
     via: bytes = b"flintlatch"  # this proxy's name in Via
 
 
 def end_to_end(fields: Fields) -> Fields:
-    """Those that go on; framing is written anew by whoever sends the message. Raises HttpError(400) for a
-    Connection that names what the message needs."""
+    """The fields without the hop-by-hop ones. The sender of the message writes its own framing fields. Raises
+    HttpError with 400 if Connection names a field that must not be removed."""
     return without_fields(fields, HOP_BY_HOP | named_by_connection(fields))
 
 
@@ -53,13 +54,16 @@
 
 
 def without_fields(fields: Fields, names: Set[bytes]) -> Fields:
-    lowers = fields.lowers if isinstance(fields, ParsedFields) else [name.lower() for name, _ in fields]
-    return [pair for pair, lower in zip(fields, lowers, strict=True) if lower not in names]
+    lower_names = (
+        fields.lower_names if isinstance(fields, ParsedFields) else [name.lower() for name, _ in fields]
+    )
+    return [pair for pair, lower in zip(fields, lower_names, strict=True) if lower not in names]
 
 
 def requests_upgrade(fields: Fields) -> bool:
-    """Another protocol than HTTP, which this proxy refuses. A protocol for h2c is an offer that may be ignored
-    (RFC 9110 section 7.8), and goes with the connection's other fields."""
+    """Whether a request asks for a protocol other than HTTP, which this proxy rejects. An upgrade to h2c is
+    an offer that a server may ignore (RFC 9110 section 7.8); its fields are removed with the hop-by-hop
+    ones."""
     if b"upgrade" not in list_members(fields, b"connection"):
         return False
     return any(not protocol.startswith(b"h2c") for protocol in list_members(fields, b"upgrade"))
@@ -73,8 +77,8 @@
     policy: ForwardingPolicy,
     drop: Set[bytes] = frozenset(),
 ) -> Fields:
-    """A request's fields for the node: without the hop's own and those to `drop`, with Via and the policy.
-    `peer`: the address of the client's end. Raises HttpError with 400, or 508 for a loop."""
+    """A request's fields for a node: without the hop-by-hop fields and those in `drop`, with Via and the
+    forwarding fields. `peer`: the client's IP address. Raises HttpError with 400, or with 508 for a loop."""
     connection_options = named_by_connection(fields)
     via_hops = [] if b"via" in connection_options else list_members(fields, b"via")
     if (
@@ -110,12 +114,12 @@
 
 
 def response_fields_to_client(fields: Fields, minor: int, via: bytes) -> Fields:
-    """An answer's end-to-end fields for the client."""
+    """A response's end-to-end fields for the client, with Via."""
     return [*fields, (b"Via", b"1.%d %b" % (minor, via))]
 
 
 def forwarded_node_name(address: Address) -> bytes:
-    """RFC 7239 section 6: an IPv6 address in brackets, and so in quotes."""
+    """A node name by RFC 7239 section 6: an IPv6 address is in brackets, and therefore quoted."""
     return str(address).encode() if address.version == 4 else b'"[%b]"' % str(address).encode()
 
 
--- a/flintlatch/http/framing.py
+++ b/flintlatch/http/framing.py
@@ -1,8 +1,8 @@
-"""Where a message's body ends: RFC 9112 section 6, without the leniency that lets two readers disagree.
+"""Determines where the body of a message ends: RFC 9112 section 6, parsed strictly.
 
-What the RFC lets a recipient repair (two equal lengths, a length beside a coding) is refused here: another
-reader on the way may have repaired it in another way.
-"""
+The RFC lets a recipient repair some messages (two equal lengths, a length together with a transfer coding).
+These are rejected here, because another recipient on the way may repair them differently, which enables
+request smuggling."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from enum import Enum
 from typing import NamedTuple
 
-Fields = list[tuple[bytes, bytes]]  # names as they came, values without the white space around them
+Fields = list[tuple[bytes, bytes]]  # names as received, values without the white space around them
 
 
 class ParsedFields(Fields):
-    """Fields as one head had them, never changed: found by name without a walk over all of them."""
+    """The fields of one head with an index by name. Must not be modified."""
 
     def __init__(self, fields: Iterable[tuple[bytes, bytes]]) -> None:
         super().__init__(fields)
-        self.lowers = [name.lower() for name, _ in self]
+        self.lower_names = [name.lower() for name, _ in self]
         self.by_name: dict[bytes, list[bytes]] = {}
-        for lower, (_, value) in zip(self.lowers, self, strict=True):
+        for lower, (_, value) in zip(self.lower_names, self, strict=True):
             self.by_name.setdefault(lower, []).append(value)
 
 
@@ -29,13 +29,11 @@
 FIELD_LINE = re.compile(
     rb"(" + TOKEN + rb"):[\t ]*((?:[!-~\x80-\xff](?:[\t -~\x80-\xff]*[!-~\x80-\xff])?)?)[\t ]*"
 )
-CONTENT_LENGTH = re.compile(
-    rb"[0-9]{1,18}"
-)  # 18 digits: far beyond any body, and within every reader's integers
+CONTENT_LENGTH = re.compile(rb"[0-9]{1,18}")  # 18 digits fit into a 64-bit integer
 
 
 class HttpError(Exception):
-    """A message that can't be passed on. `status`: what a client is told; a node's answer becomes 502."""
+    """A message that is rejected. `status`: for the client; a node's invalid response becomes 502."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -46,20 +44,20 @@
     NONE = "none"
     LENGTH = "length"
     CHUNKED = "chunked"
-    UNTIL_CLOSE = "until close"  # answers alone
+    UNTIL_CLOSE = "until close"  # responses only
 
 
 class Framing(NamedTuple):
     kind: BodyKind
-    length: int = 0  # bytes; LENGTH alone
+    length: int = 0  # bytes; only for LENGTH
 
 
 NO_BODY = Framing(BodyKind.NONE)
 
 
 def read_field_line(line: bytes) -> tuple[bytes, bytes]:
-    """One field line without its CRLF, RFC 9112 section 5. Folding, space before the colon and control
-    characters are refused (sections 5.1 and 5.2, RFC 9110 section 5.5)."""
+    """Parses one field line without its CRLF, RFC 9112 section 5. Raises HttpError for line folding, space
+    before the colon and control characters (sections 5.1 and 5.2, RFC 9110 section 5.5)."""
     match = FIELD_LINE.fullmatch(line)
     if match is None:
         raise HttpError(400, f"field line that can't be read: {line[:60]!r}")
@@ -67,14 +65,14 @@
 
 
 def field_values(fields: Fields, name: bytes) -> list[bytes]:
-    """All values of a field; `name` in lower case."""
+    """All values of the field `name`, which is given in lower case."""
     if isinstance(fields, ParsedFields):
         return fields.by_name.get(name, [])
     return [value for key, value in fields if key.lower() == name]
 
 
 def list_members(fields: Fields, name: bytes) -> list[bytes]:
-    """The members of a list field in lower case, RFC 9110 section 5.6.1; empty ones are left out."""
+    """The non-empty members of a list field in lower case, RFC 9110 section 5.6.1."""
     found = field_values(fields, name)
     if not found:
         return []
@@ -83,7 +81,7 @@
 
 
 def _declared_framing(fields: Fields, minor: int) -> Framing | None:
-    """What Transfer-Encoding and Content-Length say; None if neither is there."""
+    """The framing by Transfer-Encoding or Content-Length; None if both are absent."""
     codings, lengths = field_values(fields, b"transfer-encoding"), field_values(fields, b"content-length")
     if codings and lengths:
         raise HttpError(400, "Content-Length beside Transfer-Encoding")
@@ -108,7 +106,7 @@
 
 
 def request_framing(fields: Fields, minor: int) -> Framing:
-    """Of a request of HTTP/1.`minor`; RFC 9112 section 6.3, rules 3 to 7."""
+    """The framing of a request of HTTP/1.`minor`; RFC 9112 section 6.3, rules 3 to 7."""
     framing = _declared_framing(fields, minor)
     if framing is None or (framing.kind is BodyKind.LENGTH and framing.length == 0):
         return NO_BODY
@@ -116,8 +114,10 @@
 
 
 def response_framing(fields: Fields, minor: int, status: int, method: bytes) -> Framing:
-    """Of an answer to a request of this method; RFC 9112 section 6.3, rules 1 to 8. A length on an answer
-    that has no body (HEAD, 304) is information; both length and coding are refused there too."""
+    """The framing of a response to a request with this method; RFC 9112 section 6.3, rules 1 to 8.
+
+    In a response without a body to HEAD or with status 304, a length is only informative. A length together
+    with a coding is rejected there too."""
     framing = _declared_framing(fields, minor)
     if status < 200 or status in (204, 304) or method == b"HEAD":
         if framing is not None and (status < 200 or status == 204) and framing != Framing(BodyKind.LENGTH, 0):
--- a/flintlatch/http/front.py
+++ b/flintlatch/http/front.py
@@ -1,4 +1,4 @@
-"""Clients of ordinary HTTP: heads read strictly, bodies passed on as they arrive."""
+"""The front end for ordinary HTTP/1.1: parses heads strictly and passes bodies on as they arrive."""
 
 from __future__ import annotations
 
@@ -26,24 +26,25 @@
 if TYPE_CHECKING:
     from flintlatch.net.request import Reader
 
-MAX_PIPELINED_BYTES = MAX_READ_BYTES // 8  # of requests sent ahead that are read before this one is answered
+# Of pipelined requests that are read before the current one is answered.
+MAX_PIPELINED_BYTES = MAX_READ_BYTES // 8
 
 
 class HttpClient(Client):
-    """One connection, and the `ClientSide` of one exchange after the other."""
+    """One client connection, and the `ClientSide` of one exchange after another."""
 
     def __init__(self, front: HttpFrontend) -> None:
         super().__init__(front)
         self.parser = None
         self.front = front
         self.buffer = bytearray()
-        self.searched_bytes = 0  # how far the buffer was searched for the end of a head
+        self.searched_bytes = 0  # of the buffer that were searched for the end of a head
         self.exchange: Exchange | None = None
-        self.body: Body | None = None  # of the request that comes
+        self.body: Body | None = None  # of the current request
         self.last_request_line = (b"", b"")  # method and target of the last head that could be read
-        self.minor = 1  # of the request that is answered
-        self.response_chunked = False  # its answer is
-        self.half_closed = False  # the client sends no more, and reads on
+        self.minor = 1  # minor HTTP version of the current request
+        self.response_chunked = False
+        self.half_closed = False  # the client has closed its sending direction but still reads
         self.reading = True
         self.processing = False
 
@@ -61,11 +62,13 @@
             exchange.client_left(now_ms() / 1000)
 
     def gone(self) -> bool:
-        """The end of its sending is not its leaving here, and a lost connection is told in time."""
+        """A client that has closed its sending direction may still read, so this is not taken as leaving. A
+        lost connection is reported by `connection_lost` soon enough."""
         return False
 
     def eof_received(self) -> bool:
-        """A client may close its half behind a whole request, and is answered still: RFC 9112 9.6."""
+        """A client may close its sending direction after a complete request and still gets the response: RFC
+        9112 section 9.6."""
         whole = self.body is not None and self.body.done
         if self.closing or self.exchange is None or not whole:
             return False
@@ -80,18 +83,18 @@
         if self.exchange is not None:
             self.exchange.set_client_blocked(False)
 
-    # Reading
+    # Reading requests
 
     def data_received(self, data: bytes) -> None:
         if self.closing:
-            super().data_received(data)  # dropped there, within its bound
+            super().data_received(data)  # discards the data, up to a limit
             return
         exchange, body = self.exchange, self.body
         if exchange is None or body is None or body.done or self.buffer or len(data) > exchange.room:
             self.buffer += data
             self.process_buffer()
             return
-        try:  # the common case of a long upload: nothing waits, and there is room for all of it
+        try:  # the common case of a long upload: nothing is buffered, and there is room for all data
             self._feed_body(exchange, body, data)
         except HttpError as error:
             self._reject_with(error)
@@ -101,9 +104,9 @@
             self.process_buffer()
 
     def process_buffer(self) -> None:
-        """Go on with what is here, and read more where there is room for it."""
+        """Processes the buffered bytes and pauses or resumes reading by the room that is left."""
         if self.processing:
-            return  # the loop below goes on
+            return  # a call in progress continues its loop
         self.processing = True
         try:
             while self._consume_buffer():
@@ -127,14 +130,15 @@
             )
             self.frontend.move_client(self, group)
         else:
-            # That a client leaves is seen by reading alone: so on to a bound, while its answer is due.
+            # Only reading detects that a client has left. So reading continues up to a limit while the client
+            # waits for its response.
             max_ahead_bytes = MAX_PIPELINED_BYTES if self.body is None or self.body.done else 0
             self._set_reading(
                 len(self.buffer) <= max_ahead_bytes and (max_ahead_bytes > 0 or exchange.room > 0)
             )
             self.frontend.move_client(self, None)
 
-    resume_upload = process_buffer  # there is room again for the upload
+    resume_upload = process_buffer  # called when there is room again for the upload
 
     def _set_reading(self, reading: bool) -> None:
         if reading != self.reading and not self.half_closed:
@@ -145,7 +149,7 @@
                 self.transport.pause_reading()
 
     def _consume_buffer(self) -> bool:
-        """Take one part of the buffer; false if there is nothing to take."""
+        """Processes the next part of the buffer; false if nothing can be processed now."""
         if self.closing or not self.buffer:
             return False
         exchange, body = self.exchange, self.body
@@ -153,7 +157,7 @@
             return self._read_head()
         room = exchange.room
         if body is None or body.done or room <= 0:
-            return False  # the next request waits for this one's answer, the body for room
+            return False  # a pipelined request waits for the current response, the body waits for room
         if len(self.buffer) <= room:
             data = bytes(self.buffer)
             self.buffer.clear()
@@ -200,7 +204,7 @@
         if requests_upgrade(head.fields):
             raise HttpError(501, "an upgrade to another protocol")
         if head.method == b"TRACE":
-            raise HttpError(405, "TRACE")  # it would show a client what others added on the way
+            raise HttpError(405, "TRACE")  # the response would show fields that proxies have added
         ask = front.rules.read(head)
         terms = front.engine.terms[ask.cls]
         if head.framing.kind is BodyKind.LENGTH and head.framing.length > terms.body_bytes:
@@ -220,12 +224,13 @@
         elif request.expects_continue:
             exchange.offer(now_s)
         else:
-            self._consume_buffer()  # most short bodies come with their head
+            self._consume_buffer()  # most short bodies arrive together with their head
             if exchange.phase is Phase.GATHERING:
                 front.engine.start_gather_timer(exchange)
 
     def _reject_with(self, error: HttpError) -> None:
-        """What follows can't be told apart, or is not wanted: answer, and close."""
+        """Answers with an error and closes the connection, because the rest of its input can't be parsed or
+        will not be read."""
         self.keep_alive = False
         if self.exchange is not None:
             self.exchange.reject_request(now_ms() / 1000, error.status)
@@ -239,7 +244,7 @@
         else:
             self.transport.close()
 
-    # The client's side of an exchange
+    # `ClientSide` of an exchange
 
     def interim(self, head: Response) -> None:
         if self.minor >= 1:
@@ -250,7 +255,7 @@
         exchange = self.exchange
         assert exchange is not None
         if not exchange.upload.complete:
-            # what follows of the upload is dropped, and can't be told from a next request
+            # the rest of the upload can't be distinguished from a next request
             self.keep_alive = False
         lines = response_fields_to_client(head.fields, self.minor, self.front.forwarding.via)
         if not head.bodyless:
@@ -283,23 +288,24 @@
             self.keep_alive = False
         wait = b""
         if answer.status == 503 and answer.retry_after_ms > 0:
-            # Whole seconds, RFC 9110 section 10.2.3; earlier than it was told, nobody should come.
+            # In whole seconds, RFC 9110 section 10.2.3. Rounded up, so that no client retries too early.
             wait = b"Retry-After: %d\r\n" % ceil(answer.retry_after_ms / 1000)
         self.write(Answer(answer.status, wait))
         if exchange is not None:
             self._on_response_end()
 
     def reset(self) -> None:
-        """No last chunk, and the end of the connection: the client can tell."""
+        """Aborts the connection. The missing last chunk or bytes show the client that the response is
+        incomplete."""
         self.transport.abort()
 
     def unsent_bytes(self) -> int:
         return self.transport.get_write_buffer_size()
 
-    # Answers
+    # Writing responses
 
     def write(self, answer: Answer) -> None:
-        """One of the proxy's own."""
+        """Writes a response of the proxy itself."""
         if self.transport.is_closing():
             return
         keep = self.keep_alive = self.keep_alive and not self.frontend.keep_alive_disabled
@@ -317,7 +323,7 @@
             self.close_lingering()
 
     def _on_response_end(self) -> None:
-        """Its answer is out whole, or the proxy's own in its place."""
+        """The response to the current request is complete."""
         self.exchange = self.body = None
         self.response_sent = True
         if self.transport.is_closing():
@@ -355,7 +361,7 @@
         return HttpClient(self)
 
     def forwarded_request(self, head: RequestHead, peer: str) -> Request:
-        """What goes on to a node. `peer`: the address of the client's end of the connection."""
+        """The request as it is sent to a node. `peer`: the client's IP address."""
         return Request(
             head.method,
             head.target,
--- a/flintlatch/http/head.py
+++ b/flintlatch/http/head.py
@@ -1,8 +1,7 @@
-"""Heads of requests and answers: RFC 9112 sections 2 to 5, read strictly and once.
+"""Strict parser of request and response heads: RFC 9112 sections 2 to 5.
 
-Whatever is passed on is written anew from what was read, so a head that two readers could see differently
-has no way through; those that show such an intent are refused.
-"""
+A head is never copied through: the proxy writes a new one from the parsed fields. So a head that two
+recipients could interpret differently can't get through; heads that try to are rejected."""
 
 from __future__ import annotations
 
@@ -32,10 +31,10 @@
 
 @dataclass(frozen=True, slots=True)
 class HeadLimits:
-    """Each with the status that says so."""
+    """Limits of a head; the comments name the status of a request that exceeds them."""
 
-    head_bytes: int = 32 * 1024  # 431: a browser's cookies and some; beyond it is no ordinary client's
-    target_bytes: int = 8 * 1024  # 414; RFC 9112 section 3 asks for at least 8000
+    head_bytes: int = 32 * 1024  # 431; more than a browser sends with all its cookies
+    target_bytes: int = 8 * 1024  # 414; RFC 9112 section 3 recommends at least 8000
     fields: int = 128  # 431
 
 
@@ -45,21 +44,21 @@
 @dataclass(frozen=True, slots=True)
 class RequestHead:
     method: bytes
-    target: bytes  # origin-form, or "*" of OPTIONS
-    host: bytes  # empty if an HTTP/1.0 client gave none
-    minor: int  # of HTTP/1.x
+    target: bytes  # in origin-form, or "*" for OPTIONS
+    host: bytes  # empty if an HTTP/1.0 client sent none
+    minor: int  # minor version of HTTP/1.x
     fields: Fields
     framing: Framing
 
     @property
     def keep_alive(self) -> bool:
-        """Whether the client wants another request to follow, RFC 9112 section 9.3."""
+        """Whether the client may send another request on the connection, RFC 9112 section 9.3."""
         options = list_members(self.fields, b"connection")
         return b"close" not in options if self.minor else b"keep-alive" in options and b"close" not in options
 
     @property
     def expects_continue(self) -> bool:
-        """RFC 9110 section 10.1.1; an HTTP/1.0 client's is ignored."""
+        """RFC 9110 section 10.1.1; the expectation of an HTTP/1.0 client is ignored."""
         return self.minor >= 1 and list_members(self.fields, b"expect") == [b"100-continue"]
 
 
@@ -78,7 +77,7 @@
 
 
 def find_head_end(data: bytes | bytearray, start: int = 0) -> int:
-    """The place after the empty line, or -1. `start`: how far an earlier look came."""
+    """The position after the empty line, or -1. `start`: length that an earlier call has searched."""
     position = data.find(b"\r\n\r\n", max(start - 3, 0))
     return position + 4 if position >= 0 else -1
 
@@ -95,8 +94,8 @@
 
 
 def read_request_head(raw: bytes, limits: HeadLimits = DEFAULT_LIMITS) -> RequestHead:
-    """`raw`: from the first byte of the request line to the end of the empty line. Raises HttpError with 400,
-    414, 431, 501 or 505; the connection can't be read on after that."""
+    """Parses a request head. `raw`: from the request line to the end of the empty line. Raises HttpError with
+    400, 414, 417, 431, 501 or 505; after that, nothing more can be read from the connection."""
     start_line, fields = _split_head(raw, limits)
     line = REQUEST_LINE.fullmatch(start_line)
     if line is None:
@@ -129,8 +128,8 @@
 
 
 def _origin_form(method: bytes, target: bytes, host: bytes) -> tuple[bytes, bytes]:
-    """The target as a node gets it, RFC 9112 section 3.2. An absolute one must name the host that Host names:
-    of two different ones, another reader could follow the other."""
+    """The target in origin-form and the host, RFC 9112 section 3.2. In absolute-form, the target must name
+    the same host as Host, because another recipient could use the other one of two different hosts."""
     if method == b"CONNECT":
         raise HttpError(501, "CONNECT: this is no tunnel")
     if target == b"*":
@@ -153,8 +152,8 @@
 
 
 def read_response_head(raw: bytes, method: bytes, limits: HeadLimits = DEFAULT_LIMITS) -> ResponseHead:
-    """Of an answer to a request of this method. Raises HttpError: the node has failed, and its connection is
-    of no further use."""
+    """Parses the head of a response to a request with this method. Raises HttpError with 502: the node has
+    failed, and its connection can't be reused."""
     try:
         start_line, fields = _split_head(raw, limits)
         line = STATUS_LINE.fullmatch(start_line)
--- a/flintlatch/http/node.py
+++ b/flintlatch/http/node.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1's way to a node: one exchange at a time on a connection, RFC 9112."""
+"""Connections to nodes over HTTP/1.1 (RFC 9112), each with one exchange at a time."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from flintlatch.net.clock import now_ms
 from flintlatch.net.relay import RelayAttempt
 
-MAX_INTERIM_RESPONSES = 8  # 1xx answers ahead of the real one
-INTERIM_INTERVAL_S = 1.0  # per so many seconds beyond those: a long call may tell of its progress
+MAX_INTERIM_RESPONSES = 8  # 1xx responses before the final one
+INTERIM_INTERVAL_S = 1.0  # one more per interval, because a long call may report its progress
 BODY_METHODS = (b"POST", b"PUT", b"PATCH")
 
 
 def request_head(request: Request, call_id: str) -> bytes:
-    """As a node gets it, without the budget and the empty line. RFC 9112 section 3."""
+    """The head of a request to a node, without the budget field and the empty line. RFC 9112 section 3."""
     lines = [b"%b %b HTTP/1.1\r\nHost: %b\r\n" % (request.method, request.target, request.authority)]
     lines += [b"%b: %b\r\n" % pair for pair in request.fields]
     lines.append(b"x-call-id: %b\r\n" % call_id.encode())
@@ -34,17 +34,18 @@
 
 
 def forwarded_response(head: ResponseHead) -> Response:
-    """Raises HttpError for a Connection that names what the answer needs."""
+    """The response as it is passed on. Raises HttpError if Connection names a field that must not be
+    removed."""
     fields, kind = end_to_end(head.fields), head.framing.kind
     bodyless = kind is BodyKind.NONE
-    if bodyless:  # what a body would have had, RFC 9110 section 8.6
+    if bodyless:  # the length that a body would have, RFC 9110 section 8.6
         fields += [(b"Content-Length", value) for value in field_values(head.fields, b"content-length")]
     length = head.framing.length if kind is BodyKind.LENGTH else 0 if bodyless else None
     return Response(head.status, fields, head.reason, length, bodyless)
 
 
 class NodeConnection(Connection):
-    """`Connection`'s place in the pools, and a `NodeSide` of exchanges."""
+    """A pooled connection that is also the `NodeSide` of exchanges."""
 
     def __init__(self, pool: Backends, backend: Backend, limits: HeadLimits) -> None:
         super().__init__(pool, backend)
@@ -52,8 +53,8 @@
         self.head_buffer = bytearray()
         self.response: ResponseHead | None = None
         self.body: Body | None = None
-        self.writing_paused = False  # its write buffer is full
-        self.reading_paused = False  # its answer's client takes no more
+        self.writing_paused = False  # the write buffer is full
+        self.reading_paused = False  # the client's write buffer is full
         self.request_sent = self.any_bytes_written = False
         self.interim_count, self.sent_ms = 0, 0.0
 
@@ -89,7 +90,8 @@
         self.send_upload()
 
     def never_ran(self) -> bool:
-        """A node may begin with the head alone: only one that has nothing of it has surely not run it."""
+        """True if no byte of the request was sent. A node may start to execute a request after its head
+        alone, so any byte means that it may have run."""
         return not self.any_bytes_written
 
     # The request's body
@@ -118,7 +120,7 @@
         self.writing_paused = False
         self.send_upload()
 
-    # The answer
+    # The response
 
     def set_reading_paused(self, paused: bool) -> None:
         if self.transport is not None and paused is not self.reading_paused:
@@ -130,7 +132,7 @@
 
     def data_received(self, data: bytes) -> None:
         if self.attempt is None:
-            self.close()  # unasked bytes must never meet the next request
+            self.close()  # bytes without a request must not be taken for the response to the next request
             self.on_broken()
             return
         try:
@@ -177,7 +179,8 @@
         self.backend.last_response_ms = now_ms()
         self.response, self.body = head, Body(head.framing)
         if head.status in (503, 504) and field_values(head.fields, b"x-rejected") == [b"1"]:
-            # Turned away, and never run. Nothing is passed on; a body may follow, so the connection goes.
+            # The node rejected the request without executing it. Nothing is passed on, and the connection is
+            # closed because a body may follow.
             self._fail(Result.FULL)
             return
         exchange.begin(now_ms() / 1000, self, forwarded_response(head))
--- a/flintlatch/http/rules.py
+++ b/flintlatch/http/rules.py
@@ -1,7 +1,7 @@
-"""From an ordinary request to what the decision module must know of it: class, tenant, key, budget and id.
+"""Classifies HTTP requests for the decision module: class, tenant, key, budget and id.
 
-The first rule that fits gives the class. Where the configuration is default_class GET, HEAD and OPTIONS are safe,
-and everything else is unsafe (RFC 9110 section 9.2.1).
+The first matching rule determines the class. A request that no rule matches gets the class for safe methods
+(GET, HEAD and OPTIONS; RFC 9110 section 9.2.1) or the class for all other methods.
 """
 
 from __future__ import annotations
@@ -24,13 +24,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Rule:
-    """Fits a request that has all of what is named; what is empty fits any."""
+    """A rule matches a request that meets all its conditions; an empty condition matches every request."""
 
     cls: int
-    path: bytes = b""  # with "*" at its end a prefix
+    path: bytes = b""  # a prefix if it ends with "*"
     methods: frozenset[bytes] = frozenset()
-    host: bytes = b""  # without the port, in lower case; "*.example.org" fits one label or more before it
-    header: tuple[bytes, bytes] = (b"", b"")  # name in lower case, and the value that it must have
+    host: bytes = b""  # without port, in lower case; "*.example.org" matches all hosts below example.org
+    header: tuple[bytes, bytes] = (b"", b"")  # name in lower case, and the required value
 
     def matches(self, head: RequestHead, path: bytes) -> bool:
         if self.methods and head.method not in self.methods:
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingHeaders:
-    """Fields by which a client may say more, in lower case; an empty one is not read."""
+    """Names of the fields that carry properties of a request, in lower case; an empty one is not read."""
 
     id: bytes = b"x-call-id"
     budget: bytes = b"x-budget-ms"
@@ -77,13 +77,14 @@
         safe_class: int | None = None,
         other_class: int | None = None,
     ) -> None:
-        """`safe_class` and `other_class` take what no rule fits, by method; None answers it 404."""
+        """`safe_class` and `other_class`: for requests that no rule matches, by method. If the class is None,
+        such a request is answered 404. `make_id` generates an id for a request without one."""
         self.classes, self.rules, self.tenants = tuple(classes), tuple(rules), dict(tenants)
         self.names, self.make_id = names, make_id
         self.safe_class, self.other_class = safe_class, other_class
 
     def read(self, head: RequestHead) -> RoutingInfo:
-        """Raises HttpError with 400 or 404."""
+        """The properties of a request for the decision module. Raises HttpError with 400 or 404."""
         cls = self._match_class(head)
         spec = self.classes[cls]
         if spec.effect is Effect.KEYED and not self._single_value(head, self.names.key, KEY_VALUE):
@@ -97,7 +98,7 @@
             cls,
             self._tenant(head),
             crc32(route) if route else None,
-            # What the client gives, and never more than the class does.
+            # The client's budget, limited by the deadline of the class.
             min(float(budget), spec.deadline_ms) if budget else spec.deadline_ms,
             bool(budget),
         )
@@ -113,7 +114,8 @@
         return default_class
 
     def _single_value(self, head: RequestHead, name: bytes, pattern: re.Pattern[bytes]) -> bytes:
-        """The field's one value; empty if it is not there or not read."""
+        """The single value of a field; empty if the field is absent or not configured. Raises HttpError with
+        400 for several values or a value that does not match `pattern`."""
         found = field_values(head.fields, name) if name else []
         if len(found) > 1:
             raise HttpError(400, f"{name.decode()} more than once")
--- a/flintlatch/http/sockets.py
+++ b/flintlatch/http/sockets.py
@@ -1,4 +1,4 @@
-"""How much of a body a socket may hold, on either side."""
+"""Limits for the socket buffers of client and node connections."""
 
 from __future__ import annotations
 
@@ -7,21 +7,18 @@
 
 from flintlatch.exchange import Piece
 
-RECEIVE_BUFFER_BYTES = (
-    128 * 1024
-)  # the kernel's buffer for a connection, of which it uses twice as much (socket(7))
-MAX_READ_BYTES = 2 * RECEIVE_BUFFER_BYTES  # at once: what a connection may hold beyond its write buffer
-SEND_BUFFER_BYTES = (
-    128 * 1024
-)  # the kernel's for what leaves, doubled too: left to itself it takes 4 MB a slow client
-WRITE_HIGH_WATER_BYTES = 64 * 1024  # of a write buffer, before the other side is held back
-RESPONSE_BUFFER_BYTES = (
-    WRITE_HIGH_WATER_BYTES + 2 * MAX_READ_BYTES
-)  # of an answer at most: the buffer up to its mark, and one read
+RECEIVE_BUFFER_BYTES = 128 * 1024  # SO_RCVBUF; the kernel doubles it (socket(7))
+MAX_READ_BYTES = 2 * RECEIVE_BUFFER_BYTES  # upper bound of the bytes that one read returns
+# SO_SNDBUF, doubled too. Without it, the kernel buffers up to 4 MB for a slow client.
+SEND_BUFFER_BYTES = 128 * 1024
+WRITE_HIGH_WATER_BYTES = 64 * 1024  # of a write buffer; above it, reading from the other side pauses
+# Of a response at most: a write buffer at its high-water mark and two reads.
+RESPONSE_BUFFER_BYTES = WRITE_HIGH_WATER_BYTES + 2 * MAX_READ_BYTES
 
 
 def write_body(transport: asyncio.Transport, pieces: list[Piece], size: int, chunked: bool) -> None:
-    """Some of a body as it came, or as one chunk (RFC 9112 section 7.1). `size`: above 0."""
+    """Writes pieces of a body, as one chunk (RFC 9112 section 7.1) if `chunked`. `size`: their total, above
+    0."""
     if chunked:
         transport.writelines([b"%x\r\n" % size, *pieces, b"\r\n"])
     elif len(pieces) == 1:
@@ -31,8 +28,8 @@
 
 
 def limit_socket_buffers(transport: asyncio.BaseTransport, send: bool) -> None:
-    """Let the kernel hold no more than so much for it, and so hand out no more at once: what a peer sends
-    beyond that waits on the peer's side. `send`: also of what leaves; nodes are few, and read."""
+    """Limits the kernel's receive buffer, and with it the size of one read: more bytes wait at the peer.
+    `send`: limits the send buffer too. It is needed for clients only; nodes are few and read their input."""
     sock = transport.get_extra_info("socket")
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
     if send:
--- a/tests/http/test_messages.py
+++ b/tests/http/test_messages.py
@@ -260,8 +260,13 @@
 def rules(**more: object) -> RoutingRules:
     names = RoutingHeaders()
     return RoutingRules(
-        SPECS, RULES, {}, names, lambda: b"made", **({"safe_class": 0, "other_class": 1} | more)
-    )  # type: ignore[arg-type]
+        SPECS,
+        RULES,
+        {},
+        names,
+        lambda: b"made",
+        **({"safe_class": 0, "other_class": 1} | more),  # type: ignore[arg-type]
+    )
 
 
 def request(line: str, *fields: str, host: str = "x") -> bytes:
