--- a/flintlatch/grpc/__init__.py
+++ b/flintlatch/grpc/__init__.py
@@ -1,35 +1,49 @@
-"""gRPC over HTTP/2, on the same exchanges and before the same decision module as every other front.
+"""gRPC over HTTP/2: the parts that need no socket.
 
-Here is what needs no socket: framing of messages, metadata, time-outs, statuses, and what each end of an
-attempt means. The sides of an exchange come next (docs/design/grpc.md). Nothing of this is imported unless
-the configuration names gRPC.
-"""
+These are message framing, metadata, timeouts, statuses, and the outcome of an attempt by the way in which it
+ended. The client's and the node's side of an exchange are not implemented yet (docs/design/grpc.md). The
+package is not imported unless the configuration names gRPC."""
 
-from flintlatch.grpc.framing import Frames, FramingError, TooLarge
-from flintlatch.grpc.metadata import MetadataError, content_type_ok, from_client, parse_timeout, timeout
-from flintlatch.grpc.outcome import Ended, Verdict, of_broken, of_goaway, of_http, of_reset, of_status, own
+from flintlatch.grpc.framing import FramingError, MessageFramer, MessageTooLarge
+from flintlatch.grpc.metadata import (
+    MetadataError,
+    format_timeout,
+    forwarded_metadata,
+    is_grpc_content_type,
+    parse_timeout,
+)
+from flintlatch.grpc.outcome import (
+    AttemptOutcome,
+    AttemptStage,
+    outcome_of_connection_loss,
+    outcome_of_goaway,
+    outcome_of_http,
+    outcome_of_reset,
+    outcome_of_status,
+    proxy_status,
+)
 from flintlatch.grpc.status import Code, Status, decode_message, encode_message, read_status
 
 __all__ = [
+    "AttemptOutcome",
+    "AttemptStage",
     "Code",
-    "Ended",
-    "Frames",
     "FramingError",
+    "MessageFramer",
+    "MessageTooLarge",
     "MetadataError",
     "Status",
-    "TooLarge",
-    "Verdict",
-    "content_type_ok",
     "decode_message",
     "encode_message",
-    "from_client",
-    "of_broken",
-    "of_goaway",
-    "of_http",
-    "of_reset",
-    "of_status",
-    "own",
+    "format_timeout",
+    "forwarded_metadata",
+    "is_grpc_content_type",
+    "outcome_of_connection_loss",
+    "outcome_of_goaway",
+    "outcome_of_http",
+    "outcome_of_reset",
+    "outcome_of_status",
     "parse_timeout",
+    "proxy_status",
     "read_status",
-    "timeout",
 ]
--- a/flintlatch/grpc/framing.py
+++ b/flintlatch/grpc/framing.py
@@ -1,6 +1,8 @@
-"""Length-Prefixed-Messages (gRPC over HTTP/2, "Requests"): a byte that tells whether the message is
-compressed, four bytes of length, the message. Messages are opaque and pass on as they come; only their frames
-are looked at."""
+"""Follows the Length-Prefixed-Messages of a gRPC stream (gRPC over HTTP/2, "Requests").
+
+A message is preceded by a byte that tells whether it is compressed, and four bytes of length. Only these
+prefixes are parsed; the messages are passed on unchanged.
+"""
 
 from __future__ import annotations
 
@@ -9,50 +11,51 @@
 
 
 class FramingError(Exception):
-    """What came is no sequence of messages; the text says what, and where in the stream."""
+    """The stream is not a sequence of messages; the text names the fault and its position in the stream."""
 
 
-class TooLarge(FramingError):
-    """A message is longer than allowed: RESOURCE_EXHAUSTED, and known from its prefix alone."""
+class MessageTooLarge(FramingError):
+    """A message is longer than allowed, according to its prefix; answered with RESOURCE_EXHAUSTED."""
 
 
-class Frames:
-    """Follows the messages of one direction of a call through its bytes, however they are cut. Holds no byte
-    of a message, and at most four of a prefix."""
+class MessageFramer:
+    """Finds the messages in the bytes of one direction of a call, which may be split at any position. Buffers
+    no byte of a message, and at most four bytes of a prefix."""
 
-    def __init__(self, most_bytes: int, most_messages: int | None = None) -> None:
-        """`most_bytes`: of one message. `most_messages`: 1 where the call is unary in this direction."""
-        if most_bytes < 0:
-            raise ValueError("most_bytes must not be negative")
-        self.most_bytes, self.most_messages = most_bytes, most_messages
-        self.messages = 0  # that have come whole
-        self.compressed = 0  # of them and of the one that comes
-        self.offset = 0  # bytes seen
+    def __init__(self, max_message_bytes: int, max_messages: int | None = None) -> None:
+        """`max_message_bytes`: limit for one message. `max_messages`: 1 if the call is unary in this
+        direction, None for no limit."""
+        if max_message_bytes < 0:
+            raise ValueError("max_message_bytes must not be negative")
+        self.max_message_bytes, self.max_messages = max_message_bytes, max_messages
+        self.messages = 0  # complete messages
+        self.compressed_messages = 0  # including an incomplete one
+        self.offset = 0  # position in the stream, in bytes
         self._prefix = bytearray()
-        self._left = 0  # bytes of the message that comes
+        self._remaining_bytes = 0  # of the current message
 
     @property
-    def between(self) -> bool:
-        """Whether the stream may end here."""
-        return not self._prefix and not self._left
+    def at_boundary(self) -> bool:
+        """Whether the stream may end here, because no message is incomplete."""
+        return not self._prefix and not self._remaining_bytes
 
     def feed(self, data: bytes | memoryview) -> int:
-        """Take bytes; how many messages became whole with them. Raises FramingError or TooLarge, after which
-        the stream can't be read on."""
-        before, at, view = self.messages, 0, memoryview(data)
-        while at < len(view):
-            if self._left:
-                step = min(self._left, len(view) - at)
-                self._left -= step
-                at += step
-                self.offset += step
-                if not self._left:
+        """Takes the next bytes and returns the number of messages that they complete. Raises FramingError or
+        MessageTooLarge; after that, the stream can't be read any further."""
+        before, position, view = self.messages, 0, memoryview(data)
+        while position < len(view):
+            if self._remaining_bytes:
+                count = min(self._remaining_bytes, len(view) - position)
+                self._remaining_bytes -= count
+                position += count
+                self.offset += count
+                if not self._remaining_bytes:
                     self.messages += 1
                 continue
-            step = min(PREFIX_BYTES - len(self._prefix), len(view) - at)
-            self._prefix += view[at : at + step]
-            at += step
-            self.offset += step
+            count = min(PREFIX_BYTES - len(self._prefix), len(view) - position)
+            self._prefix += view[position : position + count]
+            position += count
+            self.offset += count
             if self._prefix[0] not in (PLAIN, COMPRESSED):
                 start = self.offset - len(self._prefix)
                 raise FramingError(f"byte {start}: flag {self._prefix[0]}, expected 0 or 1")
@@ -62,21 +65,25 @@
 
     def _begin(self) -> None:
         start, length = self.offset - PREFIX_BYTES, int.from_bytes(self._prefix[1:], "big")
-        if self.most_messages is not None and self.messages >= self.most_messages:
-            raise FramingError(f"byte {start}: another message, expected at most {self.most_messages}")
-        if length > self.most_bytes:
-            raise TooLarge(f"byte {start}: a message of {length} bytes, expected at most {self.most_bytes}")
-        self.compressed += self._prefix[0]
+        if self.max_messages is not None and self.messages >= self.max_messages:
+            raise FramingError(f"byte {start}: another message, expected at most {self.max_messages}")
+        if length > self.max_message_bytes:
+            raise MessageTooLarge(
+                f"byte {start}: a message of {length} bytes, expected at most {self.max_message_bytes}"
+            )
+        self.compressed_messages += self._prefix[0]
         self._prefix.clear()
-        self._left = length
+        self._remaining_bytes = length
         if not length:
             self.messages += 1
 
     def end(self) -> None:
-        """The stream has ended. Raises FramingError if it ended inside a message."""
+        """Handles the end of the stream. Raises FramingError if a message is incomplete."""
         if self._prefix:
             raise FramingError(
                 f"byte {self.offset}: ended in a prefix, {len(self._prefix)} of {PREFIX_BYTES} bytes"
             )
-        if self._left:
-            raise FramingError(f"byte {self.offset}: ended {self._left} bytes before the end of a message")
+        if self._remaining_bytes:
+            raise FramingError(
+                f"byte {self.offset}: ended {self._remaining_bytes} bytes before the end of a message"
+            )
--- a/flintlatch/grpc/metadata.py
+++ b/flintlatch/grpc/metadata.py
@@ -1,4 +1,4 @@
-"""What a call's head says beside its path: time-out, content type, and metadata that goes on to the node."""
+"""The head of a gRPC call: timeout, content type, and the metadata that is passed on to the node."""
 
 from __future__ import annotations
 
@@ -13,41 +13,42 @@
 TIMEOUT = re.compile(rb"([0-9]{1,8})([HMSmun])")
 NAME = re.compile(rb"[0-9a-z_.-]{1,128}")
 VALUE = re.compile(rb"[\x20-\x7e]*")
-# Fields that are the connection's or the protocol's own; each hop writes its own (RFC 9113 section 8.2.2).
-OWN = frozenset(
+# Fields of the connection or the protocol, which each hop writes itself (RFC 9113 section 8.2.2).
+HOP_FIELDS = frozenset(
     (b"connection", b"keep-alive", b"proxy-connection", b"transfer-encoding", b"upgrade", b"te",
      b"content-length", b"host", b"grpc-timeout", b"content-type")
 )  # fmt: skip
-# Named `grpc-` and yet the two ends' affair: they pass through.
-PASSED = frozenset(
+# End-to-end fields with the prefix `grpc-`, which are passed on. Others with this prefix are removed.
+PASSED_GRPC_FIELDS = frozenset(
     (b"grpc-encoding", b"grpc-accept-encoding", b"grpc-message-type", b"grpc-previous-rpc-attempts",
      b"grpc-trace-bin", b"grpc-tags-bin")
 )  # fmt: skip
 
 
 class MetadataError(Exception):
-    """A head that is no call's; the text names the field, what came, and what was expected."""
+    """The head of a call is invalid; the text names the field, the value found and what was expected."""
 
 
-def content_type_ok(value: bytes | None) -> bool:
-    """`application/grpc`, alone or followed by `+` or `;`. Anything else is answered 415, as the
-    specification has it."""
+def is_grpc_content_type(value: bytes | None) -> bool:
+    """Whether the content type is `application/grpc`, alone or followed by `+` or `;`. The specification asks
+    for status 415 otherwise."""
     if value is None or not value.startswith(b"application/grpc"):
         return False
     return value[16:17] in (b"", b"+", b";")
 
 
 def parse_timeout(value: bytes) -> float:
-    """Milliseconds. Raises MetadataError."""
-    found = TIMEOUT.fullmatch(value)
-    if found is None:
+    """Parses a `grpc-timeout` value to milliseconds. Raises MetadataError."""
+    match = TIMEOUT.fullmatch(value)
+    if match is None:
         shown = value[:24].decode("ascii", "replace")
         raise MetadataError(f"grpc-timeout: found {shown!r}, expected up to 8 digits and one of H M S m u n")
-    return int(found[1]) * UNITS_MS[found[2]]
+    return int(match[1]) * UNITS_MS[match[2]]
 
 
-def timeout(ms: float) -> bytes:
-    """For `grpc-timeout`: `ms` or up to a unit more, in the finest unit that 8 digits hold."""
+def format_timeout(ms: float) -> bytes:
+    """The value of `grpc-timeout` for `ms` milliseconds, rounded up, in the finest unit for which 8 digits
+    are enough."""
     for unit in (b"n", b"u", b"m", b"S", b"M", b"H"):
         count = ceil(max(ms, 0.0) / UNITS_MS[unit])
         if count < 100_000_000:
@@ -55,20 +56,21 @@
     return b"99999999H"
 
 
-def from_client(fields: Fields, most_bytes: int) -> Fields:
-    """Metadata that goes on to the node, in its order. Raises MetadataError for what is malformed or too
-    much: what this hop takes and the next one refuses would be blamed on the next."""
+def forwarded_metadata(fields: Fields, max_bytes: int) -> Fields:
+    """The metadata to pass on to the node, in its order. Raises MetadataError if it is malformed or larger
+    than `max_bytes`: the node would reject a call that the proxy accepts, and the failure would count against
+    it."""
     size, passed = 0, []
     for name, value in fields:
         if name.startswith(b":"):
-            continue  # pseudo-fields are the request line's
+            continue  # pseudo-header fields form the request line
         size += len(name) + len(value) + 32  # RFC 9113 section 6.5.2
-        if size > most_bytes:
-            raise MetadataError(f"metadata: over {most_bytes} bytes")
+        if size > max_bytes:
+            raise MetadataError(f"metadata: over {max_bytes} bytes")
         shown = name[:64].decode("ascii", "replace")
         if not NAME.fullmatch(name):
             raise MetadataError(f"metadata: found the name {shown!r}, expected [0-9a-z_.-]")
-        if name in OWN or (name.startswith(b"grpc-") and name not in PASSED):
+        if name in HOP_FIELDS or (name.startswith(b"grpc-") and name not in PASSED_GRPC_FIELDS):
             continue
         if name.endswith(b"-bin"):
             for part in value.split(b","):
@@ -80,7 +82,7 @@
 
 
 def _check_binary(name: str, value: bytes) -> None:
-    """Base64, with or without padding; both are to be accepted."""
+    """Checks for base64 with or without padding; the specification asks to accept both."""
     try:
         a2b_base64(value + b"=" * (-len(value) % 4), strict_mode=True)
     except NotBase64 as error:
--- a/flintlatch/grpc/outcome.py
+++ b/flintlatch/grpc/outcome.py
@@ -1,7 +1,8 @@
-"""What the end of an attempt at a gRPC node means: to the decision module, and to the client.
+"""Maps the end of an attempt at a gRPC node to a result for the decision module and a status for the client.
 
-The one question behind it is whether the call may have run. Sources: gRPC over HTTP/2 ("Errors"), RFC 9113
-section 7 (error codes) and 8.7 (what was surely not processed), http-grpc-status-mapping.md.
+The mapping depends on whether the call may have been executed. Sources: gRPC over HTTP/2 ("Errors"), RFC 9113
+section 7 (error codes) and section 8.7 (requests that were certainly not processed),
+http-grpc-status-mapping.md.
 """
 
 from __future__ import annotations
@@ -13,21 +14,21 @@
 from flintlatch.grpc.status import Code, Status
 
 
-class Ended(Enum):
-    """How far a call had come when its attempt ended."""
+class AttemptStage(Enum):
+    """The progress of a call at the end of its attempt."""
 
-    UNSENT = "unsent"  # its head was not written
-    SENT = "sent"  # its head was; nothing came back
-    BEGUN = "begun"  # an answer has begun to pass on: it is committed, and no other attempt may follow
+    UNSENT = "unsent"  # the head was not sent
+    SENT = "sent"  # the head was sent; no response was received
+    RESPONDING = "begun"  # a response is being passed on to the client: no other attempt may follow
 
 
-class Verdict(NamedTuple):
-    result: Result  # for the decision module; whether it may have run follows from that
-    status: Status  # for the client, should no other attempt follow
+class AttemptOutcome(NamedTuple):
+    result: Result  # for the decision module; it also tells whether the call may have been executed
+    status: Status  # for the client if no other attempt follows
 
 
-# RFC 9113 section 7. What a code means of a stream is this; to the client it becomes the status beside it.
-RESETS: dict[int, tuple[Result, Code, str]] = {
+# By error code of RST_STREAM, RFC 9113 section 7: the result, and the code and message for the client.
+RESET_RESULTS: dict[int, tuple[Result, Code, str]] = {
     0x0: (Result.RESET, Code.INTERNAL, "the node ended the stream without a status"),  # NO_ERROR
     0x1: (Result.RESET, Code.INTERNAL, "protocol error"),
     0x2: (Result.RESET, Code.INTERNAL, "internal error of the node's transport"),
@@ -35,7 +36,7 @@
     0x4: (Result.RESET, Code.INTERNAL, "settings time-out"),
     0x5: (Result.RESET, Code.INTERNAL, "stream closed"),
     0x6: (Result.RESET, Code.INTERNAL, "frame size error"),
-    0x7: (Result.FULL, Code.UNAVAILABLE, "the node refused the stream"),  # section 8.7: surely not processed
+    0x7: (Result.FULL, Code.UNAVAILABLE, "the node refused the stream"),  # section 8.7: not processed
     0x8: (Result.RESET, Code.CANCELLED, "the node cancelled the stream"),
     0x9: (Result.RESET, Code.INTERNAL, "compression error"),
     0xA: (Result.RESET, Code.INTERNAL, "connect error"),
@@ -44,9 +45,9 @@
     0xD: (Result.INVALID, Code.UNIMPLEMENTED, "the node wants HTTP/1.1"),
 }
 
-# What a status in a node's trailers tells the module. A status is the application's word: the call has run.
-# Only these tell of the node rather than of the call.
-OF_NODE = {
+# Results by the status in a node's trailers. Only the application sends a status, so the call was executed.
+# The statuses listed here are failures of the node; all others concern only the call.
+NODE_FAILURE_RESULTS = {
     Code.UNAVAILABLE: Result.ERROR,
     Code.RESOURCE_EXHAUSTED: Result.ERROR,
     Code.INTERNAL: Result.ERROR,
@@ -55,8 +56,8 @@
     Code.DEADLINE_EXCEEDED: Result.TIMEOUT,
 }
 
-# http-grpc-status-mapping.md, for answers that are no gRPC.
-OF_HTTP = {
+# For responses that are not gRPC; from http-grpc-status-mapping.md.
+CODE_BY_HTTP_STATUS = {
     400: Code.INTERNAL,
     401: Code.UNAUTHENTICATED,
     403: Code.PERMISSION_DENIED,
@@ -68,49 +69,49 @@
 }
 
 
-def of_status(status: Status | None) -> Verdict:
-    """The node ended the stream with trailers; without a status in them the call may still have run."""
+def outcome_of_status(status: Status | None) -> AttemptOutcome:
+    """The node ended the stream with trailers. Without a status in them, the call may have been executed."""
     if status is None:
-        return Verdict(Result.RESET, Status(Code.INTERNAL, "the node's trailers hold no status"))
-    return Verdict(OF_NODE.get(status.code, Result.OK), status)
+        return AttemptOutcome(Result.RESET, Status(Code.INTERNAL, "the node's trailers hold no status"))
+    return AttemptOutcome(NODE_FAILURE_RESULTS.get(status.code, Result.OK), status)
 
 
-def of_reset(code: int, ended: Ended) -> Verdict:
-    """RST_STREAM. A stream that had begun to answer was processed, whatever the code says."""
-    result, status, message = RESETS.get(code, RESETS[0x2])
-    if ended is Ended.UNSENT:
-        return Verdict(Result.CONNECT_FAILED, Status(Code.UNAVAILABLE, message))
-    if ended is Ended.BEGUN and result is Result.FULL:
-        return Verdict(Result.RESET, Status(Code.INTERNAL, message))
-    return Verdict(result, Status(status, message))
+def outcome_of_reset(code: int, stage: AttemptStage) -> AttemptOutcome:
+    """The node sent RST_STREAM. A stream with a response was processed, whatever the error code is."""
+    result, status, message = RESET_RESULTS.get(code, RESET_RESULTS[0x2])
+    if stage is AttemptStage.UNSENT:
+        return AttemptOutcome(Result.CONNECT_FAILED, Status(Code.UNAVAILABLE, message))
+    if stage is AttemptStage.RESPONDING and result is Result.FULL:
+        return AttemptOutcome(Result.RESET, Status(Code.INTERNAL, message))
+    return AttemptOutcome(result, Status(status, message))
 
 
-def of_goaway(stream: int, last: int, ended: Ended) -> Verdict | None:
-    """GOAWAY. RFC 9113 section 6.8: streams above its last one were not and will not be processed. None: this
-    stream is not above it, or has an answer that says otherwise, and goes on until it ends by itself."""
-    if stream <= last or ended is Ended.BEGUN:
+def outcome_of_goaway(stream: int, last: int, stage: AttemptStage) -> AttemptOutcome | None:
+    """The node sent GOAWAY. Streams above `last` were not and will not be processed (RFC 9113 section 6.8).
+    Returns None for a stream that continues: it is not above `last`, or a response to it has begun."""
+    if stream <= last or stage is AttemptStage.RESPONDING:
         return None
-    return Verdict(Result.FULL, Status(Code.UNAVAILABLE, "the node goes away"))
+    return AttemptOutcome(Result.FULL, Status(Code.UNAVAILABLE, "the node goes away"))
 
 
-def of_broken(ended: Ended) -> Verdict:
-    """The connection is gone, with no word of this stream."""
-    if ended is Ended.UNSENT:
-        return Verdict(Result.CONNECT_FAILED, Status(Code.UNAVAILABLE, "no connection to the node"))
-    return Verdict(Result.RESET, Status(Code.UNAVAILABLE, "the node's connection broke"))
+def outcome_of_connection_loss(stage: AttemptStage) -> AttemptOutcome:
+    """The connection was lost without a frame about this stream."""
+    if stage is AttemptStage.UNSENT:
+        return AttemptOutcome(Result.CONNECT_FAILED, Status(Code.UNAVAILABLE, "no connection to the node"))
+    return AttemptOutcome(Result.RESET, Status(Code.UNAVAILABLE, "the node's connection broke"))
 
 
-def of_http(status: int) -> Verdict:
-    """An answer that is no gRPC: a proxy's or a wrong server's. Only a 503 or 504 that says so never ran, and
-    that is not known here."""
-    code = OF_HTTP.get(status, Code.UNKNOWN)
+def outcome_of_http(status: int) -> AttemptOutcome:
+    """The response is not gRPC: it comes from a proxy or from a wrong server. The call may have been
+    executed; a 503 or 504 with a field that excludes this is not recognized here."""
+    code = CODE_BY_HTTP_STATUS.get(status, Code.UNKNOWN)
     result = Result.INVALID if 400 <= status < 500 and status != 429 else Result.ERROR
-    return Verdict(result, Status(code, f"HTTP status {status}"))
+    return AttemptOutcome(result, Status(code, f"HTTP status {status}"))
 
 
-def own(http_status: int, retry_after_ms: float = 0.0) -> tuple[Status, int | None]:
-    """The proxy's own final answer, and the pushback in ms for `grpc-retry-pushback-ms`. Only what never ran
-    carries one, and so tells the client that it may come again."""
+def proxy_status(http_status: int, retry_after_ms: float = 0.0) -> tuple[Status, int | None]:
+    """The status for a response of the proxy itself, and the delay in ms for `grpc-retry-pushback-ms`. Only a
+    call that was never executed gets a delay, which allows the client to retry."""
     if http_status == 503:
         return Status(Code.UNAVAILABLE, "no node has room"), round(retry_after_ms) or None
     if http_status == 504:
--- a/flintlatch/grpc/status.py
+++ b/flintlatch/grpc/status.py
@@ -1,4 +1,4 @@
-"""Status codes and the message beside them (gRPC over HTTP/2, "Responses"; statuscodes.md)."""
+"""gRPC status codes and status messages (gRPC over HTTP/2, "Responses"; statuscodes.md)."""
 
 from __future__ import annotations
 
@@ -7,9 +7,7 @@
 from typing import NamedTuple
 
 Fields = list[tuple[bytes, bytes]]
-MOST_MESSAGE = (
-    1024  # bytes of a status message that are read; it is for people, and peers write what they like
-)
+MAX_MESSAGE_BYTES = 1024  # of a status message; the rest is cut off, because peers may send any length
 
 
 class Code(IntEnum):
@@ -37,26 +35,27 @@
     message: str = ""
 
 
-UNRESERVED = re.compile(rb"[\x20-\x24\x26-\x7e]")  # printable ASCII but for the percent sign
+UNRESERVED = re.compile(rb"[\x20-\x24\x26-\x7e]")  # printable ASCII without the percent sign
 ESCAPED = re.compile(rb"%([0-9A-Fa-f]{2})")
 DIGITS = re.compile(rb"0|[1-9][0-9]{0,9}")
 
 
 def encode_message(text: str) -> bytes:
-    """Percent-encoded UTF-8, for `grpc-message`."""
-    raw = text.encode("utf-8", "replace")[:MOST_MESSAGE]
-    return b"".join(bytes([b]) if UNRESERVED.match(bytes([b])) else b"%%%02X" % b for b in raw)
+    """Encodes a message for `grpc-message`: percent-encoded UTF-8."""
+    raw = text.encode("utf-8", "replace")[:MAX_MESSAGE_BYTES]
+    return b"".join(bytes([byte]) if UNRESERVED.match(bytes([byte])) else b"%%%02X" % byte for byte in raw)
 
 
 def decode_message(value: bytes) -> str:
-    """What can't be decoded stays as it is: the specification asks that a message be never thrown away."""
-    raw = ESCAPED.sub(lambda found: bytes([int(found[1], 16)]), value[: 3 * MOST_MESSAGE])
+    """Decodes a value of `grpc-message`. Invalid parts are kept unchanged, because the specification asks
+    never to discard a message."""
+    raw = ESCAPED.sub(lambda match: bytes([int(match[1], 16)]), value[: 3 * MAX_MESSAGE_BYTES])
     return raw.decode("utf-8", "replace")
 
 
 def read_status(trailers: Fields) -> Status | None:
-    """The status that trailers (or a trailers-only head) tell; None if they tell none, or it twice. A code
-    that is no number, or that nobody defines, is UNKNOWN."""
+    """The status in trailers or in a Trailers-Only head; None if there is none or more than one. A code that
+    is not a number or not defined becomes UNKNOWN."""
     codes = [value for name, value in trailers if name == b"grpc-status"]
     if len(codes) != 1:
         return None
--- a/tests/grpc/test_heads.py
+++ b/tests/grpc/test_heads.py
@@ -1,4 +1,4 @@
-"""Metadata, time-outs and statuses: what passes, what is refused, and that nothing is lost on the way."""
+"""Parsing and formatting of metadata, timeouts and statuses."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
     Code,
     MetadataError,
     Status,
-    content_type_ok,
     decode_message,
     encode_message,
-    from_client,
+    format_timeout,
+    forwarded_metadata,
+    is_grpc_content_type,
     parse_timeout,
     read_status,
-    timeout,
 )
 
 
 @given(st.text(max_size=200))
-def test_a_message_survives_and_its_bytes_may_stand_in_a_field(text: str) -> None:
+def test_message_is_encoded_as_printable_ascii_without_loss(text: str) -> None:
     text = text.encode("utf-8", "replace").decode()
     value = encode_message(text)
     assert decode_message(value) == text
@@ -40,31 +40,31 @@
         (b"%ff", "\ufffd"),
     ],
 )
-def test_a_message_that_is_no_percent_encoding_is_kept_as_it_is(value: bytes, text: str) -> None:
+def test_invalid_percent_encoding_is_kept(value: bytes, text: str) -> None:
     assert decode_message(value) == text
 
 
 @given(st.floats(0.0, 1e13))
-def test_a_time_out_is_never_shortened_and_fits_its_eight_digits(ms: float) -> None:
-    value = timeout(ms)
+def test_timeout_is_rounded_up_and_has_at_most_eight_digits(ms: float) -> None:
+    value = format_timeout(ms)
     assert len(value) <= 9
     if value != b"99999999H":
         assert ms <= parse_timeout(value) * (1 + 1e-9) and parse_timeout(value) <= ms + ms / 1e4 + 1e-6
 
 
 @pytest.mark.parametrize("value", [b"", b"5", b"S", b"123456789S", b"-1S", b"1.5S", b"1 S", b"1s", b"1S "])
-def test_what_is_no_time_out_is_refused(value: bytes) -> None:
+def test_invalid_timeout_is_rejected(value: bytes) -> None:
     with pytest.raises(MetadataError, match="grpc-timeout: found .* expected up to 8 digits"):
         parse_timeout(value)
 
 
-def test_units() -> None:
+def test_timeout_units() -> None:
     assert [parse_timeout(v) for v in (b"2H", b"2M", b"2S", b"2m")] == [7_200_000, 120_000, 2000, 2]
     assert parse_timeout(b"2500u") == 2.5 and parse_timeout(b"500000n") == 0.5
 
 
 @pytest.mark.parametrize(
-    ("value", "good"),
+    ("value", "accepted"),
     [
         (b"application/grpc", True),
         (b"application/grpc+proto", True),
@@ -74,11 +74,11 @@
         (None, False),
     ],
 )
-def test_content_types(value: bytes | None, good: bool) -> None:
-    assert content_type_ok(value) is good
+def test_content_type(value: bytes | None, accepted: bool) -> None:
+    assert is_grpc_content_type(value) is accepted
 
 
-def test_metadata_passes_in_its_order_and_what_is_this_hops_own_does_not() -> None:
+def test_metadata_is_passed_in_order_without_hop_fields() -> None:
     fields = [
         (b":path", b"/deck.Cards/Answer"),
         (b"te", b"trailers"),
@@ -90,12 +90,12 @@
         (b"trace-bin", b64encode(b"\x00\xff").rstrip(b"=") + b"," + b64encode(b"ab")),
         (b"connection", b"close"),
     ]
-    passed = from_client(fields, 8192)
-    assert passed == [fields[3], fields[5], fields[6], fields[7]]
+    forwarded = forwarded_metadata(fields, 8192)
+    assert forwarded == [fields[3], fields[5], fields[6], fields[7]]
 
 
 @pytest.mark.parametrize(
-    ("field", "words"),
+    ("field", "message"),
     [
         ((b"X-Deck", b"1"), "found the name 'X-Deck'"),
         ((b"x deck", b"1"), "found the name"),
@@ -106,16 +106,16 @@
         ((b"x-deck", b"a" * 9000), "over 8192 bytes"),
     ],
 )
-def test_malformed_metadata_is_named(field: tuple[bytes, bytes], words: str) -> None:
-    with pytest.raises(MetadataError, match=words):
-        from_client([(b"good", b"1"), field], 8192)
+def test_malformed_metadata_is_rejected(field: tuple[bytes, bytes], message: str) -> None:
+    with pytest.raises(MetadataError, match=message):
+        forwarded_metadata([(b"good", b"1"), field], 8192)
 
 
 @given(st.lists(st.binary(max_size=30), max_size=4), st.booleans())
-def test_binary_metadata_passes_with_and_without_padding(values: list[bytes], padded: bool) -> None:
+def test_binary_metadata_is_passed_with_and_without_padding(values: list[bytes], padded: bool) -> None:
     encoded = [b64encode(v) if padded else b64encode(v).rstrip(b"=") for v in values]
     fields = [(b"deck-bin", b",".join(encoded))]
-    assert from_client(fields, 8192) == fields
+    assert forwarded_metadata(fields, 8192) == fields
 
 
 @pytest.mark.parametrize(
@@ -131,5 +131,5 @@
         ([], None),
     ],
 )
-def test_a_status_is_read_from_trailers(trailers: list[tuple[bytes, bytes]], status: Status | None) -> None:
+def test_status_is_read_from_trailers(trailers: list[tuple[bytes, bytes]], status: Status | None) -> None:
     assert read_status(trailers) == status
