--- a/flintlatch/fleet/observe.py
+++ b/flintlatch/fleet/observe.py
@@ -91,7 +91,7 @@
 
     def put(self, record: Record) -> None:
         first_s = None if record.first_ms is None else record.first_ms / 1000
-        self.counts.request(record.cls, record.status, first_s, record.up_bytes, record.down_bytes)
+        self.counts.count_request(record.cls, record.status, first_s, record.up_bytes, record.down_bytes)
         for attempt in record.attempts:
             self.counts.attempt(attempt.result)
         if self.log is not None:
--- a/flintlatch/metrics/counts.py
+++ b/flintlatch/metrics/counts.py
@@ -24,7 +24,9 @@
         self.seconds: dict[str, Seconds] = {}  # to the first byte of the answer, by class
         self.up_bytes = self.down_bytes = 0
 
-    def request(self, cls: str, status: int, first_s: float | None, up_bytes: int, down_bytes: int) -> None:
+    def count_request(
+        self, cls: str, status: int, first_s: float | None, up_bytes: int, down_bytes: int
+    ) -> None:
         self.requests[cls, status] += 1
         self.up_bytes += up_bytes
         self.down_bytes += down_bytes
--- a/tests/metrics/test_counts.py
+++ b/tests/metrics/test_counts.py
@@ -22,7 +22,7 @@
     totals, alive, seen = Totals(), {n: Counts() for n in range(4)}, [0]
     for number, event in events:
         if event == "count":
-            alive[number].request("a", 200, 0.02, 1, 2)
+            alive[number].count_request("a", 200, 0.02, 1, 2)
         elif event == "tell":
             totals.replace_report(number, json.loads(json.dumps(alive[number].as_json())))
         else:
@@ -39,8 +39,8 @@
 def test_the_page_is_what_the_format_asks() -> None:
     counts = Counts()
     for first_s in (*BOUNDS_S, 1e9):
-        counts.request("answer", 200, first_s, 10, 20)
-    counts.request("", 405, None, 0, 0)
+        counts.count_request("answer", 200, first_s, 10, 20)
+    counts.count_request("", 405, None, 0, 0)
     counts.attempt("ok")
     page = MetricsServer(
         "127.0.0.1:0", lambda: FleetSnapshot(counts, {"serving": 2}, 3, 4, 5, {"alive": 6}, {"died": 1})
