--- a/flintlatch/fleet/observe.py
+++ b/flintlatch/fleet/observe.py
@@ -93,7 +93,7 @@
         first_s = None if record.first_ms is None else record.first_ms / 1000
         self.counts.count_request(record.cls, record.status, first_s, record.up_bytes, record.down_bytes)
         for attempt in record.attempts:
-            self.counts.attempt(attempt.result)
+            self.counts.count_attempt(attempt.result)
         if self.log is not None:
             self.log.put(record)
 
--- a/flintlatch/metrics/counts.py
+++ b/flintlatch/metrics/counts.py
@@ -35,7 +35,7 @@
             buckets[bisect_left(BOUNDS_S, first_s)] += 1
             self.seconds[cls] = (buckets, total + first_s)
 
-    def attempt(self, result: str) -> None:
+    def count_attempt(self, result: str) -> None:
         self.attempts[result] += 1
 
     def as_json(self) -> dict[str, Any]:
--- a/tests/metrics/test_counts.py
+++ b/tests/metrics/test_counts.py
@@ -41,7 +41,7 @@
     for first_s in (*BOUNDS_S, 1e9):
         counts.count_request("answer", 200, first_s, 10, 20)
     counts.count_request("", 405, None, 0, 0)
-    counts.attempt("ok")
+    counts.count_attempt("ok")
     page = MetricsServer(
         "127.0.0.1:0", lambda: FleetSnapshot(counts, {"serving": 2}, 3, 4, 5, {"alive": 6}, {"died": 1})
     )
