--- a/flintlatch/accesslog/__init__.py
+++ b/flintlatch/accesslog/__init__.py
@@ -1,4 +1,4 @@
-"""The access log: JSON Lines, one a request, written off the loop. Fields: docs/operating/accesslog.md."""
+"""The access log: one JSON line per request, written by a thread. Fields: docs/operating/accesslog.md."""
 
 from flintlatch.accesslog.record import VERSION, AttemptRecord, PathDetail, Record, as_fields, logged_path
 from flintlatch.accesslog.writer import AccessLog
--- a/flintlatch/accesslog/record.py
+++ b/flintlatch/accesslog/record.py
@@ -1,49 +1,49 @@
-"""What is told of one request. No I/O. Fields are only ever added within one version."""
+"""The records of the access log. No I/O. Within one version, fields are only added."""
 
 from __future__ import annotations
 
 from enum import Enum
 from typing import Any, NamedTuple
 
-VERSION = 1  # of the fields; another one when a field goes or changes its meaning
-MOST_PATH = 2048  # bytes of a path: a target of the longest kind would make lines that no tool likes
+VERSION = 1  # of the set of fields; increases if a field is removed or changes its meaning
+MAX_PATH_BYTES = 2048  # longer paths are cut, because many tools can't process very long lines
 
 
 class PathDetail(Enum):
-    """How much of a request's target is told: it may hold what nobody should read in a log."""
+    """How much of a request's target is logged, because a target may contain confidential data."""
 
     NONE = "none"
-    PATH = "path"  # without its query
+    PATH = "path"  # without the query
     FULL = "full"
 
 
 class AttemptRecord(NamedTuple):
     node: str
-    result: str  # as flintlatch.api.Result names them
-    sent_ms: float  # from the request's arrival
-    ms: float  # from there to its end
-    ran: bool  # it may have
+    result: str  # a value of flintlatch.api.Result
+    sent_ms: float  # from the arrival of the request to the start of the attempt
+    ms: float  # duration of the attempt
+    ran: bool  # the node may have executed the request
 
 
 class Record(NamedTuple):
     t_ms: float  # Unix time of the arrival
     id: str
-    cls: str  # empty: refused before it had one
+    cls: str  # empty: rejected before its class was known
     tenant: str
     method: str
     path: str
-    status: int  # 0: the client got none
-    ended: str  # who ended it and how, as flintlatch.exchange.Ending names them; or the refusal's reason
-    total_ms: float  # to the end, attempts still out included
-    first_ms: float | None  # to the first byte of the answer
-    whole_ms: float | None  # to the last byte of the request; None: it never came
+    status: int  # 0: the client got no response
+    ended: str  # a value of flintlatch.exchange.Ending, or the reason of a rejection
+    total_ms: float  # from the arrival to the end, including attempts that end later than the response
+    first_ms: float | None  # to the first byte of the response
+    whole_ms: float | None  # to the last byte of the request; None: it did not arrive
     up_bytes: int
     down_bytes: int
     attempts: tuple[AttemptRecord, ...]
 
 
 def as_fields(record: Record, fleet: str, instance: int) -> dict[str, Any]:
-    """One line's fields, in the order in which they stand there."""
+    """The fields of one line, in their order."""
     return {
         "v": VERSION,
         "t": round(record.t_ms / 1000, 4),
@@ -78,4 +78,4 @@
     if paths is PathDetail.NONE:
         return ""
     shown = target.partition(b"?")[0] if paths is PathDetail.PATH else target
-    return shown[:MOST_PATH].decode("latin-1")
+    return shown[:MAX_PATH_BYTES].decode("latin-1")
--- a/tests/accesslog/test_writer.py
+++ b/tests/accesslog/test_writer.py
@@ -61,7 +61,7 @@
 def test_a_full_disk_loses_what_the_queue_can_not_hold_and_says_how_much(tmp_path: Path) -> None:
     path, real = tmp_path / "a.jsonl", tmp_path / "real"
     path.symlink_to("/dev/full")  # each write there ends with ENOSPC
-    log = AccessLog(str(path), "f", 0, most=20)
+    log = AccessLog(str(path), "f", 0, max_queued=20)
     put(log, 1)
     until(lambda: bool(log.failure))
     assert log.failure == os.strerror(errno.ENOSPC)
@@ -142,7 +142,7 @@
 def test_a_disk_that_takes_seconds_holds_up_nobody(tmp_path: Path) -> None:
     path = tmp_path / "a.jsonl"
     os.mkfifo(path)  # opening it to write waits until somebody reads
-    log = AccessLog(str(path), "f", 0, most=1000)
+    log = AccessLog(str(path), "f", 0, max_queued=1000)
     assert put(log, 5000) < 1.0
     assert log.lost >= 3500  # beyond the queue and the batch in hand
     assert not log.close(0.2)
