--- a/flintlatch/metrics/__init__.py
+++ b/flintlatch/metrics/__init__.py
@@ -1,5 +1,5 @@
-"""Counts of what a fleet serves, for Prometheus: counted by the instances, added up by the supervisor."""
+"""Prometheus metrics of a fleet: counted by the instances, added up and served by the supervisor."""
 
-from flintlatch.metrics.counts import BOUNDS_S, Counts, Totals
+from flintlatch.metrics.counts import BUCKET_BOUNDS_S, Counts, Totals
 
-__all__ = ["BOUNDS_S", "Counts", "Totals"]
+__all__ = ["BUCKET_BOUNDS_S", "Counts", "Totals"]
--- a/flintlatch/metrics/page.py
+++ b/flintlatch/metrics/page.py
@@ -1,4 +1,4 @@
-"""The totals as Prometheus reads them, on an address of the control side."""
+"""The HTTP endpoint that serves a fleet's metrics to Prometheus."""
 
 from __future__ import annotations
 
@@ -8,28 +8,28 @@
 from prometheus_client import CollectorRegistry, start_http_server
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily, HistogramMetricFamily, Metric
 
-from flintlatch.metrics.counts import BOUNDS_S, Counts
+from flintlatch.metrics.counts import BUCKET_BOUNDS_S, Counts
 
 
 class FleetSnapshot(NamedTuple):
-    """A moment of a fleet, made on its loop and read by the page's thread."""
+    """The state of a fleet at one moment, read by the thread of the endpoint."""
 
     counts: Counts
     instances: dict[str, int]  # by state
     in_flight: int
     clients: int
-    lost: int  # records of the access log
-    members: dict[str, int]  # other fleets by state, this one included; empty without [peers]
-    peers: dict[str, int]  # what is counted of that
+    lost: int  # lost records of the access log
+    members: dict[str, int]  # number of fleets by membership state, including this one; empty without [peers]
+    peers: dict[str, int]  # events of the peer protocol by name
 
 
 class Collector:
-    def __init__(self, now: Callable[[], FleetSnapshot]) -> None:
-        self.now = now
+    def __init__(self, take_snapshot: Callable[[], FleetSnapshot]) -> None:
+        self.take_snapshot = take_snapshot
 
     def collect(self) -> Iterable[Metric]:
-        now = self.now()
-        counts = now.counts
+        snapshot = self.take_snapshot()
+        counts = snapshot.counts
         requests = CounterMetricFamily(
             "flintlatch_requests",
             "Requests by class and status; status 0: the client left",
@@ -43,47 +43,50 @@
         for result, count in sorted(counts.attempts.items()):
             attempts.add_metric([result], count)
         yield attempts
-        seconds = HistogramMetricFamily(
+        first_byte = HistogramMetricFamily(
             "flintlatch_first_byte_seconds", "From arrival to the answer's first byte", labels=["class"]
         )
-        for cls, (buckets, total) in sorted(counts.seconds.items()):
-            so_far, rows = 0, []
-            for bound, count in zip((*map(str, BOUNDS_S), "+Inf"), buckets, strict=True):
-                so_far += count
-                rows.append((bound, float(so_far)))
-            seconds.add_metric([cls], rows, total)
-        yield seconds
-        size = CounterMetricFamily("flintlatch_body_bytes", "Bytes of bodies passed on", None, ["way"])
-        size.add_metric(["up"], counts.up_bytes)
-        size.add_metric(["down"], counts.down_bytes)
-        yield size
+        for cls, (buckets, sum_s) in sorted(counts.first_byte_histograms.items()):
+            cumulative, rows = 0, []
+            for bound, count in zip((*map(str, BUCKET_BOUNDS_S), "+Inf"), buckets, strict=True):
+                cumulative += count
+                rows.append((bound, float(cumulative)))
+            first_byte.add_metric([cls], rows, sum_s)
+        yield first_byte
+        body_bytes = CounterMetricFamily("flintlatch_body_bytes", "Bytes of bodies passed on", None, ["way"])
+        body_bytes.add_metric(["up"], counts.up_bytes)
+        body_bytes.add_metric(["down"], counts.down_bytes)
+        yield body_bytes
         instances = GaugeMetricFamily("flintlatch_instances", "Instances by state", None, ["state"])
-        for state, count in sorted(now.instances.items()):
+        for state, count in sorted(snapshot.instances.items()):
             instances.add_metric([state], count)
         yield instances
-        yield GaugeMetricFamily("flintlatch_in_flight", "Requests without a final answer", now.in_flight)
-        yield GaugeMetricFamily("flintlatch_clients", "Connections of clients", now.clients)
-        if now.members:
+        yield GaugeMetricFamily("flintlatch_in_flight", "Requests without a final answer", snapshot.in_flight)
+        yield GaugeMetricFamily("flintlatch_clients", "Connections of clients", snapshot.clients)
+        if snapshot.members:
             members = GaugeMetricFamily("flintlatch_peers", "Fleets known, by state", None, ["state"])
-            for state, count in sorted(now.members.items()):
+            for state, count in sorted(snapshot.members.items()):
                 members.add_metric([state], count)
             yield members
-            told = CounterMetricFamily("flintlatch_peers_events", "What is counted of peers", None, ["what"])
-            for what, count in sorted(now.peers.items()):
-                told.add_metric([what], count)
-            yield told
-        yield CounterMetricFamily("flintlatch_access_log_lost", "Records lost", now.lost)
+            peer_events = CounterMetricFamily(
+                "flintlatch_peers_events", "What is counted of peers", None, ["what"]
+            )
+            for what, count in sorted(snapshot.peers.items()):
+                peer_events.add_metric([what], count)
+            yield peer_events
+        yield CounterMetricFamily("flintlatch_access_log_lost", "Records lost", snapshot.lost)
 
 
 class MetricsServer:
-    """Serves `/metrics` at `host:port` from a thread, until closed. OSError if the address is taken."""
+    """Serves `/metrics` at `host:port` in a thread until it is closed. Raises OSError if the address is in
+    use."""
 
-    def __init__(self, address: str, now: Callable[[], FleetSnapshot]) -> None:
+    def __init__(self, address: str, take_snapshot: Callable[[], FleetSnapshot]) -> None:
         registry = CollectorRegistry()
-        registry.register(Collector(now))
+        registry.register(Collector(take_snapshot))
         host, _, port = address.rpartition(":")
-        served: tuple[Any, Any] = start_http_server(int(port), host.strip("[]"), registry)
-        self.server, self.thread = served
+        server_and_thread: tuple[Any, Any] = start_http_server(int(port), host.strip("[]"), registry)
+        self.server, self.thread = server_and_thread
         self.address = "{}:{}".format(*self.server.server_address[:2])
 
     def close(self) -> None:
--- a/tests/metrics/test_counts.py
+++ b/tests/metrics/test_counts.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 from prometheus_client.parser import text_string_to_metric_families
 
-from flintlatch.metrics import BOUNDS_S, Counts, Totals
+from flintlatch.metrics import BUCKET_BOUNDS_S, Counts, Totals
 from flintlatch.metrics.page import FleetSnapshot, MetricsServer
 from tests.fleet.support import LIMIT_S, daemon, run
 
@@ -32,13 +32,13 @@
         whole = totals.fleet_counts()
         seen.append(whole.requests["a", 200])
         assert whole.down_bytes == 2 * seen[-1]
-        assert sum(whole.seconds.get("a", ([], 0.0))[0]) == seen[-1]
+        assert sum(whole.first_byte_histograms.get("a", ([], 0.0))[0]) == seen[-1]
     assert all(a <= b for a, b in pairwise(seen))
 
 
 def test_the_page_is_what_the_format_asks() -> None:
     counts = Counts()
-    for first_s in (*BOUNDS_S, 1e9):
+    for first_s in (*BUCKET_BOUNDS_S, 1e9):
         counts.count_request("answer", 200, first_s, 10, 20)
     counts.count_request("", 405, None, 0, 0)
     counts.count_attempt("ok")
@@ -51,10 +51,10 @@
     finally:
         page.close()
     values = {(s.name, *sorted(s.labels.values())): s.value for f in families.values() for s in f.samples}
-    assert values["flintlatch_requests_total", "200", "answer"] == len(BOUNDS_S) + 1
+    assert values["flintlatch_requests_total", "200", "answer"] == len(BUCKET_BOUNDS_S) + 1
     assert values["flintlatch_requests_total", "", "405"] == 1
     buckets = [value for name, value in values.items() if name[0].endswith("_bucket")]
-    assert buckets == sorted(buckets) and buckets[-1] == len(BOUNDS_S) + 1
+    assert buckets == sorted(buckets) and buckets[-1] == len(BUCKET_BOUNDS_S) + 1
     assert values["flintlatch_access_log_lost_total",] == 5 and values["flintlatch_instances", "serving"] == 2
     assert values["flintlatch_peers", "alive"] == 6 and values["flintlatch_peers_events_total", "died"] == 1
 
