--- a/flintlatch/http/front.py
+++ b/flintlatch/http/front.py
@@ -205,7 +205,7 @@
             raise HttpError(501, "an upgrade to another protocol")
         if head.method == b"TRACE":
             raise HttpError(405, "TRACE")  # the response would show fields that proxies have added
-        ask = front.rules.read(head)
+        ask = front.rules.routing_of(head)
         terms = front.engine.terms[ask.cls]
         if head.framing.kind is BodyKind.LENGTH and head.framing.length > terms.body_bytes:
             raise HttpError(413, f"a body of {head.framing.length} bytes, at most {terms.body_bytes}")
--- a/flintlatch/http/rules.py
+++ b/flintlatch/http/rules.py
@@ -83,7 +83,7 @@
         self.names, self.make_id = names, make_id
         self.safe_class, self.other_class = safe_class, other_class
 
-    def read(self, head: RequestHead) -> RoutingInfo:
+    def routing_of(self, head: RequestHead) -> RoutingInfo:
         """The properties of a request for the decision module. Raises HttpError with 400 or 404."""
         cls = self._match_class(head)
         spec = self.classes[cls]
--- a/tests/http/support.py
+++ b/tests/http/support.py
@@ -1,4 +1,4 @@
-"""The HTTP front in this process, and nodes that a test scripts byte by byte."""
+"""The HTTP front end in the test's process, and nodes whose bytes a test scripts."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class ScriptedNode:
-    """Calls the handler with each connection; notes how many came and when each ended."""
+    """Calls the handler for each connection; counts connections and reports when each ends."""
 
     def __init__(self, handler: Handler) -> None:
         self.handler = handler
@@ -60,17 +60,17 @@
             writer.transport.abort()
 
 
-async def head_of(reader: asyncio.StreamReader) -> tuple[str, dict[str, str]]:
-    first, *lines = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")[:-2]
-    return first, {k.lower(): v for k, v in (line.split(": ", 1) for line in lines)}
+async def read_head(reader: asyncio.StreamReader) -> tuple[str, dict[str, str]]:
+    start_line, *lines = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")[:-2]
+    return start_line, {name.lower(): value for name, value in (line.split(": ", 1) for line in lines)}
 
 
-def answering(reply: bytes) -> Handler:
-    """A node that reads heads and small bodies, and gives the same bytes to each."""
+def replying(reply: bytes) -> Handler:
+    """A node that reads heads and small bodies, and sends the same response to each request."""
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
-            _, headers = await head_of(reader)
+            _, headers = await read_head(reader)
             await reader.readexactly(int(headers.get("content-length", 0)))
             writer.write(reply)
             await writer.drain()
@@ -87,14 +87,14 @@
         host, _, port = self.frontend.address.rpartition(":")
         return await asyncio.open_connection(host, int(port), limit=2**20)
 
-    async def ask(self, raw: bytes) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+    async def send(self, raw: bytes) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         reader, writer = await self.connect()
         writer.write(raw)
         return reader, writer
 
-    async def whole(self, raw: bytes) -> bytes:
-        """All that comes back until the proxy closes."""
-        reader, writer = await self.ask(raw)
+    async def read_until_close(self, raw: bytes) -> bytes:
+        """Sends `raw` and returns everything that arrives until the proxy closes the connection."""
+        reader, writer = await self.send(raw)
         try:
             return await reader.read()
         except ConnectionError:
@@ -105,7 +105,7 @@
 
 @asynccontextmanager
 async def front(*handlers: Handler, **changes: Any) -> AsyncIterator[Front]:
-    """`changes`: classes, limits, pace, upload_bytes, most_body, origin, attempts."""
+    """A front end before one scripted node per handler. `changes`: settings that differ from the defaults."""
     nodes = [await ScriptedNode(handler).open() for handler in handlers]
     settings = Settings(
         changes.get("classes", CLASSES),
@@ -116,24 +116,24 @@
         refuse_unsent=True,
         **changes.get("settings", {}),
     )
-    terms = ExchangeLimits(
-        changes.get("pace", ProgressLimits(10.0, 0)),
+    exchange_limits = ExchangeLimits(
+        changes.get("progress", ProgressLimits(10.0, 0)),
         changes.get("upload_ms", 3_600_000.0),
         changes.get("upload_bytes", 64 * 1024),
         RESPONSE_BUFFER_BYTES,
-        changes.get("most_body", 2**31),
+        changes.get("max_body_bytes", 2**31),
         MAX_READ_BYTES,
     )
-    limits = changes.get("limits", HeadLimits())
-    wire = SocketSettings({}, {}, {"a": 0}, {"m": 0}, 5000.0, 15_000.0)
+    head_limits = changes.get("head_limits", HeadLimits())
+    socket_settings = SocketSettings({}, {}, {"a": 0}, {"m": 0}, 5000.0, 15_000.0)
     engine = RelayEngine(
         settings,
-        wire,
+        socket_settings,
         1,
         changes.get("connections", 200),
         changes.get("body_bytes", 2**28),
-        changes.get("terms", (terms,) * len(settings.classes)),
-        lambda pool, backend: NodeConnection(pool, backend, limits),
+        changes.get("exchange_limits", (exchange_limits,) * len(settings.classes)),
+        lambda pool, backend: NodeConnection(pool, backend, head_limits),
     )
     targets = [Target(f"n{i}", "127.0.0.1", node.port, ServerInfo(f"n{i}")) for i, node in enumerate(nodes)]
     engine.on_list(Listing(1, True, tuple(targets)))
@@ -152,8 +152,8 @@
         rules,
         changes.get("clients", 200),
         16,
-        limits=limits,
-        forwarding=changes.get("origin", ForwardingPolicy()),
+        limits=head_limits,
+        forwarding=changes.get("forwarding", ForwardingPolicy()),
     )
     frontend.listen("127.0.0.1:0")
     try:
--- a/tests/http/test_front.py
+++ b/tests/http/test_front.py
@@ -1,4 +1,4 @@
-"""The HTTP front on loopback: an independent client (httpx) for the ordinary, raw bytes for the rest."""
+"""The HTTP front end on loopback: with an independent client (httpx), and byte by byte."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from flintlatch.http.head import HeadLimits
 from flintlatch.http.sockets import MAX_READ_BYTES, RESPONSE_BUFFER_BYTES
 from flintlatch.net.backends import REUSE_DELAY_MS
-from tests.http.support import Front, answering, front, head_of
+from tests.http.support import Front, front, read_head, replying
 from tests.loopback import run
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
@@ -23,7 +23,7 @@
 
 
 async def echo(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """Answers with the request as it came."""
+    """A node that responds with the bytes of the request."""
     while True:
         raw = await reader.readuntil(b"\r\n\r\n")
         length = raw.lower().partition(b"content-length: ")[2].partition(b"\r")[0]
@@ -31,9 +31,9 @@
         writer.write(b"HTTP/1.1 200 OK\r\nX-End: kept\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
 
 
-def test_an_ordinary_client_is_served_with_all_methods() -> None:
+def test_all_methods_are_forwarded() -> None:
     async def test() -> None:
-        async with front(echo) as made, httpx.AsyncClient(base_url=made.url) as client:
+        async with front(echo) as proxy, httpx.AsyncClient(base_url=proxy.url) as client:
             for method in ("GET", "POST", "PUT", "PATCH", "DELETE", "OPTIONS", "PURGE"):
                 body = b"" if method in ("GET", "DELETE", "OPTIONS", "PURGE") else b"hello"
                 reply = await client.request(method, "/a/b?c=d", content=body, headers={"X-Mine": "1"})
@@ -46,20 +46,20 @@
                 assert any(line.startswith(b"x-budget-ms: ") for line in lines)
                 assert any(line.startswith(b"forwarded: for=127.0.0.1;") for line in lines)
                 assert not any(line.startswith(b"connection:") for line in lines)
-            # Kept, and lent again once they have rested.
+            # The connections to the node are reused after the reuse delay.
             await asyncio.sleep(2 * REUSE_DELAY_MS / 1000)
-            opened = made.nodes[0].connections
+            opened = proxy.nodes[0].connections
             assert (await client.get("/again")).status_code == 200
-            assert made.nodes[0].connections == opened
+            assert proxy.nodes[0].connections == opened
 
     run(test())
 
 
 @pytest.mark.parametrize("status", [200, 201, 301, 404, 418, 500, 503])
-def test_every_status_is_passed_on_as_it_is(status: int) -> None:
+def test_status_and_reason_are_passed_on(status: int) -> None:
     async def test() -> None:
         reply = b"HTTP/1.1 %d Odd Reason\r\nContent-Length: 3\r\nRetry-After: 7\r\n\r\nabc" % status
-        async with front(answering(reply)) as made, httpx.AsyncClient(base_url=made.url) as client:
+        async with front(replying(reply)) as proxy, httpx.AsyncClient(base_url=proxy.url) as client:
             for method in ("GET", "POST"):
                 got = await client.request(method, "/")
                 assert (got.status_code, got.content, got.reason_phrase) == (status, b"abc", "Odd Reason")
@@ -75,9 +75,9 @@
         ("GET", b"HTTP/1.1 304 Not Modified\r\nETag: x\r\n\r\n", None),
     ],
 )
-def test_answers_without_a_body(method: str, reply: bytes, length: str | None) -> None:
+def test_responses_without_a_body(method: str, reply: bytes, length: str | None) -> None:
     async def test() -> None:
-        async with front(answering(reply)) as made, httpx.AsyncClient(base_url=made.url) as client:
+        async with front(replying(reply)) as proxy, httpx.AsyncClient(base_url=proxy.url) as client:
             for _ in range(2):
                 got = await client.request(method, "/")
                 assert (got.content, got.headers.get("content-length")) == (b"", length)
@@ -85,20 +85,20 @@
     run(test())
 
 
-def test_chunks_and_trailers_both_ways() -> None:
+def test_chunks_and_trailers_are_passed_in_both_directions() -> None:
     async def node(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        _, headers = await head_of(reader)
+        _, headers = await read_head(reader)
         assert headers["transfer-encoding"] == "chunked"
         raw = await reader.readuntil(b"\r\n0\r\nX-Sum: up\r\n\r\n")
-        assert raw.startswith(b"5\r\nabcde\r\n")  # chunks that come together go on as one
+        assert raw.startswith(b"5\r\nabcde\r\n")  # chunks that arrive together are joined
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4;x=y\r\nwiki\r\n")
         writer.write(b"0\r\nX-Sum: down\r\n\r\n")
         await reader.read()
 
     async def test() -> None:
-        async with front(node) as made:
+        async with front(node) as proxy:
             raw = b"POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n"
-            got = await made.whole(raw + b"2;ext\r\nab\r\n3\r\ncde\r\n0\r\nX-Sum: up\r\n\r\n")
+            got = await proxy.read_until_close(raw + b"2;ext\r\nab\r\n3\r\ncde\r\n0\r\nX-Sum: up\r\n\r\n")
             head, _, body = got.partition(b"\r\n\r\n")
             assert b"Transfer-Encoding: chunked" in head
             assert body == b"4\r\nwiki\r\n0\r\nX-Sum: down\r\n\r\n"
@@ -106,9 +106,9 @@
     run(test())
 
 
-def test_100_continue_is_the_nodes_word_and_103_goes_through() -> None:
+def test_interim_responses_of_the_node_are_passed_on() -> None:
     async def node(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        _, headers = await head_of(reader)
+        _, headers = await read_head(reader)
         assert headers["expect"] == "100-continue"
         writer.write(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n")
         assert await reader.readexactly(5) == b"hello"
@@ -116,8 +116,8 @@
         await reader.read()
 
     async def test() -> None:
-        async with front(node) as made:
-            reader, writer = await made.ask(
+        async with front(node) as proxy:
+            reader, writer = await proxy.send(
                 b"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\nExpect: 100-continue\r\n\r\n"
             )
             assert await reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
@@ -129,25 +129,25 @@
     run(test())
 
 
-def test_an_old_client_gets_a_body_that_ends_with_its_connection() -> None:
+def test_http_1_0_client_gets_a_body_that_ends_with_the_connection() -> None:
     async def test() -> None:
         reply = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"
-        async with front(answering(reply)) as made:
-            head, _, body = (await made.whole(b"GET /a HTTP/1.0\r\n\r\n")).partition(b"\r\n\r\n")
+        async with front(replying(reply)) as proxy:
+            head, _, body = (await proxy.read_until_close(b"GET /a HTTP/1.0\r\n\r\n")).partition(b"\r\n\r\n")
             assert body == b"ok" and b"Connection: close" in head and b"chunked" not in head
 
     run(test())
 
 
-def test_requests_sent_ahead_are_answered_in_turn() -> None:
+def test_pipelined_requests_are_answered_in_order() -> None:
     async def test() -> None:
-        async with front(echo) as made:
+        async with front(echo) as proxy:
             raw = b"".join(
                 b"POST /%d HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc" % n for n in range(5)
             )
-            got = await made.whole(raw + GET)
-            places = [got.find(b"POST /%d HTTP/1.1" % n) for n in range(5)]
-            assert places == sorted(places) and places[0] > 0 and got.count(b"HTTP/1.1 200 OK") == 6
+            got = await proxy.read_until_close(raw + GET)
+            positions = [got.find(b"POST /%d HTTP/1.1" % n) for n in range(5)]
+            assert positions == sorted(positions) and positions[0] > 0 and got.count(b"HTTP/1.1 200 OK") == 6
 
     run(test())
 
@@ -169,89 +169,89 @@
         (b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03\r\n\r\n", 400),
     ],
 )
-def test_limits_and_refusals_say_so_and_close(raw: bytes, status: int) -> None:
+def test_rejected_request_gets_its_status_and_the_connection_closes(raw: bytes, status: int) -> None:
     async def test() -> None:
         limits = HeadLimits(head_bytes=1024, target_bytes=200, fields=50)
-        async with front(echo, limits=limits, most_body=1000) as made:
-            got = await made.whole(raw)
+        async with front(echo, head_limits=limits, max_body_bytes=1000) as proxy:
+            got = await proxy.read_until_close(raw)
             assert got.startswith(b"HTTP/1.1 %d " % status) and b"Connection: close" in got
-            assert made.nodes[0].connections == 0
+            assert proxy.nodes[0].connections == 0
 
     run(test())
 
 
-def test_a_chunked_body_beyond_the_limit_is_cut_off() -> None:
+def test_chunked_body_beyond_the_limit_is_answered_413() -> None:
     async def sink(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.read()
 
     async def test() -> None:
-        async with front(sink, most_body=1000) as made:
+        async with front(sink, max_body_bytes=1000) as proxy:
             raw = (
                 b"POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n"
                 + b"64\r\n"
                 + b"a" * 100
                 + b"\r\n"
             )
-            reader, writer = await made.ask(raw)
-            while not made.nodes[0].connections:
+            reader, writer = await proxy.send(raw)
+            while not proxy.nodes[0].connections:
                 await asyncio.sleep(0.01)
             writer.write((b"64\r\n" + b"a" * 100 + b"\r\n") * 12)
             assert (await reader.read()).startswith(b"HTTP/1.1 413 ")
             writer.close()
-            await made.nodes[0].closed.get()  # the node's slot is free
+            await proxy.nodes[0].closed.get()  # the connection is closed, so the node's slot is free
 
     run(test())
 
 
 # Long bodies
 
-BIG = 24 * 1024 * 1024
+LARGE_BYTES = 24 * 1024 * 1024
 BLOCK = bytes(range(256)) * 256
 
 
-def slow_socket(made: Front) -> socket.socket:
-    """A client whose kernel takes little, so that the proxy feels its pace."""
+def slow_socket(proxy: Front) -> socket.socket:
+    """A client with a small receive buffer, so that it slows the proxy down."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 16 * 1024)
-    host, _, port = made.frontend.address.rpartition(":")
+    host, _, port = proxy.frontend.address.rpartition(":")
     sock.connect((host, int(port)))
     sock.setblocking(False)
     return sock
 
 
-def test_a_large_export_to_a_slow_client_holds_a_bounded_part() -> None:
+def test_memory_is_bounded_for_a_large_response_to_a_slow_client() -> None:
     async def node(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await head_of(reader)
-        writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % BIG)
-        for _ in range(BIG // len(BLOCK)):
+        await read_head(reader)
+        writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % LARGE_BYTES)
+        for _ in range(LARGE_BYTES // len(BLOCK)):
             writer.write(BLOCK)
             await writer.drain()
         await reader.read()
 
     async def test() -> None:
-        async with front(node) as made:
-            loop, sock = asyncio.get_running_loop(), slow_socket(made)
+        async with front(node) as proxy:
+            loop, sock = asyncio.get_running_loop(), slow_socket(proxy)
             await loop.sock_sendall(sock, GET)
-            digest, got, head, most = hashlib.sha256(), 0, b"", 0
+            digest, got, head, max_held = hashlib.sha256(), 0, b"", 0
             while b"\r\n\r\n" not in head:
                 head += await loop.sock_recv(sock, 1)
             while data := await loop.sock_recv(sock, 64 * 1024):
                 digest.update(data)
                 got += len(data)
-                for client in made.frontend.clients:
-                    most = max(most, client.transport.get_write_buffer_size())
+                for client in proxy.frontend.clients:
+                    max_held = max(max_held, client.transport.get_write_buffer_size())
             sock.close()
-            assert got == BIG and 0 < most <= RESPONSE_BUFFER_BYTES
-            assert digest.digest() == hashlib.sha256(BLOCK * (BIG // len(BLOCK))).digest()
+            assert got == LARGE_BYTES and 0 < max_held <= RESPONSE_BUFFER_BYTES
+            assert digest.digest() == hashlib.sha256(BLOCK * (LARGE_BYTES // len(BLOCK))).digest()
 
     run(test())
 
 
-def test_a_large_upload_to_a_slow_node_holds_a_bounded_part() -> None:
+def test_memory_is_bounded_for_a_large_upload_to_a_slow_node() -> None:
     seen: list[bytes] = []
 
     async def node(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        _, headers = await head_of(reader)
+        _, headers = await read_head(reader)
         digest, left = hashlib.sha256(), int(headers["content-length"])
         while left:
             data = await reader.read(min(left, 32 * 1024))
@@ -263,37 +263,40 @@
         await reader.read()
 
     async def test() -> None:
-        async with front(node) as made:
-            most = 0
+        async with front(node) as proxy:
+            max_held = 0
 
             async def sample() -> None:
-                nonlocal most
+                nonlocal max_held
                 while True:
-                    for call in made.engine.exchanges.values():
-                        most = max(most, call.upload.held + len(cast(HttpClient, call.client).buffer))
+                    for exchange in proxy.engine.exchanges.values():
+                        max_held = max(
+                            max_held, exchange.upload.held + len(cast(HttpClient, exchange.client).buffer)
+                        )
                     await asyncio.sleep(0.001)
 
             async def send(writer: asyncio.StreamWriter) -> None:
                 writer.write(
-                    b"PUT /a HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: %d\r\n\r\n" % BIG
+                    b"PUT /a HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: %d\r\n\r\n"
+                    % LARGE_BYTES
                 )
-                for _ in range(BIG // len(BLOCK)):
+                for _ in range(LARGE_BYTES // len(BLOCK)):
                     writer.write(BLOCK)
                     await writer.drain()
 
             sampler = asyncio.create_task(sample())
-            reader, writer = await made.connect()
+            reader, writer = await proxy.connect()
             await send(writer)
             assert (await reader.read()).startswith(b"HTTP/1.1 200 OK")
             writer.close()
             sampler.cancel()
-            assert seen == [hashlib.sha256(BLOCK * (BIG // len(BLOCK))).digest()]
-            assert 0 < most <= 64 * 1024 + 2 * MAX_READ_BYTES
+            assert seen == [hashlib.sha256(BLOCK * (LARGE_BYTES // len(BLOCK))).digest()]
+            assert 0 < max_held <= 64 * 1024 + 2 * MAX_READ_BYTES
 
     run(test())
 
 
-# Deaths and stalls
+# Nodes that fail and stalls
 
 BODIES = {
     "length": b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n0123456789",
@@ -302,12 +305,12 @@
 
 
 @pytest.mark.parametrize("kind", BODIES)
-def test_a_node_that_dies_at_any_byte_of_its_answer_gives_one_answer_or_a_broken_one(kind: str) -> None:
+def test_node_that_fails_within_its_response_causes_one_response_or_an_aborted_one(kind: str) -> None:
     raw = BODIES[kind]
     cut = 0
 
     async def node(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await head_of(reader)
+        await read_head(reader)
         writer.write(raw[:cut])
         await writer.drain()
         writer.transport.close() if cut % 2 else writer.transport.abort()
@@ -315,8 +318,8 @@
     async def test() -> None:
         nonlocal cut
         for cut in range(0, len(raw), 1):
-            async with front(node, attempts=1) as made:
-                got = await made.whole(
+            async with front(node, attempts=1) as proxy:
+                got = await proxy.read_until_close(
                     b"POST /a HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
                 )
                 end = raw.index(b"\r\n\r\n") + 4
@@ -324,105 +327,111 @@
                     assert cut >= end or cut == 0 or cut < end
                 elif got.startswith(b"HTTP/1.1 200"):
                     body = got.partition(b"\r\n\r\n")[2]
-                    # Begun, and visibly broken: short of its length, or without its last chunk.
+                    # The response began and is visibly incomplete: short of its length or without last chunk.
                     assert not body.endswith(b"0\r\n\r\n") and len(body) < len(raw) - end
                 else:
                     assert got.startswith(b"HTTP/1.1 504 ") and got.count(b"HTTP/1.1") == 1
-                assert made.nodes[0].connections == 1  # unsafe: it may have run
+                assert (
+                    proxy.nodes[0].connections == 1
+                )  # the request is unsafe and may have been executed: no retry
 
     run(test())
 
 
-@pytest.mark.parametrize(("size", "again"), [(1000, True), (200_000, False)])
-def test_an_upload_goes_again_within_the_replay_cap_and_never_beyond_it(size: int, again: bool) -> None:
-    tries: list[int] = []
+@pytest.mark.parametrize(("size", "retried"), [(1000, True), (200_000, False)])
+def test_upload_is_retried_only_if_it_fits_into_the_buffer(size: int, retried: bool) -> None:
+    attempt_sizes: list[int] = []
 
     async def node(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        _, headers = await head_of(reader)
+        _, headers = await read_head(reader)
         got = await reader.readexactly(int(headers["content-length"]))
-        tries.append(len(got))
-        if len(tries) == 1:
-            writer.transport.abort()  # after the whole upload: it may have run
+        attempt_sizes.append(len(got))
+        if len(attempt_sizes) == 1:
+            writer.transport.abort()  # after the complete upload: the request may have been executed
             return
         writer.write(OK)
         await reader.read()
 
     async def test() -> None:
-        async with front(node, node) as made:
+        async with front(node, node) as proxy:
             raw = b"POST /buy/1 HTTP/1.1\r\nHost: x\r\nIdempotency-Key: k\r\nConnection: close\r\n"
-            got = await made.whole(raw + b"Content-Length: %d\r\n\r\n" % size + b"x" * size)
-            if again:
-                assert got.startswith(b"HTTP/1.1 200 ") and tries == [size, size]
+            got = await proxy.read_until_close(raw + b"Content-Length: %d\r\n\r\n" % size + b"x" * size)
+            if retried:
+                assert got.startswith(b"HTTP/1.1 200 ") and attempt_sizes == [size, size]
             else:
-                assert got.startswith(b"HTTP/1.1 504 ") and tries == [size]
+                assert got.startswith(b"HTTP/1.1 504 ") and attempt_sizes == [size]
 
     run(test())
 
 
-def test_a_client_that_stalls_in_its_upload_gets_408_and_frees_the_nodes_slot() -> None:
+def test_client_that_stalls_in_its_upload_gets_408_and_frees_the_nodes_slot() -> None:
     async def node(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.read()
 
     async def test() -> None:
-        async with front(node, pace=ProgressLimits(0.5, 0)) as made:
-            got = await made.whole(b"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\nhalf")
+        async with front(node, progress=ProgressLimits(0.5, 0)) as proxy:
+            got = await proxy.read_until_close(
+                b"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\nhalf"
+            )
             assert got.startswith(b"HTTP/1.1 408 ")
-            await made.nodes[0].closed.get()
-            (server,) = made.engine.balancer.servers.values()
-            assert server.consecutive_failures == 0 and server.inflight == 0  # the client's fault
+            await proxy.nodes[0].closed.get()
+            (server,) = proxy.engine.balancer.servers.values()
+            assert server.consecutive_failures == 0 and server.inflight == 0  # the stall is the client's
 
     run(test())
 
 
-def test_a_client_that_does_not_read_is_cut_off_and_the_node_not_blamed() -> None:
+def test_client_that_does_not_read_is_disconnected_without_a_failure_of_the_node() -> None:
     async def node(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await head_of(reader)
-        writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % BIG)
-        for _ in range(BIG // len(BLOCK)):
+        await read_head(reader)
+        writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % LARGE_BYTES)
+        for _ in range(LARGE_BYTES // len(BLOCK)):
             writer.write(BLOCK)
             await writer.drain()
 
     async def test() -> None:
-        async with front(node, pace=ProgressLimits(0.5, 0)) as made:
-            sock = slow_socket(made)
+        async with front(node, progress=ProgressLimits(0.5, 0)) as proxy:
+            sock = slow_socket(proxy)
             await asyncio.get_running_loop().sock_sendall(sock, GET)
-            await made.nodes[0].closed.get()
-            (server,) = made.engine.balancer.servers.values()
+            await proxy.nodes[0].closed.get()
+            (server,) = proxy.engine.balancer.servers.values()
             assert server.consecutive_failures == 0
-            while made.engine.exchanges:
+            while proxy.engine.exchanges:
                 await asyncio.sleep(0.01)
             sock.close()
 
     run(test())
 
 
-def test_a_node_that_stalls_in_its_answer_is_blamed_and_the_answer_visibly_broken() -> None:
+def test_node_that_stalls_in_its_response_fails_and_the_response_is_aborted() -> None:
     async def node(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await head_of(reader)
+        await read_head(reader)
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf")
         await reader.read()
 
     async def test() -> None:
-        async with front(node, pace=ProgressLimits(0.5, 0)) as made:
-            got = await made.whole(GET)
+        async with front(node, progress=ProgressLimits(0.5, 0)) as proxy:
+            got = await proxy.read_until_close(GET)
             assert got == b"(reset)" or got.endswith(b"half")
-            while made.engine.exchanges:
+            while proxy.engine.exchanges:
                 await asyncio.sleep(0.01)
-            (server,) = made.engine.balancer.servers.values()
+            (server,) = proxy.engine.balancer.servers.values()
             assert server.inflight == 0 and server.reward < 1.0
 
     run(test())
 
 
-def test_an_early_answer_reaches_the_client_and_the_rest_is_dropped_within_bounds() -> None:
+def test_early_response_reaches_the_client_and_the_rest_of_the_upload_is_discarded() -> None:
     async def node(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await head_of(reader)
+        await read_head(reader)
         writer.write(b"HTTP/1.1 413 Too Large\r\nContent-Length: 3\r\n\r\nbig")
         await reader.read()
 
     async def test() -> None:
-        async with front(node) as made:
-            reader, writer = await made.ask(b"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 1000000\r\n\r\n")
+        async with front(node) as proxy:
+            reader, writer = await proxy.send(
+                b"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 1000000\r\n\r\n"
+            )
             got = await reader.readuntil(b"big")
             assert got.startswith(b"HTTP/1.1 413 Too Large\r\n") and b"Connection: close" in got
             writer.write(b"x" * 100_000)
@@ -432,36 +441,36 @@
     run(test())
 
 
-def test_a_client_that_leaves_halfway_frees_the_nodes_slot_at_once() -> None:
-    begun = asyncio.Event()
+def test_client_that_leaves_frees_the_nodes_slot_at_once() -> None:
+    head_received = asyncio.Event()
 
     async def node(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await head_of(reader)
-        begun.set()
+        await read_head(reader)
+        head_received.set()
         await reader.read()
 
     async def test() -> None:
-        async with front(node) as made:
+        async with front(node) as proxy:
             for raw in (GET, b"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\nhalf"):
-                begun.clear()
-                _, writer = await made.ask(raw)
-                await begun.wait()
+                head_received.clear()
+                _, writer = await proxy.send(raw)
+                await head_received.wait()
                 writer.transport.abort()
-                await made.nodes[0].closed.get()
-                while made.engine.exchanges or made.engine.requests:
+                await proxy.nodes[0].closed.get()
+                while proxy.engine.exchanges or proxy.engine.requests:
                     await asyncio.sleep(0.01)
-            (server,) = made.engine.balancer.servers.values()
+            (server,) = proxy.engine.balancer.servers.values()
             assert server.inflight == 0
 
     run(test())
 
 
-def test_a_node_that_turns_away_is_passed_by() -> None:
+def test_request_rejected_by_a_node_is_retried_at_another() -> None:
     async def test() -> None:
-        full = answering(b"HTTP/1.1 503 X\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n")
-        async with front(full, answering(OK)) as made, httpx.AsyncClient(base_url=made.url) as client:
+        full = replying(b"HTTP/1.1 503 X\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n")
+        async with front(full, replying(OK)) as proxy, httpx.AsyncClient(base_url=proxy.url) as client:
             for _ in range(10):
                 assert (await client.post("/a", content=b"hello")).status_code == 200
-            assert made.nodes[0].connections  # it was asked, too
+            assert proxy.nodes[0].connections  # it got requests, too
 
     run(test())
--- a/tests/http/test_messages.py
+++ b/tests/http/test_messages.py
@@ -1,4 +1,4 @@
-"""Heads and bodies, cut anywhere, and beside an independent reader (h11)."""
+"""Parsing of heads and bodies split at any position, also compared with an independent parser (h11)."""
 
 from __future__ import annotations
 
@@ -36,51 +36,53 @@
 FIELDS = st.lists(st.tuples(NAMES, TEXT.map(lambda v: v.strip(b"\t "))), max_size=6)
 
 
-def cuts(data: bytes, places: list[int]) -> list[bytes]:
-    edges = sorted({0, len(data), *(place % (len(data) + 1) for place in places)})
+def split_at(data: bytes, positions: list[int]) -> list[bytes]:
+    edges = sorted({0, len(data), *(position % (len(data) + 1) for position in positions)})
     return [data[a:b] for a, b in pairwise(edges)]
 
 
 def read_body(framing: Framing, pieces: list[bytes]) -> tuple[bytes, bytes, Body, int]:
-    body, got, rest, most = Body(framing), b"", b"", 0
+    body, content, rest, max_buffered = Body(framing), b"", b"", 0
     for piece in pieces:
         if body.done:
             rest += piece
             continue
         parts, left = body.feed(piece)
-        got += b"".join(parts)
+        content += b"".join(parts)
         rest += left
-        most = max(most, body.buffered_bytes())
-    return got, rest, body, most
+        max_buffered = max(max_buffered, body.buffered_bytes())
+    return content, rest, body, max_buffered
 
 
 @given(
     st.lists(st.binary(min_size=1, max_size=50), max_size=6), FIELDS, st.lists(st.integers(0), max_size=30)
 )
-def test_a_chunked_body_is_the_same_however_it_is_cut(
-    data: list[bytes], trailers: list[tuple[bytes, bytes]], places: list[int]
+def test_chunked_body_is_parsed_however_it_is_split(
+    data: list[bytes], trailers: list[tuple[bytes, bytes]], positions: list[int]
 ) -> None:
     trailers = [(name, value) for name, value in trailers if name != b"Cookie"]
     message = b"".join(map(chunk, data)) + last_chunk(trailers) + b"GET /next"
-    got, rest, body, most = read_body(Framing(BodyKind.CHUNKED), cuts(message, places))
-    assert (got, rest, body.done) == (b"".join(data), b"GET /next", True)
-    assert body.trailers == trailers and most <= MAX_LINE_BYTES + MAX_TRAILER_BYTES
+    content, rest, body, max_buffered = read_body(Framing(BodyKind.CHUNKED), split_at(message, positions))
+    assert (content, rest, body.done) == (b"".join(data), b"GET /next", True)
+    assert body.trailers == trailers and max_buffered <= MAX_LINE_BYTES + MAX_TRAILER_BYTES
 
 
 @given(st.binary(max_size=200), st.binary(max_size=20), st.lists(st.integers(0), max_size=20))
-def test_a_body_of_known_length_takes_just_that(data: bytes, behind: bytes, places: list[int]) -> None:
+def test_body_with_length_takes_exactly_its_bytes(
+    data: bytes, following: bytes, positions: list[int]
+) -> None:
     kind = BodyKind.LENGTH if data else BodyKind.NONE
-    got, rest, body, most = read_body(Framing(kind, len(data)), cuts(data + behind, places))
-    assert (got, rest, body.done, most) == (data, behind, True, 0)
+    content, rest, body, max_buffered = read_body(
+        Framing(kind, len(data)), split_at(data + following, positions)
+    )
+    assert (content, rest, body.done, max_buffered) == (data, following, True, 0)
 
 
 @pytest.mark.parametrize(
     ("framing", "data"),
     [(Framing(BodyKind.LENGTH, 5), b"hello"), (Framing(BodyKind.CHUNKED), chunk(b"hello") + last_chunk())],
 )
-def test_the_end_of_the_connection_at_each_byte_is_told_from_the_end_of_the_body(
-    framing: Framing, data: bytes
-) -> None:
+def test_end_of_the_connection_within_a_body_is_an_error(framing: Framing, data: bytes) -> None:
     for cut in range(len(data)):
         body = Body(framing)
         body.feed(data[:cut])
@@ -89,10 +91,10 @@
     body = Body(framing)
     body.feed(data)
     body.end()
-    until = Body(Framing(BodyKind.UNTIL_CLOSE))
-    assert until.feed(b"abc") == ([b"abc"], b"") and not until.done
-    until.end()
-    assert until.done
+    until_close = Body(Framing(BodyKind.UNTIL_CLOSE))
+    assert until_close.feed(b"abc") == ([b"abc"], b"") and not until_close.done
+    until_close.end()
+    assert until_close.done
 
 
 @given(
@@ -101,7 +103,7 @@
     st.sampled_from([0, 1]),
     st.integers(0, 20),
 )
-def test_an_independent_reader_sees_the_same_request(
+def test_h11_parses_the_same_request(
     fields: list[tuple[bytes, bytes]], method: bytes, minor: int, length: int
 ) -> None:
     raw = b"%b /a?b HTTP/1.%d\r\nHost: x:1\r\n" % (method, minor)
@@ -119,7 +121,7 @@
 
 @given(st.binary(max_size=300))
 @settings(max_examples=500)
-def test_noise_is_refused_or_read_and_never_breaks_the_reader(noise: bytes) -> None:
+def test_random_bytes_are_parsed_or_rejected(noise: bytes) -> None:
     for raw in (noise, b"GET / HTTP/1.1\r\nHost: x\r\n" + noise + b"\r\n\r\n"):
         try:
             read_request_head(raw)
@@ -135,7 +137,7 @@
         assert error.status in (400, 431)
 
 
-def test_the_end_of_a_head_is_found_across_pieces() -> None:
+def test_end_of_head_is_found_across_pieces() -> None:
     data = b"GET / HTTP/1.1\r\nHost: x\r\n\r\nbody"
     for cut in range(len(data)):
         first = find_head_end(data[:cut])
@@ -143,7 +145,7 @@
         assert (first if first >= 0 else find_head_end(data, cut)) == 27
 
 
-def test_limits_say_which_they_are() -> None:
+def test_exceeded_limit_determines_the_status() -> None:
     limits = HeadLimits(head_bytes=200, target_bytes=50, fields=3)
     for raw, status in (
         (b"GET /" + b"a" * 60 + b" HTTP/1.1\r\nHost: x\r\n\r\n", 414),
@@ -156,7 +158,7 @@
 
 
 @pytest.mark.parametrize(
-    ("line", "fields", "keep"),
+    ("line", "fields", "keep_alive"),
     [
         (b"1.1", b"", True),
         (b"1.1", b"Connection: close\r\n", False),
@@ -166,9 +168,15 @@
         (b"1.0", b"Connection: keep-alive, close\r\n", False),
     ],
 )
-def test_whether_a_connection_is_kept(line: bytes, fields: bytes, keep: bool) -> None:
-    assert read_request_head(b"GET / HTTP/" + line + b"\r\nHost: x\r\n" + fields + b"\r\n").keep_alive is keep
-    assert read_response_head(b"HTTP/" + line + b" 200 OK\r\n" + fields + b"\r\n", b"GET").keep_alive is keep
+def test_keep_alive(line: bytes, fields: bytes, keep_alive: bool) -> None:
+    assert (
+        read_request_head(b"GET / HTTP/" + line + b"\r\nHost: x\r\n" + fields + b"\r\n").keep_alive
+        is keep_alive
+    )
+    assert (
+        read_response_head(b"HTTP/" + line + b" 200 OK\r\n" + fields + b"\r\n", b"GET").keep_alive
+        is keep_alive
+    )
 
 
 @pytest.mark.parametrize(
@@ -184,22 +192,22 @@
         (b"GET", 500, b"Transfer-Encoding: chunked\r\n", BodyKind.CHUNKED),
     ],
 )
-def test_where_an_answer_ends(method: bytes, status: int, fields: bytes, kind: BodyKind) -> None:
+def test_framing_of_a_response(method: bytes, status: int, fields: bytes, kind: BodyKind) -> None:
     raw = b"HTTP/1.1 %d X\r\n%b\r\n" % (status, fields)
     assert read_response_head(raw, method).framing.kind is kind
 
 
-def test_an_absolute_target_of_the_same_host_becomes_a_path() -> None:
+def test_absolute_form_target_of_the_same_host_becomes_origin_form() -> None:
     head = read_request_head(b"GET http://X:80/a?b HTTP/1.1\r\nHost: x:80\r\n\r\n")
     assert (head.target, head.host) == (b"/a?b", b"X:80")
     head = read_request_head(b"OPTIONS * HTTP/1.1\r\nHost: [::1]:80\r\nExpect: 100-Continue\r\n\r\n")
     assert head.target == b"*" and head.expects_continue
 
 
-# Fields
+# Header fields
 
 
-def test_what_concerns_one_hop_ends_here_and_what_it_names_too() -> None:
+def test_hop_by_hop_fields_and_fields_named_by_connection_are_removed() -> None:
     fields = [(b"Connection", b"close, X-Mine"), (b"x-mine", b"1"), (b"TE", b"trailers"), (b"Accept", b"*/*")]
     fields += [(b"Keep-Alive", b"3"), (b"Content-Length", b"4"), (b"Upgrade", b"h2c")]
     assert end_to_end(fields) == [(b"Accept", b"*/*")]
@@ -209,26 +217,28 @@
             end_to_end([(b"Connection", b"keep-alive, " + name)])
 
 
-def test_an_origin_is_believed_only_from_who_is_trusted() -> None:
-    said = [(b"Forwarded", b"for=6.6.6.6"), (b"X-Forwarded-For", b"6.6.6.6"), (b"Via", b"1.1 a")]
-    trusting = ForwardingPolicy(trusted=(ip_network("10.0.0.0/8"),))
-    stranger = request_fields_to_node(said, "192.0.2.1", b"x", 1, trusting)
-    assert stranger == [
+def test_forwarding_fields_are_kept_only_from_trusted_peers() -> None:
+    received = [(b"Forwarded", b"for=6.6.6.6"), (b"X-Forwarded-For", b"6.6.6.6"), (b"Via", b"1.1 a")]
+    policy = ForwardingPolicy(trusted=(ip_network("10.0.0.0/8"),))
+    untrusted = request_fields_to_node(received, "192.0.2.1", b"x", 1, policy)
+    assert untrusted == [
         (b"Via", b"1.1 a"), (b"Via", b"1.1 flintlatch"), (b"Forwarded", b'for=192.0.2.1;host="x";proto=http')
     ]  # fmt: skip
-    friend = request_fields_to_node(said, "10.1.2.3", b"x", 1, trusting)
-    assert friend[:2] == said[:2] and friend[-1] == (b"Forwarded", b'for=10.1.2.3;host="x";proto=http')
-    old = ForwardingPolicy("x-forwarded", trusting.trusted)
+    trusted = request_fields_to_node(received, "10.1.2.3", b"x", 1, policy)
+    assert trusted[:2] == received[:2] and trusted[-1] == (b"Forwarded", b'for=10.1.2.3;host="x";proto=http')
+    x_forwarded = ForwardingPolicy("x-forwarded", policy.trusted)
     assert (b"X-Forwarded-For", b"6.6.6.6, 10.1.2.3") in request_fields_to_node(
-        said, "10.1.2.3", b"x", 1, old
+        received, "10.1.2.3", b"x", 1, x_forwarded
+    )
+    assert (b"X-Forwarded-For", b"192.0.2.1") in request_fields_to_node(
+        received, "192.0.2.1", b"x", 1, x_forwarded
     )
-    assert (b"X-Forwarded-For", b"192.0.2.1") in request_fields_to_node(said, "192.0.2.1", b"x", 1, old)
     assert request_fields_to_node([], "2001:db8::1", b"x", 1, ForwardingPolicy())[-1][1].startswith(
         b'for="[2001:db8::1]";'
     )
 
 
-def test_a_loop_is_seen() -> None:
+def test_loop_is_detected_by_via() -> None:
     with pytest.raises(HttpError) as caught:
         request_fields_to_node(
             [(b"Via", b"1.1 flintlatch, 1.1 Flintlatch")], "192.0.2.1", b"x", 1, ForwardingPolicy()
@@ -236,15 +246,15 @@
     assert caught.value.status == 508
 
 
-def test_another_protocol_is_wanted_only_if_the_connection_says_so() -> None:
+def test_upgrade_is_requested_only_if_connection_names_it() -> None:
     assert requests_upgrade([(b"Connection", b"Upgrade"), (b"Upgrade", b"websocket")])
     assert not requests_upgrade([(b"Connection", b"Upgrade, HTTP2-Settings"), (b"Upgrade", b"h2c")])
     assert not requests_upgrade([(b"Upgrade", b"websocket")])
 
 
-# RoutingRules
+# Routing rules
 
-SPECS = [
+CLASSES = [
     RequestClass(100, 1000, Effect.SAFE),
     RequestClass(100, 2000, Effect.UNSAFE),
     RequestClass(100, 3000, Effect.KEYED, window_ms=1000),
@@ -257,15 +267,15 @@
 ]
 
 
-def rules(**more: object) -> RoutingRules:
+def rules(**changes: object) -> RoutingRules:
     names = RoutingHeaders()
     return RoutingRules(
-        SPECS,
+        CLASSES,
         RULES,
         {},
         names,
         lambda: b"made",
-        **({"safe_class": 0, "other_class": 1} | more),  # type: ignore[arg-type]
+        **({"safe_class": 0, "other_class": 1} | changes),  # type: ignore[arg-type]
     )
 
 
@@ -290,18 +300,18 @@
         (request("GET /a", host=".admin.example.org"), 0),
     ],
 )
-def test_the_class_comes_from_the_first_rule_that_fits_and_else_from_the_method(raw: bytes, cls: int) -> None:
-    read = rules().read(read_request_head(raw))
-    assert (read.cls, read.id) == (cls, "made")
-    assert read.budget_ms == SPECS[cls].deadline_ms
+def test_class_is_of_the_first_matching_rule_or_by_method(raw: bytes, cls: int) -> None:
+    routing = rules().routing_of(read_request_head(raw))
+    assert (routing.cls, routing.id) == (cls, "made")
+    assert routing.budget_ms == CLASSES[cls].deadline_ms
 
 
-def test_what_a_client_says_of_its_request() -> None:
+def test_id_budget_and_key_are_read_from_the_fields() -> None:
     raw = request("GET /a", "X-Call-Id: i1", "X-Budget-Ms: 400", "X-Route-Hash: deck-7")
-    read = rules().read(read_request_head(raw))
-    assert (read.id, read.budget_ms, read.key is not None) == ("i1", 400.0, True)
+    routing = rules().routing_of(read_request_head(raw))
+    assert (routing.id, routing.budget_ms, routing.key is not None) == ("i1", 400.0, True)
     raw = request("GET /a", "X-Budget-Ms: 999999999")
-    assert rules().read(read_request_head(raw)).budget_ms == 1000.0
+    assert rules().routing_of(read_request_head(raw)).budget_ms == 1000.0
 
 
 @pytest.mark.parametrize(
@@ -315,7 +325,7 @@
         (request("PUT /a"), 404),
     ],
 )
-def test_what_no_rule_can_make_sense_of(raw: bytes, status: int) -> None:
+def test_unclassifiable_request_is_rejected(raw: bytes, status: int) -> None:
     with pytest.raises(HttpError) as caught:
-        rules(other_class=None).read(read_request_head(raw))
+        rules(other_class=None).routing_of(read_request_head(raw))
     assert caught.value.status == status
--- a/tests/http/test_peers.py
+++ b/tests/http/test_peers.py
@@ -1,4 +1,4 @@
-"""Peers of other makes on both ends: aiohttp, httpx, and curl by its command line."""
+"""Interoperability with aiohttp and httpx as client and node, and with the curl command."""
 
 from __future__ import annotations
 
@@ -21,41 +21,41 @@
 MIB = 1024 * 1024
 HTTP: dict[str, Any] = {"safe_class": "answer", "other_class": "grade", "idle_s": 5.0}
 SIZE = 5 * MIB + 17
-SLOW_S = 1.2  # more than twice the aim of "grade", 500 ms
+SLOW_S = 1.2  # more than twice the latency target of "grade", 500 ms
 
 
 async def upload(request: web.Request) -> web.Response:
-    found, count = hashlib.sha256(), 0
+    hasher, byte_count = hashlib.sha256(), 0
     async for data in request.content.iter_any():
-        found.update(data)
-        count += len(data)
-    return web.json_response({"bytes": count, "sha256": found.hexdigest()})
+        hasher.update(data)
+        byte_count += len(data)
+    return web.json_response({"bytes": byte_count, "sha256": hasher.hexdigest()})
 
 
 async def export(request: web.Request) -> web.StreamResponse:
     size = int(request.match_info["size"])
-    answer = web.StreamResponse()
+    response = web.StreamResponse()
     if "length" in request.query:
-        answer.content_length = size
-    await answer.prepare(request)
-    for place in range(0, size, len(PATTERN)):
-        await answer.write(PATTERN[: min(len(PATTERN), size - place)])
-    return answer
+        response.content_length = size
+    await response.prepare(request)
+    for position in range(0, size, len(PATTERN)):
+        await response.write(PATTERN[: min(len(PATTERN), size - position)])
+    return response
 
 
-async def mirror(request: web.Request) -> web.Response:
+async def echo_head(request: web.Request) -> web.Response:
     return web.json_response(
         {"method": request.method, "path": request.path_qs, "headers": dict(request.headers)}
     )
 
 
 @asynccontextmanager
-async def site(folder: Path, instances: int = 2) -> AsyncIterator[str]:
-    """The URL of a fleet before one node on aiohttp."""
+async def fleet_before_aiohttp(folder: Path, instances: int = 2) -> AsyncIterator[str]:
+    """Runs a fleet before one aiohttp node and yields its URL."""
     app = web.Application(client_max_size=64 * MIB)
     app.router.add_route("*", "/upload", upload)
     app.router.add_get("/export/{size}", export)
-    app.router.add_route("*", "/{rest:.*}", mirror)
+    app.router.add_route("*", "/{rest:.*}", echo_head)
     runner = web.AppRunner(app)
     await runner.setup()
     listener = web.TCPSite(runner, "127.0.0.1", 0)
@@ -70,7 +70,7 @@
     await runner.cleanup()
 
 
-async def slowly(size: int, seconds: float) -> AsyncIterator[bytes]:
+async def slow_body(size: int, seconds: float) -> AsyncIterator[bytes]:
     steps = 12
     for step in range(steps):
         yield body(size)[size * step // steps : size * (step + 1) // steps]
@@ -81,11 +81,11 @@
     return (PATTERN * (size // len(PATTERN) + 1))[:size]
 
 
-def test_httpx_and_aiohttp_through_to_aiohttp(tmp_path: Path) -> None:
+def test_httpx_and_aiohttp_clients_with_an_aiohttp_node(tmp_path: Path) -> None:
     async def test() -> None:
-        async with site(tmp_path) as url:
+        async with fleet_before_aiohttp(tmp_path) as url:
             async with httpx.AsyncClient(base_url=url, timeout=LIMIT_S) as client:
-                for content in (body(SIZE), slowly(100_000, SLOW_S)):
+                for content in (body(SIZE), slow_body(100_000, SLOW_S)):
                     reply = await client.put("/upload", content=content)
                     size = SIZE if isinstance(content, bytes) else 100_000
                     assert (reply.status_code, reply.json()["sha256"]) == (200, digest(size))
@@ -96,27 +96,27 @@
                 assert (seen["method"], seen["path"]) == ("GET", "/a%20b?c=%2F")
                 assert "flintlatch" in seen["headers"]["Via"]
             async with aiohttp.ClientSession(url) as session:
-                async with session.post("/upload", data=slowly(100_000, SLOW_S)) as answer:
-                    assert (answer.status, (await answer.json())["sha256"]) == (200, digest(100_000))
-                async with session.put("/upload", data=body(SIZE), expect100=True) as answer:
-                    assert (answer.status, (await answer.json())["bytes"]) == (200, SIZE)
-                async with session.get(f"/export/{SIZE}") as answer:
-                    found = hashlib.sha256()
-                    async for data in answer.content.iter_any():
-                        found.update(data)
-                    assert found.hexdigest() == digest(SIZE)
-                async with session.head("/x") as answer:
-                    assert answer.status == 200 and not await answer.read()
+                async with session.post("/upload", data=slow_body(100_000, SLOW_S)) as response:
+                    assert (response.status, (await response.json())["sha256"]) == (200, digest(100_000))
+                async with session.put("/upload", data=body(SIZE), expect100=True) as response:
+                    assert (response.status, (await response.json())["bytes"]) == (200, SIZE)
+                async with session.get(f"/export/{SIZE}") as response:
+                    hasher = hashlib.sha256()
+                    async for data in response.content.iter_any():
+                        hasher.update(data)
+                    assert hasher.hexdigest() == digest(SIZE)
+                async with session.head("/x") as response:
+                    assert response.status == 200 and not await response.read()
                 replies = await asyncio.gather(
-                    *(session.post("/upload", data=slowly(50_000, SLOW_S)) for _ in range(20))
+                    *(session.post("/upload", data=slow_body(50_000, SLOW_S)) for _ in range(20))
                 )
-                assert [answer.status for answer in replies] == [200] * 20
+                assert [response.status for response in replies] == [200] * 20
 
     run(test())
 
 
 @pytest.mark.skipif(shutil.which("curl") is None, reason="no curl on this machine")
-def test_curl_by_its_command_line(tmp_path: Path) -> None:
+def test_curl(tmp_path: Path) -> None:
     async def curl(*arguments: str) -> str:
         process = await asyncio.create_subprocess_exec(
             "curl", "-sS", "--max-time", str(LIMIT_S), *arguments, stdout=asyncio.subprocess.PIPE
@@ -130,20 +130,20 @@
         source.write_bytes(body(SIZE))
         folder = tmp_path / "site"
         folder.mkdir()
-        async with site(folder) as url:
-            for more in (
+        async with fleet_before_aiohttp(folder) as url:
+            for options in (
                 (),
                 ("-H", "Transfer-Encoding: chunked"),
                 ("-H", "Expect: 100-continue"),
                 ("--http1.0",),
             ):
-                assert digest(SIZE) in await curl("-T", str(source), *more, f"{url}/upload")
+                assert digest(SIZE) in await curl("-T", str(source), *options, f"{url}/upload")
             small = tmp_path / "small"
             small.write_bytes(body(60_000))
-            # About 1.5 s by curl's own brake.
+            # Takes about 1.5 s because of curl's rate limit.
             assert digest(60_000) in await curl("-T", str(small), "--limit-rate", "40000", f"{url}/upload")
-            for more in ((), ("--http1.0",)):
-                await curl("-o", str(got), *more, f"{url}/export/{SIZE}")
+            for options in ((), ("--http1.0",)):
+                await curl("-o", str(got), *options, f"{url}/export/{SIZE}")
                 assert hashlib.sha256(got.read_bytes()).hexdigest() == digest(SIZE)
             assert "200" in await curl("-I", f"{url}/x")
 
--- a/tests/http/test_smuggling.py
+++ b/tests/http/test_smuggling.py
@@ -1,7 +1,7 @@
-"""Published shapes of request smuggling, both ways: none is read in a way that another reader could dispute.
+"""Known request smuggling messages, as requests and as responses: all ambiguous ones are rejected.
 
-CL.TE, TE.CL and TE.TE after the published collections (RFC 9112 section 11.2 names the class); each shape is
-one whole message with another hidden in or behind it.
+CL.TE, TE.CL and TE.TE from published collections (RFC 9112 section 11.2 describes the class of attacks). Each
+message is complete and has another one hidden in it or after it.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
     return b"POST / HTTP/1.1\r\nHost: x\r\n" + fields + b"\r\n" + body
 
 
-def chunks(body: bytes) -> bytes:
+def chunked_post(body: bytes) -> bytes:
     return post(b"Transfer-Encoding: chunked\r\n", body)
 
 
@@ -105,61 +105,61 @@
     "lower case version": b"GET / http/1.1\r\nHost: x\r\n\r\n",
     "a line before the request": b"\r\nGET / HTTP/1.1\r\nHost: x\r\n\r\n",
     # Chunks
-    "chunk size with junk": chunks(b"5x\r\nhello\r\n0\r\n\r\n"),
-    "chunk size 0x": chunks(b"0x5\r\nhello\r\n0\r\n\r\n"),
-    "chunk size +": chunks(b"+5\r\nhello\r\n0\r\n\r\n"),
-    "chunk size -": chunks(b"-5\r\nhello\r\n0\r\n\r\n"),
-    "chunk size with a space before": chunks(b" 5\r\nhello\r\n0\r\n\r\n"),
-    "chunk size with a space behind": chunks(b"5 \r\nhello\r\n0\r\n\r\n"),
-    "chunk size empty": chunks(b"\r\nhello\r\n0\r\n\r\n"),
-    "chunk size too large for 64 bits": chunks(b"10000000000000005\r\nhello\r\n0\r\n\r\n"),
-    "chunk size ended by LF": chunks(b"5\nhello\r\n0\r\n\r\n"),
-    "chunk size ended by CR": chunks(b"5\rhello\r\n0\r\n\r\n"),
-    "chunk longer than its size": chunks(b"5\r\nhello!\r\n0\r\n\r\n"),
-    "chunk ended by LF": chunks(b"5\r\nhello\n0\r\n\r\n"),
-    "chunk not ended": chunks(b"5\r\nhello0\r\n\r\n"),
-    "chunk extension with LF": chunks(b"5;a\nb\r\nhello\r\n0\r\n\r\n"),
-    "chunk extension with CR": chunks(b"5;a=\rb\r\nhello\r\n0\r\n\r\n"),
-    "chunk extension without a name": chunks(b"5;\r\nhello\r\n0\r\n\r\n"),
-    "chunk extension with an open quote": chunks(b'5;a="b\r\nhello\r\n0\r\n\r\n'),
-    "chunk extension without end": chunks(b"5;" + b"a" * 10_000),
-    "last chunk of junk": chunks(b"5\r\nhello\r\n0;\x00\r\n\r\n"),
+    "chunk size with junk": chunked_post(b"5x\r\nhello\r\n0\r\n\r\n"),
+    "chunk size 0x": chunked_post(b"0x5\r\nhello\r\n0\r\n\r\n"),
+    "chunk size +": chunked_post(b"+5\r\nhello\r\n0\r\n\r\n"),
+    "chunk size -": chunked_post(b"-5\r\nhello\r\n0\r\n\r\n"),
+    "chunk size with a space before": chunked_post(b" 5\r\nhello\r\n0\r\n\r\n"),
+    "chunk size with a space behind": chunked_post(b"5 \r\nhello\r\n0\r\n\r\n"),
+    "chunk size empty": chunked_post(b"\r\nhello\r\n0\r\n\r\n"),
+    "chunk size too large for 64 bits": chunked_post(b"10000000000000005\r\nhello\r\n0\r\n\r\n"),
+    "chunk size ended by LF": chunked_post(b"5\nhello\r\n0\r\n\r\n"),
+    "chunk size ended by CR": chunked_post(b"5\rhello\r\n0\r\n\r\n"),
+    "chunk longer than its size": chunked_post(b"5\r\nhello!\r\n0\r\n\r\n"),
+    "chunk ended by LF": chunked_post(b"5\r\nhello\n0\r\n\r\n"),
+    "chunk not ended": chunked_post(b"5\r\nhello0\r\n\r\n"),
+    "chunk extension with LF": chunked_post(b"5;a\nb\r\nhello\r\n0\r\n\r\n"),
+    "chunk extension with CR": chunked_post(b"5;a=\rb\r\nhello\r\n0\r\n\r\n"),
+    "chunk extension without a name": chunked_post(b"5;\r\nhello\r\n0\r\n\r\n"),
+    "chunk extension with an open quote": chunked_post(b'5;a="b\r\nhello\r\n0\r\n\r\n'),
+    "chunk extension without end": chunked_post(b"5;" + b"a" * 10_000),
+    "last chunk of junk": chunked_post(b"5\r\nhello\r\n0;\x00\r\n\r\n"),
     # Trailers
-    "trailer Content-Length": chunks(b"0\r\nContent-Length: 5\r\n\r\n"),
-    "trailer Transfer-Encoding": chunks(b"0\r\nTransfer-Encoding: chunked\r\n\r\n"),
-    "trailer Host": chunks(b"0\r\nHost: y\r\n\r\n"),
-    "trailer Connection": chunks(b"0\r\nConnection: close\r\n\r\n"),
-    "trailer ended by LF": chunks(b"0\r\nX: y\n\r\n"),
-    "trailer folded": chunks(b"0\r\nX: y\r\n z\r\n\r\n"),
-    "trailer with a space before its colon": chunks(b"0\r\nX : y\r\n\r\n"),
-    "trailers without end": chunks(b"0\r\n" + b"X: y\r\n" * 5000),
+    "trailer Content-Length": chunked_post(b"0\r\nContent-Length: 5\r\n\r\n"),
+    "trailer Transfer-Encoding": chunked_post(b"0\r\nTransfer-Encoding: chunked\r\n\r\n"),
+    "trailer Host": chunked_post(b"0\r\nHost: y\r\n\r\n"),
+    "trailer Connection": chunked_post(b"0\r\nConnection: close\r\n\r\n"),
+    "trailer ended by LF": chunked_post(b"0\r\nX: y\n\r\n"),
+    "trailer folded": chunked_post(b"0\r\nX: y\r\n z\r\n\r\n"),
+    "trailer with a space before its colon": chunked_post(b"0\r\nX : y\r\n\r\n"),
+    "trailers without end": chunked_post(b"0\r\n" + b"X: y\r\n" * 5000),
 }
 
 
-def whole_request(data: bytes) -> None:
-    """ParsedFields it as the proxy will: the head, and all of the body that is there."""
+def parse_request(data: bytes) -> None:
+    """Parses a request as the proxy does: the head, and the available part of the body."""
     end = find_head_end(data)
     head = read_request_head(data if end < 0 else data[:end])
     Body(head.framing).feed(data[end:])
 
 
-@pytest.mark.parametrize("shape", REQUESTS)
-def test_a_request_that_two_readers_could_dispute_is_refused(shape: str) -> None:
+@pytest.mark.parametrize("name", REQUESTS)
+def test_ambiguous_request_is_rejected(name: str) -> None:
     with pytest.raises(HttpError) as caught:
-        whole_request(REQUESTS[shape])
+        parse_request(REQUESTS[name])
     assert caught.value.status in (400, 431, 501, 505) and caught.value.reason
 
 
-def test_there_are_enough_shapes_and_the_plain_ones_are_read() -> None:
-    assert len(REQUESTS) >= 60 and len(ANSWERS) >= 20
-    whole_request(post(TE))
-    whole_request(post(b"transfer-ENCODING:chunked\t\r\n"))
-    whole_request(post(b"Content-Length:5 \r\n", b"hello"))
-    whole_request(chunks(b'5;a="b\\"c";d\r\nhello\r\n0005;e=f\r\nhello\r\n00;x\r\nX-Sum: 1\r\n\r\n'))
+def test_there_are_enough_cases_and_valid_requests_are_accepted() -> None:
+    assert len(REQUESTS) >= 60 and len(RESPONSES) >= 20
+    parse_request(post(TE))
+    parse_request(post(b"transfer-ENCODING:chunked\t\r\n"))
+    parse_request(post(b"Content-Length:5 \r\n", b"hello"))
+    parse_request(chunked_post(b'5;a="b\\"c";d\r\nhello\r\n0005;e=f\r\nhello\r\n00;x\r\nX-Sum: 1\r\n\r\n'))
 
 
 OK = b"HTTP/1.1 200 OK\r\n"
-ANSWERS: dict[str, bytes] = {
+RESPONSES: dict[str, bytes] = {
     "length and coding": OK + b"Content-Length: 5\r\n" + TE + b"\r\n" + CHUNKED,
     "two lengths": OK + b"Content-Length: 5\r\nContent-Length: 6\r\n\r\nhello!",
     "two equal lengths": OK + b"Content-Length: 5\r\nContent-Length: 5\r\n\r\nhello",
@@ -192,9 +192,9 @@
 }
 
 
-@pytest.mark.parametrize("shape", ANSWERS)
-def test_an_answer_that_two_readers_could_dispute_is_spoilt(shape: str) -> None:
-    data = ANSWERS[shape]
+@pytest.mark.parametrize("name", RESPONSES)
+def test_ambiguous_response_is_rejected(name: str) -> None:
+    data = RESPONSES[name]
     end = find_head_end(data)
     with pytest.raises(HttpError):
         head = read_response_head(data[:end], b"GET")
