--- a/tests/exchange/test_transfer.py
+++ b/tests/exchange/test_transfer.py
@@ -1,4 +1,5 @@
-"""Bodies on their way: the cap holds whatever the two sides do, and only who is waited for is blamed."""
+"""Flow control and stall detection: the buffer limit always holds, and a stall is reported for the right
+side."""
 
 from __future__ import annotations
 
@@ -8,15 +9,17 @@
 
 from flintlatch.exchange.transfer import Budget, Pipe, ProgressLimits, Side, Stall, Upload
 
-FAST = ProgressLimits(idle_s=5.0, least_bytes_per_s=0)
-STEADY = ProgressLimits(idle_s=5.0, least_bytes_per_s=100, window_s=10)
+NO_MIN_RATE = ProgressLimits(idle_s=5.0, least_bytes_per_s=0)
+WITH_MIN_RATE = ProgressLimits(idle_s=5.0, least_bytes_per_s=100, window_s=10)
 
 
-def download(client: ProgressLimits = FAST, node: ProgressLimits = FAST, cap: int = 1000) -> Pipe:
+def download(
+    client: ProgressLimits = NO_MIN_RATE, node: ProgressLimits = NO_MIN_RATE, cap: int = 1000
+) -> Pipe:
     return Pipe(Side.NODE, cap, node, client, 0.0)
 
 
-def test_a_fast_node_is_held_back_by_a_crawling_client() -> None:
+def test_fast_node_is_slowed_down_by_a_slow_client() -> None:
     pipe, now, sent = download(), 0.0, 0
     while sent < 1_000_000:
         now += 0.01
@@ -31,7 +34,7 @@
     assert pipe.done and pipe.taken_bytes == sent
 
 
-def test_reading_stops_at_the_cap_and_goes_on_at_half_of_it() -> None:
+def test_reading_pauses_at_the_cap_and_resumes_at_half_of_it() -> None:
     pipe = download()
     pipe.add_arrived(1, 1000)
     assert not pipe.may_read and pipe.room == 0
@@ -41,7 +44,7 @@
     assert pipe.may_read and pipe.room == 500
 
 
-def test_more_than_the_room_is_never_held() -> None:
+def test_more_than_the_room_is_an_error() -> None:
     pipe = download()
     with pytest.raises(ValueError, match="room for 1000"):
         pipe.add_arrived(1, 1001)
@@ -59,35 +62,35 @@
         (Side.NODE, 10, Stall.CLIENT_NOT_READING, Side.CLIENT),
     ],
 )
-def test_who_moves_nothing_is_named(source: Side, held: int, stall: Stall, side: Side) -> None:
-    pipe = Pipe(source, 100, FAST, FAST, 0.0)
+def test_stall_names_the_side_that_moves_no_bytes(source: Side, held: int, stall: Stall, side: Side) -> None:
+    pipe = Pipe(source, 100, NO_MIN_RATE, NO_MIN_RATE, 0.0)
     if held:
         pipe.add_arrived(0.0, held)
     assert pipe.find_stall(4.9) is None
     assert pipe.find_stall(5.0) is stall and stall.side is side
 
 
-def test_a_node_is_not_blamed_for_the_time_in_which_the_client_was_waited_for() -> None:
+def test_time_waiting_for_the_client_does_not_count_against_the_node() -> None:
     pipe = download(client=ProgressLimits(60.0, 0), node=ProgressLimits(2.0, 0))
     pipe.add_arrived(0.0, 1000)
-    pipe.add_taken(50.0, 1000)  # the client took 50 s over it
+    pipe.add_taken(50.0, 1000)  # the client took 50 s to read it
     assert pipe.find_stall(51.9) is None
     assert pipe.find_stall(52.0) is Stall.NODE_NOT_SENDING
 
 
-def test_a_byte_now_and_then_keeps_no_side_from_its_least_rate() -> None:
-    pipe, now = Pipe(Side.CLIENT, 1000, STEADY, FAST, 0.0), 0.0
+def test_minimum_rate_applies_to_a_side_that_is_never_idle() -> None:
+    pipe, now = Pipe(Side.CLIENT, 1000, WITH_MIN_RATE, NO_MIN_RATE, 0.0), 0.0
     found = None
     while found is None and now < 60:
         now += 1.0
-        pipe.add_arrived(now, 1)  # slow, yet never idle
+        pipe.add_arrived(now, 1)  # slow, but never idle
         pipe.add_taken(now, 1)
         found = pipe.find_stall(now)
     assert found is Stall.CLIENT_NOT_SENDING and now == 10
 
 
-def test_one_that_keeps_the_rate_is_left_alone_for_hours_and_a_burst_does_not_pay_for_a_crawl() -> None:
-    pipe, now = Pipe(Side.CLIENT, 1000, STEADY, FAST, 0.0), 0.0
+def test_sufficient_rate_is_no_stall_and_a_burst_does_not_compensate_for_a_low_rate() -> None:
+    pipe, now = Pipe(Side.CLIENT, 1000, WITH_MIN_RATE, NO_MIN_RATE, 0.0), 0.0
     while now < 7200:
         now += 1.0
         pipe.add_arrived(now, 110)
@@ -96,42 +99,40 @@
     for _ in range(100):
         pipe.add_arrived(now, 1000)
         pipe.add_taken(now, 1000)
-    crawl = now
+    slow_since = now
     while pipe.find_stall(now) is None:
         now += 1.0
         pipe.add_arrived(now, 1)
         pipe.add_taken(now, 1)
-        assert now < crawl + 120
-    assert now > crawl + 10
+        assert now < slow_since + 120
+    assert now > slow_since + 10
 
 
 @given(
     st.integers(1, 5000),
-    st.lists(st.tuples(st.sampled_from(["arrive", "take", "look"]), st.floats(0, 1), st.floats(0, 2))),
+    st.lists(st.tuples(st.sampled_from(["arrive", "take", "check"]), st.floats(0, 1), st.floats(0, 2))),
 )
-def test_whatever_the_sides_do_the_cap_holds_and_no_byte_is_lost(
-    cap: int, steps: list[tuple[str, float, float]]
-) -> None:
-    pipe, now = Pipe(Side.CLIENT, cap, FAST, FAST, 0.0), 0.0
-    for what, part, seconds in steps:
+def test_cap_holds_and_no_byte_is_lost(cap: int, steps: list[tuple[str, float, float]]) -> None:
+    pipe, now = Pipe(Side.CLIENT, cap, NO_MIN_RATE, NO_MIN_RATE, 0.0), 0.0
+    for action, fraction, seconds in steps:
         now += seconds
-        if what == "arrive" and pipe.may_read:
-            pipe.add_arrived(now, int(part * pipe.room))
-        elif what == "take":
-            pipe.add_taken(now, int(part * pipe.held))
+        if action == "arrive" and pipe.may_read:
+            pipe.add_arrived(now, int(fraction * pipe.room))
+        elif action == "take":
+            pipe.add_taken(now, int(fraction * pipe.held))
         else:
             stall = pipe.find_stall(now)
             if stall is not None:
                 assert stall.side is (Side.NODE if pipe.held else Side.CLIENT)
         assert 0 <= pipe.held <= cap and pipe.max_held <= cap
-        assert pipe.may_read or pipe.held > 0  # one of the two can always go on
+        assert pipe.may_read or pipe.held > 0  # at least one side can always make progress
     pipe.end_source(now)
     pipe.add_taken(now, pipe.held)
     assert pipe.done and pipe.arrived_bytes == pipe.taken_bytes
     assert pipe.find_stall(now + 1e6) is None
 
 
-def test_a_budget_is_never_passed_and_gives_back_what_it_gave() -> None:
+def test_budget_is_never_exceeded_and_reusable_after_release() -> None:
     budget = Budget(100)
     assert budget.reserve(60) and not budget.reserve(41) and budget.reserve(40)
     budget.release(60)
@@ -141,10 +142,10 @@
 
 
 @pytest.mark.parametrize("size", [0, 1, 9, 10])
-def test_an_upload_within_the_cap_may_begin_anew(size: int) -> None:
+def test_upload_within_the_cap_can_be_sent_again(size: int) -> None:
     upload, data = Upload(10), bytes(range(size))
-    for place in range(0, size, 3):
-        assert not upload.add([data[place : place + 3]], len(data[place : place + 3]))
+    for start in range(0, size, 3):
+        assert not upload.add([data[start : start + 3]], len(data[start : start + 3]))
     upload.end()
     for _ in range(3):
         upload.begin()
@@ -152,24 +153,22 @@
 
 
 @given(st.integers(1, 50), st.lists(st.tuples(st.booleans(), st.floats(0, 1)), max_size=60))
-def test_an_upload_beyond_the_cap_is_let_go_and_never_more_is_held(
-    cap: int, steps: list[tuple[bool, float]]
-) -> None:
-    upload, sent, got, told = Upload(cap), b"", b"", 0
+def test_longer_upload_is_discarded_and_the_cap_holds(cap: int, steps: list[tuple[bool, float]]) -> None:
+    upload, sent, taken, discard_reports = Upload(cap), b"", b"", 0
     upload.begin()
-    for takes, part in steps:
+    for takes, fraction in steps:
         if takes:
-            got += b"".join(upload.take()[0])
-        elif size := int(part * upload.room):
+            taken += b"".join(upload.take()[0])
+        elif size := int(fraction * upload.room):
             piece = bytes(len(sent) + n & 255 for n in range(size))
             sent += piece
-            told += upload.add([piece], len(piece))
+            discard_reports += upload.add([piece], len(piece))
         assert upload.untaken_bytes <= cap and upload.held <= 2 * cap
-        assert upload.discarded is (told == 1) and told <= 1
+        assert upload.discarded is (discard_reports == 1) and discard_reports <= 1
         assert upload.discarded or upload.held == len(sent) <= cap
     upload.end()
-    got += b"".join(upload.take()[0])
-    assert got == sent and upload.fully_taken
+    taken += b"".join(upload.take()[0])
+    assert taken == sent and upload.fully_taken
     if upload.discarded:
         with pytest.raises(ValueError, match="discarded"):
             upload.begin()
@@ -178,7 +177,7 @@
         assert b"".join(upload.take()[0]) == sent
 
 
-def test_an_upload_that_nobody_takes_is_held_back_at_the_cap() -> None:
+def test_upload_that_is_not_taken_stops_at_the_cap() -> None:
     upload = Upload(10)
     upload.add([b"x" * 10], 10)
     assert upload.room == 0 and not upload.discarded
@@ -186,7 +185,7 @@
         upload.add([b"y"], 1)
 
 
-@pytest.mark.parametrize("bad", [{"idle_s": 0}, {"window_s": 0}, {"least_bytes_per_s": -1}])
-def test_a_pace_that_means_nothing_is_refused(bad: dict[str, float]) -> None:
-    with pytest.raises(ValueError, match=next(iter(bad))):
-        ProgressLimits(**({"idle_s": 1, "least_bytes_per_s": 1} | bad))
+@pytest.mark.parametrize("invalid", [{"idle_s": 0}, {"window_s": 0}, {"least_bytes_per_s": -1}])
+def test_invalid_progress_limits_are_rejected(invalid: dict[str, float]) -> None:
+    with pytest.raises(ValueError, match=next(iter(invalid))):
+        ProgressLimits(**({"idle_s": 1, "least_bytes_per_s": 1} | invalid))
