--- a/tests/accesslog/test_fleet.py
+++ b/tests/accesslog/test_fleet.py
@@ -1,4 +1,4 @@
-"""The access log of a real fleet: each request once, by whichever instance, as each front saw it."""
+"""The access log of a real fleet: one record per request, from any instance and any front end."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     return [json.loads(line) for line in (folder / "access.jsonl").read_text().splitlines()]
 
 
-def test_every_request_of_a_fleet_is_told_once(tmp_path: Path) -> None:
+def test_every_request_of_a_fleet_is_logged_once(tmp_path: Path) -> None:
     async def test() -> None:
         async with daemon(tmp_path, 2, fleet={"instances": 3}, http=HTTP, access_log=LOG) as made:
             url = f"http://{made.fleet.address}"
@@ -32,22 +32,22 @@
                     assert (await client.get(f"/answer/{number}?token=t", headers=headers)).status_code == 200
                 assert (await client.request("TRACE", "/a")).status_code == 405
             assert await made.fleet.stop() == 0
-            told = records(tmp_path)
-            served = {line["id"]: line for line in told if line["id"]}
-            assert sorted(served) == sorted(f"r{n}" for n in range(40)) and len(told) == 41
+            lines = records(tmp_path)
+            served = {line["id"]: line for line in lines if line["id"]}
+            assert sorted(served) == sorted(f"r{n}" for n in range(40)) and len(lines) == 41
             for number in range(40):
                 line = served[f"r{number}"]
                 assert (line["status"], line["class"], line["method"]) == (200, "answer", "GET")
                 assert line["path"] == f"/answer/{number}" and line["ended"] == "answered"
                 assert [attempt["result"] for attempt in line["attempts"]] == ["ok"]
                 assert 0 <= line["attempts"][0]["sent_ms"] <= line["first_ms"] <= line["total_ms"]
-            (refused,) = (line for line in told if not line["id"])
-            assert (refused["status"], refused["ended"], refused["method"]) == (405, "TRACE", "TRACE")
+            (rejected,) = (line for line in lines if not line["id"])
+            assert (rejected["status"], rejected["ended"], rejected["method"]) == (405, "TRACE", "TRACE")
 
     run(test())
 
 
-def test_the_platforms_protocol_is_told_of_too(tmp_path: Path) -> None:
+def test_request_of_the_platforms_protocol_is_logged(tmp_path: Path) -> None:
     async def test() -> None:
         async with daemon(tmp_path, 1, fleet={"instances": 1}, access_log=LOG) as made:
             host, _, port = made.fleet.address.rpartition(":")
@@ -72,7 +72,7 @@
     run(test())
 
 
-def test_its_table_is_checked() -> None:
+def test_access_log_table_is_validated() -> None:
     with pytest.raises(Unusable) as caught:
         parse(configuration("127.0.0.1:1", access_log={"paths": "some"}), "f.toml")
     assert "access_log.file" in str(caught.value)
--- a/tests/metrics/test_counts.py
+++ b/tests/metrics/test_counts.py
@@ -1,4 +1,4 @@
-"""Counts never fall, whichever instance goes, and the page tells them as its format asks."""
+"""Totals never decrease when instances end, and the endpoint serves the Prometheus format."""
 
 from __future__ import annotations
 
@@ -17,39 +17,39 @@
 from tests.fleet.support import LIMIT_S, daemon, run
 
 
-@given(st.lists(st.tuples(st.integers(0, 3), st.sampled_from(["count", "tell", "end"])), max_size=80))
-def test_totals_only_grow(events: list[tuple[int, str]]) -> None:
-    totals, alive, seen = Totals(), {n: Counts() for n in range(4)}, [0]
+@given(st.lists(st.tuples(st.integers(0, 3), st.sampled_from(["count", "report", "end"])), max_size=80))
+def test_totals_never_decrease(events: list[tuple[int, str]]) -> None:
+    totals, running, observed = Totals(), {n: Counts() for n in range(4)}, [0]
     for number, event in events:
         if event == "count":
-            alive[number].count_request("a", 200, 0.02, 1, 2)
-        elif event == "tell":
-            totals.replace_report(number, json.loads(json.dumps(alive[number].as_json())))
+            running[number].count_request("a", 200, 0.02, 1, 2)
+        elif event == "report":
+            totals.replace_report(number, json.loads(json.dumps(running[number].as_json())))
         else:
-            totals.replace_report(number, alive[number].as_json())
+            totals.replace_report(number, running[number].as_json())
             totals.on_instance_ended(number)
-            alive[number] = Counts()  # the next in its place counts from nothing
-        whole = totals.fleet_counts()
-        seen.append(whole.requests["a", 200])
-        assert whole.down_bytes == 2 * seen[-1]
-        assert sum(whole.first_byte_histograms.get("a", ([], 0.0))[0]) == seen[-1]
-    assert all(a <= b for a, b in pairwise(seen))
+            running[number] = Counts()  # the next instance in this place starts at zero
+        total = totals.fleet_counts()
+        observed.append(total.requests["a", 200])
+        assert total.down_bytes == 2 * observed[-1]
+        assert sum(total.first_byte_histograms.get("a", ([], 0.0))[0]) == observed[-1]
+    assert all(a <= b for a, b in pairwise(observed))
 
 
-def test_the_page_is_what_the_format_asks() -> None:
+def test_endpoint_serves_valid_prometheus_text() -> None:
     counts = Counts()
     for first_s in (*BUCKET_BOUNDS_S, 1e9):
         counts.count_request("answer", 200, first_s, 10, 20)
     counts.count_request("", 405, None, 0, 0)
     counts.count_attempt("ok")
-    page = MetricsServer(
+    server = MetricsServer(
         "127.0.0.1:0", lambda: FleetSnapshot(counts, {"serving": 2}, 3, 4, 5, {"alive": 6}, {"died": 1})
     )
     try:
-        with urllib.request.urlopen(f"http://{page.address}/metrics", timeout=LIMIT_S) as answer:
-            families = {f.name: f for f in text_string_to_metric_families(answer.read().decode())}
+        with urllib.request.urlopen(f"http://{server.address}/metrics", timeout=LIMIT_S) as response:
+            families = {f.name: f for f in text_string_to_metric_families(response.read().decode())}
     finally:
-        page.close()
+        server.close()
     values = {(s.name, *sorted(s.labels.values())): s.value for f in families.values() for s in f.samples}
     assert values["flintlatch_requests_total", "200", "answer"] == len(BUCKET_BOUNDS_S) + 1
     assert values["flintlatch_requests_total", "", "405"] == 1
@@ -59,16 +59,16 @@
     assert values["flintlatch_peers", "alive"] == 6 and values["flintlatch_peers_events_total", "died"] == 1
 
 
-def test_a_fleet_counts_across_its_generations(tmp_path: Path) -> None:
+def test_counters_of_a_fleet_continue_across_generations(tmp_path: Path) -> None:
     async def test() -> None:
         tables = {"fleet": {"instances": 2, "metrics": "127.0.0.1:0", "log_format": "json"}}
         http = {"safe_class": "answer", "other_class": "grade"}
         async with daemon(tmp_path, 1, None, 1, **tables, http=http) as made:
-            place = await made.fleet.said("metrics at ")
+            line_count = await made.fleet.said("metrics at ")
             address = (await made.fleet.status())["listen"][0]
-            told = [json.loads(line) for line in made.fleet.log[:place]]
-            assert {"event", "level", "timestamp", "fleet", "pid", "logger"} <= set(told[0])
-            url = f"http://{told[-1]['event'].split()[-1]}/metrics"
+            log_lines = [json.loads(line) for line in made.fleet.log[:line_count]]
+            assert {"event", "level", "timestamp", "fleet", "pid", "logger"} <= set(log_lines[0])
+            url = f"http://{log_lines[-1]['event'].split()[-1]}/metrics"
             async with httpx.AsyncClient(timeout=LIMIT_S) as client:
                 for turn in range(2):
                     for _ in range(15):
