--- a/flintlatch/exchange/core.py
+++ b/flintlatch/exchange/core.py
@@ -168,7 +168,7 @@
             self._update_waiting_sides(now_s)
         return pieces, size
 
-    def sent(self, now_s: float, node: NodeSide) -> None:
+    def mark_request_sent(self, now_s: float, node: NodeSide) -> None:
         """The complete request was sent to this node."""
         if node is self.node and not self._sent_reported and not self.has_ended:
             self._sent_reported = True
--- a/flintlatch/http/node.py
+++ b/flintlatch/http/node.py
@@ -109,7 +109,7 @@
             if chunked:
                 transport.write(last_chunk(exchange.trailers))
         if self.request_sent and not self.writing_paused:
-            exchange.sent(now_s, self)
+            exchange.mark_request_sent(now_s, self)
         else:
             exchange.client.resume_upload()
 
--- a/flintlatch/platform/node.py
+++ b/flintlatch/platform/node.py
@@ -110,7 +110,7 @@
         super().on_written()
         exchange = self.exchange
         if exchange is not None:
-            exchange.sent(now_ms() / 1000, self)
+            exchange.mark_request_sent(now_ms() / 1000, self)
 
     # Receiving the response
 
--- a/tests/exchange/test_core.py
+++ b/tests/exchange/test_core.py
@@ -133,7 +133,7 @@
         if self.node is not None:
             self.node.received += self.exchange.take(self.now)[1]
         if self.node is not None and self.exchange.upload.fully_taken:
-            self.exchange.sent(self.now, self.node)
+            self.exchange.mark_request_sent(self.now, self.node)
 
     def tick(self, after: float) -> Stall | None:
         self.now += after
