--- a/flintlatch/exchange/core.py
+++ b/flintlatch/exchange/core.py
@@ -134,7 +134,7 @@
             self.phase = Phase.AWAITING_RESPONSE
             self.owner.request_server(self, not self.upload.complete)
 
-    def push(self) -> None:
+    def notify_node(self) -> None:
         """Lets the node take what `receive_body` and `receive_end` have added."""
         if self.node is not None and not self.has_ended:
             self.node.send_upload()
--- a/flintlatch/http/front.py
+++ b/flintlatch/http/front.py
@@ -176,7 +176,7 @@
             exchange.receive_body(now_s, pieces)
         if body.done:
             exchange.receive_end(now_s, body.trailers)
-        exchange.push()
+        exchange.notify_node()
 
     def _read_head(self) -> bool:
         end = find_head_end(self.buffer, self.searched_bytes)
--- a/flintlatch/platform/front.py
+++ b/flintlatch/platform/front.py
@@ -92,7 +92,7 @@
         super()._parse(chunk)
         self._start_upload()
         if self.exchange is not None:
-            self.exchange.push()
+            self.exchange.notify_node()
 
     def on_headers_complete(self) -> None:
         self._head_done = True
