--- a/flintlatch/accesslog/writer.py
+++ b/flintlatch/accesslog/writer.py
@@ -3,7 +3,8 @@
 A separate thread writes, so that a slow or failing disk doesn't delay requests. While the file can't be
 written, records are queued. Records that don't fit into the queue are lost; they are counted, and a line with
 their number is written as soon as possible. The file is reopened after a rotation, or after its folder was
-removed and created again."""
+removed and created again.
+"""
 
 from __future__ import annotations
 
@@ -31,7 +32,7 @@
 
     def __init__(self, path: str, fleet: str, instance: int, max_queued: int = MAX_QUEUED_RECORDS) -> None:
         self.path, self.fleet, self.instance, self.max_queued = path, fleet, instance, max_queued
-        self.written = 0
+        self.written = 0  # records
         # Lost records. Each counter is changed by one thread only: the first in `put`, the second by the
         # writer.
         self._overflow_count = self._dropped_count = 0
@@ -88,9 +89,9 @@
             orjson.dumps(as_fields(record, self.fleet, self.instance), option=orjson.OPT_APPEND_NEWLINE)
             for record in records
         ]
-        written = self._write(lines)
-        self.written += written
-        self._queue.extendleft(reversed(records[written:]))  # written by a later call
+        line_count = self._write(lines)
+        self.written += line_count
+        self._queue.extendleft(reversed(records[line_count:]))  # written by a later call
 
     def _write(self, lines: list[bytes]) -> int:
         """Writes the lines, after a line on lost records if there are any that no line reports. Returns the
--- a/flintlatch/exchange/__init__.py
+++ b/flintlatch/exchange/__init__.py
@@ -2,7 +2,8 @@
 
 The package is independent of the protocol and does no I/O. A front end implements `ClientSide`, a connection
 to a node implements `NodeSide`, and the host of the exchanges, which asks the decision module, implements
-`Owner`. Times are seconds of one monotonic clock."""
+`Owner`. Times are seconds of one monotonic clock.
+"""
 
 from flintlatch.exchange.core import BodyTooLarge, Exchange, Owner, Phase
 from flintlatch.exchange.messages import Ending, Fields, Piece, ProxyResponse, Request, Response, RoutingInfo
--- a/flintlatch/exchange/core.py
+++ b/flintlatch/exchange/core.py
@@ -80,9 +80,8 @@
         self.trailers: Fields = []  # trailer fields of the request
         self.node: NodeSide | None = None  # takes the request, or sends the response
         self.arrived_s = now_s
-        self.first_byte_s = self.request_complete_s = self.ended_s = (
-            0.0  # first byte of the response, last byte of the request, end of the exchange; 0: not yet
-        )
+        # First byte of the response, last byte of the request, end of the exchange; 0: not yet.
+        self.first_byte_s = self.request_complete_s = self.ended_s = 0.0
         self.upload_pipe = Pipe(
             Side.CLIENT, self.upload.cap + self.upload.flow_bytes, limits.progress, limits.progress, now_s
         )
@@ -143,19 +142,19 @@
         self._end(now_s, Ending.CLIENT_LEFT)
 
     def reject_request(self, now_s: float, status: int) -> None:
-        """The rest of the request can't be read, or will not be read."""
+        """Answers with `status`, because the rest of the request can't be read or will not be read."""
         self._respond_or_abort(now_s, status, Ending.CLIENT_FAULT)
 
-    def set_client_blocked(self, full: bool) -> None:
+    def set_client_blocked(self, blocked: bool) -> None:
         """Backpressure: stops reading from the node while the client's write buffer is full."""
         if self.phase is Phase.RESPONDING and self.node is not None:
-            self.node.set_reading_paused(full)
+            self.node.set_reading_paused(blocked)
 
     # Called by a node's side
 
     def attach(self, now_s: float, node: NodeSide) -> None:
         """Starts an attempt, which takes the request from its first byte."""
-        self.upload.begin()
+        self.upload.rewind()
         self.node, self._sent_reported = node, False
         self._update_waiting_sides(now_s)
 
@@ -164,7 +163,7 @@
         pieces, size = self.upload.take()
         if size and not self.upload_pipe.done:
             # Bytes that an earlier attempt has taken are not counted again.
-            self.upload_pipe.add_taken(now_s, min(size, self.upload_pipe.held))
+            self.upload_pipe.add_taken(now_s, min(size, self.upload_pipe.buffered_bytes))
             self._update_waiting_sides(now_s)
         return pieces, size
 
@@ -266,7 +265,7 @@
         """Records how much of the response's body has left the client side's write buffer."""
         if (
             self.response_pipe is not None
-            and (read_bytes := self.response_pipe.held - self.client.unsent_bytes()) > 0
+            and (read_bytes := self.response_pipe.buffered_bytes - self.client.unsent_bytes()) > 0
         ):
             self.response_pipe.add_taken(now_s, read_bytes)
 
--- a/flintlatch/exchange/transfer.py
+++ b/flintlatch/exchange/transfer.py
@@ -94,7 +94,7 @@
             raise ValueError(f"cap must be at least {MIN_CAP_BYTES}")
         self.source, self.cap = source, cap
         self.arrived_bytes = self.taken_bytes = 0
-        self.max_held = 0
+        self.peak_buffered_bytes = 0
         self.source_ended = False
         self.source_may_send = True  # false while the proxy has paused reading from the source
         self.sink_attached = True  # false while nothing consumes the buffered bytes
@@ -103,23 +103,23 @@
         self._source_wait, self._sink_wait = _WaitTime(source_limits), _WaitTime(sink_limits)
 
     @property
-    def held(self) -> int:
+    def buffered_bytes(self) -> int:
         return self.arrived_bytes - self.taken_bytes
 
     @property
     def done(self) -> bool:
-        return self.source_ended and not self.held
+        return self.source_ended and not self.buffered_bytes
 
     @property
     def room(self) -> int:
-        return 0 if self.source_ended else self.cap - self.held
+        return 0 if self.source_ended else self.cap - self.buffered_bytes
 
     @property
     def may_read(self) -> bool:
         """Whether to read from the source: pauses at the cap, resumes at RESUME_FRACTION of it."""
-        if self.source_ended or self.held >= self.cap:
+        if self.source_ended or self.buffered_bytes >= self.cap:
             self._reading = False
-        elif self.held <= self.cap * RESUME_FRACTION:
+        elif self.buffered_bytes <= self.cap * RESUME_FRACTION:
             self._reading = True
         return self._reading
 
@@ -131,13 +131,13 @@
         self._account_waiting_time(now_s)
         self._source_wait.add_bytes(count)
         self.arrived_bytes += count
-        self.max_held = max(self.max_held, self.held)
+        self.peak_buffered_bytes = max(self.peak_buffered_bytes, self.buffered_bytes)
 
     def add_taken(self, now_s: float, count: int) -> None:
         """Records that the sink took `count` of the buffered bytes. Raises ValueError if fewer are
         buffered."""
-        if count > self.held:
-            raise ValueError(f"{count} bytes taken, expected no more than the {self.held} held")
+        if count > self.buffered_bytes:
+            raise ValueError(f"{count} bytes taken, expected no more than the {self.buffered_bytes} held")
         self._account_waiting_time(now_s)
         self._sink_wait.add_bytes(count)
         self.taken_bytes += count
@@ -162,10 +162,10 @@
 
     def _account_waiting_time(self, now_s: float) -> None:
         seconds, self._now_s = now_s - self._now_s, now_s
-        held = self.arrived_bytes - self.taken_bytes
-        if held > 0 and self.sink_attached:
+        buffered_bytes = self.arrived_bytes - self.taken_bytes
+        if buffered_bytes > 0 and self.sink_attached:
             wait = self._sink_wait
-        elif not self.source_ended and self.source_may_send and held < self.cap:
+        elif not self.source_ended and self.source_may_send and buffered_bytes < self.cap:
             wait = self._source_wait
         else:
             return
@@ -173,7 +173,7 @@
         wait.window_s += seconds
 
     def _awaits_sink(self) -> bool:
-        return self.held > 0 and self.sink_attached
+        return self.buffered_bytes > 0 and self.sink_attached
 
     def _awaits_source(self) -> bool:
         return self.source_may_send and self.room > 0
@@ -225,13 +225,13 @@
         self.complete = False
         self.total_bytes = 0
         self._pieces: list[Piece] = []
-        self._held_bytes = 0  # bytes in `_pieces`
+        self._buffered_bytes = 0  # bytes in `_pieces`
         self._next_index = 0  # in `_pieces`, of the piece that the attempt takes next
         self._untaken_bytes = 0  # bytes in `_pieces` from there on
 
     @property
-    def held(self) -> int:
-        return self._held_bytes
+    def buffered_bytes(self) -> int:
+        return self._buffered_bytes
 
     @property
     def untaken_bytes(self) -> int:
@@ -246,7 +246,7 @@
             return 0
         if self.discarded:
             return self.flow_bytes - self._untaken_bytes
-        return self.cap - (self._untaken_bytes if self._next_index else self._held_bytes)
+        return self.cap - (self._untaken_bytes if self._next_index else self._buffered_bytes)
 
     def add(self, pieces: list[Piece], size: int) -> bool:
         """Appends `pieces`, of `size` bytes in total. Returns true if this call discarded the first part of
@@ -260,10 +260,10 @@
             taken, untaken = self._pieces[: self._next_index], self._pieces[self._next_index :]
             self._pieces = [b"".join(part) for part in (taken, untaken) if part]
             self._next_index = min(self._next_index, 1)
-        self._held_bytes += size
+        self._buffered_bytes += size
         self._untaken_bytes += size
         self.total_bytes += size
-        if not self.discarded and self._held_bytes > self.cap:
+        if not self.discarded and self._buffered_bytes > self.cap:
             self.discarded = True
             self._discard_taken()
             return True
@@ -272,11 +272,11 @@
     def end(self) -> None:
         self.complete = True
 
-    def begin(self) -> None:
+    def rewind(self) -> None:
         """Starts a new attempt at the first byte. Raises ValueError if a part was discarded."""
         if self.discarded:
             raise ValueError("the body can't be sent again: a part of it was discarded")
-        self._next_index, self._untaken_bytes = 0, self._held_bytes
+        self._next_index, self._untaken_bytes = 0, self._buffered_bytes
 
     def take(self) -> tuple[list[Piece], int]:
         """All pieces that the current attempt has not taken, and their size in bytes."""
@@ -287,7 +287,7 @@
             self._untaken_bytes,
         )
         if self.discarded:
-            self._pieces, self._held_bytes, self._next_index = [], 0, 0
+            self._pieces, self._buffered_bytes, self._next_index = [], 0, 0
         else:
             pieces, self._next_index = list(pieces), len(self._pieces)
         self._untaken_bytes = 0
@@ -299,6 +299,6 @@
         return self.complete and not self._untaken_bytes
 
     def _discard_taken(self) -> None:
-        self._held_bytes -= sum(map(len, self._pieces[: self._next_index]))
+        self._buffered_bytes -= sum(map(len, self._pieces[: self._next_index]))
         del self._pieces[: self._next_index]
         self._next_index = 0
--- a/flintlatch/grpc/__init__.py
+++ b/flintlatch/grpc/__init__.py
@@ -2,7 +2,8 @@
 
 These are message framing, metadata, timeouts, statuses, and the outcome of an attempt by the way in which it
 ended. The client's and the node's side of an exchange are not implemented yet (docs/design/grpc.md). The
-package is not imported unless the configuration names gRPC."""
+package is not imported unless the configuration names gRPC.
+"""
 
 from flintlatch.grpc.framing import FramingError, MessageFramer, MessageTooLarge
 from flintlatch.grpc.metadata import (
--- a/flintlatch/http/body.py
+++ b/flintlatch/http/body.py
@@ -1,7 +1,8 @@
 """Incremental parser of message bodies: with a length, chunked, or up to the end of the connection.
 
 RFC 9112 sections 6 and 7. Only the size line of a chunk and the trailers are buffered, so memory is bounded
-by MAX_LINE_BYTES and MAX_TRAILER_BYTES, independently of the body's size."""
+by MAX_LINE_BYTES and MAX_TRAILER_BYTES, independently of the body's size.
+"""
 
 from __future__ import annotations
 
--- a/flintlatch/http/framing.py
+++ b/flintlatch/http/framing.py
@@ -2,7 +2,8 @@
 
 The RFC lets a recipient repair some messages (two equal lengths, a length together with a transfer coding).
 These are rejected here, because another recipient on the way may repair them differently, which enables
-request smuggling."""
+request smuggling.
+"""
 
 from __future__ import annotations
 
--- a/flintlatch/http/front.py
+++ b/flintlatch/http/front.py
@@ -69,8 +69,8 @@
     def eof_received(self) -> bool:
         """A client may close its sending direction after a complete request and still gets the response: RFC
         9112 section 9.6."""
-        whole = self.body is not None and self.body.done
-        if self.closing or self.exchange is None or not whole:
+        request_complete = self.body is not None and self.body.done
+        if self.closing or self.exchange is None or not request_complete:
             return False
         self.half_closed, self.keep_alive = True, False
         return True
--- a/flintlatch/http/head.py
+++ b/flintlatch/http/head.py
@@ -1,7 +1,8 @@
 """Strict parser of request and response heads: RFC 9112 sections 2 to 5.
 
 A head is never copied through: the proxy writes a new one from the parsed fields. So a head that two
-recipients could interpret differently can't get through; heads that try to are rejected."""
+recipients could interpret differently can't get through; heads that try to are rejected.
+"""
 
 from __future__ import annotations
 
--- a/flintlatch/metrics/counts.py
+++ b/flintlatch/metrics/counts.py
@@ -2,7 +2,8 @@
 
 An instance reports everything that it has counted since its start. The supervisor keeps the latest report of
 each running instance and the sum of the last reports of all ended ones, so a total never decreases when an
-instance ends."""
+instance ends.
+"""
 
 from __future__ import annotations
 
--- a/tests/exchange/test_core.py
+++ b/tests/exchange/test_core.py
@@ -211,11 +211,11 @@
     assert owner_calls.count("response begun") == client_calls.count("begin")
     assert owner_calls.count("cancel attempts") <= 1 and (exchange.ending is not None) == exchange.has_ended
     assert (
-        exchange.upload.held <= 2 * exchange.limits.upload_bytes
-        and exchange.upload_pipe.held <= exchange.upload_pipe.cap
+        exchange.upload.buffered_bytes <= 2 * exchange.limits.upload_bytes
+        and exchange.upload_pipe.buffered_bytes <= exchange.upload_pipe.cap
     )
     if exchange.response_pipe is not None:
-        assert exchange.response_pipe.held <= exchange.limits.answer_bytes
+        assert exchange.response_pipe.buffered_bytes <= exchange.limits.answer_bytes
     assert sum(stall.side is Side.CLIENT for stall in driver.stalls) <= 1
     assert driver.owner.calls.count("time out") == sum(stall.side is Side.NODE for stall in driver.stalls)
     if exchange.ending is Ending.CLIENT_STALLED:
--- a/tests/exchange/test_transfer.py
+++ b/tests/exchange/test_transfer.py
@@ -26,11 +26,11 @@
         if pipe.may_read:
             sent += pipe.room
             pipe.add_arrived(now, pipe.room)
-        pipe.add_taken(now, min(200, pipe.held))
+        pipe.add_taken(now, min(200, pipe.buffered_bytes))
         assert pipe.find_stall(now) is None
-    assert pipe.max_held == 1000
+    assert pipe.peak_buffered_bytes == 1000
     pipe.end_source(now)
-    pipe.add_taken(now, pipe.held)
+    pipe.add_taken(now, pipe.buffered_bytes)
     assert pipe.done and pipe.taken_bytes == sent
 
 
@@ -119,15 +119,15 @@
         if action == "arrive" and pipe.may_read:
             pipe.add_arrived(now, int(fraction * pipe.room))
         elif action == "take":
-            pipe.add_taken(now, int(fraction * pipe.held))
+            pipe.add_taken(now, int(fraction * pipe.buffered_bytes))
         else:
             stall = pipe.find_stall(now)
             if stall is not None:
-                assert stall.side is (Side.NODE if pipe.held else Side.CLIENT)
-        assert 0 <= pipe.held <= cap and pipe.max_held <= cap
-        assert pipe.may_read or pipe.held > 0  # at least one side can always make progress
+                assert stall.side is (Side.NODE if pipe.buffered_bytes else Side.CLIENT)
+        assert 0 <= pipe.buffered_bytes <= cap and pipe.peak_buffered_bytes <= cap
+        assert pipe.may_read or pipe.buffered_bytes > 0  # at least one side can always make progress
     pipe.end_source(now)
-    pipe.add_taken(now, pipe.held)
+    pipe.add_taken(now, pipe.buffered_bytes)
     assert pipe.done and pipe.arrived_bytes == pipe.taken_bytes
     assert pipe.find_stall(now + 1e6) is None
 
@@ -148,14 +148,14 @@
         assert not upload.add([data[start : start + 3]], len(data[start : start + 3]))
     upload.end()
     for _ in range(3):
-        upload.begin()
+        upload.rewind()
         assert b"".join(upload.take()[0]) == data and upload.fully_taken
 
 
 @given(st.integers(1, 50), st.lists(st.tuples(st.booleans(), st.floats(0, 1)), max_size=60))
 def test_longer_upload_is_discarded_and_the_cap_holds(cap: int, steps: list[tuple[bool, float]]) -> None:
     upload, sent, taken, discard_reports = Upload(cap), b"", b"", 0
-    upload.begin()
+    upload.rewind()
     for takes, fraction in steps:
         if takes:
             taken += b"".join(upload.take()[0])
@@ -163,17 +163,17 @@
             piece = bytes(len(sent) + n & 255 for n in range(size))
             sent += piece
             discard_reports += upload.add([piece], len(piece))
-        assert upload.untaken_bytes <= cap and upload.held <= 2 * cap
+        assert upload.untaken_bytes <= cap and upload.buffered_bytes <= 2 * cap
         assert upload.discarded is (discard_reports == 1) and discard_reports <= 1
-        assert upload.discarded or upload.held == len(sent) <= cap
+        assert upload.discarded or upload.buffered_bytes == len(sent) <= cap
     upload.end()
     taken += b"".join(upload.take()[0])
     assert taken == sent and upload.fully_taken
     if upload.discarded:
         with pytest.raises(ValueError, match="discarded"):
-            upload.begin()
+            upload.rewind()
     else:
-        upload.begin()
+        upload.rewind()
         assert b"".join(upload.take()[0]) == sent
 
 
--- a/tests/http/test_front.py
+++ b/tests/http/test_front.py
@@ -232,16 +232,16 @@
         async with front(node) as proxy:
             loop, sock = asyncio.get_running_loop(), slow_socket(proxy)
             await loop.sock_sendall(sock, GET)
-            digest, got, head, max_held = hashlib.sha256(), 0, b"", 0
+            digest, got, head, peak_bytes = hashlib.sha256(), 0, b"", 0
             while b"\r\n\r\n" not in head:
                 head += await loop.sock_recv(sock, 1)
             while data := await loop.sock_recv(sock, 64 * 1024):
                 digest.update(data)
                 got += len(data)
                 for client in proxy.frontend.clients:
-                    max_held = max(max_held, client.transport.get_write_buffer_size())
+                    peak_bytes = max(peak_bytes, client.transport.get_write_buffer_size())
             sock.close()
-            assert got == LARGE_BYTES and 0 < max_held <= RESPONSE_BUFFER_BYTES
+            assert got == LARGE_BYTES and 0 < peak_bytes <= RESPONSE_BUFFER_BYTES
             assert digest.digest() == hashlib.sha256(BLOCK * (LARGE_BYTES // len(BLOCK))).digest()
 
     run(test())
@@ -264,14 +264,15 @@
 
     async def test() -> None:
         async with front(node) as proxy:
-            max_held = 0
+            peak_bytes = 0
 
             async def sample() -> None:
-                nonlocal max_held
+                nonlocal peak_bytes
                 while True:
                     for exchange in proxy.engine.exchanges.values():
-                        max_held = max(
-                            max_held, exchange.upload.held + len(cast(HttpClient, exchange.client).buffer)
+                        peak_bytes = max(
+                            peak_bytes,
+                            exchange.upload.buffered_bytes + len(cast(HttpClient, exchange.client).buffer),
                         )
                     await asyncio.sleep(0.001)
 
@@ -291,7 +292,7 @@
             writer.close()
             sampler.cancel()
             assert seen == [hashlib.sha256(BLOCK * (LARGE_BYTES // len(BLOCK))).digest()]
-            assert 0 < max_held <= 64 * 1024 + 2 * MAX_READ_BYTES
+            assert 0 < peak_bytes <= 64 * 1024 + 2 * MAX_READ_BYTES
 
     run(test())
 
