--- a/flintlatch/grpc/status.py
+++ b/flintlatch/grpc/status.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 Fields = list[tuple[bytes, bytes]]
-MAX_MESSAGE_BYTES = 1024  # of a status message; the rest is cut off, because peers may send any length
+MAX_MESSAGE_BYTES = 1024  # of a status message, which is a text for people; the rest is cut off
 
 
 class Code(IntEnum):
--- a/flintlatch/metrics/counts.py
+++ b/flintlatch/metrics/counts.py
@@ -11,7 +11,8 @@
 from collections import Counter
 from typing import Any
 
-# Upper bounds of the buckets: from the latency that the proxy itself adds to transfers of minutes.
+# Upper bounds of the buckets, from the latency that the proxy itself adds to transfers of minutes. Up to 10
+# s, each bound is 2 to 2.5 times the one before.
 BUCKET_BOUNDS_S = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 60.0, 600.0)
 Histogram = tuple[list[int], float]  # count of each bucket, the last one unbounded; sum in s
 
--- a/tests/http/test_front.py
+++ b/tests/http/test_front.py
@@ -328,13 +328,12 @@
                     assert cut >= end or cut == 0 or cut < end
                 elif got.startswith(b"HTTP/1.1 200"):
                     body = got.partition(b"\r\n\r\n")[2]
-                    # The response began and is visibly incomplete: short of its length or without last chunk.
+                    # The response began and is visibly incomplete: too short, or without its last chunk.
                     assert not body.endswith(b"0\r\n\r\n") and len(body) < len(raw) - end
                 else:
                     assert got.startswith(b"HTTP/1.1 504 ") and got.count(b"HTTP/1.1") == 1
-                assert (
-                    proxy.nodes[0].connections == 1
-                )  # the request is unsafe and may have been executed: no retry
+                # The request is unsafe and may have been executed: no retry.
+                assert proxy.nodes[0].connections == 1
 
     run(test())
 
