--- a/tests/http/test_long.py
+++ b/tests/http/test_long.py
@@ -52,9 +52,8 @@
             assert [reply[:12] for reply in got] == [b"HTTP/1.1 200"] * 20
             (server,) = proxy.engine.balancer.servers.values()
             assert (server.inflight, server.transfers) == (0, 0)
-            assert (
-                proxy.engine.balancer.class_latency[1][0] < LATENCY_TARGET_MS
-            )  # latency of the node only, without the upload
+            # The latency of the node only, without the upload.
+            assert proxy.engine.balancer.class_latency[1][0] < LATENCY_TARGET_MS
 
     run(test())
 
