--- a/flintlatch/fleet/observe.py
+++ b/flintlatch/fleet/observe.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from flintlatch.accesslog import AccessLog, AttemptRecord, Paths, Record, path_of
+from flintlatch.accesslog import AccessLog, AttemptRecord, PathDetail, Record, logged_path
 from flintlatch.api import NEVER_RAN
 from flintlatch.config import Config, resolve_config_path
 from flintlatch.exchange import Exchange
@@ -23,7 +23,7 @@
         self.counts = Counts()
         self.classes = [row.name for row in config.classes]
         self.tenants = [row.name for row in config.tenants]
-        self.paths = Paths(table.paths) if table is not None else Paths.NONE
+        self.paths = PathDetail(table.paths) if table is not None else PathDetail.NONE
         self.log: AccessLog | None = None
         if table is not None:
             self.log = AccessLog(resolve_config_path(config.path, table.file), config.fleet.name, number)
@@ -36,7 +36,7 @@
             engine.request_observer = self.on_request
 
     def on_exchange(self, exchange: Exchange, attempts: list[Attempt]) -> None:
-        request, began_s = exchange.ask, exchange.began_s
+        request, began_s = exchange.routing, exchange.arrived_s
 
         def ms_after_start(at_s: float) -> float | None:
             return (at_s - began_s) * 1000 if at_s else None
@@ -48,20 +48,20 @@
                 self.classes[request.cls],
                 self._tenant(request.tenant),
                 exchange.request.method.decode("latin-1"),
-                path_of(exchange.request.target, self.paths),
+                logged_path(exchange.request.target, self.paths),
                 exchange.status,
                 exchange.ending.value if exchange.ending is not None else "",
-                (exchange.over_s - began_s) * 1000,
-                ms_after_start(exchange.first_s),
-                ms_after_start(exchange.whole_s),
-                exchange.upload.total,
-                exchange.down.arrived_bytes if exchange.down is not None else 0,
+                (exchange.ended_s - began_s) * 1000,
+                ms_after_start(exchange.first_byte_s),
+                ms_after_start(exchange.request_complete_s),
+                exchange.upload.total_bytes,
+                exchange.response_pipe.arrived_bytes if exchange.response_pipe is not None else 0,
                 attempt_records(attempts, began_s * 1000),
             )
         )
 
     def on_refusal(self, refusal: Refusal) -> None:
-        path, method = path_of(refusal.target, self.paths), refusal.method.decode("latin-1")
+        path, method = logged_path(refusal.target, self.paths), refusal.method.decode("latin-1")
         at_ms = now_ms()
         self.record(
             Record(at_ms, "", "", "", method, path, refusal.status, refusal.reason, 0.0, 0.0, None, 0, 0, ())
@@ -79,7 +79,7 @@
                 self.classes[received.cls],
                 self._tenant(received.tenant),
                 method.decode("latin-1"),
-                path_of(target, self.paths),
+                logged_path(target, self.paths),
                 request.status,
                 "client left"
                 if not request.status
@@ -97,9 +97,9 @@
 
     def record(self, entry: Record) -> None:
         first_s = None if entry.first_ms is None else entry.first_ms / 1000
-        self.counts.request(entry.cls, entry.status, first_s, entry.up_bytes, entry.down_bytes)
+        self.counts.count_request(entry.cls, entry.status, first_s, entry.up_bytes, entry.down_bytes)
         for attempt in entry.attempts:
-            self.counts.attempt(attempt.result)
+            self.counts.count_attempt(attempt.result)
         if self.log is not None:
             self.log.put(entry)
 
--- a/flintlatch/fleet/supervisor.py
+++ b/flintlatch/fleet/supervisor.py
@@ -249,9 +249,9 @@
         if not config.fleet.metrics:
             return
         try:
-            from flintlatch.metrics.page import Page  # imported only if configured
+            from flintlatch.metrics.page import MetricsServer  # imported only if configured
 
-            self.metrics_page = Page(config.fleet.metrics, self.metrics_snapshot)
+            self.metrics_page = MetricsServer(config.fleet.metrics, self.metrics_snapshot)
         except (OSError, ImportError) as error:
             self.log("error", f"metrics {config.fleet.metrics}: {error}")
         else:
@@ -287,7 +287,7 @@
 
     def metrics_snapshot(self) -> Any:
         """Called in the thread of the metrics page: reads each value once and copies what may change."""
-        from flintlatch.metrics.page import Now
+        from flintlatch.metrics.page import FleetSnapshot
 
         heartbeats = [process.last_heartbeat for process in list(self.processes.values())]
         workers_by_state = Counter(worker.state.value for worker in list(self.core.workers.values()))
@@ -300,8 +300,8 @@
             if self.peer_service is not None
             else ({}, {})
         )
-        return Now(
-            self.totals.all(),
+        return FleetSnapshot(
+            self.totals.fleet_counts(),
             dict(workers_by_state),
             in_flight,
             clients,
@@ -470,7 +470,7 @@
         if process.channel is not None:
             process.channel.close()
         self.spread.clear(action.worker)
-        self.totals.ended(action.worker)
+        self.totals.on_instance_ended(action.worker)
         del self.processes[action.worker]
         if self.peer_service is not None:
             self.peer_service.remove_instance(action.worker)
@@ -543,7 +543,7 @@
             if worker in self.processes:
                 self.processes[worker].last_heartbeat = message
                 if message.get("counts") is not None:
-                    self.totals.heard(worker, message["counts"])
+                    self.totals.replace_report(worker, message["counts"])
             self._step(core.WorkerHeartbeat(worker, float(message.get("rss_mb", 0))))
         elif kind == "limits":
             if (
--- a/flintlatch/http/front.py
+++ b/flintlatch/http/front.py
@@ -1,4 +1,4 @@
-"""Clients of ordinary HTTP: heads read strictly, bodies passed on as they arrive."""
+"""The front end for ordinary HTTP/1.1: parses heads strictly and passes bodies on as they arrive."""
 
 from __future__ import annotations
 
@@ -6,13 +6,18 @@
 from math import ceil
 from typing import TYPE_CHECKING, cast
 
-from flintlatch.exchange import Exchange, Fields, Own, Phase, Piece, Request, Response, TooLong
+from flintlatch.exchange import BodyTooLarge, Exchange, Fields, Phase, Piece, ProxyResponse, Request, Response
 from flintlatch.http.body import Body, last_chunk
-from flintlatch.http.fields import Origin, to_client, to_node, upgrade_wanted
-from flintlatch.http.framing import Kind, Malformed
-from flintlatch.http.head import Limits, RequestHead, end_of_head, read_request_head
-from flintlatch.http.rules import Rules
-from flintlatch.http.sockets import HIGH_BYTES, READ_BYTES, bound_buffers, write_body
+from flintlatch.http.fields import (
+    ForwardingPolicy,
+    request_fields_to_node,
+    requests_upgrade,
+    response_fields_to_client,
+)
+from flintlatch.http.framing import BodyKind, HttpError
+from flintlatch.http.head import HeadLimits, RequestHead, find_head_end, read_request_head
+from flintlatch.http.rules import RoutingRules
+from flintlatch.http.sockets import MAX_READ_BYTES, WRITE_HIGH_WATER_BYTES, limit_socket_buffers, write_body
 from flintlatch.net.clock import now_ms
 from flintlatch.net.engine import Answer
 from flintlatch.net.frontend import READY_PATH, REASON_PHRASES, Client, Frontend
@@ -21,31 +26,32 @@
 if TYPE_CHECKING:
     from flintlatch.net.request import Reader
 
-AHEAD_BYTES = READ_BYTES // 8  # of requests sent ahead that are read before this one is answered
+# Of pipelined requests that are read before the current one is answered.
+MAX_PIPELINED_BYTES = MAX_READ_BYTES // 8
 
 
 class HttpClient(Client):
-    """One connection, and the `ClientSide` of one exchange after the other."""
+    """One client connection, and the `ClientSide` of one exchange after another."""
 
     def __init__(self, front: HttpFrontend) -> None:
         super().__init__(front)
         self.parser = None
         self.front = front
         self.buffer = bytearray()
-        self.looked = 0  # how far the buffer was searched for the end of a head
+        self.searched_bytes = 0  # of the buffer that were searched for the end of a head
         self.exchange: Exchange | None = None
-        self.body: Body | None = None  # of the request that comes
-        self.asked = (b"", b"")  # method and target of the last head that could be read
-        self.minor = 1  # of the request that is answered
-        self.chunked = False  # its answer is
-        self.half_closed = False  # the client sends no more, and reads on
+        self.body: Body | None = None  # of the current request
+        self.last_request_line = (b"", b"")  # method and target of the last head that could be read
+        self.minor = 1  # minor HTTP version of the current request
+        self.response_chunked = False
+        self.half_closed = False  # the client has closed its sending direction but still reads
         self.reading = True
-        self.stepping = False
+        self.processing = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
-        self.transport.set_write_buffer_limits(high=HIGH_BYTES)
-        bound_buffers(transport, True)
+        self.transport.set_write_buffer_limits(high=WRITE_HIGH_WATER_BYTES)
+        limit_socket_buffers(transport, True)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.closing = True
@@ -56,80 +62,85 @@
             exchange.client_left(now_ms() / 1000)
 
     def gone(self) -> bool:
-        """The end of its sending is not its leaving here, and a lost connection is told in time."""
+        """A client that has closed its sending direction may still read, so this is not taken as leaving. A
+        lost connection is reported by `connection_lost` soon enough."""
         return False
 
     def eof_received(self) -> bool:
-        """A client may close its half behind a whole request, and is answered still: RFC 9112 9.6."""
-        whole = self.body is not None and self.body.done
-        if self.closing or self.exchange is None or not whole:
+        """A client may close its sending direction after a complete request and still gets the response: RFC
+        9112 section 9.6."""
+        request_complete = self.body is not None and self.body.done
+        if self.closing or self.exchange is None or not request_complete:
             return False
         self.half_closed, self.keep_alive = True, False
         return True
 
     def pause_writing(self) -> None:
         if self.exchange is not None:
-            self.exchange.client_full(True)
+            self.exchange.set_client_blocked(True)
 
     def resume_writing(self) -> None:
         if self.exchange is not None:
-            self.exchange.client_full(False)
+            self.exchange.set_client_blocked(False)
 
-    # Reading
+    # Reading requests
 
     def data_received(self, data: bytes) -> None:
         if self.closing:
-            super().data_received(data)  # dropped there, within its bound
+            super().data_received(data)  # discards the data, up to a limit
             return
         exchange, body = self.exchange, self.body
         if exchange is None or body is None or body.done or self.buffer or len(data) > exchange.room:
             self.buffer += data
-            self.read_on()
+            self.process_buffer()
             return
-        try:  # the common case of a long upload: nothing waits, and there is room for all of it
-            self._take_body(exchange, body, data)
-        except Malformed as error:
-            self._refuse(error)
-        except TooLong as error:
-            self._refuse(Malformed(413, str(error)))
-        if self.buffer or body.done or exchange.room <= 0 or exchange.over:
-            self.read_on()
-
-    def read_on(self) -> None:
-        """Go on with what is here, and read more where there is room for it."""
-        if self.stepping:
-            return  # the loop below goes on
-        self.stepping = True
+        try:  # the common case of a long upload: nothing is buffered, and there is room for all data
+            self._feed_body(exchange, body, data)
+        except HttpError as error:
+            self._reject_with(error)
+        except BodyTooLarge as error:
+            self._reject_with(HttpError(413, str(error)))
+        if self.buffer or body.done or exchange.room <= 0 or exchange.has_ended:
+            self.process_buffer()
+
+    def process_buffer(self) -> None:
+        """Processes the buffered bytes and pauses or resumes reading by the room that is left."""
+        if self.processing:
+            return  # a call in progress continues its loop
+        self.processing = True
         try:
-            while self._step():
+            while self._consume_buffer():
                 pass
-        except Malformed as error:
-            self._refuse(error)
-        except TooLong as error:
-            self._refuse(Malformed(413, str(error)))
+        except HttpError as error:
+            self._reject_with(error)
+        except BodyTooLarge as error:
+            self._reject_with(HttpError(413, str(error)))
         finally:
-            self.stepping = False
+            self.processing = False
         if self.transport.is_closing() or self.closing:
             return
         exchange = self.exchange
         if exchange is None:
-            self._read(True)
+            self._set_reading(True)
             self.request_started = bool(self.buffer)
-            places = (
+            group = (
                 self.frontend.reading_clients
                 if self.request_started or not self.response_sent
                 else self.frontend.idle_clients
             )
-            self.frontend.move_client(self, places)
+            self.frontend.move_client(self, group)
         else:
-            # That a client leaves is seen by reading alone: so on to a bound, while its answer is due.
-            most = AHEAD_BYTES if self.body is None or self.body.done else 0
-            self._read(len(self.buffer) <= most and (most > 0 or exchange.room > 0))
+            # Only reading detects that a client has left. So reading continues up to a limit while the client
+            # waits for its response.
+            max_ahead_bytes = MAX_PIPELINED_BYTES if self.body is None or self.body.done else 0
+            self._set_reading(
+                len(self.buffer) <= max_ahead_bytes and (max_ahead_bytes > 0 or exchange.room > 0)
+            )
             self.frontend.move_client(self, None)
 
-    more = read_on  # there is room again for the upload
+    resume_upload = process_buffer  # called when there is room again for the upload
 
-    def _read(self, reading: bool) -> None:
+    def _set_reading(self, reading: bool) -> None:
         if reading != self.reading and not self.half_closed:
             self.reading = reading
             if reading:
@@ -137,102 +148,103 @@
             else:
                 self.transport.pause_reading()
 
-    def _step(self) -> bool:
-        """Take one part of the buffer; false if there is nothing to take."""
+    def _consume_buffer(self) -> bool:
+        """Processes the next part of the buffer; false if nothing can be processed now."""
         if self.closing or not self.buffer:
             return False
         exchange, body = self.exchange, self.body
         if exchange is None:
-            return self._head()
+            return self._read_head()
         room = exchange.room
         if body is None or body.done or room <= 0:
-            return False  # the next request waits for this one's answer, the body for room
+            return False  # a pipelined request waits for the current response, the body waits for room
         if len(self.buffer) <= room:
             data = bytes(self.buffer)
             self.buffer.clear()
         else:
             data = bytes(self.buffer[:room])
             del self.buffer[:room]
-        self._take_body(exchange, body, data)
+        self._feed_body(exchange, body, data)
         return True
 
-    def _take_body(self, exchange: Exchange, body: Body, data: bytes) -> None:
+    def _feed_body(self, exchange: Exchange, body: Body, data: bytes) -> None:
         pieces, rest = body.feed(data)
         if rest:
             self.buffer[:0] = rest
         now_s = now_ms() / 1000
         if pieces:
-            exchange.came(now_s, pieces)
+            exchange.receive_body(now_s, pieces)
         if body.done:
-            exchange.came_all(now_s, body.trailers)
-        exchange.push()
+            exchange.receive_end(now_s, body.trailers)
+        exchange.notify_node()
 
-    def _head(self) -> bool:
-        end = end_of_head(self.buffer, self.looked)
+    def _read_head(self) -> bool:
+        end = find_head_end(self.buffer, self.searched_bytes)
         limits = self.front.limits
         if end < 0:
-            self.looked = len(self.buffer)
+            self.searched_bytes = len(self.buffer)
             if len(self.buffer) > limits.head_bytes:
-                raise Malformed(431, "a head without end")
+                raise HttpError(431, "a head without end")
             return False
         raw = bytes(self.buffer[:end])
         del self.buffer[:end]
-        self.looked = 0
-        self.asked = (b"", b"")
+        self.searched_bytes = 0
+        self.last_request_line = (b"", b"")
         head = read_request_head(raw, limits)
-        self.asked = (head.method, head.target)
-        self.keep_alive, self.minor = head.keep, head.minor
+        self.last_request_line = (head.method, head.target)
+        self.keep_alive, self.minor = head.keep_alive, head.minor
         if head.target.partition(b"?")[0] == READY_PATH and head.method in (b"GET", b"HEAD"):
             self.write(Answer(200 if self.frontend.ready() else 503))
             return not self.closing
-        self._take_head(head)
+        self._start_exchange(head)
         return True
 
-    def _take_head(self, head: RequestHead) -> None:
+    def _start_exchange(self, head: RequestHead) -> None:
         front = self.front
-        if upgrade_wanted(head.fields):
-            raise Malformed(501, "an upgrade to another protocol")
+        if requests_upgrade(head.fields):
+            raise HttpError(501, "an upgrade to another protocol")
         if head.method == b"TRACE":
-            raise Malformed(405, "TRACE")  # it would show a client what others added on the way
-        ask = front.rules.read(head)
+            raise HttpError(405, "TRACE")  # the response would show fields that proxies have added
+        ask = front.rules.routing_of(head)
         terms = front.engine.terms[ask.cls]
-        if head.framing.kind is Kind.LENGTH and head.framing.length > terms.body_bytes:
-            raise Malformed(413, f"a body of {head.framing.length} bytes, at most {terms.body_bytes}")
-        request = front.request_of(head, self.transport.get_extra_info("peername")[0])
+        if head.framing.kind is BodyKind.LENGTH and head.framing.length > terms.body_bytes:
+            raise HttpError(413, f"a body of {head.framing.length} bytes, at most {terms.body_bytes}")
+        request = front.forwarded_request(head, self.transport.get_extra_info("peername")[0])
         now_s = now_ms() / 1000
         exchange = Exchange(request, ask, terms, self, front.engine, now_s)
         body = Body(head.framing)
         try:
             if not front.engine.open(exchange, not body.done):
-                raise Malformed(503, "no memory for another body")
+                raise HttpError(503, "no memory for another body")
         except KeyError:
-            raise Malformed(400, f"the id {ask.id[:40]!r} is another request's") from None
-        self.exchange, self.body, self.chunked = exchange, body, False
+            raise HttpError(400, f"the id {ask.id[:40]!r} is another request's") from None
+        self.exchange, self.body, self.response_chunked = exchange, body, False
         if body.done:
-            exchange.came_all(now_s)
-        elif request.expects:
+            exchange.receive_end(now_s)
+        elif request.expects_continue:
             exchange.offer(now_s)
         else:
-            self._step()  # most short bodies come with their head
+            self._consume_buffer()  # most short bodies arrive together with their head
             if exchange.phase is Phase.GATHERING:
                 front.engine.start_gather_timer(exchange)
 
-    def _refuse(self, error: Malformed) -> None:
-        """What follows can't be told apart, or is not wanted: answer, and close."""
+    def _reject_with(self, error: HttpError) -> None:
+        """Answers with an error and closes the connection, because the rest of its input can't be parsed or
+        will not be read."""
         self.keep_alive = False
         if self.exchange is not None:
-            self.exchange.client_faulty(now_ms() / 1000, error.status)
+            self.exchange.reject_request(now_ms() / 1000, error.status)
         else:
-            self.front.engine.report_refusal(Refusal(error.status, error.reason, *self.asked))
-            self.own(Own(error.status, 1000.0 if error.status == 503 else 0.0))
+            self.front.engine.report_refusal(Refusal(error.status, error.reason, *self.last_request_line))
+            self.send_proxy_response(ProxyResponse(error.status, 1000.0 if error.status == 503 else 0.0))
 
     def on_read_timeout(self) -> None:
         if self.request_started:
-            self._refuse(Malformed(408, "a head that does not come"))
+            self._reject_with(HttpError(408, "a head that does not come"))
         else:
             self.transport.close()
 
-    # The client's side of an exchange
+    # `ClientSide` of an exchange
 
     def interim(self, head: Response) -> None:
         if self.minor >= 1:
@@ -243,14 +255,14 @@
         exchange = self.exchange
         assert exchange is not None
         if not exchange.upload.complete:
-            # what follows of the upload is dropped, and can't be told from a next request
+            # the rest of the upload can't be distinguished from a next request
             self.keep_alive = False
-        lines = to_client(head.fields, self.minor, self.front.origin.via)
+        lines = response_fields_to_client(head.fields, self.minor, self.front.forwarding.via)
         if not head.bodyless:
             if head.length is not None:
                 lines.append((b"Content-Length", b"%d" % head.length))
             elif self.minor >= 1:
-                self.chunked = True
+                self.response_chunked = True
                 lines.append((b"Transfer-Encoding", b"chunked"))
             else:
                 self.keep_alive = False
@@ -263,36 +275,37 @@
         self.transport.write(b"HTTP/1.1 %d %b\r\n%b\r\n" % (head.status, head.reason, fields))
 
     def pieces(self, pieces: list[Piece], size: int) -> None:
-        write_body(self.transport, pieces, size, self.chunked)
+        write_body(self.transport, pieces, size, self.response_chunked)
 
     def end(self, trailers: Fields) -> None:
-        if self.chunked:
+        if self.response_chunked:
             self.transport.write(last_chunk(trailers))
-        self._answered()
+        self._on_response_end()
 
-    def own(self, answer: Own) -> None:
+    def send_proxy_response(self, answer: ProxyResponse) -> None:
         exchange = self.exchange
         if exchange is not None and not exchange.upload.complete:
             self.keep_alive = False
         wait = b""
         if answer.status == 503 and answer.retry_after_ms > 0:
-            # Whole seconds, RFC 9110 section 10.2.3; earlier than it was told, nobody should come.
+            # In whole seconds, RFC 9110 section 10.2.3. Rounded up, so that no client retries too early.
             wait = b"Retry-After: %d\r\n" % ceil(answer.retry_after_ms / 1000)
         self.write(Answer(answer.status, wait))
         if exchange is not None:
-            self._answered()
+            self._on_response_end()
 
     def reset(self) -> None:
-        """No last chunk, and the end of the connection: the client can tell."""
+        """Aborts the connection. The missing last chunk or bytes show the client that the response is
+        incomplete."""
         self.transport.abort()
 
-    def unread(self) -> int:
+    def unsent_bytes(self) -> int:
         return self.transport.get_write_buffer_size()
 
-    # Answers
+    # Writing responses
 
     def write(self, answer: Answer) -> None:
-        """One of the proxy's own."""
+        """Writes a response of the proxy itself."""
         if self.transport.is_closing():
             return
         keep = self.keep_alive = self.keep_alive and not self.frontend.keep_alive_disabled
@@ -309,8 +322,8 @@
         if not keep:
             self.close_lingering()
 
-    def _answered(self) -> None:
-        """Its answer is out whole, or the proxy's own in its place."""
+    def _on_response_end(self) -> None:
+        """The response to the current request is complete."""
         self.exchange = self.body = None
         self.response_sent = True
         if self.transport.is_closing():
@@ -319,7 +332,7 @@
             if not self.closing:
                 self.close_lingering()
             return
-        self.frontend.loop.call_soon(self.read_on)
+        self.frontend.loop.call_soon(self.process_buffer)
 
     def close_lingering(self) -> None:
         super().close_lingering()
@@ -331,29 +344,31 @@
     def __init__(
         self,
         engine: RelayEngine,
-        rules: Rules,
-        most: int,
+        rules: RoutingRules,
+        max_clients: int,
         accept_at_once: int,
         *,
-        limits: Limits,
-        origin: Origin,
+        limits: HeadLimits,
+        forwarding: ForwardingPolicy,
     ) -> None:
-        super().__init__(engine, cast("Reader", None), most, accept_at_once)
+        super().__init__(engine, cast("Reader", None), max_clients, accept_at_once)
         self.engine: RelayEngine = engine
-        self.rules, self.limits, self.origin = rules, limits, origin
+        self.rules, self.limits, self.forwarding = rules, limits, forwarding
         names = rules.names
-        self.dropped = frozenset((names.id, names.budget, b"x-call-id", b"x-budget-ms", b"host"))
+        self.removed_fields = frozenset((names.id, names.budget, b"x-call-id", b"x-budget-ms", b"host"))
 
     def make_client(self) -> Client:
         return HttpClient(self)
 
-    def request_of(self, head: RequestHead, peer: str) -> Request:
-        """What goes on to a node. `peer`: the address of the client's end of the connection."""
+    def forwarded_request(self, head: RequestHead, peer: str) -> Request:
+        """The request as it is sent to a node. `peer`: the client's IP address."""
         return Request(
             head.method,
             head.target,
             head.host or b"unknown",
-            to_node(head.fields, peer, head.host, head.minor, self.origin, self.dropped),
-            None if head.framing.kind is Kind.CHUNKED else head.framing.length,
+            request_fields_to_node(
+                head.fields, peer, head.host, head.minor, self.forwarding, self.removed_fields
+            ),
+            None if head.framing.kind is BodyKind.CHUNKED else head.framing.length,
             head.expects_continue,
         )
--- a/flintlatch/net/relay.py
+++ b/flintlatch/net/relay.py
@@ -20,7 +20,16 @@
     SetAttemptTimeout,
     Settings,
 )
-from flintlatch.exchange import Budget, Ending, Exchange, NodeSide, Own, Phase, Response, Terms
+from flintlatch.exchange import (
+    Budget,
+    Ending,
+    Exchange,
+    ExchangeLimits,
+    NodeSide,
+    Phase,
+    ProxyResponse,
+    Response,
+)
 from flintlatch.net.backends import Attempt, Backend, Backends, Connection
 from flintlatch.net.clock import now_ms
 from flintlatch.net.engine import AcceptedRequest, Answer, Engine, PendingRequest, log
@@ -82,7 +91,7 @@
         seed: int,
         max_connections: int,
         body_bytes: int,
-        terms: tuple[Terms, ...],
+        terms: tuple[ExchangeLimits, ...],
         connection_factory: Callable[[Backends, Backend], Connection],
     ) -> None:
         """`body_bytes`: memory for the bodies of all requests together. `terms`: by class.
@@ -102,7 +111,7 @@
     def open(self, exchange: Exchange, uploading: bool) -> bool:
         """Registers the exchange and reserves the memory that it may need; false if too little is left.
         Raises KeyError if a request with its id is open or was recently."""
-        request_id = exchange.ask.id
+        request_id = exchange.routing.id
         self._expire_recent_ids()
         if request_id in self.exchanges or request_id in self.recent_ids or request_id in self.requests:
             raise KeyError(request_id)
@@ -115,52 +124,52 @@
 
     def max_memory_bytes(self, exchange: Exchange, uploading: bool) -> int:
         """The largest number of bytes that the exchange may buffer."""
-        return exchange.terms.holds(uploading)
+        return exchange.limits.max_buffered_bytes(uploading)
 
     def start_gather_timer(self, exchange: Exchange) -> None:
         """Waits GATHER_TIMEOUT_S for the rest of a request before it is offered to the decision module."""
         self.loop.call_later(GATHER_TIMEOUT_S, self._on_gather_timeout, exchange)
 
     def _on_gather_timeout(self, exchange: Exchange) -> None:
-        if self.exchanges.get(exchange.ask.id) is exchange:
+        if self.exchanges.get(exchange.routing.id) is exchange:
             exchange.offer(now_ms() / 1000)
 
     # `Owner` of the exchanges
 
-    def ask(self, exchange: Exchange, uploading: bool) -> None:
-        ask, terms = exchange.ask, exchange.terms
+    def request_server(self, exchange: Exchange, uploading: bool) -> None:
+        ask, terms = exchange.routing, exchange.limits
         total_budget_ms = (
-            ask.budget_ms if ask.whole_wait or not uploading else terms.upload_ms + ask.budget_ms
+            ask.budget_ms if ask.budget_includes_upload or not uploading else terms.upload_ms + ask.budget_ms
         )
         memory_bytes = self.reserved_bytes[ask.id]
 
         def respond(answer: Answer) -> None:
-            exchange.answer(now_ms() / 1000, Own(answer.status, answer.retry_after_ms))
+            exchange.answer(now_ms() / 1000, ProxyResponse(answer.status, answer.retry_after_ms))
 
         upload_fields = (ask.budget_ms, uploading, memory_bytes)
-        fields = (ask.id, ask.cls, ask.tenant, ask.key, total_budget_ms, ask.repeat, b"", b"", respond)
+        fields = (ask.id, ask.cls, ask.tenant, ask.key, total_budget_ms, ask.is_retry, b"", b"", respond)
         if not self.accept(AcceptedRequest(*fields, *upload_fields)):
             raise AssertionError(f"id {ask.id} was free in open(), but is in use now")
 
-    def body_came(self, exchange: Exchange) -> None:
-        self._post_event(BodyReceived(exchange.ask.id))
-        pending = self.requests.get(exchange.ask.id)
+    def on_body_received(self, exchange: Exchange) -> None:
+        self._post_event(BodyReceived(exchange.routing.id))
+        pending = self.requests.get(exchange.routing.id)
         if pending is not None and not pending.completed:
-            self._shorten_deadline(pending, exchange.ask.budget_ms)
+            self._shorten_deadline(pending, exchange.routing.budget_ms)
 
-    def body_gone(self, exchange: Exchange) -> None:
-        self._post_event(BodyDiscarded(exchange.ask.id))
+    def on_body_discarded(self, exchange: Exchange) -> None:
+        self._post_event(BodyDiscarded(exchange.routing.id))
 
-    def body_sent(self, exchange: Exchange, node: NodeSide) -> None:
+    def on_request_sent(self, exchange: Exchange, node: NodeSide) -> None:
         located = self._find_attempt(exchange, node)
         if located is not None and not located[2].request_sent_ms:
             pending, number, attempt = located
             attempt.request_sent_ms = now_ms()
             if not pending.completed:
-                self._shorten_deadline(pending, exchange.ask.budget_ms)
-            self._post_event(BodyForwarded(exchange.ask.id, number))
+                self._shorten_deadline(pending, exchange.routing.budget_ms)
+            self._post_event(BodyForwarded(exchange.routing.id, number))
 
-    def begun(self, exchange: Exchange, node: NodeSide, head: Response) -> None:
+    def on_response_begun(self, exchange: Exchange, node: NodeSide, head: Response) -> None:
         """The final response has begun: the deadline is met, and only the limits of the transfer apply from
         now on."""
         located = self._find_attempt(exchange, node)
@@ -170,12 +179,12 @@
         if attempt.timer is not None:
             attempt.timer.cancel()
         delay = now_ms() - attempt.request_sent_ms if attempt.request_sent_ms else 0.0
-        attempt.stream_started = ResponseStarted(exchange.ask.id, number, delay, result_of_head(head))
+        attempt.stream_started = ResponseStarted(exchange.routing.id, number, delay, result_of_head(head))
         self._post_event(attempt.stream_started)
         self._complete(pending)
 
-    def give_up(self, exchange: Exchange) -> None:
-        request_id = exchange.ask.id
+    def cancel_attempts(self, exchange: Exchange) -> None:
+        request_id = exchange.routing.id
         pending = self.requests.get(request_id)
         if pending is None:
             return
@@ -184,18 +193,18 @@
             if not attempt.ended:
                 self.backends.cancel(attempt)
 
-    def blame(self, exchange: Exchange, node: NodeSide) -> None:
+    def time_out_attempt(self, exchange: Exchange, node: NodeSide) -> None:
         located = self._find_attempt(exchange, node)
         if located is not None:
             self.backends.time_out(located[2])
 
-    def over(self, exchange: Exchange) -> None:
-        request_id = exchange.ask.id
+    def on_exchange_ended(self, exchange: Exchange) -> None:
+        request_id = exchange.routing.id
         if exchange.ending is Ending.ANSWERED:
-            self.on_final_status(exchange.ask.cls, exchange.status)
+            self.on_final_status(exchange.routing.cls, exchange.status)
         elif exchange.ending in (Ending.NODE_BROKE, Ending.NODE_STALLED):
             # Replaces the status of the head, which was reported when the response began.
-            self.on_final_status(exchange.ask.cls, BROKEN_RESPONSE_STATUS)
+            self.on_final_status(exchange.routing.cls, BROKEN_RESPONSE_STATUS)
         pending = self.requests.get(request_id)
         if pending is None or all(attempt.ended for attempt in pending.attempts):
             self._remove_exchange(request_id, pending)
@@ -208,7 +217,7 @@
     def _find_attempt(
         self, exchange: Exchange, node: NodeSide
     ) -> tuple[PendingRequest, int, RelayAttempt] | None:
-        pending = self.requests.get(exchange.ask.id)
+        pending = self.requests.get(exchange.routing.id)
         for number, attempt in enumerate(pending.attempts if pending is not None else ()):
             relayed = cast(RelayAttempt, attempt)
             if not relayed.ended and relayed.node is node:
@@ -240,7 +249,7 @@
         for exchange in list(self.exchanges.values()):
             stall = exchange.tick(now_s)
             if stall is not None:
-                log(f"{exchange.ask.id}: {stall.value}")
+                log(f"{exchange.routing.id}: {stall.value}")
 
     # Actions of the decision module
 
@@ -278,7 +287,7 @@
             action.write_within_ms,
         )
         pending.attempts.append(attempt)
-        if pending.completed or number >= self.settings.max_attempts or exchange.upload.gone:
+        if pending.completed or number >= self.settings.max_attempts or exchange.upload.discarded:
             attempt.end(Result.NOT_SENT)
         else:
             self.backends.start(attempt)
@@ -309,7 +318,7 @@
         if (
             pending.completed
             and all(attempt.ended for attempt in pending.attempts)
-            and (exchange is None or exchange.over)
+            and (exchange is None or exchange.has_ended)
         ):
             self._remove_exchange(request_id, pending)
 
@@ -324,7 +333,7 @@
         super()._restart_decision_module()
         for request_id, exchange in list(self.exchanges.items()):
             if request_id not in self.requests and exchange.phase is not Phase.GATHERING:
-                exchange.answer(now_ms() / 1000, Own(500))
+                exchange.answer(now_ms() / 1000, ProxyResponse(500))
                 self._remove_exchange(request_id)
 
     def close(self) -> None:
--- a/flintlatch/platform/front.py
+++ b/flintlatch/platform/front.py
@@ -7,7 +7,7 @@
 import socket
 from dataclasses import dataclass
 
-from flintlatch.exchange import Ask, Exchange, Fields, Own, Piece, Response, TooLong
+from flintlatch.exchange import BodyTooLarge, Exchange, Fields, Piece, ProxyResponse, Response, RoutingInfo
 from flintlatch.net.clock import now_ms
 from flintlatch.net.engine import Answer
 from flintlatch.net.frontend import READY_PATH, REASON_PHRASES, Client, Frontend
@@ -58,11 +58,11 @@
 
     def pause_writing(self) -> None:
         if self.exchange is not None:
-            self.exchange.client_full(True)
+            self.exchange.set_client_blocked(True)
 
     def resume_writing(self) -> None:
         if self.exchange is not None:
-            self.exchange.client_full(False)
+            self.exchange.set_client_blocked(False)
 
     # Reading requests
 
@@ -76,7 +76,7 @@
         finally:
             self.processing = False
 
-    more = _process  # called when the upload buffer has room again
+    resume_upload = _process  # called when the upload buffer has room again
 
     def parse_limit(self) -> int:
         incoming = self.incoming
@@ -92,7 +92,7 @@
         super()._parse(chunk)
         self._start_upload()
         if self.exchange is not None:
-            self.exchange.push()
+            self.exchange.notify_node()
 
     def on_headers_complete(self) -> None:
         self._head_done = True
@@ -116,8 +116,8 @@
             self._body += body  # exceeds the limit of a short body by at most one parsed chunk
             return
         try:
-            incoming.exchange.came(now_ms() / 1000, [body])
-        except TooLong:
+            incoming.exchange.receive_body(now_ms() / 1000, [body])
+        except BodyTooLarge:
             self._reject(413)
 
     def on_message_complete(self) -> None:
@@ -130,7 +130,7 @@
             return
         self.request_started = False
         self._reset()
-        exchange.came_all(now_ms() / 1000)
+        exchange.receive_end(now_ms() / 1000)
 
     def _start_upload(self) -> None:
         """Offers a long request to the decision module while its body arrives, once earlier requests are
@@ -147,13 +147,13 @@
             if method == b"GET":
                 raise RequestError(400, "GET with a body, expected none")
             accepted = self.frontend.reader.read(message, self.on_answer, with_length=False)
-            ask = Ask(
+            ask = RoutingInfo(
                 accepted.id,
                 accepted.cls,
                 accepted.tenant,
                 accepted.key,
                 accepted.budget_ms,
-                repeat=accepted.repeat,
+                is_retry=accepted.repeat,
             )
             request = ForwardedRequest(method, message.target, b"", [], incoming.length, head=accepted.head)
             incoming.exchange = self._open(request, ask, True)
@@ -162,11 +162,11 @@
             return
         now_s = now_ms() / 1000
         if self._body:
-            incoming.exchange.came(now_s, [bytes(self._body)])
+            incoming.exchange.receive_body(now_s, [bytes(self._body)])
             self._body = bytearray()
         incoming.exchange.offer(now_s)
 
-    def _open(self, request: ForwardedRequest, ask: Ask, uploading: bool) -> Exchange:
+    def _open(self, request: ForwardedRequest, ask: RoutingInfo, uploading: bool) -> Exchange:
         """Raises RequestError if the id belongs to another request or there is no memory for the body."""
         exchange = Exchange(request, ask, TERMS, self, self.engine, now_ms() / 1000)
         try:
@@ -183,15 +183,17 @@
             return
         accepted = self.frontend.reader.read(message, self.on_answer, with_length=False)
         budget = min(accepted.budget_ms, self.engine.settings.classes[accepted.cls].deadline_ms)
-        ask = Ask(accepted.id, accepted.cls, accepted.tenant, accepted.key, budget, repeat=accepted.repeat)
+        ask = RoutingInfo(
+            accepted.id, accepted.cls, accepted.tenant, accepted.key, budget, is_retry=accepted.repeat
+        )
         request = ForwardedRequest(
             message.method, message.target, b"", [], len(message.body), head=accepted.head
         )
         exchange = self._open(request, ask, False)
         now_s = now_ms() / 1000
         if message.body:
-            exchange.came(now_s, [message.body])
-        exchange.came_all(now_s)
+            exchange.receive_body(now_s, [message.body])
+        exchange.receive_end(now_s)
 
     def _reject(self, status: int) -> None:
         exchange = self.incoming.exchange if self.incoming is not None else None
@@ -200,7 +202,7 @@
             super()._reject(status)
             return
         self.closing, self.unparsed, self.keep_alive = True, b"", False
-        exchange.client_faulty(now_ms() / 1000, status)
+        exchange.reject_request(now_ms() / 1000, status)
 
     # `ClientSide` of an exchange
 
@@ -242,7 +244,7 @@
             self.transport.write(b"0\r\n\r\n")
         self._on_response_end()
 
-    def own(self, answer: Own) -> None:
+    def send_proxy_response(self, answer: ProxyResponse) -> None:
         exchange = self.exchange
         if exchange is not None and not exchange.upload.complete:
             self.keep_alive = False
@@ -256,7 +258,7 @@
     def reset(self) -> None:
         self.transport.abort()
 
-    def unread(self) -> int:
+    def unsent_bytes(self) -> int:
         return self.transport.get_write_buffer_size()
 
     def _on_response_end(self) -> None:
--- a/flintlatch/platform/node.py
+++ b/flintlatch/platform/node.py
@@ -59,7 +59,7 @@
         exchange, now = attempt.exchange, now_ms()
         request = cast(ForwardedRequest, exchange.request)
         exchange.attach(now / 1000, self)
-        budget = max(1, int(min(attempt.deadline_ms - now, exchange.ask.budget_ms)))
+        budget = max(1, int(min(attempt.deadline_ms - now, exchange.routing.budget_ms)))
         head = b"%bx-budget-ms: %d\r\n" % (request.head, budget)
         self.uploading = not exchange.upload.complete
         if self.uploading:
@@ -68,14 +68,14 @@
             else:
                 self.send_request(head + b"content-length: %d\r\n\r\n" % request.length)
             self.write_incomplete = True
-            self.more()
+            self.send_upload()
         else:
             pieces, size = exchange.take(now / 1000)
             if request.method == b"POST":
                 head += b"content-length: %d\r\n" % size
             self.send_request(b"".join((head, b"\r\n", *pieces)))
 
-    def more(self) -> None:
+    def send_upload(self) -> None:
         exchange, transport = self.exchange, self.transport
         if exchange is None or transport is None or not self.uploading or transport.is_closing():
             return
@@ -84,7 +84,7 @@
             pieces, size = exchange.take(now_ms() / 1000)
             if size:
                 transport.writelines([b"%x\r\n" % size, *pieces, b"\r\n"] if chunked else pieces)
-        if exchange.upload.taken and not self.sent_all:
+        if exchange.upload.fully_taken and not self.sent_all:
             self.sent_all = True
             if chunked:
                 transport.write(b"0\r\n\r\n")
@@ -92,7 +92,7 @@
             self.uploading = self.write_incomplete = False
             self.on_written()
         else:
-            exchange.client.more()
+            exchange.client.resume_upload()
 
     def pause_writing(self) -> None:
         self.writing_paused = self.write_incomplete = True
@@ -100,7 +100,7 @@
     def resume_writing(self) -> None:
         self.writing_paused = False
         if self.uploading:
-            self.more()
+            self.send_upload()
         else:
             super().resume_writing()
 
@@ -110,7 +110,7 @@
         super().on_written()
         exchange = self.exchange
         if exchange is not None:
-            exchange.sent(now_ms() / 1000, self)
+            exchange.mark_request_sent(now_ms() / 1000, self)
 
     # Receiving the response
 
@@ -172,7 +172,7 @@
         now_s = now_ms() / 1000
         body, self._body = bytes(self._body), bytearray()
         exchange.begin(now_s, self, Head(200, self._forwarded_headers(), length=self.body_length))
-        if exchange.phase is not Phase.BEGUN or exchange.node is not self:
+        if exchange.phase is not Phase.RESPONDING or exchange.node is not self:
             self._malformed = True  # another attempt's response was first: this one is dropped
         elif body:
             exchange.pieces(now_s, self, [body])
@@ -190,10 +190,10 @@
                 if response.body:
                     exchange.pieces(now_s, self, [response.body])
             exchange.finish(now_s, self)
-            self.hold(False)
+            self.set_reading_paused(False)
         super().on_response(response)
 
-    def hold(self, hold: bool) -> None:
+    def set_reading_paused(self, hold: bool) -> None:
         transport = self.transport
         if transport is None or hold is self.reading_paused or transport.is_closing():
             return
--- a/tests/platform/test_long.py
+++ b/tests/platform/test_long.py
@@ -95,7 +95,7 @@
             assert answer.content[:64].decode() == digest(count)
             assert hashlib.sha256(answer.content[64:]).hexdigest() == digest(count)
             assert not p.engine.requests and not p.engine.exchanges
-            assert p.engine.body_memory.used == 0 and p.engine.body_memory.most_used < 1 * MIB
+            assert p.engine.body_memory.used_bytes == 0 and p.engine.body_memory.peak_bytes < 1 * MIB
 
     run(test())
 
@@ -228,7 +228,7 @@
             if buffered:
                 await until_uploading(p)
             else:
-                while not p.engine.exchanges["up"].upload.gone:
+                while not p.engine.exchanges["up"].upload.discarded:
                     await asyncio.sleep(0.001)
             writers[0].transport.abort()
             if buffered:
@@ -253,7 +253,11 @@
 
 
 async def until_uploading(p: Proxy) -> None:
-    while not (exchange := p.engine.exchanges.get("up")) or exchange.node is None or exchange.upload.waiting:
+    while (
+        not (exchange := p.engine.exchanges.get("up"))
+        or exchange.node is None
+        or exchange.upload.untaken_bytes
+    ):
         await asyncio.sleep(0.001)
 
 
@@ -375,7 +379,7 @@
             await received.closed.wait()
             while p.engine.requests or p.engine.exchanges:
                 await asyncio.sleep(0)
-            assert p.engine.body_memory.used == 0
+            assert p.engine.body_memory.used_bytes == 0
             servers = p.engine.balancer.servers.values()
             assert all(s.inflight == s.transfers == s.transfer_bytes == 0 for s in servers)
 
