--- a/flintlatch/cli.py
+++ b/flintlatch/cli.py
@@ -323,7 +323,7 @@
 
 
 def check_nodes(args: argparse.Namespace) -> int:
-    from flintlatch.membership import Unreadable
+    from flintlatch.membership import InvalidDocument
     from flintlatch.membership.files import read
     from flintlatch.membership.formats import read_file_content
 
@@ -332,7 +332,7 @@
     except OSError as error:
         print(f"{args.check}: {error.strerror}", file=sys.stderr)
         return 1
-    except Unreadable as error:
+    except InvalidDocument as error:
         for fault in error.faults:
             print(f"{args.check}: {fault}", file=sys.stderr)
         print(f"{args.check}: would be rejected", file=sys.stderr)
--- a/flintlatch/fleet/members.py
+++ b/flintlatch/fleet/members.py
@@ -13,6 +13,7 @@
     Confirmed,
     Event,
     Held,
+    InvalidDocument,
     Membership,
     Node,
     NodeState,
@@ -22,7 +23,6 @@
     Rules,
     Save,
     Ticked,
-    Unreadable,
     Version,
     WakeAt,
     Warned,
@@ -121,7 +121,7 @@
             return
         try:
             version = kept(self._kept_at(name))
-        except (OSError, Unreadable) as error:
+        except (OSError, InvalidDocument) as error:
             self.log("warning", f"{self._kept_at(name)}: not used: {error}")
             return
         if version is not None and version.source == name:
--- a/flintlatch/membership/__init__.py
+++ b/flintlatch/membership/__init__.py
@@ -20,7 +20,7 @@
     WakeAt,
     Warned,
 )
-from flintlatch.membership.document import Unreadable, read_document, write_document
+from flintlatch.membership.document import InvalidDocument, read_document, write_document
 from flintlatch.membership.model import Change, Node, NodeState, Version
 
 __all__ = [
@@ -44,7 +44,7 @@
     "Save",
     "Ticked",
     "Unread",
-    "Unreadable",
+    "InvalidDocument",
     "Version",
     "WakeAt",
     "Warned",
--- a/flintlatch/membership/document.py
+++ b/flintlatch/membership/document.py
@@ -22,7 +22,7 @@
 MOST_BYTES = 64 * 1024 * 1024  # 100,000 nodes take some 15 MB
 
 
-class Unreadable(Exception):
+class InvalidDocument(Exception):
     """Not a whole document; `faults` says all that was found."""
 
     def __init__(self, faults: list[Fault]) -> None:
@@ -51,21 +51,25 @@
 def read_document(data: bytes) -> Version:
     """Raises Unreadable."""
     if len(data) > MOST_BYTES:
-        raise Unreadable([Fault("document", f"{len(data)} bytes", f"at most {MOST_BYTES}")])
+        raise InvalidDocument([Fault("document", f"{len(data)} bytes", f"at most {MOST_BYTES}")])
     if not data.endswith(b"\n"):
-        raise Unreadable([Fault("document", "no end of line at its end", "a whole last line")])
+        raise InvalidDocument([Fault("document", "no end of line at its end", "a whole last line")])
     cut = data.rfind(b"\n", 0, len(data) - 1) + 1
     end = _object("end", data[cut:])
     if end.get("end") is not True or set(end) != {"end", "count", "crc32"}:
-        raise Unreadable([Fault("end", shown(data[cut:][:80]), '{"end": true, "count": ..., "crc32": ...}')])
+        raise InvalidDocument(
+            [Fault("end", shown(data[cut:][:80]), '{"end": true, "count": ..., "crc32": ...}')]
+        )
     if end["crc32"] != f"{crc32(data[:cut]):08x}":
-        raise Unreadable([Fault("end.crc32", shown(end["crc32"]), f"{crc32(data[:cut]):08x}")])
+        raise InvalidDocument([Fault("end.crc32", shown(end["crc32"]), f"{crc32(data[:cut]):08x}")])
     lines = data[:cut].split(b"\n")[:-1]
     if not lines:
-        raise Unreadable([Fault("head", "nothing", "a line that begins the document")])
+        raise InvalidDocument([Fault("head", "nothing", "a line that begins the document")])
     head = _object("head", lines[0])
     if head.get("flintlatch_nodes") != FORMAT:
-        raise Unreadable([Fault("head.flintlatch_nodes", shown(head.get("flintlatch_nodes")), str(FORMAT))])
+        raise InvalidDocument(
+            [Fault("head.flintlatch_nodes", shown(head.get("flintlatch_nodes")), str(FORMAT))]
+        )
     source, number, made = head.get("source"), head.get("version"), head.get("made_ms", 0)
     faults = []
     if not isinstance(source, str) or not source:
@@ -81,10 +85,10 @@
         try:
             rows.append(orjson.loads(line))
         except orjson.JSONDecodeError as error:
-            raise Unreadable([Fault(f"node[{place}]", shown(line[:80]), f"JSON: {error}")]) from None
+            raise InvalidDocument([Fault(f"node[{place}]", shown(line[:80]), f"JSON: {error}")]) from None
     nodes, more = check_rows(rows)
     if faults or more:
-        raise Unreadable([*faults, *more])
+        raise InvalidDocument([*faults, *more])
     return Version(str(source), int(number or 0), nodes, float(made))
 
 
@@ -92,7 +96,7 @@
     try:
         found = orjson.loads(line)
     except orjson.JSONDecodeError as error:
-        raise Unreadable([Fault(where, shown(line[:80]), f"JSON: {error}")]) from None
+        raise InvalidDocument([Fault(where, shown(line[:80]), f"JSON: {error}")]) from None
     if not isinstance(found, dict):
-        raise Unreadable([Fault(where, shown(found), "an object")])
+        raise InvalidDocument([Fault(where, shown(found), "an object")])
     return found
--- a/flintlatch/membership/files.py
+++ b/flintlatch/membership/files.py
@@ -17,7 +17,7 @@
 
 from flintlatch.membership.check import Fault
 from flintlatch.membership.core import Event, Failed, Offered, Unread
-from flintlatch.membership.document import MOST_BYTES, Unreadable, read_document, write_document
+from flintlatch.membership.document import MOST_BYTES, InvalidDocument, read_document, write_document
 from flintlatch.membership.formats import ENDINGS, Content, read_file_content
 from flintlatch.membership.model import Node, Version
 from flintlatch.net.clock import now_ms
@@ -56,10 +56,10 @@
     if not stat.S_ISREG(found.st_mode):
         os.close(fd)
         kind = "a folder" if stat.S_ISDIR(found.st_mode) else "no regular file"
-        raise Unreadable([Fault("file", kind, "a regular file")])
+        raise InvalidDocument([Fault("file", kind, "a regular file")])
     with open(fd, "rb") as file:
         if found.st_size > MOST_BYTES:
-            raise Unreadable([Fault("file", f"{found.st_size} bytes", f"at most {MOST_BYTES}")])
+            raise InvalidDocument([Fault("file", f"{found.st_size} bytes", f"at most {MOST_BYTES}")])
         data = file.read(MOST_BYTES + 1)
         after = os.fstat(fd)
     look = Look(after.st_dev, after.st_ino, after.st_size, after.st_mtime_ns, after.st_ctime_ns)
@@ -111,7 +111,7 @@
         try:
             look, content = await loop.run_in_executor(None, self._content)
             self.last = look
-        except Unreadable as error:
+        except InvalidDocument as error:
             self.last = self.seen
             if self.last is None:
                 with contextlib.suppress(OSError):
@@ -170,9 +170,9 @@
             raise FileNotFoundError(2, "it is not there")
         self.seen, looks = found
         if len(looks) > MOST_FILES:
-            raise Unreadable([Fault("folder", f"{len(looks)} files", f"at most {MOST_FILES}")])
+            raise InvalidDocument([Fault("folder", f"{len(looks)} files", f"at most {MOST_FILES}")])
         if self.seen.size > MOST_BYTES:
-            raise Unreadable([Fault("folder", f"{self.seen.size} bytes", f"at most {MOST_BYTES}")])
+            raise InvalidDocument([Fault("folder", f"{self.seen.size} bytes", f"at most {MOST_BYTES}")])
         faults: list[Fault] = []
         nodes: list[Node] = []
         uids: dict[str, str] = {}
@@ -180,7 +180,7 @@
         for name in looks:
             try:
                 content = read_file_content(name, read(os.path.join(self.path, name)).data)
-            except Unreadable as error:
+            except InvalidDocument as error:
                 faults += [fault._replace(where=f"{name}: {fault.where}") for fault in error.faults]
                 continue
             for place, node in enumerate(content.nodes):
@@ -197,11 +197,13 @@
                     )
                 nodes.append(node)
         if faults:
-            raise Unreadable(faults)
+            raise InvalidDocument(faults)
         # A file that changed while others were read belongs to the next version.
         after = look_at_folder(self.path)
         if after is None or after[0] != self.seen:
-            raise Unreadable([Fault("folder", "changed while it was read", "files at rest, for a moment")])
+            raise InvalidDocument(
+                [Fault("folder", "changed while it was read", "files at rest, for a moment")]
+            )
         return self.seen, Content(tuple(nodes), None)
 
 
--- a/flintlatch/membership/formats.py
+++ b/flintlatch/membership/formats.py
@@ -20,7 +20,7 @@
 import orjson
 
 from flintlatch.membership.check import Fault, check_rows, shown
-from flintlatch.membership.document import MOST_BYTES, Unreadable, read_document
+from flintlatch.membership.document import MOST_BYTES, InvalidDocument, read_document
 from flintlatch.membership.model import Node
 
 # Of file_sd's labels, those that mean something here.
@@ -42,9 +42,9 @@
     """By the name's ending: .jsonl, .json, .toml, .yaml or .yml. Raises Unreadable with all faults."""
     ending = name.rpartition(".")[2].lower()
     if len(data) > MOST_BYTES:
-        raise Unreadable([Fault("file", f"{len(data)} bytes", f"at most {MOST_BYTES}")])
+        raise InvalidDocument([Fault("file", f"{len(data)} bytes", f"at most {MOST_BYTES}")])
     if b"\x00" in data:
-        raise Unreadable([Fault("file", f"a NUL at byte {data.index(0)}", "text")])
+        raise InvalidDocument([Fault("file", f"a NUL at byte {data.index(0)}", "text")])
     if ending == "jsonl":
         version = read_document(data)
         return Content(version.nodes, version.number)
@@ -54,50 +54,54 @@
         return _json(data)
     if ending in ("yaml", "yml"):
         return _file_sd(_yaml(data))
-    raise Unreadable([Fault("file", shown(name), "a name that ends in .jsonl, .json, .toml, .yaml or .yml")])
+    raise InvalidDocument(
+        [Fault("file", shown(name), "a name that ends in .jsonl, .json, .toml, .yaml or .yml")]
+    )
 
 
 def _toml(data: bytes) -> dict[str, Any]:
     try:
         return tomllib.loads(data.decode())
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
-        raise Unreadable([Fault("file", str(error), "TOML 1.0 in UTF-8")]) from None
+        raise InvalidDocument([Fault("file", str(error), "TOML 1.0 in UTF-8")]) from None
 
 
 def _json(data: bytes) -> Content:
     try:
         found = orjson.loads(data)
     except orjson.JSONDecodeError as error:
-        raise Unreadable([Fault("file", str(error), "JSON (RFC 8259)")]) from None
+        raise InvalidDocument([Fault("file", str(error), "JSON (RFC 8259)")]) from None
     if isinstance(found, list):
         return _file_sd(found)
     if isinstance(found, dict) and "resources" in found:
         return _eds(found)
     if isinstance(found, dict):
         return _ours(found, must_count=False)
-    raise Unreadable([Fault("file", shown(found), "our nodes, a list of target groups, or EDS resources")])
+    raise InvalidDocument(
+        [Fault("file", shown(found), "our nodes, a list of target groups, or EDS resources")]
+    )
 
 
 def _yaml(data: bytes) -> Any:
     try:
         import yaml  # an extra: only sites with such files need it
     except ImportError:
-        raise Unreadable(
+        raise InvalidDocument(
             [Fault("file", "YAML", "PyYAML installed: pip install flintlatch[membership]")]
         ) from None
     if data.rstrip().rpartition(b"\n")[2] != b"...":
-        raise Unreadable([Fault("file", "no end marker", "a last line of ..., or it could be cut off")])
+        raise InvalidDocument([Fault("file", "no end marker", "a last line of ..., or it could be cut off")])
     try:
         return yaml.safe_load(data)
     except (yaml.YAMLError, ValueError, RecursionError) as error:
-        raise Unreadable([Fault("file", shown(str(error)), "one YAML document")]) from None
+        raise InvalidDocument([Fault("file", shown(str(error)), "one YAML document")]) from None
 
 
 def _ours(found: Mapping[str, Any], must_count: bool) -> Content:
     faults = [Fault(str(key), shown(found[key]), "no such key") for key in found if key not in OURS]
     rows, count, number = found.get("nodes"), found.get("count"), found.get("version")
     if not isinstance(rows, list):
-        raise Unreadable([*faults, Fault("nodes", shown(rows), "a list of nodes")])
+        raise InvalidDocument([*faults, Fault("nodes", shown(rows), "a list of nodes")])
     if (must_count or count is not None) and (type(count) is not int or count != len(rows)):
         faults.append(Fault("count", shown(count), f"{len(rows)}, as many as there are nodes"))
     if number is not None and (type(number) is not int or not 0 <= number < 1 << 63):
@@ -111,7 +115,7 @@
 def _file_sd(found: Any) -> Content:
     """`[{"targets": ["host:port", ...], "labels": {...}}, ...]`; a target's uid is its address."""
     if not isinstance(found, list):
-        raise Unreadable([Fault("file", shown(found), "a list of target groups")])
+        raise InvalidDocument([Fault("file", shown(found), "a list of target groups")])
     faults, rows = [], []
     for place, group in enumerate(found):
         at = f"group[{place}]"
@@ -200,5 +204,5 @@
 def _content(rows: Iterable[Any], faults: list[Fault], number: int | None) -> Content:
     nodes, more = check_rows(rows)
     if faults or more:
-        raise Unreadable([*faults, *more])
+        raise InvalidDocument([*faults, *more])
     return Content(nodes, number)
--- a/tests/membership/test_document.py
+++ b/tests/membership/test_document.py
@@ -8,9 +8,9 @@
 
 from flintlatch.membership import (
     MOST_NODES,
+    InvalidDocument,
     Node,
     NodeState,
-    Unreadable,
     Version,
     check_rows,
     read_document,
@@ -32,7 +32,7 @@
 
 def test_no_prefix_is_whole() -> None:
     for cut in range(len(WHOLE)):
-        with pytest.raises(Unreadable):
+        with pytest.raises(InvalidDocument):
             read_document(WHOLE[:cut])
 
 
@@ -41,7 +41,7 @@
     for cut in range(1, min(len(WHOLE), len(OTHER))):
         for mixed in (WHOLE[:cut] + OTHER[cut:], OTHER[:cut] + WHOLE[cut:]):
             if mixed not in (WHOLE, OTHER):
-                with pytest.raises(Unreadable):
+                with pytest.raises(InvalidDocument):
                     read_document(mixed)
 
 
@@ -51,7 +51,7 @@
     spoilt[place] ^= flip
     try:
         assert read_document(bytes(spoilt)) == Version("deploy", 42, NODES, 5.0)
-    except Unreadable:
+    except InvalidDocument:
         return
     assert (
         flip == 0x20 and spoilt[place : place + 1].isalpha()
@@ -60,7 +60,7 @@
 
 @given(st.binary(max_size=300))
 def test_noise_is_unreadable(data: bytes) -> None:
-    with pytest.raises(Unreadable):
+    with pytest.raises(InvalidDocument):
         read_document(data)
 
 
--- a/tests/membership/test_formats.py
+++ b/tests/membership/test_formats.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from flintlatch.membership import Node, NodeState, Unreadable, Version, write_document
+from flintlatch.membership import InvalidDocument, Node, NodeState, Version, write_document
 from flintlatch.membership.formats import read_file_content
 
 OURS = {
@@ -95,7 +95,7 @@
     for cut in range(len(data)):
         try:
             got = read_file_content(name, data[:cut])
-        except Unreadable:
+        except InvalidDocument:
             continue
         # A last line without its end of line may say all there is, and nothing less.
         assert got.nodes == nodes, f"{cut} of {len(data)} bytes"
@@ -123,6 +123,6 @@
     ],
 )
 def test_what_is_wrong_is_said(name: str, data: bytes, words: str) -> None:
-    with pytest.raises(Unreadable) as caught:
+    with pytest.raises(InvalidDocument) as caught:
         read_file_content(name, data)
     assert any(words in str(fault) for fault in caught.value.faults), caught.value.faults
