--- a/flintlatch/fleet/members.py
+++ b/flintlatch/fleet/members.py
@@ -22,7 +22,7 @@
     Restored,
     Rules,
     Save,
-    Ticked,
+    TimerExpired,
     Version,
     WakeAt,
     Warned,
@@ -160,7 +160,7 @@
                 if self.wake is not None:
                     self.wake.cancel()
                 at = max(action.at_s, self.loop.time() + 0.001)
-                self.wake = self.loop.call_at(at, self.on_event, Ticked())
+                self.wake = self.loop.call_at(at, self.on_event, TimerExpired())
 
     def _apply(self, action: Apply) -> None:
         if action.revision == 1:
--- a/flintlatch/membership/core.py
+++ b/flintlatch/membership/core.py
@@ -96,11 +96,11 @@
     healthy: bool
 
 
-class Ticked(NamedTuple):
+class TimerExpired(NamedTuple):
     """The time that `WakeAt` asked for has come."""
 
 
-Event = Offered | Restored | Unread | Failed | Confirmed | Health | Ticked
+Event = Offered | Restored | Unread | Failed | Confirmed | Health | TimerExpired
 
 # Actions
 
--- a/tests/membership/test_core.py
+++ b/tests/membership/test_core.py
@@ -23,7 +23,7 @@
     Restored,
     Rules,
     Save,
-    Ticked,
+    TimerExpired,
     Unread,
     Version,
     WakeAt,
@@ -94,14 +94,14 @@
         assert kinds(driver.step(Confirmed("file", 7))) == ["Warned", "WakeAt"]
         assert kinds(driver.step(Confirmed("file", 2))) == ["Save", "Apply"]
     elif how == "time":
-        assert kinds(driver.step(Ticked(), after=29.9)) == ["WakeAt"]
-        assert kinds(driver.step(Ticked(), after=0.2)) == ["Save", "Apply"]
+        assert kinds(driver.step(TimerExpired(), after=29.9)) == ["WakeAt"]
+        assert kinds(driver.step(TimerExpired(), after=0.2)) == ["Save", "Apply"]
     elif how == "replaced":
         assert kinds(driver.offer(3, *TEN[:9])) == ["Save", "Apply"]
     else:
         assert kinds(driver.offer(3, *TEN[:5], after=1)) == ["Save", "Apply"]
     assert len(driver.listed) == {"confirmed": 1, "time": 1, "replaced": 9, "smaller": 5}[how]
-    assert "Save" not in kinds(driver.step(Ticked(), after=100.0))
+    assert "Save" not in kinds(driver.step(TimerExpired(), after=100.0))
 
 
 @pytest.mark.parametrize(("drained", "taken"), [(True, True), (False, False)])
@@ -161,7 +161,7 @@
     driver.offer(2, node(0, weight=100.0), node(1, weight=0.1), *TEN[2:])
     seen = [(driver.listed["n0"].weight, driver.listed["n1"].weight)]
     for _ in range(5):
-        driver.step(Ticked(), after=5.0)
+        driver.step(TimerExpired(), after=5.0)
         seen.append((driver.listed["n0"].weight, driver.listed["n1"].weight))
     assert [up for up, _ in seen] == [4.0, 16.0, 64.0, 100.0, 100.0, 100.0]
     assert [down for _, down in seen[:3]] == [0.25, 0.1, 0.1]
@@ -176,7 +176,7 @@
         warned += [a for a in driver.offer(number, *nodes, after=1.0) if isinstance(a, Warned)]
     assert [w.text for w in warned] == ["n0 comes and goes: held down"]
     assert driver.listed["n0"].state.value == "draining"
-    driver.step(Ticked(), after=61.0)
+    driver.step(TimerExpired(), after=61.0)
     assert driver.listed["n0"].state.value == "active" and not driver.core.flaps
 
 
@@ -221,7 +221,7 @@
     st.builds(Confirmed, st.sampled_from(SOURCES), st.integers(0, 30)),
     st.builds(Health, st.sampled_from(SOURCES), st.integers(0, 9).map("n{}".format), st.booleans()),
     st.builds(Unread, st.sampled_from(SOURCES), st.just((Fault("x", "y", "z"),))),
-    st.just(Ticked()),
+    st.just(TimerExpired()),
 )
 
 
