--- a/flintlatch/fleet/members.py
+++ b/flintlatch/fleet/members.py
@@ -14,6 +14,7 @@
     Event,
     Held,
     InvalidDocument,
+    LogWarning,
     Membership,
     Node,
     NodeState,
@@ -25,7 +26,6 @@
     TimerExpired,
     Version,
     WakeAt,
-    Warned,
 )
 from flintlatch.membership.catalogue import CatalogueSource
 from flintlatch.membership.consul import Catalogue
@@ -154,7 +154,7 @@
                 left = action.until_s - self.loop.time()
                 text = f"{action.source}: version {action.number} held for {left:.0f} s: {action.reason}"
                 self.log("warning", text)
-            elif isinstance(action, Warned):
+            elif isinstance(action, LogWarning):
                 self.log("warning", action.text)
             elif isinstance(action, WakeAt):
                 if self.wake is not None:
--- a/flintlatch/membership/__init__.py
+++ b/flintlatch/membership/__init__.py
@@ -9,6 +9,7 @@
     Failed,
     Health,
     Held,
+    LogWarning,
     Membership,
     Offered,
     Rejected,
@@ -18,7 +19,6 @@
     TimerExpired,
     Unread,
     WakeAt,
-    Warned,
 )
 from flintlatch.membership.document import InvalidDocument, read_document, write_document
 from flintlatch.membership.model import Change, Node, NodeState, Version
@@ -47,7 +47,7 @@
     "InvalidDocument",
     "Version",
     "WakeAt",
-    "Warned",
+    "LogWarning",
     "check_rows",
     "read_document",
     "write_document",
--- a/flintlatch/membership/core.py
+++ b/flintlatch/membership/core.py
@@ -132,7 +132,7 @@
     until_s: float
 
 
-class Warned(NamedTuple):
+class LogWarning(NamedTuple):
     text: str
 
 
@@ -140,7 +140,7 @@
     at_s: float
 
 
-Action = Apply | Save | Rejected | Held | Warned | WakeAt
+Action = Apply | Save | Rejected | Held | LogWarning | WakeAt
 
 
 @dataclass(slots=True)
@@ -184,7 +184,7 @@
         elif isinstance(event, Failed):
             source = self.sources[event.source]
             if source.failure != event.reason:
-                self.out.append(Warned(f"{event.source}: {event.reason}; the list held stands"))
+                self.out.append(LogWarning(f"{event.source}: {event.reason}; the list held stands"))
             source.failure = event.reason
         elif isinstance(event, Confirmed):
             self._on_confirm(now_s, event)
@@ -216,7 +216,9 @@
             return
         if not version.nodes:
             self._reject(source, version.number, (Fault("node", "none", "a node: all would be gone"),))
-            self.out.append(Warned(f"{source.name}: version {version.number} removes every node: refused"))
+            self.out.append(
+                LogWarning(f"{source.name}: version {version.number} removes every node: refused")
+            )
             return
         lost, active = self._lost(source, version)
         if active and lost / active > self.rules.most_removed_part:
@@ -241,7 +243,7 @@
     def _on_confirm(self, now_s: float, event: Confirmed) -> None:
         source = self.sources.get(event.source)
         if source is None or source.held is None or source.held.number != event.number:
-            self.out.append(Warned(f"{event.source}: no version {event.number} is held"))
+            self.out.append(LogWarning(f"{event.source}: no version {event.number} is held"))
         else:
             self._take(now_s, source, source.held)
 
@@ -305,7 +307,7 @@
                 nodes[node.uid] = node
                 places.add(place)
         for clash in sorted(clashes - self.clashes):
-            self.out.append(Warned(f"{clash}: another source has this address; left out"))
+            self.out.append(LogWarning(f"{clash}: another source has this address; left out"))
         self.clashes = clashes
         return nodes
 
@@ -317,7 +319,7 @@
                 times.append(now_s)
                 if len(times) == rules.flaps and times[0] > now_s - rules.flap_window_s:
                     if uid not in self.down_until:
-                        self.out.append(Warned(f"{uid} comes and goes: held down"))
+                        self.out.append(LogWarning(f"{uid} comes and goes: held down"))
                     self.down_until[uid] = now_s + rules.flap_hold_s
         self.present = present
         self.down_until = {uid: until for uid, until in self.down_until.items() if until > now_s}
@@ -336,7 +338,7 @@
         panics = {pool for pool, (bad, all_of) in pools.items() if bad > self.rules.panic_part * all_of}
         for pool in sorted(panics - self.panics):
             bad, all_of = pools[pool]
-            self.out.append(Warned(f"pool {pool}: {bad} of {all_of} nodes are called bad: not believed"))
+            self.out.append(LogWarning(f"pool {pool}: {bad} of {all_of} nodes are called bad: not believed"))
         self.panics = panics
         return {uid for uid in doubted if uid in named and named[uid].pool not in panics}
 
--- a/tests/membership/test_core.py
+++ b/tests/membership/test_core.py
@@ -15,6 +15,7 @@
     Fault,
     Health,
     Held,
+    LogWarning,
     Membership,
     Node,
     NodeState,
@@ -27,7 +28,6 @@
     Unread,
     Version,
     WakeAt,
-    Warned,
 )
 
 
@@ -173,7 +173,7 @@
     warned = []
     for number in range(2, 8):
         nodes = TEN if number % 2 else TEN[1:]
-        warned += [a for a in driver.offer(number, *nodes, after=1.0) if isinstance(a, Warned)]
+        warned += [a for a in driver.offer(number, *nodes, after=1.0) if isinstance(a, LogWarning)]
     assert [w.text for w in warned] == ["n0 comes and goes: held down"]
     assert driver.listed["n0"].state.value == "draining"
     driver.step(TimerExpired(), after=61.0)
@@ -188,7 +188,7 @@
         assert driver.listed[f"n{number}"].state.value == "draining"
     actions = driver.step(Health("file", "n5", False))
     assert "pool default: 6 of 10 nodes are called bad: not believed" in [
-        a.text for a in actions if isinstance(a, Warned)
+        a.text for a in actions if isinstance(a, LogWarning)
     ]
     assert all(n.state is NodeState.ACTIVE for n in driver.listed.values())
     driver.step(Health("file", "n20", False))  # the other pool is not concerned
@@ -205,7 +205,7 @@
     driver.offer(1, node(1, weight=2.0), node(2), source="deploy")
     assert driver.listed["n1"].weight == 2.0
     actions = driver.offer(2, node(1), node(3, port=1002), source="registry")
-    assert [a.text for a in actions if isinstance(a, Warned)] == [
+    assert [a.text for a in actions if isinstance(a, LogWarning)] == [
         "registry: n3 at 10.0.0.1:1002 in default: another source has this address; left out"
     ]
     assert sorted(driver.listed) == ["n1", "n2"]
