--- a/flintlatch/fleet/members.py
+++ b/flintlatch/fleet/members.py
@@ -18,13 +18,13 @@
     Membership,
     Node,
     NodeState,
-    Offered,
     Rejected,
     Restored,
     Rules,
     Save,
     TimerExpired,
     Version,
+    VersionOffered,
     WakeAt,
 )
 from flintlatch.membership.catalogue import CatalogueSource
@@ -129,7 +129,7 @@
             self.loop.call_soon(self.on_event, Restored(version))
 
     def on_event(self, event: Event) -> None:
-        if isinstance(event, Offered):
+        if isinstance(event, VersionOffered):
             self.offered_ms = now_ms()
             if failure := self.core.sources[event.version.source].failure:
                 self.log("info", f"{event.version.source}: answers again, after {failure}")
--- a/flintlatch/membership/__init__.py
+++ b/flintlatch/membership/__init__.py
@@ -11,13 +11,13 @@
     Held,
     LogWarning,
     Membership,
-    Offered,
     Rejected,
     Restored,
     Rules,
     Save,
     TimerExpired,
     Unread,
+    VersionOffered,
     WakeAt,
 )
 from flintlatch.membership.document import InvalidDocument, read_document, write_document
@@ -37,7 +37,7 @@
     "Membership",
     "Node",
     "NodeState",
-    "Offered",
+    "VersionOffered",
     "Rejected",
     "Restored",
     "Rules",
--- a/flintlatch/membership/consul.py
+++ b/flintlatch/membership/consul.py
@@ -19,7 +19,7 @@
 import orjson
 
 from flintlatch.membership.check import Fault, check_rows, shown
-from flintlatch.membership.core import Event, Failed, Health, Offered, Unread
+from flintlatch.membership.core import Event, Failed, Health, Unread, VersionOffered
 from flintlatch.membership.document import MOST_BYTES
 from flintlatch.membership.model import Node, Version
 
@@ -93,7 +93,7 @@
             # Its index may begin anew; ours never goes back, also over a restart.
             self.number = max(self.number + 1, int(now_ms))
         self.nodes = nodes
-        out.append(Offered(Version(self.source, max(self.number, 1), nodes, now_ms)))
+        out.append(VersionOffered(Version(self.source, max(self.number, 1), nodes, now_ms)))
         named = {node.uid for node in nodes}
         out += [Health(self.source, uid, False) for uid in sorted(claims - self.claims)]
         out += [Health(self.source, uid, True) for uid in sorted((self.claims - claims) & named)]
--- a/flintlatch/membership/core.py
+++ b/flintlatch/membership/core.py
@@ -55,7 +55,7 @@
 # Events
 
 
-class Offered(NamedTuple):
+class VersionOffered(NamedTuple):
     """A source has a whole, checked version."""
 
     version: Version
@@ -100,7 +100,7 @@
     """The time that `WakeAt` asked for has come."""
 
 
-Event = Offered | Restored | Unread | Failed | Confirmed | Health | TimerExpired
+Event = VersionOffered | Restored | Unread | Failed | Confirmed | Health | TimerExpired
 
 # Actions
 
@@ -173,7 +173,7 @@
 
     def step(self, now_s: float, event: Event) -> list[Action]:
         self.out = []
-        if isinstance(event, Offered):
+        if isinstance(event, VersionOffered):
             self._on_offer(now_s, event.version)
         elif isinstance(event, Restored):
             source = self.sources.get(event.version.source)
--- a/flintlatch/membership/delivered.py
+++ b/flintlatch/membership/delivered.py
@@ -13,7 +13,7 @@
 import orjson
 
 from flintlatch.membership.check import MOST_FAULTS, MOST_NODES, Fault, check_rows, shown
-from flintlatch.membership.core import Event, Failed, Offered, Unread
+from flintlatch.membership.core import Event, Failed, Unread, VersionOffered
 from flintlatch.membership.model import Node, Version
 
 NO_OBJECT = "the origin has no such object"
@@ -52,7 +52,7 @@
             return [Unread(self.source, faults)]
         # In one order wherever they come from: the same revision is the same version also after a restart.
         nodes = tuple(self.nodes[name] for name in sorted(self.nodes))
-        return [Offered(Version(self.source, revision, nodes, now_ms))]
+        return [VersionOffered(Version(self.source, revision, nodes, now_ms))]
 
     def gone(self) -> list[Event]:
         """There is no such object, or no more. What was taken of it stands."""
--- a/flintlatch/membership/files.py
+++ b/flintlatch/membership/files.py
@@ -16,7 +16,7 @@
 from zlib import crc32
 
 from flintlatch.membership.check import Fault
-from flintlatch.membership.core import Event, Failed, Offered, Unread
+from flintlatch.membership.core import Event, Failed, Unread, VersionOffered
 from flintlatch.membership.document import MOST_BYTES, InvalidDocument, read_document, write_document
 from flintlatch.membership.formats import ENDINGS, Content, read_file_content
 from flintlatch.membership.model import Node, Version
@@ -122,7 +122,7 @@
         self.failure = ""
         # A file that tells no version of its own: each content is newer than the one before.
         self.number = max(self.number + 1, int(now_ms())) if content.number is None else content.number
-        self.on_event(Offered(Version(self.name, self.number, content.nodes, look.mtime_ns / 1e6)))
+        self.on_event(VersionOffered(Version(self.name, self.number, content.nodes, look.mtime_ns / 1e6)))
 
     def _fail(self, reason: str) -> None:
         self.last = None
--- a/flintlatch/membership/registry.py
+++ b/flintlatch/membership/registry.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from flintlatch.api import ServerState
-from flintlatch.membership.core import Event, Failed, Offered
+from flintlatch.membership.core import Event, Failed, VersionOffered
 from flintlatch.membership.model import Node, NodeState, Version
 from flintlatch.net.clock import now_ms
 from flintlatch.net.discovery import Discovery, Listing, Target
@@ -59,7 +59,7 @@
             # Its versions are its own, and begin anew with it; ours never go back, also over a restart.
             self.number = max(self.number + 1, int(now_ms()))
         self.nodes = nodes
-        self.on_event(Offered(Version(self.name, self.number, tuple(nodes.values()), now_ms())))
+        self.on_event(VersionOffered(Version(self.name, self.number, tuple(nodes.values()), now_ms())))
 
     def _on_failure(self, reason: str) -> None:
         self.on_event(Failed(self.name, reason))
--- a/tests/membership/test_consul.py
+++ b/tests/membership/test_consul.py
@@ -13,7 +13,17 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from flintlatch.membership import Apply, Event, Failed, Health, Membership, NodeState, Offered, Rules, Unread
+from flintlatch.membership import (
+    Apply,
+    Event,
+    Failed,
+    Health,
+    Membership,
+    NodeState,
+    Rules,
+    Unread,
+    VersionOffered,
+)
 from flintlatch.membership import catalogue as catalogue_module
 from flintlatch.membership import consul as consul_module
 from flintlatch.membership.catalogue import CatalogueSource
@@ -39,8 +49,8 @@
     return Catalogue("c", "review", 30.0, 10.0)
 
 
-def offered(events: list[Event]) -> list[Offered]:
-    return [event for event in events if isinstance(event, Offered)]
+def offered(events: list[Event]) -> list[VersionOffered]:
+    return [event for event in events if isinstance(event, VersionOffered)]
 
 
 @given(st.lists(st.tuples(st.integers(-2, 9), st.sets(st.sampled_from("abcd"), max_size=4)), max_size=40))
--- a/tests/membership/test_core.py
+++ b/tests/membership/test_core.py
@@ -19,7 +19,6 @@
     Membership,
     Node,
     NodeState,
-    Offered,
     Rejected,
     Restored,
     Rules,
@@ -27,6 +26,7 @@
     TimerExpired,
     Unread,
     Version,
+    VersionOffered,
     WakeAt,
 )
 
@@ -53,7 +53,7 @@
         return actions
 
     def offer(self, number: int, *nodes: Node, after: float = 0.0, source: str = "file") -> list[Action]:
-        return self.step(Offered(version(number, *nodes, source=source)), after)
+        return self.step(VersionOffered(version(number, *nodes, source=source)), after)
 
 
 def kinds(actions: list[Action]) -> list[str]:
@@ -109,9 +109,9 @@
     # Guards against drains held back, and against a registry begun anew that knows one node of many.
     nodes = tuple(Node(f"n{n}", "127.0.0.1", 9000 + n) for n in range(6))
     core = Membership(Rules(("registry",), drains_at_once=frozenset(("registry",))))
-    core.step(0.0, Offered(Version("registry", 1, nodes)))
+    core.step(0.0, VersionOffered(Version("registry", 1, nodes)))
     rest = tuple(node._replace(state=NodeState.DRAINING) for node in nodes[1:]) if drained else ()
-    core.step(1.0, Offered(Version("registry", 2, (nodes[0], *rest))))
+    core.step(1.0, VersionOffered(Version("registry", 2, (nodes[0], *rest))))
     assert len(core.nodes) == 6
     assert (core.sources["registry"].held is None) is taken
     assert sum(node.state is NodeState.DRAINING for node in core.nodes.values()) == (5 if drained else 0)
@@ -216,7 +216,10 @@
 NODES = st.lists(st.integers(0, 9), max_size=10, unique=True).map(lambda ns: tuple(node(n) for n in ns))
 EVENTS = st.one_of(
     st.builds(
-        lambda s, n, nodes: Offered(Version(s, n, nodes)), st.sampled_from(SOURCES), st.integers(0, 30), NODES
+        lambda s, n, nodes: VersionOffered(Version(s, n, nodes)),
+        st.sampled_from(SOURCES),
+        st.integers(0, 30),
+        NODES,
     ),
     st.builds(Confirmed, st.sampled_from(SOURCES), st.integers(0, 30)),
     st.builds(Health, st.sampled_from(SOURCES), st.integers(0, 9).map("n{}".format), st.booleans()),
@@ -233,7 +236,7 @@
     numbers = dict.fromkeys(SOURCES, -1)
     revision = 0
     for event, after in events:
-        if isinstance(event, Offered):
+        if isinstance(event, VersionOffered):
             offered[event.version.source].append(event.version)
         actions = driver.step(event, after)
         currents = {name: source.current for name, source in driver.core.sources.items()}
--- a/tests/membership/test_delivered.py
+++ b/tests/membership/test_delivered.py
@@ -18,11 +18,11 @@
     Held,
     Membership,
     NodeState,
-    Offered,
     Rejected,
     Restored,
     Rules,
     Unread,
+    VersionOffered,
     check_rows,
     delivered,
     read_document,
@@ -37,9 +37,9 @@
     return orjson.dumps({"uid": f"s{number}", "address": f"10.0.0.1:{9000 + number}"} | more)
 
 
-def offered(events: list[Event]) -> Offered:
+def offered(events: list[Event]) -> VersionOffered:
     (event,) = events
-    assert isinstance(event, Offered), event
+    assert isinstance(event, VersionOffered), event
     return event
 
 
--- a/tests/membership/test_files.py
+++ b/tests/membership/test_files.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from flintlatch.membership import Event, Failed, Node, Offered, Unread, Version, write_document
+from flintlatch.membership import Event, Failed, Node, Unread, Version, VersionOffered, write_document
 from flintlatch.membership import files as files_module
 from flintlatch.membership import files as shell
 from tests.loopback import run
@@ -45,8 +45,8 @@
             await self.news.wait()
 
     async def version(self, number: int) -> Version:
-        event = await self.until(lambda e: isinstance(e, Offered) and e.version.number == number)
-        assert isinstance(event, Offered)
+        event = await self.until(lambda e: isinstance(e, VersionOffered) and e.version.number == number)
+        assert isinstance(event, VersionOffered)
         return event.version
 
 
@@ -115,8 +115,8 @@
             by_rename(path, content(1000))
             seen: list[Version] = []
             while not seen or seen[-1].number != 1000:
-                event = await watched.until(lambda e: isinstance(e, Offered))
-                assert isinstance(event, Offered)
+                event = await watched.until(lambda e: isinstance(e, VersionOffered))
+                assert isinstance(event, VersionOffered)
                 seen.append(event.version)
             for version in seen:
                 assert [n.port for n in version.nodes] == [1000 + version.number] * (1 + version.number % 7)
@@ -154,8 +154,8 @@
             by_rename(path, sealed(900))  # whatever mixture they left
             seen: list[Version] = []
             while not seen or seen[-1].number != 900:
-                event = await watched.until(lambda e: isinstance(e, Offered))
-                assert isinstance(event, Offered)
+                event = await watched.until(lambda e: isinstance(e, VersionOffered))
+                assert isinstance(event, VersionOffered)
                 seen.append(event.version)
             for version in seen:
                 assert [n.port for n in version.nodes] == [1000 + version.number] * 5
