--- a/flintlatch/fleet/delivered.py
+++ b/flintlatch/fleet/delivered.py
@@ -15,7 +15,7 @@
 from flintlatch.delivery.model import Place, Role, Rules
 from flintlatch.delivery.shell import Client
 from flintlatch.delivery.subscriber import Changed
-from flintlatch.membership import Event, Restored, Version
+from flintlatch.membership import Event, Version, VersionRestored
 from flintlatch.membership.delivered import Delivered
 from flintlatch.net.clock import now_ms
 from flintlatch.peers.clock import clock
@@ -107,7 +107,7 @@
         """With what was taken last, and what is held by now."""
         self.begun = True
         if (version := self.supply.taken.get(self.service)) is not None:
-            self.on_event(Restored(version))
+            self.on_event(VersionRestored(version))
         if self.feed is None:
             return
         held = self.feed.client.subscriber.store.objects.get(self.service)
--- a/flintlatch/fleet/members.py
+++ b/flintlatch/fleet/members.py
@@ -19,12 +19,12 @@
     Node,
     NodeState,
     Rejected,
-    Restored,
     Rules,
     Save,
     TimerExpired,
     Version,
     VersionOffered,
+    VersionRestored,
     WakeAt,
 )
 from flintlatch.membership.catalogue import CatalogueSource
@@ -126,7 +126,7 @@
             return
         if version is not None and version.source == name:
             self.log("info", f"{name}: version {version.number} of before, until there is a newer one")
-            self.loop.call_soon(self.on_event, Restored(version))
+            self.loop.call_soon(self.on_event, VersionRestored(version))
 
     def on_event(self, event: Event) -> None:
         if isinstance(event, VersionOffered):
--- a/flintlatch/membership/__init__.py
+++ b/flintlatch/membership/__init__.py
@@ -12,12 +12,12 @@
     LogWarning,
     Membership,
     Rejected,
-    Restored,
     Rules,
     Save,
     TimerExpired,
     Unread,
     VersionOffered,
+    VersionRestored,
     WakeAt,
 )
 from flintlatch.membership.document import InvalidDocument, read_document, write_document
@@ -39,7 +39,7 @@
     "NodeState",
     "VersionOffered",
     "Rejected",
-    "Restored",
+    "VersionRestored",
     "Rules",
     "Save",
     "TimerExpired",
--- a/flintlatch/membership/core.py
+++ b/flintlatch/membership/core.py
@@ -61,7 +61,7 @@
     version: Version
 
 
-class Restored(NamedTuple):
+class VersionRestored(NamedTuple):
     """The last good version, as it was kept over a restart: old until its source confirms or replaces it."""
 
     version: Version
@@ -100,7 +100,7 @@
     """The time that `WakeAt` asked for has come."""
 
 
-Event = VersionOffered | Restored | Unread | Failed | Confirmed | Health | TimerExpired
+Event = VersionOffered | VersionRestored | Unread | Failed | Confirmed | Health | TimerExpired
 
 # Actions
 
@@ -175,7 +175,7 @@
         self.out = []
         if isinstance(event, VersionOffered):
             self._on_offer(now_s, event.version)
-        elif isinstance(event, Restored):
+        elif isinstance(event, VersionRestored):
             source = self.sources.get(event.version.source)
             if source is not None and source.current is None and event.version.nodes:
                 source.current, source.old = event.version, True
--- a/tests/membership/test_core.py
+++ b/tests/membership/test_core.py
@@ -20,13 +20,13 @@
     Node,
     NodeState,
     Rejected,
-    Restored,
     Rules,
     Save,
     TimerExpired,
     Unread,
     Version,
     VersionOffered,
+    VersionRestored,
     WakeAt,
 )
 
@@ -134,7 +134,7 @@
 
 def test_after_a_restart_the_last_good_one_holds_and_is_old_until_confirmed() -> None:
     driver = Driver()
-    assert kinds(driver.step(Restored(version(7, *TEN)))) == ["Apply"]
+    assert kinds(driver.step(VersionRestored(version(7, *TEN)))) == ["Apply"]
     source = driver.core.sources["file"]
     assert source.old and kinds(driver.offer(6, *TEN)) == ["Rejected"] and source.old
     assert driver.offer(7, *TEN) == [] and not source.old
--- a/tests/membership/test_delivered.py
+++ b/tests/membership/test_delivered.py
@@ -19,10 +19,10 @@
     Membership,
     NodeState,
     Rejected,
-    Restored,
     Rules,
     Unread,
     VersionOffered,
+    VersionRestored,
     check_rows,
     delivered,
     read_document,
@@ -170,7 +170,7 @@
     version = offered(Delivered(SERVICE).whole(0.0, 9, items)).version
     kept = read_document(write_document(version))
     core, rows = membership(), Delivered(SERVICE)
-    core.step(0.0, Restored(kept))
+    core.step(0.0, VersionRestored(kept))
     assert core.sources[SERVICE].old
     again = rows.whole(1.0, 9, dict(reversed(items.items())))
     assert [type(action) for event in again for action in core.step(1.0, event)] == []
