--- a/flintlatch/fleet/members.py
+++ b/flintlatch/fleet/members.py
@@ -12,7 +12,6 @@
     Apply,
     Confirmed,
     Event,
-    Held,
     InvalidDocument,
     LogWarning,
     Membership,
@@ -23,6 +22,7 @@
     Save,
     TimerExpired,
     Version,
+    VersionHeld,
     VersionOffered,
     VersionRestored,
     WakeAt,
@@ -150,7 +150,7 @@
                 text = f"{action.source}: {which} rejected: {told}" + (f"; {more} more" if more > 0 else "")
                 self.last_rejection = text
                 self.log("warning", text)
-            elif isinstance(action, Held):
+            elif isinstance(action, VersionHeld):
                 left = action.until_s - self.loop.time()
                 text = f"{action.source}: version {action.number} held for {left:.0f} s: {action.reason}"
                 self.log("warning", text)
--- a/flintlatch/membership/core.py
+++ b/flintlatch/membership/core.py
@@ -125,7 +125,7 @@
     faults: tuple[Fault, ...]
 
 
-class Held(NamedTuple):
+class VersionHeld(NamedTuple):
     source: str
     number: int
     reason: str
@@ -140,7 +140,7 @@
     at_s: float
 
 
-Action = Apply | Save | Rejected | Held | LogWarning | WakeAt
+Action = Apply | Save | Rejected | VersionHeld | LogWarning | WakeAt
 
 
 @dataclass(slots=True)
@@ -224,7 +224,7 @@
         if active and lost / active > self.rules.most_removed_part:
             source.held, source.held_until_s = version, now_s + self.rules.hold_s
             reason = f"it takes away {lost} of {active} active nodes"
-            self.out.append(Held(source.name, version.number, reason, source.held_until_s))
+            self.out.append(VersionHeld(source.name, version.number, reason, source.held_until_s))
             return
         self._take(now_s, source, version)
 
--- a/tests/membership/test_core.py
+++ b/tests/membership/test_core.py
@@ -14,7 +14,6 @@
     Failed,
     Fault,
     Health,
-    Held,
     LogWarning,
     Membership,
     Node,
@@ -25,6 +24,7 @@
     TimerExpired,
     Unread,
     Version,
+    VersionHeld,
     VersionOffered,
     VersionRestored,
     WakeAt,
@@ -87,7 +87,7 @@
     driver = Driver(Rules(("file",), hold_s=30.0))
     driver.offer(1, *TEN)
     (held, wake) = driver.offer(2, *TEN[:1])
-    assert isinstance(held, Held) and held.reason == "it takes away 9 of 10 active nodes"
+    assert isinstance(held, VersionHeld) and held.reason == "it takes away 9 of 10 active nodes"
     assert isinstance(wake, WakeAt) and wake.at_s == held.until_s == driver.now + 30
     assert len(driver.listed) == 10
     if how == "confirmed":
--- a/tests/membership/test_delivered.py
+++ b/tests/membership/test_delivered.py
@@ -15,12 +15,12 @@
     Change,
     Event,
     Failed,
-    Held,
     Membership,
     NodeState,
     Rejected,
     Rules,
     Unread,
+    VersionHeld,
     VersionOffered,
     VersionRestored,
     check_rows,
@@ -154,7 +154,7 @@
     applied(core, 0.0, rows.whole(0.0, 5, {f"i{n}": row(n) for n in range(4)}))
     # Too much at once is held; nothing at all is refused; an object that is gone takes nothing away.
     (event,) = rows.changed(1.0, 6, {}, ("i0", "i1", "i2"))
-    assert any(isinstance(action, Held) for action in core.step(1.0, event))
+    assert any(isinstance(action, VersionHeld) for action in core.step(1.0, event))
     (event,) = rows.changed(2.0, 7, {}, ("i3",))
     assert any(isinstance(action, Rejected) for action in core.step(2.0, event))
     (event,) = rows.gone()
