--- a/flintlatch/fleet/members.py
+++ b/flintlatch/fleet/members.py
@@ -15,10 +15,10 @@
     InvalidDocument,
     LogWarning,
     Membership,
+    MembershipRules,
     Node,
     NodeState,
     Rejected,
-    Rules,
     Save,
     TimerExpired,
     Version,
@@ -59,7 +59,7 @@
         registry = (REGISTRY,) if table.source == "registry" else ()
         delivered = (table.service,) if table.source == "delivery" else ()
         self.core = Membership(
-            Rules(
+            MembershipRules(
                 (*table.files, *named, *registry, *delivered),
                 most_removed_part=table.most_removed_part,
                 hold_s=table.hold_s,
--- a/flintlatch/membership/core.py
+++ b/flintlatch/membership/core.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rules:
+class MembershipRules:
     sources: tuple[str, ...]  # by precedence: of two that name one uid, the first counts
     most_removed_part: float = 0.5  # of the active nodes that one version may take away without being held
     hold_s: float = 30.0  # after which a held version is taken unconfirmed
@@ -158,7 +158,7 @@
 
 
 class Membership:
-    def __init__(self, rules: Rules) -> None:
+    def __init__(self, rules: MembershipRules) -> None:
         self.rules = rules
         self.sources = {name: Source(name) for name in rules.sources}
         self.nodes: dict[str, Node] = {}  # the list in effect
--- a/tests/membership/test_consul.py
+++ b/tests/membership/test_consul.py
@@ -19,8 +19,8 @@
     Failed,
     Health,
     Membership,
+    MembershipRules,
     NodeState,
-    Rules,
     Unread,
     VersionOffered,
 )
@@ -122,7 +122,7 @@
 
 
 def test_checks_are_evidence_beside_the_list_and_are_taken_back() -> None:
-    source, core = catalogue(), Membership(Rules(("c",)))
+    source, core = catalogue(), Membership(MembershipRules(("c",)))
 
     def told(index: int, *bad: str, uids: str = "abc") -> dict[str, NodeState]:
         for event in source.answered(float(index), 200, headers(index), body(*uids, bad=bad)):
@@ -143,7 +143,7 @@
 
 
 def test_an_empty_list_after_an_outage_is_refused_and_the_next_one_taken() -> None:
-    source, core = catalogue(), Membership(Rules(("c",)))
+    source, core = catalogue(), Membership(MembershipRules(("c",)))
     for number, uids in enumerate(("ab", "", "", "ab", "abc"), 1):
         for event in source.answered(float(number), 200, headers(number), body(*uids)):
             core.step(number, event)
@@ -160,7 +160,7 @@
     consul = await Consul().open()
     consul.put("a", "127.0.0.1:9001")
     consul.put("b", "127.0.0.1:9002", weight=3, zone="z2")
-    core = Membership(Rules(("c",)))
+    core = Membership(MembershipRules(("c",)))
     source = CatalogueSource(
         f"http://{consul.address}",
         "secret",
@@ -275,7 +275,7 @@
 
 
 def test_applied_changes_name_the_catalogue_by_its_nodes() -> None:
-    source, core = catalogue(), Membership(Rules(("c",)))
+    source, core = catalogue(), Membership(MembershipRules(("c",)))
     actions = []
     for event in source.answered(5.0, 200, headers(3), body("a")):
         actions += core.step(5.0, event)
--- a/tests/membership/test_core.py
+++ b/tests/membership/test_core.py
@@ -16,10 +16,10 @@
     Health,
     LogWarning,
     Membership,
+    MembershipRules,
     Node,
     NodeState,
     Rejected,
-    Rules,
     Save,
     TimerExpired,
     Unread,
@@ -40,8 +40,8 @@
 
 
 class Driver:
-    def __init__(self, rules: Rules | None = None) -> None:
-        self.core, self.now = Membership(rules or Rules(("file",))), 1000.0
+    def __init__(self, rules: MembershipRules | None = None) -> None:
+        self.core, self.now = Membership(rules or MembershipRules(("file",))), 1000.0
         self.listed: dict[str, Node] = {}
 
     def step(self, event: Event, after: float = 0.0) -> list[Action]:
@@ -84,7 +84,7 @@
 
 @pytest.mark.parametrize("how", ["confirmed", "time", "replaced", "smaller"])
 def test_one_that_takes_away_too_much_waits(how: str) -> None:
-    driver = Driver(Rules(("file",), hold_s=30.0))
+    driver = Driver(MembershipRules(("file",), hold_s=30.0))
     driver.offer(1, *TEN)
     (held, wake) = driver.offer(2, *TEN[:1])
     assert isinstance(held, VersionHeld) and held.reason == "it takes away 9 of 10 active nodes"
@@ -108,7 +108,7 @@
 def test_a_registry_drains_as_many_as_it_says_and_loses_few_without(drained: bool, taken: bool) -> None:
     # Guards against drains held back, and against a registry begun anew that knows one node of many.
     nodes = tuple(Node(f"n{n}", "127.0.0.1", 9000 + n) for n in range(6))
-    core = Membership(Rules(("registry",), drains_at_once=frozenset(("registry",))))
+    core = Membership(MembershipRules(("registry",), drains_at_once=frozenset(("registry",))))
     core.step(0.0, VersionOffered(Version("registry", 1, nodes)))
     rest = tuple(node._replace(state=NodeState.DRAINING) for node in nodes[1:]) if drained else ()
     core.step(1.0, VersionOffered(Version("registry", 2, (nodes[0], *rest))))
@@ -156,7 +156,7 @@
 
 
 def test_a_weight_that_jumps_goes_in_steps() -> None:
-    driver = Driver(Rules(("file",), weight_factor=4.0, weight_step_s=5.0))
+    driver = Driver(MembershipRules(("file",), weight_factor=4.0, weight_step_s=5.0))
     driver.offer(1, *TEN)
     driver.offer(2, node(0, weight=100.0), node(1, weight=0.1), *TEN[2:])
     seen = [(driver.listed["n0"].weight, driver.listed["n1"].weight)]
@@ -168,7 +168,7 @@
 
 
 def test_a_node_that_comes_and_goes_is_held_down_for_a_while() -> None:
-    driver = Driver(Rules(("file",), flaps=4, flap_window_s=60.0, flap_hold_s=60.0))
+    driver = Driver(MembershipRules(("file",), flaps=4, flap_window_s=60.0, flap_hold_s=60.0))
     driver.offer(1, *TEN)
     warned = []
     for number in range(2, 8):
@@ -181,7 +181,7 @@
 
 
 def test_unhealthy_nodes_drain_unless_too_many_are_called_so() -> None:
-    driver = Driver(Rules(("file",), panic_part=0.5, flaps=50))
+    driver = Driver(MembershipRules(("file",), panic_part=0.5, flaps=50))
     driver.offer(1, *TEN, *(node(n, pool="other") for n in range(20, 24)))
     for number in range(5):
         driver.step(Health("file", f"n{number}", False))
@@ -200,7 +200,7 @@
 
 
 def test_sources_feed_one_list_by_precedence() -> None:
-    driver = Driver(Rules(("deploy", "registry")))
+    driver = Driver(MembershipRules(("deploy", "registry")))
     driver.offer(1, node(1, weight=3.0), source="registry")
     driver.offer(1, node(1, weight=2.0), node(2), source="deploy")
     assert driver.listed["n1"].weight == 2.0
@@ -231,7 +231,7 @@
 @settings(max_examples=400, deadline=None)
 @given(st.lists(st.tuples(EVENTS, st.sampled_from((0.0, 0.5, 40.0))), max_size=40))
 def test_what_is_listed_is_whole_versions_and_never_nothing_again(events: list[tuple[Event, float]]) -> None:
-    driver = Driver(Rules(SOURCES, flaps=3))
+    driver = Driver(MembershipRules(SOURCES, flaps=3))
     offered: dict[str, list[Version]] = {name: [] for name in SOURCES}
     numbers = dict.fromkeys(SOURCES, -1)
     revision = 0
@@ -274,4 +274,4 @@
 )
 def test_rules_that_can_not_be(change: dict[str, object], words: str) -> None:
     with pytest.raises(ValueError, match=words):
-        Rules(**({"sources": ("a",)} | change))  # type: ignore[arg-type]
+        MembershipRules(**({"sources": ("a",)} | change))  # type: ignore[arg-type]
--- a/tests/membership/test_delivered.py
+++ b/tests/membership/test_delivered.py
@@ -16,9 +16,9 @@
     Event,
     Failed,
     Membership,
+    MembershipRules,
     NodeState,
     Rejected,
-    Rules,
     Unread,
     VersionHeld,
     VersionOffered,
@@ -54,7 +54,7 @@
 
 
 def membership(*sources: str, **rules: Any) -> Membership:
-    return Membership(Rules(sources or (SERVICE,), **rules))
+    return Membership(MembershipRules(sources or (SERVICE,), **rules))
 
 
 def applied(core: Membership, now: float, events: list[Event]) -> list[Change]:
--- a/tests/membership/test_folder.py
+++ b/tests/membership/test_folder.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from flintlatch.membership import Event, Membership, Rules, Save
+from flintlatch.membership import Event, Membership, MembershipRules, Save
 from flintlatch.membership.files import source_of
 from tests.loopback import run
 
@@ -26,7 +26,7 @@
 @asynccontextmanager
 async def watched(folder: Path, most_removed_part: float = 0.5) -> AsyncIterator[Watched]:
     """The core, what it was told, and each list that it took."""
-    core, events = Membership(Rules(("d/",), most_removed_part)), []
+    core, events = Membership(MembershipRules(("d/",), most_removed_part)), []
     taken: list[set[str]] = []
 
     def on_event(event: Event) -> None:
