--- a/flintlatch/fleet/members.py
+++ b/flintlatch/fleet/members.py
@@ -28,7 +28,7 @@
     WakeAt,
 )
 from flintlatch.membership.catalogue import CatalogueSource
-from flintlatch.membership.consul import Catalogue
+from flintlatch.membership.consul import ServiceWatch
 from flintlatch.membership.files import FileSource, keep, kept, source_of
 from flintlatch.membership.registry import RegistrySource
 from flintlatch.net.clock import now_ms
@@ -79,7 +79,7 @@
         ]
         token = self._token(beside(config.path, table.token_file)) if table.token_file else ""
         for name, service in named.items():
-            catalogue = Catalogue(name, service, table.wait_s, table.most_stale_s)
+            catalogue = ServiceWatch(name, service, table.wait_s, table.most_stale_s)
             try:
                 self.sources.append(CatalogueSource(table.catalogue, token, catalogue, self.on_event))
             except ImportError:
--- a/flintlatch/membership/catalogue.py
+++ b/flintlatch/membership/catalogue.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable
 
-from flintlatch.membership.consul import Catalogue
+from flintlatch.membership.consul import ServiceWatch
 from flintlatch.membership.core import Event
 from flintlatch.membership.document import MOST_BYTES
 from flintlatch.net.clock import now_ms
@@ -18,7 +18,9 @@
 class CatalogueSource:
     """Tells the core's events of one service to `on_event`, on the loop, until closed."""
 
-    def __init__(self, url: str, token: str, catalogue: Catalogue, on_event: Callable[[Event], None]) -> None:
+    def __init__(
+        self, url: str, token: str, catalogue: ServiceWatch, on_event: Callable[[Event], None]
+    ) -> None:
         """`url`: such as http://127.0.0.1:8500. `token`: of its ACL; empty for none. Raises ImportError where
         the extra for it is not installed."""
         import httpx  # an extra: only sites with a catalogue need it
--- a/flintlatch/membership/consul.py
+++ b/flintlatch/membership/consul.py
@@ -34,7 +34,7 @@
     wait_s: float  # that the catalogue may take for it, beside its own work
 
 
-class Catalogue:
+class ServiceWatch:
     """One service. `ask` says what to ask; each answer or failure goes in once, and then `rest_s` says how
     long to wait before the next."""
 
--- a/tests/membership/test_consul.py
+++ b/tests/membership/test_consul.py
@@ -27,7 +27,7 @@
 from flintlatch.membership import catalogue as catalogue_module
 from flintlatch.membership import consul as consul_module
 from flintlatch.membership.catalogue import CatalogueSource
-from flintlatch.membership.consul import Catalogue
+from flintlatch.membership.consul import ServiceWatch
 from flintlatch.standin.consul import Consul
 from tests.fleet.support import daemon
 from tests.loopback import run
@@ -45,8 +45,8 @@
     return {"x-consul-index": str(index), "x-consul-lastcontact": "0"} | more
 
 
-def catalogue() -> Catalogue:
-    return Catalogue("c", "review", 30.0, 10.0)
+def catalogue() -> ServiceWatch:
+    return ServiceWatch("c", "review", 30.0, 10.0)
 
 
 def offered(events: list[Event]) -> list[VersionOffered]:
@@ -164,7 +164,7 @@
     source = CatalogueSource(
         f"http://{consul.address}",
         "secret",
-        Catalogue("c", "review", wait_s, 10.0),
+        ServiceWatch("c", "review", wait_s, 10.0),
         lambda event: None if core.step(0.0, event) else None,
     )
     try:
