--- a/flintlatch/fleet/delivered.py
+++ b/flintlatch/fleet/delivered.py
@@ -16,7 +16,7 @@
 from flintlatch.delivery.shell import Client
 from flintlatch.delivery.subscriber import Changed
 from flintlatch.membership import Event, Version, VersionRestored
-from flintlatch.membership.delivered import Delivered
+from flintlatch.membership.delivered import DeliveredNodeList
 from flintlatch.net.clock import now_ms
 from flintlatch.peers.clock import clock
 from flintlatch.peers.seal import BadKeys, read_keys
@@ -96,7 +96,7 @@
     ) -> None:
         self.supply, self.feed, self.service, self.on_event = supply, feed, service, on_event
         self.complaint = complaint
-        self.rows = Delivered(service)
+        self.rows = DeliveredNodeList(service)
         self.begun = False
         self.beginning = asyncio.get_running_loop().call_soon(self._begin)
         if feed is not None:
--- a/flintlatch/membership/delivered.py
+++ b/flintlatch/membership/delivered.py
@@ -19,7 +19,7 @@
 NO_OBJECT = "the origin has no such object"
 
 
-class Delivered:
+class DeliveredNodeList:
     """`source`: its name in the core. What comes goes in as events for that core."""
 
     def __init__(self, source: str) -> None:
