--- a/flintlatch/fleet/members.py
+++ b/flintlatch/fleet/members.py
@@ -29,7 +29,7 @@
 )
 from flintlatch.membership.catalogue import CatalogueSource
 from flintlatch.membership.consul import ServiceWatch
-from flintlatch.membership.files import FileSource, keep, kept, source_of
+from flintlatch.membership.files import FileSource, kept, save_version, source_of
 from flintlatch.membership.registry import RegistrySource
 from flintlatch.net.clock import now_ms
 from flintlatch.net.discovery import Listing, Target
@@ -182,7 +182,7 @@
             if not future.cancelled() and (error := future.exception()) is not None:
                 self.log("warning", f"{self._kept_at(version.source)}: version not kept: {error}")
 
-        future = self.loop.run_in_executor(None, keep, self._kept_at(version.source), version)
+        future = self.loop.run_in_executor(None, save_version, self._kept_at(version.source), version)
         self.kept.add(future)
         future.add_done_callback(done)
 
--- a/flintlatch/membership/files.py
+++ b/flintlatch/membership/files.py
@@ -212,7 +212,7 @@
     return (FolderSource if name.endswith("/") else FileSource)(name, path, on_event)
 
 
-def keep(path: str, version: Version) -> None:
+def save_version(path: str, version: Version) -> None:
     """Write the version in place of the one kept before: whole, or not at all (rename(2), fsync(2))."""
     fresh = f"{path}.{os.getpid()}"
     try:
@@ -234,7 +234,7 @@
 
 
 def kept(path: str) -> Version | None:
-    """What `keep` wrote last; None if there is nothing. Raises OSError or Unreadable."""
+    """What `save_version` wrote last; None if there is nothing. Raises OSError or Unreadable."""
     try:
         return read_document(read(path).data)
     except FileNotFoundError:
--- a/tests/membership/test_files.py
+++ b/tests/membership/test_files.py
@@ -220,7 +220,7 @@
     path = str(tmp_path / "kept")
     first, second = (Version("f", n, (Node("a", "10.0.0.1", n),), 1.0) for n in (1, 2))
     assert shell.kept(path) is None
-    shell.keep(path, first)
+    shell.save_version(path, first)
     assert shell.kept(path) == first
 
     def full(fd: int) -> None:
@@ -229,7 +229,7 @@
     with monkeypatch.context() as patch:
         patch.setattr(os, "fsync", full)
         with pytest.raises(OSError, match="full"):
-            shell.keep(path, second)
+            shell.save_version(path, second)
     assert shell.kept(path) == first and os.listdir(tmp_path) == ["kept"]
-    shell.keep(path, second)
+    shell.save_version(path, second)
     assert shell.kept(path) == second and Path(path).read_bytes() == write_document(second)
