--- a/flintlatch/fleet/members.py
+++ b/flintlatch/fleet/members.py
@@ -29,7 +29,7 @@
 )
 from flintlatch.membership.catalogue import CatalogueSource
 from flintlatch.membership.consul import ServiceWatch
-from flintlatch.membership.files import FileSource, kept, save_version, source_of
+from flintlatch.membership.files import FileSource, load_version, save_version, source_of
 from flintlatch.membership.registry import RegistrySource
 from flintlatch.net.clock import now_ms
 from flintlatch.net.discovery import Listing, Target
@@ -120,7 +120,7 @@
         if not self.keep_path:
             return
         try:
-            version = kept(self._kept_at(name))
+            version = load_version(self._kept_at(name))
         except (OSError, InvalidDocument) as error:
             self.log("warning", f"{self._kept_at(name)}: not used: {error}")
             return
--- a/flintlatch/membership/files.py
+++ b/flintlatch/membership/files.py
@@ -233,7 +233,7 @@
         raise
 
 
-def kept(path: str) -> Version | None:
+def load_version(path: str) -> Version | None:
     """What `save_version` wrote last; None if there is nothing. Raises OSError or Unreadable."""
     try:
         return read_document(read(path).data)
--- a/tests/membership/test_files.py
+++ b/tests/membership/test_files.py
@@ -219,9 +219,9 @@
 ) -> None:
     path = str(tmp_path / "kept")
     first, second = (Version("f", n, (Node("a", "10.0.0.1", n),), 1.0) for n in (1, 2))
-    assert shell.kept(path) is None
+    assert shell.load_version(path) is None
     shell.save_version(path, first)
-    assert shell.kept(path) == first
+    assert shell.load_version(path) == first
 
     def full(fd: int) -> None:
         raise OSError(errno.ENOSPC, "full")
@@ -230,6 +230,6 @@
         patch.setattr(os, "fsync", full)
         with pytest.raises(OSError, match="full"):
             shell.save_version(path, second)
-    assert shell.kept(path) == first and os.listdir(tmp_path) == ["kept"]
+    assert shell.load_version(path) == first and os.listdir(tmp_path) == ["kept"]
     shell.save_version(path, second)
-    assert shell.kept(path) == second and Path(path).read_bytes() == write_document(second)
+    assert shell.load_version(path) == second and Path(path).read_bytes() == write_document(second)
