--- a/flintlatch/cli.py
+++ b/flintlatch/cli.py
@@ -324,11 +324,11 @@
 
 def check_nodes(args: argparse.Namespace) -> int:
     from flintlatch.membership import InvalidDocument
-    from flintlatch.membership.files import read
+    from flintlatch.membership.files import read_regular_file
     from flintlatch.membership.formats import read_file_content
 
     try:
-        content = read_file_content(args.check, read(args.check).data)
+        content = read_file_content(args.check, read_regular_file(args.check).data)
     except OSError as error:
         print(f"{args.check}: {error.strerror}", file=sys.stderr)
         return 1
--- a/flintlatch/membership/files.py
+++ b/flintlatch/membership/files.py
@@ -49,7 +49,7 @@
     return Look(found.st_dev, found.st_ino, found.st_size, found.st_mtime_ns, found.st_ctime_ns)
 
 
-def read(path: str) -> Read:
+def read_regular_file(path: str) -> Read:
     """All of a regular file. Raises OSError, or Unreadable for anything else and for too much."""
     fd = os.open(path, os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC)  # a FIFO must not hold us up
     found = os.fstat(fd)
@@ -83,7 +83,7 @@
 
     def _content(self) -> tuple[Look, Content]:
         """Off the loop. Raises OSError or Unreadable."""
-        found = read(self.path)
+        found = read_regular_file(self.path)
         self.seen = found.look
         return found.look, read_file_content(self.path, found.data)
 
@@ -179,7 +179,7 @@
         places: dict[tuple[str, str], str] = {}
         for name in looks:
             try:
-                content = read_file_content(name, read(os.path.join(self.path, name)).data)
+                content = read_file_content(name, read_regular_file(os.path.join(self.path, name)).data)
             except InvalidDocument as error:
                 faults += [fault._replace(where=f"{name}: {fault.where}") for fault in error.faults]
                 continue
@@ -236,6 +236,6 @@
 def load_version(path: str) -> Version | None:
     """What `save_version` wrote last; None if there is nothing. Raises OSError or Unreadable."""
     try:
-        return read_document(read(path).data)
+        return read_document(read_regular_file(path).data)
     except FileNotFoundError:
         return None
--- a/tests/membership/test_files.py
+++ b/tests/membership/test_files.py
@@ -174,12 +174,12 @@
     async def test() -> None:
         path = tmp_path / "nodes.json"
         path.write_bytes(content(2))
-        allowed = files_module.read
-        monkeypatch.setattr(files_module, "read", refuse)
+        allowed = files_module.read_regular_file
+        monkeypatch.setattr(files_module, "read_regular_file", refuse)
         async with watching(path) as watched:
             event = await watched.until(lambda e: isinstance(e, Failed))
             assert isinstance(event, Failed) and "Permission denied" in event.reason
-            monkeypatch.setattr(files_module, "read", allowed)
+            monkeypatch.setattr(files_module, "read_regular_file", allowed)
             await watched.version(2)
 
     run(test())
