--- a/flintlatch/fleet/members.py
+++ b/flintlatch/fleet/members.py
@@ -29,7 +29,7 @@
 )
 from flintlatch.membership.catalogue import CatalogueSource
 from flintlatch.membership.consul import ServiceWatch
-from flintlatch.membership.files import FileSource, load_version, save_version, source_of
+from flintlatch.membership.files import FileSource, load_version, make_file_source, save_version
 from flintlatch.membership.registry import RegistrySource
 from flintlatch.net.clock import now_ms
 from flintlatch.net.discovery import Listing, Target
@@ -75,7 +75,7 @@
         for name in self.core.rules.sources:
             self._restore(name)
         self.sources: list[FileSource | CatalogueSource | RegistrySource | Followed] = [
-            source_of(name, beside(config.path, name), self.on_event) for name in table.files
+            make_file_source(name, beside(config.path, name), self.on_event) for name in table.files
         ]
         token = self._token(beside(config.path, table.token_file)) if table.token_file else ""
         for name, service in named.items():
--- a/flintlatch/membership/files.py
+++ b/flintlatch/membership/files.py
@@ -207,7 +207,7 @@
         return self.seen, Content(tuple(nodes), None)
 
 
-def source_of(name: str, path: str, on_event: Callable[[Event], None]) -> FileSource:
+def make_file_source(name: str, path: str, on_event: Callable[[Event], None]) -> FileSource:
     """A folder's source where the name ends with a slash, else a file's."""
     return (FolderSource if name.endswith("/") else FileSource)(name, path, on_event)
 
--- a/tests/membership/test_folder.py
+++ b/tests/membership/test_folder.py
@@ -12,7 +12,7 @@
 import pytest
 
 from flintlatch.membership import Event, Membership, MembershipRules, Save
-from flintlatch.membership.files import source_of
+from flintlatch.membership.files import make_file_source
 from tests.loopback import run
 
 Watched = tuple[Membership, list[Event], list[set[str]]]
@@ -35,7 +35,7 @@
             if isinstance(action, Save):
                 taken.append({f"{node.pool}/{node.uid}" for node in action.version.nodes})
 
-    source = source_of("d/", str(folder), on_event)
+    source = make_file_source("d/", str(folder), on_event)
     try:
         yield core, events, taken
     finally:
