--- a/flintlatch/fleet/members.py
+++ b/flintlatch/fleet/members.py
@@ -61,7 +61,7 @@
         self.core = Membership(
             MembershipRules(
                 (*table.files, *named, *registry, *delivered),
-                most_removed_part=table.most_removed_part,
+                max_removed_fraction=table.most_removed_part,
                 hold_s=table.hold_s,
                 drains_at_once=frozenset(registry),  # a drain is a process's own word there, not a hand's
             )
--- a/flintlatch/membership/core.py
+++ b/flintlatch/membership/core.py
@@ -27,7 +27,7 @@
 @dataclass(frozen=True, slots=True)
 class MembershipRules:
     sources: tuple[str, ...]  # by precedence: of two that name one uid, the first counts
-    most_removed_part: float = 0.5  # of the active nodes that one version may take away without being held
+    max_removed_fraction: float = 0.5  # of the active nodes that one version may take away without being held
     hold_s: float = 30.0  # after which a held version is taken unconfirmed
     weight_factor: float = 4.0  # a weight changes by no more than this at once
     weight_step_s: float = 5.0  # between two such changes
@@ -40,7 +40,7 @@
     def __post_init__(self) -> None:
         if not self.sources or len(set(self.sources)) != len(self.sources):
             raise ValueError("sources: at least one, each once")
-        for name in ("most_removed_part", "panic_part"):
+        for name in ("max_removed_fraction", "panic_part"):
             if not 0 <= getattr(self, name) <= 1:
                 raise ValueError(f"{name} must be from 0 to 1")
         for name in ("hold_s", "weight_step_s", "flap_window_s", "flap_hold_s"):
@@ -221,7 +221,7 @@
             )
             return
         lost, active = self._lost(source, version)
-        if active and lost / active > self.rules.most_removed_part:
+        if active and lost / active > self.rules.max_removed_fraction:
             source.held, source.held_until_s = version, now_s + self.rules.hold_s
             reason = f"it takes away {lost} of {active} active nodes"
             self.out.append(VersionHeld(source.name, version.number, reason, source.held_until_s))
--- a/tests/membership/test_folder.py
+++ b/tests/membership/test_folder.py
@@ -24,9 +24,9 @@
 
 
 @asynccontextmanager
-async def watched(folder: Path, most_removed_part: float = 0.5) -> AsyncIterator[Watched]:
+async def watched(folder: Path, max_removed_fraction: float = 0.5) -> AsyncIterator[Watched]:
     """The core, what it was told, and each list that it took."""
-    core, events = Membership(MembershipRules(("d/",), most_removed_part)), []
+    core, events = Membership(MembershipRules(("d/",), max_removed_fraction)), []
     taken: list[set[str]] = []
 
     def on_event(event: Event) -> None:
@@ -125,7 +125,7 @@
             (tmp_path / f"{name}.json").write_text(rows(f"{name}0", port=9000 + 100 * (name == "b")))
         legal = [{"a/a0", "b/b0"}]
         now = {"a": 0, "b": 0}
-        async with watched(tmp_path, most_removed_part=1.0) as (_, _, taken):
+        async with watched(tmp_path, max_removed_fraction=1.0) as (_, _, taken):
             await until(lambda: taken)
             for step in range(1, 60):
                 name = random.choice("ab")
