--- a/flintlatch/membership/document.py
+++ b/flintlatch/membership/document.py
@@ -49,7 +49,7 @@
 
 
 def read_document(data: bytes) -> Version:
-    """Raises Unreadable."""
+    """Raises InvalidDocument."""
     if len(data) > MOST_BYTES:
         raise InvalidDocument([Fault("document", f"{len(data)} bytes", f"at most {MOST_BYTES}")])
     if not data.endswith(b"\n"):
--- a/flintlatch/membership/files.py
+++ b/flintlatch/membership/files.py
@@ -50,7 +50,7 @@
 
 
 def read_regular_file(path: str) -> Read:
-    """All of a regular file. Raises OSError, or Unreadable for anything else and for too much."""
+    """All of a regular file. Raises OSError, or InvalidDocument for anything else and for too much."""
     fd = os.open(path, os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC)  # a FIFO must not hold us up
     found = os.fstat(fd)
     if not stat.S_ISREG(found.st_mode):
@@ -82,7 +82,7 @@
         return look_at(self.path)
 
     def _content(self) -> tuple[Look, Content]:
-        """Off the loop. Raises OSError or Unreadable."""
+        """Off the loop. Raises OSError or InvalidDocument."""
         found = read_regular_file(self.path)
         self.seen = found.look
         return found.look, read_file_content(self.path, found.data)
@@ -234,7 +234,7 @@
 
 
 def load_version(path: str) -> Version | None:
-    """What `save_version` wrote last; None if there is nothing. Raises OSError or Unreadable."""
+    """What `save_version` wrote last; None if there is nothing. Raises OSError or InvalidDocument."""
     try:
         return read_document(read_regular_file(path).data)
     except FileNotFoundError:
--- a/flintlatch/membership/formats.py
+++ b/flintlatch/membership/formats.py
@@ -39,7 +39,7 @@
 
 
 def read_file_content(name: str, data: bytes) -> Content:
-    """By the name's ending: .jsonl, .json, .toml, .yaml or .yml. Raises Unreadable with all faults."""
+    """By the name's ending: .jsonl, .json, .toml, .yaml or .yml. Raises InvalidDocument with all faults."""
     ending = name.rpartition(".")[2].lower()
     if len(data) > MOST_BYTES:
         raise InvalidDocument([Fault("file", f"{len(data)} bytes", f"at most {MOST_BYTES}")])
--- a/tests/membership/test_core.py
+++ b/tests/membership/test_core.py
@@ -77,9 +77,9 @@
 
 def test_a_version_without_nodes_is_refused_with_a_warning_and_the_old_one_stays() -> None:
     driver = Driver()
-    assert kinds(driver.offer(1)) == ["Rejected", "Warned"]
+    assert kinds(driver.offer(1)) == ["Rejected", "LogWarning"]
     driver.offer(2, *TEN)
-    assert kinds(driver.offer(3)) == ["Rejected", "Warned"] and len(driver.listed) == 10
+    assert kinds(driver.offer(3)) == ["Rejected", "LogWarning"] and len(driver.listed) == 10
 
 
 @pytest.mark.parametrize("how", ["confirmed", "time", "replaced", "smaller"])
@@ -91,7 +91,7 @@
     assert isinstance(wake, WakeAt) and wake.at_s == held.until_s == driver.now + 30
     assert len(driver.listed) == 10
     if how == "confirmed":
-        assert kinds(driver.step(Confirmed("file", 7))) == ["Warned", "WakeAt"]
+        assert kinds(driver.step(Confirmed("file", 7))) == ["LogWarning", "WakeAt"]
         assert kinds(driver.step(Confirmed("file", 2))) == ["Save", "Apply"]
     elif how == "time":
         assert kinds(driver.step(TimerExpired(), after=29.9)) == ["WakeAt"]
@@ -120,7 +120,7 @@
 def test_draining_most_at_once_is_taking_them_away() -> None:
     driver = Driver()
     driver.offer(1, *TEN)
-    assert kinds(driver.offer(2, *(n._replace(state=NodeState.DRAINING) for n in TEN)))[0] == "Held"
+    assert kinds(driver.offer(2, *(n._replace(state=NodeState.DRAINING) for n in TEN)))[0] == "VersionHeld"
 
 
 def test_an_older_version_never_replaces_a_newer_one() -> None:
@@ -138,7 +138,7 @@
     source = driver.core.sources["file"]
     assert source.old and kinds(driver.offer(6, *TEN)) == ["Rejected"] and source.old
     assert driver.offer(7, *TEN) == [] and not source.old
-    assert kinds(driver.offer(8, *TEN[:2]))[0] == "Held"  # its guard knows what was there
+    assert kinds(driver.offer(8, *TEN[:2]))[0] == "VersionHeld"  # its guard knows what was there
 
 
 def test_what_can_not_be_read_changes_nothing_its_drains_neither() -> None:
@@ -151,7 +151,7 @@
         driver.step(Unread("file", faults))
     source = driver.core.sources["file"]
     assert (len(source.rejections), source.rejected) == (20, 101)
-    assert kinds(driver.step(Failed("file", "gone"))) == ["Warned"]
+    assert kinds(driver.step(Failed("file", "gone"))) == ["LogWarning"]
     assert driver.step(Failed("file", "gone")) == [] and len(driver.listed) == 10
 
 
