--- a/flintlatch/fleet/members.py
+++ b/flintlatch/fleet/members.py
@@ -208,7 +208,7 @@
                 "held": source.held.number if source.held is not None else None,
                 "held_for_s": round(source.held_until_s - now, 1) if source.held is not None else None,
                 "failure": source.failure,
-                "rejected": source.rejected,
+                "rejected": source.rejection_count,
                 "rejections": [
                     {"version": one.number, "faults": list(map(str, one.faults))} for one in source.rejections
                 ],
--- a/flintlatch/membership/core.py
+++ b/flintlatch/membership/core.py
@@ -153,7 +153,7 @@
     heard_s: float = 0.0  # when it last said something of use
     failure: str = ""
     rejections: deque[Rejected] = field(default_factory=lambda: deque(maxlen=REJECTIONS_KEPT))
-    rejected: int = 0  # in all
+    rejection_count: int = 0  # in all
     unhealthy: set[str] = field(default_factory=set)
 
 
@@ -256,7 +256,7 @@
     def _reject(self, source: Source, number: int | None, faults: Iterable[Fault]) -> None:
         rejected = Rejected(source.name, number, tuple(faults))
         source.rejections.append(rejected)
-        source.rejected += 1
+        source.rejection_count += 1
         self.out.append(rejected)
 
     # The list in effect
--- a/tests/membership/test_consul.py
+++ b/tests/membership/test_consul.py
@@ -149,7 +149,7 @@
             core.step(number, event)
         assert set(core.nodes) >= {"m1/a", "m1/b"}
     assert set(core.nodes) == {"m1/a", "m1/b", "m1/c"}
-    assert core.sources["c"].rejected == 2
+    assert core.sources["c"].rejection_count == 2
 
 
 # Over loopback
--- a/tests/membership/test_core.py
+++ b/tests/membership/test_core.py
@@ -129,7 +129,7 @@
     for number, nodes in ((4, TEN[1:]), (5, TEN[1:])):
         (rejected,) = driver.offer(number, *nodes)
         assert isinstance(rejected, Rejected) and rejected.faults[0].expected == "one above 5"
-    assert driver.offer(5, *TEN) == [] and driver.core.sources["file"].rejected == 2
+    assert driver.offer(5, *TEN) == [] and driver.core.sources["file"].rejection_count == 2
 
 
 def test_after_a_restart_the_last_good_one_holds_and_is_old_until_confirmed() -> None:
@@ -150,7 +150,7 @@
     for _ in range(100):
         driver.step(Unread("file", faults))
     source = driver.core.sources["file"]
-    assert (len(source.rejections), source.rejected) == (20, 101)
+    assert (len(source.rejections), source.rejection_count) == (20, 101)
     assert kinds(driver.step(Failed("file", "gone"))) == ["LogWarning"]
     assert driver.step(Failed("file", "gone")) == [] and len(driver.listed) == 10
 
--- a/tests/membership/test_folder.py
+++ b/tests/membership/test_folder.py
@@ -89,7 +89,7 @@
             assert any(words in str(fault) for fault in faults), faults
             # A drain beside it is not taken either, until the bad one is mended.
             (tmp_path / "cards.json").write_text(rows("a", "b", state="draining"))
-            await until(lambda: core.sources["d/"].rejected >= 2)
+            await until(lambda: core.sources["d/"].rejection_count >= 2)
             assert len(taken) == 1
             (tmp_path / name).unlink()
             await until(lambda: core.sources["d/"].held is not None)  # all nodes at once: a guard holds it
@@ -105,7 +105,7 @@
         async with watched(folder) as (core, _, taken):
             await until(lambda: taken)
             (folder / "cards.json").unlink()
-            await until(lambda: core.sources["d/"].rejected)
+            await until(lambda: core.sources["d/"].rejection_count)
             folder.rmdir()
             await until(lambda: core.sources["d/"].failure)
             assert set(core.nodes) == {"a"} and len(taken) == 1
