--- a/flintlatch/fleet/members.py
+++ b/flintlatch/fleet/members.py
@@ -204,7 +204,7 @@
                 "source": source.name,
                 "version": source.current.number if source.current is not None else None,
                 "nodes": len(source.current.nodes) if source.current is not None else 0,
-                "old": source.old,
+                "old": source.unconfirmed,
                 "held": source.held.number if source.held is not None else None,
                 "held_for_s": round(source.held_until_s - now, 1) if source.held is not None else None,
                 "failure": source.failure,
--- a/flintlatch/membership/core.py
+++ b/flintlatch/membership/core.py
@@ -147,7 +147,7 @@
 class Source:
     name: str
     current: Version | None = None
-    old: bool = False  # it is from before a restart, and nobody has confirmed it
+    unconfirmed: bool = False  # it is from before a restart, and nobody has confirmed it
     held: Version | None = None
     held_until_s: float = 0.0
     heard_s: float = 0.0  # when it last said something of use
@@ -178,7 +178,7 @@
         elif isinstance(event, VersionRestored):
             source = self.sources.get(event.version.source)
             if source is not None and source.current is None and event.version.nodes:
-                source.current, source.old = event.version, True
+                source.current, source.unconfirmed = event.version, True
         elif isinstance(event, Unread):
             self._reject(self.sources[event.source], None, event.faults)
         elif isinstance(event, Failed):
@@ -212,7 +212,7 @@
                 fault = Fault("version", str(version.number), f"one above {newest.number}")
                 self._reject(source, version.number, (fault,))
             elif source.held is None:
-                source.old = False  # the current one again: confirmed
+                source.unconfirmed = False  # the current one again: confirmed
             return
         if not version.nodes:
             self._reject(source, version.number, (Fault("node", "none", "a node: all would be gone"),))
@@ -248,7 +248,7 @@
             self._take(now_s, source, source.held)
 
     def _take(self, now_s: float, source: Source, version: Version) -> None:
-        source.current, source.held, source.old, source.heard_s = version, None, False, now_s
+        source.current, source.held, source.unconfirmed, source.heard_s = version, None, False, now_s
         named = {node.uid for node in version.nodes}
         source.unhealthy &= named  # claims on nodes that are gone would pile up
         self.out.append(Save(version))
--- a/tests/membership/test_core.py
+++ b/tests/membership/test_core.py
@@ -136,8 +136,8 @@
     driver = Driver()
     assert kinds(driver.step(VersionRestored(version(7, *TEN)))) == ["Apply"]
     source = driver.core.sources["file"]
-    assert source.old and kinds(driver.offer(6, *TEN)) == ["Rejected"] and source.old
-    assert driver.offer(7, *TEN) == [] and not source.old
+    assert source.unconfirmed and kinds(driver.offer(6, *TEN)) == ["Rejected"] and source.unconfirmed
+    assert driver.offer(7, *TEN) == [] and not source.unconfirmed
     assert kinds(driver.offer(8, *TEN[:2]))[0] == "VersionHeld"  # its guard knows what was there
 
 
--- a/tests/membership/test_delivered.py
+++ b/tests/membership/test_delivered.py
@@ -171,10 +171,10 @@
     kept = read_document(write_document(version))
     core, rows = membership(), DeliveredNodeList(SERVICE)
     core.step(0.0, VersionRestored(kept))
-    assert core.sources[SERVICE].old
+    assert core.sources[SERVICE].unconfirmed
     again = rows.whole(1.0, 9, dict(reversed(items.items())))
     assert [type(action) for event in again for action in core.step(1.0, event)] == []
-    assert not core.sources[SERVICE].old
+    assert not core.sources[SERVICE].unconfirmed
     # A relay, or an origin begun anew, that is behind what was kept is not followed back.
     (event,) = DeliveredNodeList(SERVICE).whole(2.0, 8, {"i0": row(0)})
     (rejected,) = core.step(2.0, event)
