--- a/flintlatch/fleet/members.py
+++ b/flintlatch/fleet/members.py
@@ -168,7 +168,7 @@
             self.take(Listing(action.revision, True, targets))
             return
         change = action.change
-        gone = (target_of(node, self.wire, ServerState.GONE) for node in change.gone)
+        gone = (target_of(node, self.wire, ServerState.GONE) for node in change.removed)
         there = (target_of(n, self.wire) for n in (*change.drained, *change.changed, *change.added))
         self.take(Listing(action.revision, False, (*gone, *there)))
 
--- a/flintlatch/membership/model.py
+++ b/flintlatch/membership/model.py
@@ -48,12 +48,12 @@
     nothing new to a node that leaves."""
 
     drained: tuple[Node, ...] = ()
-    gone: tuple[Node, ...] = ()
+    removed: tuple[Node, ...] = ()
     changed: tuple[Node, ...] = ()  # weight, zone, address, or a new start; active again
     added: tuple[Node, ...] = ()
 
     def __bool__(self) -> bool:
-        return bool(self.drained or self.gone or self.changed or self.added)
+        return bool(self.drained or self.removed or self.changed or self.added)
 
 
 def difference(old: dict[str, Node], new: dict[str, Node]) -> Change:
--- a/tests/membership/test_core.py
+++ b/tests/membership/test_core.py
@@ -72,7 +72,7 @@
     assert isinstance(apply, Apply) and apply.revision == 2
     change = apply.change
     assert (change.drained, change.changed, change.added) == ((leaving,), (heavier,), (node(20),))
-    assert [gone.uid for gone in change.gone] == ["n2"] and driver.listed["n0"] == leaving
+    assert [gone.uid for gone in change.removed] == ["n2"] and driver.listed["n0"] == leaving
 
 
 def test_a_version_without_nodes_is_refused_with_a_warning_and_the_old_one_stays() -> None:
--- a/tests/membership/test_delivered.py
+++ b/tests/membership/test_delivered.py
@@ -95,10 +95,10 @@
     (change,) = applied(core, 1.0, rows.changed(1.0, 2, {"i7": row(7, state="draining")}, ()))
     assert [r["uid"] for r in read] == ["s7"]
     assert [node.uid for node in change.drained] == ["s7"]
-    assert not (change.gone or change.changed or change.added)
+    assert not (change.removed or change.changed or change.added)
     read.clear()
     (change,) = applied(core, 2.0, rows.changed(2.0, 3, {}, ("i9",)))
-    assert not read and [node.uid for node in change.gone] == ["s9"]
+    assert not read and [node.uid for node in change.removed] == ["s9"]
 
 
 @pytest.mark.parametrize(
