--- a/flintlatch/fleet/members.py
+++ b/flintlatch/fleet/members.py
@@ -229,5 +229,5 @@
     kind = wire.kinds.setdefault(node.kind, len(wire.kinds))
     if state is None:
         state = ServerState.DRAINING if node.state is NodeState.DRAINING else ServerState.ACTIVE
-    info = ServerInfo(node.uid, state, zone, kind, node.cell, node.started, node.weight)
+    info = ServerInfo(node.uid, state, zone, kind, node.cell, node.started_ms, node.weight)
     return Target(node.uid, node.host, node.port, info)
--- a/flintlatch/membership/document.py
+++ b/flintlatch/membership/document.py
@@ -33,7 +33,7 @@
 def row_of(node: Node) -> dict[str, Any]:
     row: dict[str, Any] = {"uid": node.uid, "address": node.address, "pool": node.pool, "zone": node.zone}
     row |= {"kind": node.kind, "cell": node.cell, "weight": node.weight, "state": node.state.value}
-    return row if node.started is None else row | {"started_ms": node.started}
+    return row if node.started_ms is None else row | {"started_ms": node.started_ms}
 
 
 def write_document(version: Version) -> bytes:
--- a/flintlatch/membership/model.py
+++ b/flintlatch/membership/model.py
@@ -22,7 +22,7 @@
     cell: int = 0
     weight: float = 1.0
     state: NodeState = NodeState.ACTIVE
-    started: float | None = None  # Unix ms of its latest start
+    started_ms: float | None = None  # Unix ms of its latest start
 
     @property
     def address(self) -> str:
--- a/tests/membership/test_document.py
+++ b/tests/membership/test_document.py
@@ -19,7 +19,7 @@
 
 NODES = (
     Node("a", "10.0.0.1", 80, weight=2.5, zone="z1"),
-    Node("b", "::1", 81, pool="export", state=NodeState.DRAINING, started=1e12),
+    Node("b", "::1", 81, pool="export", state=NodeState.DRAINING, started_ms=1e12),
     Node("ü", "10.0.0.1", 82, cell=7),
 )
 WHOLE = write_document(Version("deploy", 42, NODES, 5.0))
