--- a/flintlatch/fleet/delivered.py
+++ b/flintlatch/fleet/delivered.py
@@ -113,7 +113,7 @@
         held = self.feed.client.subscriber.store.objects.get(self.service)
         revision = self.feed.revisions.get(self.service)
         if held is not None and revision is not None:
-            self.tell(self.rows.whole(now_ms(), revision, held.items))
+            self.tell(self.rows.on_snapshot(now_ms(), revision, held.items))
         elif self.service in self.feed.absent:
             self.tell(self.rows.gone())
 
--- a/flintlatch/membership/delivered.py
+++ b/flintlatch/membership/delivered.py
@@ -27,7 +27,7 @@
         self.nodes: dict[str, Node] = {}  # by item
         self.faults: dict[str, list[Fault]] = {}  # of items that are no row
 
-    def whole(self, now_ms: float, revision: int, items: Mapping[str, bytes]) -> list[Event]:
+    def on_snapshot(self, now_ms: float, revision: int, items: Mapping[str, bytes]) -> list[Event]:
         """The object as it is at `revision`, whatever was known of it before. `now_ms`: Unix time."""
         self.nodes, self.faults = {}, {}
         return self.changed(now_ms, revision, items, ())
--- a/tests/membership/test_delivered.py
+++ b/tests/membership/test_delivered.py
@@ -63,7 +63,9 @@
 
 def test_items_become_rows_of_one_version_with_the_number_of_its_revision() -> None:
     rows = DeliveredNodeList(SERVICE)
-    event = offered(rows.whole(5.0, 7, {"b": row(2, weight=3, zone="z"), "a": row(1, state="draining")}))
+    event = offered(
+        rows.on_snapshot(5.0, 7, {"b": row(2, weight=3, zone="z"), "a": row(1, state="draining")})
+    )
     assert (event.version.source, event.version.number, event.version.made_ms) == (SERVICE, 7, 5.0)
     first, second = event.version.nodes
     assert (first.uid, first.state) == ("s1", NodeState.DRAINING)
@@ -72,7 +74,7 @@
 
 def test_a_row_without_a_uid_has_its_items_name() -> None:
     rows = DeliveredNodeList(SERVICE)
-    assert uids(rows.whole(0.0, 1, {"a": b'{"address": "10.0.0.1:1"}', "b": row(1)})) == ["a", "s1"]
+    assert uids(rows.on_snapshot(0.0, 1, {"a": b'{"address": "10.0.0.1:1"}', "b": row(1)})) == ["a", "s1"]
     found = rows.changed(
         1.0, 2, {"s1": b'{"address": "10.0.0.1:2"}', "n" * 129: b'{"address": "[::1]:1"}'}, ()
     )
@@ -89,7 +91,7 @@
 
     monkeypatch.setattr(delivered, "check_rows", counted)
     rows, core = DeliveredNodeList(SERVICE), membership()
-    (first,) = applied(core, 0.0, rows.whole(0.0, 1, {f"i{n}": row(n) for n in range(500)}))
+    (first,) = applied(core, 0.0, rows.on_snapshot(0.0, 1, {f"i{n}": row(n) for n in range(500)}))
     assert len(first.added) == len(read) == 500
     read.clear()
     (change,) = applied(core, 1.0, rows.changed(1.0, 2, {"i7": row(7, state="draining")}, ()))
@@ -121,7 +123,7 @@
     value: bytes, words: str
 ) -> None:
     rows, core = DeliveredNodeList(SERVICE), membership()
-    applied(core, 0.0, rows.whole(0.0, 1, {"i1": row(1), "i2": row(2)}))
+    applied(core, 0.0, rows.on_snapshot(0.0, 1, {"i1": row(1), "i2": row(2)}))
     found = rows.changed(1.0, 2, {"bad": value, "i2": row(2, state="draining")}, ())
     assert any(words in fault for fault in faults(found)), faults(found)
     (rejected,) = (a for event in found for a in core.step(1.0, event))
@@ -139,19 +141,19 @@
 
 def test_rows_that_swap_places_in_one_change_are_no_clash() -> None:
     rows = DeliveredNodeList(SERVICE)
-    rows.whole(0.0, 1, {"a": row(1), "b": row(2)})
+    rows.on_snapshot(0.0, 1, {"a": row(1), "b": row(2)})
     assert uids(rows.changed(1.0, 2, {"a": row(2), "b": row(1)}, ())) == ["s2", "s1"]
     assert uids(rows.changed(2.0, 3, {"c": row(1)}, ("b",))) == ["s2", "s1"]
 
 
 def test_faults_told_are_bounded_and_counted() -> None:
-    found = faults(DeliveredNodeList(SERVICE).whole(0.0, 1, {f"i{n:03}": b"{" for n in range(80)}))
+    found = faults(DeliveredNodeList(SERVICE).on_snapshot(0.0, 1, {f"i{n:03}": b"{" for n in range(80)}))
     assert len(found) == 51 and found[-1] == "item: found 30 faults more, expected none"
 
 
 def test_guards_hold_as_for_any_other_source() -> None:
     rows, core = DeliveredNodeList(SERVICE), membership(hold_s=30.0)
-    applied(core, 0.0, rows.whole(0.0, 5, {f"i{n}": row(n) for n in range(4)}))
+    applied(core, 0.0, rows.on_snapshot(0.0, 5, {f"i{n}": row(n) for n in range(4)}))
     # Too much at once is held; nothing at all is refused; an object that is gone takes nothing away.
     (event,) = rows.changed(1.0, 6, {}, ("i0", "i1", "i2"))
     assert any(isinstance(action, VersionHeld) for action in core.step(1.0, event))
@@ -167,16 +169,16 @@
 
 def test_what_was_kept_is_confirmed_by_the_same_revision_in_whatever_order_it_comes() -> None:
     items = {f"i{n}": row(n) for n in range(5)}
-    version = offered(DeliveredNodeList(SERVICE).whole(0.0, 9, items)).version
+    version = offered(DeliveredNodeList(SERVICE).on_snapshot(0.0, 9, items)).version
     kept = read_document(write_document(version))
     core, rows = membership(), DeliveredNodeList(SERVICE)
     core.step(0.0, VersionRestored(kept))
     assert core.sources[SERVICE].unconfirmed
-    again = rows.whole(1.0, 9, dict(reversed(items.items())))
+    again = rows.on_snapshot(1.0, 9, dict(reversed(items.items())))
     assert [type(action) for event in again for action in core.step(1.0, event)] == []
     assert not core.sources[SERVICE].unconfirmed
     # A relay, or an origin begun anew, that is behind what was kept is not followed back.
-    (event,) = DeliveredNodeList(SERVICE).whole(2.0, 8, {"i0": row(0)})
+    (event,) = DeliveredNodeList(SERVICE).on_snapshot(2.0, 8, {"i0": row(0)})
     (rejected,) = core.step(2.0, event)
     assert isinstance(rejected, Rejected) and "one above 9" in str(rejected.faults[0])
 
@@ -184,7 +186,7 @@
 @given(st.integers(0, 2**32), st.integers(1, 30))
 def test_changes_in_any_order_end_where_a_snapshot_of_the_same_items_does(seed: int, steps: int) -> None:
     random, items, rows = Random(seed), dict[str, bytes](), DeliveredNodeList(SERVICE)
-    rows.whole(0.0, 1, {})
+    rows.on_snapshot(0.0, 1, {})
     for number in range(2, steps + 2):
         put = {
             f"i{n}": random.choice((row(n), row(n, weight=2), row(n + 1), b"{", b"3"))
@@ -193,7 +195,7 @@
         removed = [n for n in random.sample(sorted(items), random.randint(0, len(items))) if n not in put]
         items = {n: v for n, v in items.items() if n not in removed} | put
         events = rows.changed(float(number), number, put, removed)
-        (whole,) = DeliveredNodeList(SERVICE).whole(float(number), number, items)
+        (whole,) = DeliveredNodeList(SERVICE).on_snapshot(float(number), number, items)
         (event,) = events
         if isinstance(whole, Unread):
             # Of two items that clash the one that came second is named: which, depends on the way here.
