--- a/flintlatch/fleet/delivered.py
+++ b/flintlatch/fleet/delivered.py
@@ -72,7 +72,7 @@
             for followed in list(self.drawn.get(change.name, ())):
                 if followed.begun:  # else it takes all of it when it begins
                     rows = followed.rows
-                    followed.tell(rows.changed(now_ms(), changed.revision, change.items, change.removed))
+                    followed.tell(rows.on_delta(now_ms(), changed.revision, change.items, change.removed))
 
     def _on_absent(self, names: tuple[str, ...]) -> None:
         for name in names:
--- a/flintlatch/membership/delivered.py
+++ b/flintlatch/membership/delivered.py
@@ -30,9 +30,9 @@
     def on_snapshot(self, now_ms: float, revision: int, items: Mapping[str, bytes]) -> list[Event]:
         """The object as it is at `revision`, whatever was known of it before. `now_ms`: Unix time."""
         self.nodes, self.faults = {}, {}
-        return self.changed(now_ms, revision, items, ())
+        return self.on_delta(now_ms, revision, items, ())
 
-    def changed(
+    def on_delta(
         self, now_ms: float, revision: int, items: Mapping[str, bytes], removed: Iterable[str]
     ) -> list[Event]:
         """Items put and taken away between the revision known and this one."""
--- a/tests/membership/test_delivered.py
+++ b/tests/membership/test_delivered.py
@@ -75,7 +75,7 @@
 def test_a_row_without_a_uid_has_its_items_name() -> None:
     rows = DeliveredNodeList(SERVICE)
     assert uids(rows.on_snapshot(0.0, 1, {"a": b'{"address": "10.0.0.1:1"}', "b": row(1)})) == ["a", "s1"]
-    found = rows.changed(
+    found = rows.on_delta(
         1.0, 2, {"s1": b'{"address": "10.0.0.1:2"}', "n" * 129: b'{"address": "[::1]:1"}'}, ()
     )
     long, twice = faults(found)
@@ -94,12 +94,12 @@
     (first,) = applied(core, 0.0, rows.on_snapshot(0.0, 1, {f"i{n}": row(n) for n in range(500)}))
     assert len(first.added) == len(read) == 500
     read.clear()
-    (change,) = applied(core, 1.0, rows.changed(1.0, 2, {"i7": row(7, state="draining")}, ()))
+    (change,) = applied(core, 1.0, rows.on_delta(1.0, 2, {"i7": row(7, state="draining")}, ()))
     assert [r["uid"] for r in read] == ["s7"]
     assert [node.uid for node in change.drained] == ["s7"]
     assert not (change.removed or change.changed or change.added)
     read.clear()
-    (change,) = applied(core, 2.0, rows.changed(2.0, 3, {}, ("i9",)))
+    (change,) = applied(core, 2.0, rows.on_delta(2.0, 3, {}, ("i9",)))
     assert not read and [node.uid for node in change.removed] == ["s9"]
 
 
@@ -124,26 +124,26 @@
 ) -> None:
     rows, core = DeliveredNodeList(SERVICE), membership()
     applied(core, 0.0, rows.on_snapshot(0.0, 1, {"i1": row(1), "i2": row(2)}))
-    found = rows.changed(1.0, 2, {"bad": value, "i2": row(2, state="draining")}, ())
+    found = rows.on_delta(1.0, 2, {"bad": value, "i2": row(2, state="draining")}, ())
     assert any(words in fault for fault in faults(found)), faults(found)
     (rejected,) = (a for event in found for a in core.step(1.0, event))
     assert isinstance(rejected, Rejected) and rejected.faults
     assert [node.state for node in core.nodes.values()] == [NodeState.ACTIVE] * 2  # its drain neither
-    assert faults(rows.changed(2.0, 3, {"i3": row(3)}, ()))
+    assert faults(rows.on_delta(2.0, 3, {"i3": row(3)}, ()))
     # Mended, the next version has all that came meanwhile.
-    (change,) = applied(core, 3.0, rows.changed(3.0, 4, {"bad": row(4)}, ()))
+    (change,) = applied(core, 3.0, rows.on_delta(3.0, 4, {"bad": row(4)}, ()))
     assert [node.uid for node in change.drained] == ["s2"]
     assert sorted(node.uid for node in change.added) == ["s3", "s4"]
     # Taken away instead of mended does as well.
-    assert faults(rows.changed(4.0, 5, {"bad": value}, ()))
-    assert uids(rows.changed(5.0, 6, {}, ("bad",))) == ["s1", "s2", "s3"]
+    assert faults(rows.on_delta(4.0, 5, {"bad": value}, ()))
+    assert uids(rows.on_delta(5.0, 6, {}, ("bad",))) == ["s1", "s2", "s3"]
 
 
 def test_rows_that_swap_places_in_one_change_are_no_clash() -> None:
     rows = DeliveredNodeList(SERVICE)
     rows.on_snapshot(0.0, 1, {"a": row(1), "b": row(2)})
-    assert uids(rows.changed(1.0, 2, {"a": row(2), "b": row(1)}, ())) == ["s2", "s1"]
-    assert uids(rows.changed(2.0, 3, {"c": row(1)}, ("b",))) == ["s2", "s1"]
+    assert uids(rows.on_delta(1.0, 2, {"a": row(2), "b": row(1)}, ())) == ["s2", "s1"]
+    assert uids(rows.on_delta(2.0, 3, {"c": row(1)}, ("b",))) == ["s2", "s1"]
 
 
 def test_faults_told_are_bounded_and_counted() -> None:
@@ -155,16 +155,16 @@
     rows, core = DeliveredNodeList(SERVICE), membership(hold_s=30.0)
     applied(core, 0.0, rows.on_snapshot(0.0, 5, {f"i{n}": row(n) for n in range(4)}))
     # Too much at once is held; nothing at all is refused; an object that is gone takes nothing away.
-    (event,) = rows.changed(1.0, 6, {}, ("i0", "i1", "i2"))
+    (event,) = rows.on_delta(1.0, 6, {}, ("i0", "i1", "i2"))
     assert any(isinstance(action, VersionHeld) for action in core.step(1.0, event))
-    (event,) = rows.changed(2.0, 7, {}, ("i3",))
+    (event,) = rows.on_delta(2.0, 7, {}, ("i3",))
     assert any(isinstance(action, Rejected) for action in core.step(2.0, event))
     (event,) = rows.gone()
     assert isinstance(event, Failed)
     core.step(3.0, event)
     assert len(core.nodes) == 4 and core.sources[SERVICE].failure == delivered.NO_OBJECT
     # Back again, it begins from nothing: what was bad or there before counts no more.
-    assert uids(rows.changed(4.0, 8, {"i2": row(2), "i3": row(3)}, ())) == ["s2", "s3"]
+    assert uids(rows.on_delta(4.0, 8, {"i2": row(2), "i3": row(3)}, ())) == ["s2", "s3"]
 
 
 def test_what_was_kept_is_confirmed_by_the_same_revision_in_whatever_order_it_comes() -> None:
@@ -194,7 +194,7 @@
         }
         removed = [n for n in random.sample(sorted(items), random.randint(0, len(items))) if n not in put]
         items = {n: v for n, v in items.items() if n not in removed} | put
-        events = rows.changed(float(number), number, put, removed)
+        events = rows.on_delta(float(number), number, put, removed)
         (whole,) = DeliveredNodeList(SERVICE).on_snapshot(float(number), number, items)
         (event,) = events
         if isinstance(whole, Unread):
