--- a/flintlatch/fleet/delivered.py
+++ b/flintlatch/fleet/delivered.py
@@ -79,7 +79,7 @@
             self.absent.add(name)
             for followed in list(self.drawn.get(name, ())):
                 if followed.begun:
-                    followed.tell(followed.rows.gone())
+                    followed.tell(followed.rows.on_object_absent())
 
 
 class Followed:
@@ -115,7 +115,7 @@
         if held is not None and revision is not None:
             self.tell(self.rows.on_snapshot(now_ms(), revision, held.items))
         elif self.service in self.feed.absent:
-            self.tell(self.rows.gone())
+            self.tell(self.rows.on_object_absent())
 
     def tell(self, events: list[Event]) -> None:
         for event in events:
--- a/flintlatch/membership/delivered.py
+++ b/flintlatch/membership/delivered.py
@@ -54,7 +54,7 @@
         nodes = tuple(self.nodes[name] for name in sorted(self.nodes))
         return [VersionOffered(Version(self.source, revision, nodes, now_ms))]
 
-    def gone(self) -> list[Event]:
+    def on_object_absent(self) -> list[Event]:
         """There is no such object, or no more. What was taken of it stands."""
         self.nodes, self.faults = {}, {}
         return [Failed(self.source, NO_OBJECT)]
--- a/tests/membership/test_delivered.py
+++ b/tests/membership/test_delivered.py
@@ -159,7 +159,7 @@
     assert any(isinstance(action, VersionHeld) for action in core.step(1.0, event))
     (event,) = rows.on_delta(2.0, 7, {}, ("i3",))
     assert any(isinstance(action, Rejected) for action in core.step(2.0, event))
-    (event,) = rows.gone()
+    (event,) = rows.on_object_absent()
     assert isinstance(event, Failed)
     core.step(3.0, event)
     assert len(core.nodes) == 4 and core.sources[SERVICE].failure == delivered.NO_OBJECT
