--- a/flintlatch/lab/explore.py
+++ b/flintlatch/lab/explore.py
@@ -15,7 +15,7 @@
 World = TypeVar("World")
 
 
-class Broken(AssertionError):
+class InvariantViolation(AssertionError):
     """A promise that does not hold: the events that lead there, and what is wrong."""
 
     def __init__(self, what: str, trace: tuple[str, ...]) -> None:
@@ -60,7 +60,7 @@
 ) -> Explored:
     """Raises Broken. Stops at the depth, or at the last whole depth before `most_states` are passed."""
     if what := check(start):
-        raise Broken(what, ())
+        raise InvariantViolation(what, ())
     seen = {key(start)}
     layer, events = [_Node(start, "", None)], 0
     for done in range(depth):
@@ -74,7 +74,7 @@
                 seen.add(mark)
                 after = _Node(world, label, node)
                 if what := check(world):
-                    raise Broken(what, after.trace())
+                    raise InvariantViolation(what, after.trace())
                 following.append(after)
             if len(seen) > most_states:
                 return Explored(len(seen), events, done, False)
@@ -105,5 +105,5 @@
             trace.append(label)
             events += 1
             if what := check(world):
-                raise Broken(what, tuple(trace))
+                raise InvariantViolation(what, tuple(trace))
     return events
--- a/tests/limits/test_cores.py
+++ b/tests/limits/test_cores.py
@@ -12,7 +12,7 @@
 
 from flintlatch.api import LimitAllocation, Refuse, TierMembership
 from flintlatch.fleet.heard import Heard
-from flintlatch.lab.explore import Broken, explore, wander
+from flintlatch.lab.explore import InvariantViolation, explore, wander
 from flintlatch.limits.api import Keeper, Limit, Malformed, Seat, Split, Terms, Vote, WhenCut, fair, over_s
 from flintlatch.limits.model import Ask, Grant, Mark, read_ask, read_grant, read_vote, write_ask, write_grant
 from tests.support import Driver, actions_of, server_entries
@@ -137,7 +137,7 @@
         monkeypatch.setattr(Seat, "__init__", lambda self, me, terms, now: plain_init(self, me, terms, -10.0))
     else:
         monkeypatch.setattr(Seat, "majority", lambda self: 1)
-    with pytest.raises(Broken):
+    with pytest.raises(InvariantViolation):
         for seed in range(20):
             wander(start(5), steps, check, seed, 300, 80)
 
--- a/tests/limits/test_explored.py
+++ b/tests/limits/test_explored.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from flintlatch.lab.explore import Broken, explore, wander
+from flintlatch.lab.explore import InvariantViolation, explore, wander
 from flintlatch.limits import split as split_module
 from flintlatch.limits.api import Grant, Holder, Keeper, Mark, Split
 from flintlatch.limits.holder import Part
@@ -119,7 +119,7 @@
 @pytest.mark.parametrize("fault", FAULTS)
 def test_a_fault_of_one_line_is_found(fault: str, monkeypatch: pytest.MonkeyPatch) -> None:
     FAULTS[fault](monkeypatch)
-    with pytest.raises(Broken):
+    with pytest.raises(InvariantViolation):
         for seed in range(12):
             wander(explored.start(4), explored.steps, explored.check, seed, WALKS, LENGTH, explored.weight)
             with suppress(KeyError):  # with this fault it does not come to that
--- a/tests/peers/test_explored.py
+++ b/tests/peers/test_explored.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from flintlatch.lab.explore import Broken, explore
+from flintlatch.lab.explore import InvariantViolation, explore
 from flintlatch.peers import Record
 from flintlatch.peers.core import Peers
 from tests.peers import explored
@@ -31,5 +31,5 @@
         )
     else:
         monkeypatch.setattr(Peers, "hear_of_me", lambda self, now, record: self.put(now, record))
-    with pytest.raises(Broken):
+    with pytest.raises(InvariantViolation):
         explore(explored.start(2), explored.steps, explored.key, explored.check, 12, 40_000)
