--- a/flintlatch/lab/explore.py
+++ b/flintlatch/lab/explore.py
@@ -84,7 +84,7 @@
     return Explored(len(seen), events, depth, False)
 
 
-def wander(
+def random_walks(
     start: World,
     steps: Callable[[World], Iterable[tuple[str, World]]],
     check: Callable[[World], str],
--- a/tests/limits/test_cores.py
+++ b/tests/limits/test_cores.py
@@ -12,7 +12,7 @@
 
 from flintlatch.api import LimitAllocation, Refuse, TierMembership
 from flintlatch.fleet.heard import Heard
-from flintlatch.lab.explore import InvariantViolation, explore, wander
+from flintlatch.lab.explore import InvariantViolation, explore, random_walks
 from flintlatch.limits.api import Keeper, Limit, Malformed, Seat, Split, Terms, Vote, WhenCut, fair, over_s
 from flintlatch.limits.model import Ask, Grant, Mark, read_ask, read_grant, read_vote, write_ask, write_grant
 from tests.support import Driver, actions_of, server_entries
@@ -119,7 +119,7 @@
     print(found)
     assert found.states > 1000
     for seed in range(4):
-        wander(start(5), steps, check, seed, 150, 80)
+        random_walks(start(5), steps, check, seed, 150, 80)
 
 
 @pytest.mark.parametrize("fault", ["names another at once", "votes after a restart", "no majority"])
@@ -139,7 +139,7 @@
         monkeypatch.setattr(Seat, "majority", lambda self: 1)
     with pytest.raises(InvariantViolation):
         for seed in range(20):
-            wander(start(5), steps, check, seed, 300, 80)
+            random_walks(start(5), steps, check, seed, 300, 80)
 
 
 def test_a_break_that_the_keeper_slept_through_ends_its_seat() -> None:
--- a/tests/limits/test_explored.py
+++ b/tests/limits/test_explored.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from flintlatch.lab.explore import InvariantViolation, explore, wander
+from flintlatch.lab.explore import InvariantViolation, explore, random_walks
 from flintlatch.limits import split as split_module
 from flintlatch.limits.api import Grant, Holder, Keeper, Mark, Split
 from flintlatch.limits.holder import Part
@@ -29,7 +29,7 @@
 @pytest.mark.parametrize("seed", range(3))
 def test_no_walk_by_chance_does_either(seed: int) -> None:
     assert (
-        wander(explored.start(4), explored.steps, explored.check, seed, WALKS, LENGTH, explored.weight)
+        random_walks(explored.start(4), explored.steps, explored.check, seed, WALKS, LENGTH, explored.weight)
         > 50 * WALKS / 2
     )
 
@@ -121,7 +121,9 @@
     FAULTS[fault](monkeypatch)
     with pytest.raises(InvariantViolation):
         for seed in range(12):
-            wander(explored.start(4), explored.steps, explored.check, seed, WALKS, LENGTH, explored.weight)
+            random_walks(
+                explored.start(4), explored.steps, explored.check, seed, WALKS, LENGTH, explored.weight
+            )
             with suppress(KeyError):  # with this fault it does not come to that
                 moved = explored.moved()
-                wander(moved, explored.steps, explored.check, seed, WALKS // 5, LENGTH, explored.weight)
+                random_walks(moved, explored.steps, explored.check, seed, WALKS // 5, LENGTH, explored.weight)
