--- a/bench/peers.py
+++ b/bench/peers.py
@@ -28,7 +28,7 @@
 
 from flintlatch.config import find_control
 from flintlatch.fleet.control import Taken, ask
-from flintlatch.lab.members import Members
+from flintlatch.lab.members import MemberSimulation
 from flintlatch.lab.network import Link
 from flintlatch.peers import Carrier, Merge, Rules, Topic
 from flintlatch.peers.clock import clock
@@ -170,7 +170,7 @@
 
 
 def virtual(n: int, seed: int) -> None:
-    members = Members(seed, Rules(), topics=(WORD,))
+    members = MemberSimulation(seed, Rules(), topics=(WORD,))
     started = time.process_time()
     names = members.fleet(n)
     agreed = members.until(lambda: members.agreed(names), 120)
@@ -213,7 +213,7 @@
 
 
 def false_deaths(n: int, seed: int, loss: float, minutes: float) -> int:
-    members = Members(seed, Rules(), tick_s=0.1)
+    members = MemberSimulation(seed, Rules(), tick_s=0.1)
     members.network.usual = Link(0.0005, 0.05, loss)
     names = members.fleet(n)
     members.until(lambda: members.agreed(names), 120)
--- a/bench/scale/peers.py
+++ b/bench/scale/peers.py
@@ -17,7 +17,7 @@
 from typing import Any, TypeVar
 
 from bench.scale.data import Series, load
-from flintlatch.lab.members import Members
+from flintlatch.lab.members import MemberSimulation
 from flintlatch.peers import Member, Merge, Post, Record, Rules, State, Topic
 from flintlatch.peers.member import Action, Envelope, Whole
 from flintlatch.peers.seal import Seal
@@ -66,7 +66,7 @@
         return timed
 
 
-class Hollow(Members):
+class Hollow(MemberSimulation):
     """Members whose bytes are counted for each address, and whose time is taken."""
 
     def __init__(self, seed: int, rules: Rules | None = None, topics: tuple[Topic, ...] = ()) -> None:
--- a/flintlatch/lab/members.py
+++ b/flintlatch/lab/members.py
@@ -37,7 +37,7 @@
 TRIP_S = 0.0025  # of each of the three messages of an exchange of whole views
 
 
-class Members:
+class MemberSimulation:
     """Places are addresses. `changed` hears of each new view: (name, now, view)."""
 
     def __init__(
--- a/tests/peers/test_fleet.py
+++ b/tests/peers/test_fleet.py
@@ -6,19 +6,19 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from flintlatch.lab.members import Members
+from flintlatch.lab.members import MemberSimulation
 from flintlatch.lab.network import Link
 from flintlatch.peers import Changed, State
 
 
-def joined(n: int, seed: int = 1) -> tuple[Members, list[str]]:
-    members = Members(seed)
+def joined(n: int, seed: int = 1) -> tuple[MemberSimulation, list[str]]:
+    members = MemberSimulation(seed)
     names = members.fleet(n)
     members.until(lambda: members.agreed(names), 60)
     return members, names
 
 
-def places(members: Members, names: list[str]) -> list[str]:
+def places(members: MemberSimulation, names: list[str]) -> list[str]:
     return [members.names[name] for name in names]
 
 
@@ -91,7 +91,7 @@
 
 @pytest.mark.parametrize("loss", [0.05, 0.2])
 def test_loss_copies_and_reordering_kill_nobody(loss: float) -> None:
-    members = Members(5)
+    members = MemberSimulation(5)
     members.network.usual = Link(0.0005, 0.1, loss, copies=0.1)
     names = members.fleet(12)
     members.until(lambda: members.agreed(names), 60)
@@ -137,7 +137,7 @@
 
 
 def test_all_seeds_dead_at_the_start() -> None:
-    members = Members(2)
+    members = MemberSimulation(2)
     core = members.start("late", ("f0:7946", "f1:7946"))
     members.run(30)
     assert len(core.alive()) == 1
@@ -182,7 +182,7 @@
 def test_any_schedule_ends_in_one_view_and_nothing_goes_back_meanwhile(
     plan: list[tuple[str, int, int, float]], seed: int
 ) -> None:
-    members = Members(seed)
+    members = MemberSimulation(seed)
     names = members.fleet(5)
     members.run(5)
     seeds = tuple(f"{name}:7946" for name in names[:3])
--- a/tests/peers/test_guard.py
+++ b/tests/peers/test_guard.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from flintlatch.lab.members import Members
+from flintlatch.lab.members import MemberSimulation
 from flintlatch.peers import Envelope, Kind, Member, Message, Opened, Post, Record, Rules, State, Tick
 from flintlatch.peers.guard import ASKED_MOST, LIVES_MOST, WINDOW, Guard, Trust
 from flintlatch.peers.seal import BadKeys, Foreign, Seal, StreamSeal, read_keys
@@ -89,7 +89,7 @@
 
 
 def test_a_whole_fleet_is_proven_to_each_other_and_measures_its_ways() -> None:
-    members = Members(3)
+    members = MemberSimulation(3)
     names = members.fleet(5)
     members.until(lambda: members.agreed(names), 30)
     members.run(20)
--- a/tests/peers/test_words.py
+++ b/tests/peers/test_words.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from flintlatch.lab.members import Members
+from flintlatch.lab.members import MemberSimulation
 from flintlatch.lab.network import Link
 from flintlatch.peers import Carrier, Merge, Topic, Word
 from flintlatch.peers.words import DRIFT, HEAD, OTHER_MOST, OTHER_S, SHRINK
@@ -165,7 +165,7 @@
     plan: list[tuple[str, int, int, float]], seed: int
 ) -> None:
     """An auditor with the true time: what any member reads was said no longer ago than the stated bound."""
-    members = Members(seed, topics=(LOAD,), drift=DRIFT)
+    members = MemberSimulation(seed, topics=(LOAD,), drift=DRIFT)
     names = members.fleet(4)
     members.run(3.0)
     said: dict[tuple[str, bytes], float] = {}  # the last moment at which its sayer stood to it
@@ -220,7 +220,7 @@
 
 @pytest.mark.parametrize("n", [3, 30])
 def test_a_word_reaches_all_within_seconds_also_through_loss(n: int) -> None:
-    members = Members(7, topics=(LOAD,))
+    members = MemberSimulation(7, topics=(LOAD,))
     members.network.usual = Link(0.0005, 0.05, 0.2, copies=0.1)
     names = members.fleet(n)
     members.until(lambda: members.agreed(names), 60)
