--- a/bench/peers.py
+++ b/bench/peers.py
@@ -184,7 +184,7 @@
         (members.bytes - bytes_before) / n / span,
         (members.network.sent - sent_before) / n / span,
     )
-    members.say(names[-1], "word", "s", b"v" * 20)
+    members.publish(names[-1], "word", "s", b"v" * 20)
     heard = members.until(lambda: all(members.read(name, "word") for name in names), 60)
     deaths: list[float] = []
     rest = list(names)
--- a/bench/scale/peers.py
+++ b/bench/scale/peers.py
@@ -176,7 +176,7 @@
     entry is known to all."""
     began = members.engine.now
     for name in names[:count]:
-        members.say(name, "word", name, VALUE)
+        members.publish(name, "word", name, VALUE)
     waits = {name: set(names) for name in names[:count]}
     gone, known = 0.0, list[float]()
     while waits or not gone:
@@ -240,7 +240,7 @@
     rest = (members.bytes - before) / 10.0
     before, at, missing = members.bytes, members.engine.now, set(names)
     for i in range(k):
-        members.say(names[i % n], "word", f"subject-{i:05d}", VALUE)
+        members.publish(names[i % n], "word", f"subject-{i:05d}", VALUE)
     while missing:
         members.run(members.tick_s)
         if members.engine.now - at > LONGEST_S:
--- a/bench/scale/verdicts.py
+++ b/bench/scale/verdicts.py
@@ -130,7 +130,7 @@
     members = Hollow(seed, topics=(wide(0),))
     names = members.settled(n, aged)
     for name in names[:SAID]:
-        members.say(name, "seen", name, b"3")
+        members.publish(name, "seen", name, b"3")
     members.run(2 * RULES.life_s)
     believe, looks = 0, int(seconds / LOOK_S)
     for _ in range(looks):
--- a/flintlatch/lab/members.py
+++ b/flintlatch/lab/members.py
@@ -93,7 +93,7 @@
         rate, start = self.clocks.get(address, (1.0, 0.0))
         return rate * self.engine.now + start
 
-    def say(self, name: str, topic: str, subject: str, value: bytes, life_s: float = 0.0) -> None:
+    def publish(self, name: str, topic: str, subject: str, value: bytes, life_s: float = 0.0) -> None:
         address = self.names[name]
         self.members[address].carrier.say(self.now(address), topic, subject, value, life_s)
 
--- a/tests/peers/test_words.py
+++ b/tests/peers/test_words.py
@@ -187,7 +187,7 @@
             count += 1
             meant[name] = b"%d" % count
             said[name, meant[name]] = members.engine.now
-            members.say(name, "load", "s", meant[name])
+            members.publish(name, "load", "s", meant[name])
         elif what == "unsay":
             members.member(name).carrier.unsay(members.now(address), "load", "s")
             meant.pop(name, None)
@@ -224,6 +224,6 @@
     members.network.usual = Link(0.0005, 0.05, 0.2, copies=0.1)
     names = members.fleet(n)
     members.until(lambda: members.agreed(names), 60)
-    members.say("f1", "load", "s", b"1")
+    members.publish("f1", "load", "s", b"1")
     took = members.until(lambda: all(members.read(name, "load") for name in names), 20)
     assert took < 6
