--- a/bench/scale/peers.py
+++ b/bench/scale/peers.py
@@ -183,7 +183,7 @@
         members.run(members.tick_s)
         if (took := members.engine.now - began) > LONGEST_S:
             raise AssertionError(f"not within {LONGEST_S} s: {waits}")
-        if not gone and members.agreed(names):
+        if not gone and members.converged(names):
             gone = took
         for subject, missing in list(waits.items()):
             missing -= {n for n in missing if ("word", subject, subject) in members.member(n).carrier.held}
--- a/flintlatch/lab/members.py
+++ b/flintlatch/lab/members.py
@@ -137,7 +137,7 @@
             elif isinstance(action, News):
                 self.news(name, self.engine.now, action.words)
 
-    def agreed(self, names: list[str]) -> bool:
+    def converged(self, names: list[str]) -> bool:
         """Whether all of these hold the same to be there, and it is these."""
         cores = [self.core(name) for name in names]
         same = len({core.digest() for core in cores}) == 1
--- a/tests/capacity/test_agreed.py
+++ b/tests/capacity/test_agreed.py
@@ -83,7 +83,7 @@
         members.run(0.0 if settled else 90.0)
         before, posted = members.bytes, members.network.sent
         members.run(60.0)
-        assert members.agreed(names)
+        assert members.converged(names)
         assert not any(one.peers.counts.suspected for one in members.members.values())
         sent.append((members.bytes - before) / 600)
         datagrams.append((members.network.sent - posted) / 600)
