--- a/bench/peers.py
+++ b/bench/peers.py
@@ -173,7 +173,7 @@
     members = MemberSimulation(seed, Rules(), topics=(WORD,))
     started = time.process_time()
     names = members.fleet(n)
-    agreed = members.until(lambda: members.converged(names), 120)
+    agreed = members.run_until(lambda: members.converged(names), 120)
     members.run(20)
     bytes_before, sent_before, at = members.bytes, members.network.sent, members.engine.now
     cpu = time.process_time()
@@ -185,23 +185,23 @@
         (members.network.sent - sent_before) / n / span,
     )
     members.publish(names[-1], "word", "s", b"v" * 20)
-    heard = members.until(lambda: all(members.read(name, "word") for name in names), 60)
+    heard = members.run_until(lambda: all(members.read(name, "word") for name in names), 60)
     deaths: list[float] = []
     rest = list(names)
     for _ in range(5 if n < 1000 else 3):
         victim = members.rng.choice(rest[3:])
         rest.remove(victim)
         members.kill(victim)
-        deaths.append(members.until(lambda: members.converged(rest), 300))
+        deaths.append(members.run_until(lambda: members.converged(rest), 300))
     members.start("new", tuple(f"{name}:7946" for name in names[:3]))
     rest.append("new")
-    join = members.until(lambda: members.converged(rest), 120)
+    join = members.run_until(lambda: members.converged(rest), 120)
     half = rest[::2], rest[1::2]
     places = [[members.names[name] for name in side] for side in half]
     members.network.cut(places[0], places[1])
-    cut = members.until(lambda: members.converged(half[0]) and members.converged(half[1]), 600)
+    cut = members.run_until(lambda: members.converged(half[0]) and members.converged(half[1]), 600)
     members.network.heal()
-    heal = members.until(lambda: members.converged(rest), 300)
+    heal = members.run_until(lambda: members.converged(rest), 300)
     print(
         f"virtual: {n} members: agreed {agreed:.1f} s after a common start; at rest {rate:.0f} bytes/s and"
         f" {datagrams:.1f} datagrams/s a member, {1e3 * cpu / span / n:.2f} ms of this core a member-second;"
@@ -216,7 +216,7 @@
     members = MemberSimulation(seed, Rules(), tick_s=0.1)
     members.network.usual = Link(0.0005, 0.05, loss)
     names = members.fleet(n)
-    members.until(lambda: members.converged(names), 120)
+    members.run_until(lambda: members.converged(names), 120)
     members.run(60 * minutes)
     died = sum(one.peers.counts.died for one in members.members.values())
     suspected = sum(one.peers.counts.suspected for one in members.members.values())
--- a/flintlatch/lab/members.py
+++ b/flintlatch/lab/members.py
@@ -143,7 +143,7 @@
         same = len({core.digest() for core in cores}) == 1
         return same and {record.name for record in cores[0].alive()} == set(names)
 
-    def until(self, what: Callable[[], bool], most_s: float) -> float:
+    def run_until(self, what: Callable[[], bool], most_s: float) -> float:
         """Seconds until it holds; raises AssertionError past `most_s`."""
         start = self.engine.now
         while not what():
--- a/tests/peers/test_fleet.py
+++ b/tests/peers/test_fleet.py
@@ -14,7 +14,7 @@
 def joined(n: int, seed: int = 1) -> tuple[MemberSimulation, list[str]]:
     members = MemberSimulation(seed)
     names = members.fleet(n)
-    members.until(lambda: members.converged(names), 60)
+    members.run_until(lambda: members.converged(names), 60)
     return members, names
 
 
@@ -36,7 +36,7 @@
     bound = members.core("f0").detection_s(10)
     members.kill("f7")
     rest = [name for name in names if name != "f7"]
-    assert members.until(lambda: members.converged(rest), bound) <= bound
+    assert members.run_until(lambda: members.converged(rest), bound) <= bound
 
 
 @pytest.mark.parametrize("cut_s", [1.0, 30.0, 3600.0])
@@ -52,7 +52,7 @@
     if cut_s > 60:
         assert all(members.converged(group) for group in groups)
     members.network.heal()
-    members.until(lambda: members.converged(names), 90)
+    members.run_until(lambda: members.converged(names), 90)
 
 
 def test_a_way_that_is_cut_in_one_direction_kills_nobody() -> None:
@@ -73,7 +73,7 @@
         members.run(0.1)
         lost += len(members.core("f0").alive()) < 6
     assert lost == 0  # the one that sees all never doubts any
-    members.until(lambda: members.converged(names), 60)
+    members.run_until(lambda: members.converged(names), 60)
     died = sum(one.peers.counts.died for one in members.members.values())
     members.run(120)
     assert members.converged(names) and sum(one.peers.counts.died for one in members.members.values()) == died
@@ -86,7 +86,7 @@
         members.run(1)
         members.network.heal()
         members.run(1)
-    members.until(lambda: members.converged(names), 60)
+    members.run_until(lambda: members.converged(names), 60)
 
 
 @pytest.mark.parametrize("loss", [0.05, 0.2])
@@ -94,7 +94,7 @@
     members = MemberSimulation(5)
     members.network.usual = Link(0.0005, 0.1, loss, copies=0.1)
     names = members.fleet(12)
-    members.until(lambda: members.converged(names), 60)
+    members.run_until(lambda: members.converged(names), 60)
     members.run(300)
     assert sum(one.peers.counts.died for one in members.members.values()) == 0
 
@@ -104,7 +104,7 @@
     members.pause("f3")
     members.run(5)
     members.wake("f3")
-    members.until(lambda: members.converged(names), 30)
+    members.run_until(lambda: members.converged(names), 30)
     members.run(60)
     assert members.converged(names)
 
@@ -119,7 +119,7 @@
     rest = [name for name in names if name not in ("f5", "f6")]
     seen: set[str] = set()
     members.changed = lambda name, now, change: seen.update(change.view)
-    members.until(lambda: members.converged(rest), 60)
+    members.run_until(lambda: members.converged(rest), 60)
     members.run(60)
     assert members.converged(rest) and not seen & {"f5", "f6"}
 
@@ -129,10 +129,10 @@
     more = [f"n{i}" for i in range(26)]
     for name in more:
         members.start(name, ("f0:7946", "f1:7946"))
-    members.until(lambda: members.converged(names + more), 30)
+    members.run_until(lambda: members.converged(names + more), 30)
     for name in more:
         members.leave(name)
-    assert members.until(lambda: members.converged(names), 60) < 1  # told, not found out
+    assert members.run_until(lambda: members.converged(names), 60) < 1  # told, not found out
     assert sum(one.peers.counts.died for one in members.members.values()) == 0
 
 
@@ -142,7 +142,7 @@
     members.run(30)
     assert len(core.alive()) == 1
     members.start("f0", ("f1:7946",))
-    members.until(lambda: members.converged(["late", "f0"]), 30)
+    members.run_until(lambda: members.converged(["late", "f0"]), 30)
 
 
 def test_all_restart_at_once_under_their_names() -> None:
@@ -150,7 +150,7 @@
     for name in names:
         members.kill(name)
         members.start(name, tuple(f"f{i}:7946" for i in range(3)))
-    members.until(lambda: members.converged(names), 60)
+    members.run_until(lambda: members.converged(names), 60)
     members.run(60)
     assert members.converged(names)
 
@@ -160,7 +160,7 @@
     members.kill("f4")
     members.run(0.4)
     members.start("f4", ("f0:7946",), address="elsewhere:1")
-    members.until(lambda: members.converged(names), 30)
+    members.run_until(lambda: members.converged(names), 30)
     members.run(60)
     assert members.core("f2").view["f4"].address == "elsewhere:1"
 
@@ -236,6 +236,6 @@
             members.wake(name)
         else:
             members.start(name, seeds)
-    members.until(lambda: members.converged(names), 180)
+    members.run_until(lambda: members.converged(names), 180)
     members.run(30)
     assert members.converged(names)
--- a/tests/peers/test_words.py
+++ b/tests/peers/test_words.py
@@ -223,7 +223,7 @@
     members = MemberSimulation(7, topics=(LOAD,))
     members.network.usual = Link(0.0005, 0.05, 0.2, copies=0.1)
     names = members.fleet(n)
-    members.until(lambda: members.converged(names), 60)
+    members.run_until(lambda: members.converged(names), 60)
     members.publish("f1", "load", "s", b"1")
-    took = members.until(lambda: all(members.read(name, "load") for name in names), 20)
+    took = members.run_until(lambda: all(members.read(name, "load") for name in names), 20)
     assert took < 6
