--- a/bench/peers.py
+++ b/bench/peers.py
@@ -185,7 +185,7 @@
         (members.network.sent - sent_before) / n / span,
     )
     members.publish(names[-1], "word", "s", b"v" * 20)
-    heard = members.run_until(lambda: all(members.read(name, "word") for name in names), 60)
+    heard = members.run_until(lambda: all(members.read_values(name, "word") for name in names), 60)
     deaths: list[float] = []
     rest = list(names)
     for _ in range(5 if n < 1000 else 3):
--- a/bench/scale/verdicts.py
+++ b/bench/scale/verdicts.py
@@ -135,7 +135,7 @@
     believe, looks = 0, int(seconds / LOOK_S)
     for _ in range(looks):
         members.run(LOOK_S)
-        believe += sum(len(members.read(name, "seen")) for name in names)
+        believe += sum(len(members.read_values(name, "seen")) for name in names)
     return believe / looks / n / SAID
 
 
--- a/flintlatch/lab/members.py
+++ b/flintlatch/lab/members.py
@@ -97,7 +97,7 @@
         address = self.names[name]
         self.members[address].carrier.say(self.now(address), topic, subject, value, life_s)
 
-    def read(self, name: str, topic: str) -> dict[tuple[str, str], bytes]:
+    def read_values(self, name: str, topic: str) -> dict[tuple[str, str], bytes]:
         """What it believes at this moment: values by (member, subject)."""
         address = self.names[name]
         found = self.members[address].carrier.read(self.now(address), topic)
--- a/tests/peers/test_words.py
+++ b/tests/peers/test_words.py
@@ -176,7 +176,7 @@
         for name in names:
             if members.names[name] in members.network.paused:
                 continue
-            for (origin, _), value in members.read(name, "load").items():
+            for (origin, _), value in members.read_values(name, "load").items():
                 age = now - said[origin, value]
                 assert age <= Carrier.stale_s(LOAD.life_s), (name, origin, value, age)
 
@@ -225,5 +225,5 @@
     names = members.fleet(n)
     members.run_until(lambda: members.converged(names), 60)
     members.publish("f1", "load", "s", b"1")
-    took = members.run_until(lambda: all(members.read(name, "load") for name in names), 20)
+    took = members.run_until(lambda: all(members.read_values(name, "load") for name in names), 20)
     assert took < 6
