--- a/bench/peers.py
+++ b/bench/peers.py
@@ -172,7 +172,7 @@
 def virtual(n: int, seed: int) -> None:
     members = MemberSimulation(seed, Rules(), topics=(WORD,))
     started = time.process_time()
-    names = members.fleet(n)
+    names = members.start_fleet(n)
     agreed = members.run_until(lambda: members.converged(names), 120)
     members.run(20)
     bytes_before, sent_before, at = members.bytes, members.network.sent, members.engine.now
@@ -215,7 +215,7 @@
 def false_deaths(n: int, seed: int, loss: float, minutes: float) -> int:
     members = MemberSimulation(seed, Rules(), tick_s=0.1)
     members.network.usual = Link(0.0005, 0.05, loss)
-    names = members.fleet(n)
+    names = members.start_fleet(n)
     members.run_until(lambda: members.converged(names), 120)
     members.run(60 * minutes)
     died = sum(one.peers.counts.died for one in members.members.values())
--- a/bench/scale/peers.py
+++ b/bench/scale/peers.py
@@ -96,7 +96,7 @@
 
     def settled(self, n: int, aged: bool = True) -> list[str]:
         """n members after long rest; or, if not `aged`, as if all had probed all just now."""
-        names = self.fleet(n)
+        names = self.start_fleet(n)
         for name in names:
             self.settle(self.member(name), [self.core(other).me for other in names], aged)
         return names
--- a/flintlatch/lab/members.py
+++ b/flintlatch/lab/members.py
@@ -75,7 +75,7 @@
         self.engine.after(self.rng.uniform(0, self.tick_s), lambda: self._tick(address, run))
         return member.peers
 
-    def fleet(self, n: int, seeds: int = 3) -> list[str]:
+    def start_fleet(self, n: int, seeds: int = 3) -> list[str]:
         """n members that start at one moment; their names."""
         names = [f"f{i}" for i in range(n)]
         for name in names:
--- a/tests/capacity/test_agreed.py
+++ b/tests/capacity/test_agreed.py
@@ -79,7 +79,7 @@
     sent, datagrams = [], []
     for settled in (True, False):
         members = peers.Hollow(3)
-        names = members.settled(10) if settled else members.fleet(10)
+        names = members.settled(10) if settled else members.start_fleet(10)
         members.run(0.0 if settled else 90.0)
         before, posted = members.bytes, members.network.sent
         members.run(60.0)
--- a/tests/peers/test_fleet.py
+++ b/tests/peers/test_fleet.py
@@ -13,7 +13,7 @@
 
 def joined(n: int, seed: int = 1) -> tuple[MemberSimulation, list[str]]:
     members = MemberSimulation(seed)
-    names = members.fleet(n)
+    names = members.start_fleet(n)
     members.run_until(lambda: members.converged(names), 60)
     return members, names
 
@@ -93,7 +93,7 @@
 def test_loss_copies_and_reordering_kill_nobody(loss: float) -> None:
     members = MemberSimulation(5)
     members.network.usual = Link(0.0005, 0.1, loss, copies=0.1)
-    names = members.fleet(12)
+    names = members.start_fleet(12)
     members.run_until(lambda: members.converged(names), 60)
     members.run(300)
     assert sum(one.peers.counts.died for one in members.members.values()) == 0
@@ -183,7 +183,7 @@
     plan: list[tuple[str, int, int, float]], seed: int
 ) -> None:
     members = MemberSimulation(seed)
-    names = members.fleet(5)
+    names = members.start_fleet(5)
     members.run(5)
     seeds = tuple(f"{name}:7946" for name in names[:3])
     running, left = set(names), set[int]()
--- a/tests/peers/test_guard.py
+++ b/tests/peers/test_guard.py
@@ -90,7 +90,7 @@
 
 def test_a_whole_fleet_is_proven_to_each_other_and_measures_its_ways() -> None:
     members = MemberSimulation(3)
-    names = members.fleet(5)
+    names = members.start_fleet(5)
     members.run_until(lambda: members.converged(names), 30)
     members.run(20)
     for name in names:
--- a/tests/peers/test_words.py
+++ b/tests/peers/test_words.py
@@ -166,7 +166,7 @@
 ) -> None:
     """An auditor with the true time: what any member reads was said no longer ago than the stated bound."""
     members = MemberSimulation(seed, topics=(LOAD,), drift=DRIFT)
-    names = members.fleet(4)
+    names = members.start_fleet(4)
     members.run(3.0)
     said: dict[tuple[str, bytes], float] = {}  # the last moment at which its sayer stood to it
     count = 0
@@ -222,7 +222,7 @@
 def test_a_word_reaches_all_within_seconds_also_through_loss(n: int) -> None:
     members = MemberSimulation(7, topics=(LOAD,))
     members.network.usual = Link(0.0005, 0.05, 0.2, copies=0.1)
-    names = members.fleet(n)
+    names = members.start_fleet(n)
     members.run_until(lambda: members.converged(names), 60)
     members.publish("f1", "load", "s", b"1")
     took = members.run_until(lambda: all(members.read_values(name, "load") for name in names), 20)
