--- a/flintlatch/lab/members.py
+++ b/flintlatch/lab/members.py
@@ -115,8 +115,8 @@
     def pause(self, name: str) -> None:
         self.network.pause(self.names[name])
 
-    def wake(self, name: str) -> None:
-        self.network.wake(self.names[name])
+    def resume(self, name: str) -> None:
+        self.network.resume(self.names[name])
 
     def run(self, seconds: float) -> None:
         self.engine.run(self.engine.now + seconds)
--- a/flintlatch/lab/network.py
+++ b/flintlatch/lab/network.py
@@ -52,7 +52,7 @@
     def pause(self, place: str) -> None:
         self.paused.setdefault(place, [])
 
-    def wake(self, place: str) -> None:
+    def resume(self, place: str) -> None:
         """It finds in its buffers what came meanwhile, old as it is."""
         for source, what in self.paused.pop(place, []):
             self.deliver(source, place, what)
--- a/tests/peers/test_fleet.py
+++ b/tests/peers/test_fleet.py
@@ -103,7 +103,7 @@
     members, names = joined(8)
     members.pause("f3")
     members.run(5)
-    members.wake("f3")
+    members.resume("f3")
     members.run_until(lambda: members.converged(names), 30)
     members.run(60)
     assert members.converged(names)
@@ -115,7 +115,7 @@
     members.leave("f5")
     members.kill("f6")
     members.run(3600)
-    members.wake("f3")
+    members.resume("f3")
     rest = [name for name in names if name not in ("f5", "f6")]
     seen: set[str] = set()
     members.changed = lambda name, now, change: seen.update(change.view)
@@ -215,7 +215,7 @@
         elif what == "pause" and name in running:
             members.pause(name)
         elif what == "wake" and name in running:
-            members.wake(name)
+            members.resume(name)
         elif what in ("kill", "leave") and name in running and place not in members.network.paused:
             if what == "leave":
                 left.add(members.core(name).me.life)
@@ -233,7 +233,7 @@
     members.network.usual = Link()
     for name in names:
         if name in running:
-            members.wake(name)
+            members.resume(name)
         else:
             members.start(name, seeds)
     members.run_until(lambda: members.converged(names), 180)
--- a/tests/peers/test_words.py
+++ b/tests/peers/test_words.py
@@ -199,7 +199,7 @@
         elif what == "pause":
             members.pause(name)
         elif what == "wake":
-            members.wake(name)
+            members.resume(name)
         elif what == "restart":
             members.network.paused.pop(address, None)
             members.kill(name)
