--- a/bench/scale/limits.py
+++ b/bench/scale/limits.py
@@ -159,7 +159,7 @@
             return {"memory": float(held)}
         setattr(made, "look", look.around(made.look))  # noqa: B010
         members.metered(["f0"])
-        members.news = lambda name, now, words: made.on_news()
+        members.on_entries = lambda name, now, words: made.on_news()
         made.start()
         members.run(WINDOW_S / 2)  # the window holds what is due once, in its middle
         sent, spent, looks = members.sent_by["f0:7946"], look.spent, look.calls
@@ -210,7 +210,7 @@
     terms = Terms(tuple(names[:3]), n, TERM_S)
     with virtual(members):
         proxies = {name: Proxy(members, name, rows, terms) for name in names}
-        members.news = lambda name, now, words: proxies[name].made.on_news()
+        members.on_entries = lambda name, now, words: proxies[name].made.on_news()
         for proxy in proxies.values():
             members.engine.after(members.rng.uniform(0, INSTANCE_S), proxy.start)
         members.run(WARM_S + 1.0)
--- a/bench/scale/verdicts.py
+++ b/bench/scale/verdicts.py
@@ -108,7 +108,9 @@
             one.on_instance(0, {"bad": dict.fromkeys(list(targets)[:FEW_ROWS], 3), "good": []})
             made[name] = one
             members.engine.after(members.rng.uniform(0, SAY_S), one.start)
-        members.news = lambda name, now, words: made[name].look()  # each datagram, as fleet/agreed.py has it
+        members.on_entries = lambda name, now, words: made[
+            name
+        ].look()  # each datagram, as fleet/agreed.py has it
         members.run(RULES.life_s)
         sent, spent, calls, found, looks = members.bytes, look.spent, look.calls, 0, 0
         while looks < 4:
--- a/flintlatch/lab/members.py
+++ b/flintlatch/lab/members.py
@@ -58,7 +58,7 @@
         self.names: dict[str, str] = {}  # addresses by name
         self.runs: dict[str, int] = {}  # starts of each address: what an earlier one asked for is void
         self.bytes = 0
-        self.news: Callable[[str, float, tuple[Word, ...]], None] = lambda name, now, words: None
+        self.on_entries: Callable[[str, float, tuple[Word, ...]], None] = lambda name, now, words: None
         self.changed: Callable[[str, float, Changed], None] = lambda name, now, change: None
 
     def start(self, name: str, seeds: tuple[str, ...] = (), address: str = "", zone: str = "") -> Peers:
@@ -135,7 +135,7 @@
             elif isinstance(action, Changed):
                 self.changed(name, self.engine.now, action)
             elif isinstance(action, News):
-                self.news(name, self.engine.now, action.words)
+                self.on_entries(name, self.engine.now, action.words)
 
     def converged(self, names: list[str]) -> bool:
         """Whether all of these hold the same to be there, and it is these."""
