--- a/flintlatch/lab/members.py
+++ b/flintlatch/lab/members.py
@@ -59,7 +59,7 @@
         self.runs: dict[str, int] = {}  # starts of each address: what an earlier one asked for is void
         self.bytes = 0
         self.on_entries: Callable[[str, float, tuple[Word, ...]], None] = lambda name, now, words: None
-        self.changed: Callable[[str, float, Changed], None] = lambda name, now, change: None
+        self.on_view_changed: Callable[[str, float, Changed], None] = lambda name, now, change: None
 
     def start(self, name: str, seeds: tuple[str, ...] = (), address: str = "", zone: str = "") -> Peers:
         address = address or f"{name}:7946"
@@ -133,7 +133,7 @@
             elif isinstance(action, Sync):
                 self._sync(address, action.address)
             elif isinstance(action, Changed):
-                self.changed(name, self.engine.now, action)
+                self.on_view_changed(name, self.engine.now, action)
             elif isinstance(action, News):
                 self.on_entries(name, self.engine.now, action.words)
 
--- a/tests/peers/test_fleet.py
+++ b/tests/peers/test_fleet.py
@@ -118,7 +118,7 @@
     members.resume("f3")
     rest = [name for name in names if name not in ("f5", "f6")]
     seen: set[str] = set()
-    members.changed = lambda name, now, change: seen.update(change.view)
+    members.on_view_changed = lambda name, now, change: seen.update(change.view)
     members.run_until(lambda: members.converged(rest), 60)
     members.run(60)
     assert members.converged(rest) and not seen & {"f5", "f6"}
@@ -204,7 +204,7 @@
                 known_left[name, life, record.life] = True
 
     known_left: dict[tuple[str, int, int], bool] = {}
-    members.changed = on_change
+    members.on_view_changed = on_change
     for what, one, other, seconds in plan:
         name, place = names[one], f"{names[one]}:7946"
         if what in ("cut", "one way"):
