--- a/bench/peers.py
+++ b/bench/peers.py
@@ -197,7 +197,7 @@
     rest.append("new")
     join = members.run_until(lambda: members.converged(rest), 120)
     half = rest[::2], rest[1::2]
-    places = [[members.names[name] for name in side] for side in half]
+    places = [[members.addresses[name] for name in side] for side in half]
     members.network.cut(places[0], places[1])
     cut = members.run_until(lambda: members.converged(half[0]) and members.converged(half[1]), 600)
     members.network.heal()
--- a/bench/scale/limits.py
+++ b/bench/scale/limits.py
@@ -96,7 +96,7 @@
         number += 1
         now, news = members.engine.now, Message(Kind.NEWS, 0, "f0")
         one = Envelope(sender.name, sender.address, sender.life, number, now, 1, news, tuple(some))
-        members.step(members.names["f0"], Opened(unpack(pack(one), sender.life, number)))
+        members.step(members.addresses["f0"], Opened(unpack(pack(one), sender.life, number)))
     return number
 
 
--- a/bench/scale/peers.py
+++ b/bench/scale/peers.py
@@ -86,7 +86,7 @@
 
     def push(self, name: str, target: str) -> None:
         """As the shell's: what is new goes to one member at once."""
-        address = self.names[name]
+        address = self.addresses[name]
         self._carry_out(address, self.members[address].push(self.now(address), target))
 
     def metered(self, names: list[str]) -> None:
--- a/flintlatch/lab/members.py
+++ b/flintlatch/lab/members.py
@@ -55,7 +55,7 @@
         self.network = Network(self.engine, Random(seed + 1), self._deliver)
         self.members: dict[str, Member] = {}  # by address
         self.clocks: dict[str, tuple[float, float]] = {}  # by address: rate, and what it showed at the start
-        self.names: dict[str, str] = {}  # addresses by name
+        self.addresses: dict[str, str] = {}  # addresses by name
         self.runs: dict[str, int] = {}  # starts of each address: what an earlier one asked for is void
         self.bytes = 0
         self.on_entries: Callable[[str, float, tuple[Word, ...]], None] = lambda name, now, words: None
@@ -70,7 +70,7 @@
             self.clocks[address] = rate, self.rng.uniform(0, 1e6) - rate * self.engine.now
         now = self.now(address)
         member = Member(me, seeds, self.rules, self.topics, Random(self.rng.random()), now)
-        self.members[address], self.names[name] = member, address
+        self.members[address], self.addresses[name] = member, address
         run = self.runs[address] = self.runs.get(address, 0) + 1
         self.engine.after(self.rng.uniform(0, self.tick_s), lambda: self._tick(address, run))
         return member.peers
@@ -86,7 +86,7 @@
         return self.member(name).peers
 
     def member(self, name: str) -> Member:
-        return self.members[self.names[name]]
+        return self.members[self.addresses[name]]
 
     def now(self, address: str) -> float:
         """What its own clock shows."""
@@ -94,29 +94,29 @@
         return rate * self.engine.now + start
 
     def publish(self, name: str, topic: str, subject: str, value: bytes, life_s: float = 0.0) -> None:
-        address = self.names[name]
+        address = self.addresses[name]
         self.members[address].carrier.say(self.now(address), topic, subject, value, life_s)
 
     def read_values(self, name: str, topic: str) -> dict[tuple[str, str], bytes]:
         """What it believes at this moment: values by (member, subject)."""
-        address = self.names[name]
+        address = self.addresses[name]
         found = self.members[address].carrier.read(self.now(address), topic)
         return {(said.origin, said.subject): said.value for said in found}
 
     def kill(self, name: str) -> None:
-        address = self.names.pop(name)
+        address = self.addresses.pop(name)
         del self.members[address]
         self.runs[address] += 1
 
     def leave(self, name: str) -> None:
-        self.step(self.names[name], Leave())
+        self.step(self.addresses[name], Leave())
         self.kill(name)
 
     def pause(self, name: str) -> None:
-        self.network.pause(self.names[name])
+        self.network.pause(self.addresses[name])
 
     def resume(self, name: str) -> None:
-        self.network.resume(self.names[name])
+        self.network.resume(self.addresses[name])
 
     def run(self, seconds: float) -> None:
         self.engine.run(self.engine.now + seconds)
--- a/tests/peers/test_fleet.py
+++ b/tests/peers/test_fleet.py
@@ -19,7 +19,7 @@
 
 
 def places(members: MemberSimulation, names: list[str]) -> list[str]:
-    return [members.names[name] for name in names]
+    return [members.addresses[name] for name in names]
 
 
 @pytest.mark.parametrize("n", [2, 3, 20])
--- a/tests/peers/test_words.py
+++ b/tests/peers/test_words.py
@@ -174,7 +174,7 @@
     def audit() -> None:
         now = members.engine.now
         for name in names:
-            if members.names[name] in members.network.paused:
+            if members.addresses[name] in members.network.paused:
                 continue
             for (origin, _), value in members.read_values(name, "load").items():
                 age = now - said[origin, value]
@@ -182,7 +182,7 @@
 
     meant: dict[str, bytes] = {}
     for what, one, other, seconds in [*plan, ("heal", 0, 1, 8.0)]:
-        name, address = names[one], members.names[names[one]]
+        name, address = names[one], members.addresses[names[one]]
         if what == "say":
             count += 1
             meant[name] = b"%d" % count
@@ -192,7 +192,7 @@
             members.member(name).carrier.unsay(members.now(address), "load", "s")
             meant.pop(name, None)
         elif what in ("cut", "one way") and one != other:
-            members.network.cut([address], [members.names[names[other]]], both=what == "cut")
+            members.network.cut([address], [members.addresses[names[other]]], both=what == "cut")
         elif what == "heal":
             members.network.heal()
             members.network.usual = Link()
@@ -213,7 +213,7 @@
             members.run(0.25)
             for name in names:  # one who runs and still says it stands to it
                 mine = members.member(name).carrier.mine.get(("load", "s"))
-                if mine is not None and members.names[name] not in members.network.paused:
+                if mine is not None and members.addresses[name] not in members.network.paused:
                     said[name, mine.value] = members.engine.now
             audit()
 
