--- a/bench/peers.py
+++ b/bench/peers.py
@@ -175,13 +175,13 @@
     names = members.start_fleet(n)
     agreed = members.run_until(lambda: members.converged(names), 120)
     members.run(20)
-    bytes_before, sent_before, at = members.bytes, members.network.sent, members.engine.now
+    bytes_before, sent_before, at = members.sent_bytes, members.network.sent, members.engine.now
     cpu = time.process_time()
     members.run(20)
     cpu = time.process_time() - cpu
     span = members.engine.now - at
     rate, datagrams = (
-        (members.bytes - bytes_before) / n / span,
+        (members.sent_bytes - bytes_before) / n / span,
         (members.network.sent - sent_before) / n / span,
     )
     members.publish(names[-1], "word", "s", b"v" * 20)
--- a/bench/scale/peers.py
+++ b/bench/scale/peers.py
@@ -78,9 +78,9 @@
         self.keeps = 0
 
     def _carry_out(self, address: str, actions: list[Action]) -> None:
-        before = self.bytes
+        before = self.sent_bytes
         super()._carry_out(address, actions)
-        self.sent_by[address] = self.sent_by.get(address, 0) + self.bytes - before
+        self.sent_by[address] = self.sent_by.get(address, 0) + self.sent_bytes - before
         if len(self.kept) < self.keeps:
             self.kept += [action.envelope for action in actions if isinstance(action, Post)]
 
@@ -148,10 +148,10 @@
     members.metered(names)
     members.run(2.0)
     members.keeps = SEALED
-    before, sent, spent = members.bytes, members.network.sent, members.meter.spent
+    before, sent, spent = members.sent_bytes, members.network.sent, members.meter.spent
     members.run(rest_s)
     found: Row = {
-        "bytes": (members.bytes - before) / n / rest_s,
+        "bytes": (members.sent_bytes - before) / n / rest_s,
         "datagrams": (members.network.sent - sent) / n / rest_s,
         "core": (members.meter.spent - spent) / n / rest_s,
     }
@@ -235,10 +235,10 @@
     members = Hollow(seed, topics=(word(TTL_S, 2 * max(WORDS)),))
     names = members.settled(n)
     members.run(2.0)
-    before = members.bytes
+    before = members.sent_bytes
     members.run(10.0)
-    rest = (members.bytes - before) / 10.0
-    before, at, missing = members.bytes, members.engine.now, set(names)
+    rest = (members.sent_bytes - before) / 10.0
+    before, at, missing = members.sent_bytes, members.engine.now, set(names)
     for i in range(k):
         members.publish(names[i % n], "word", f"subject-{i:05d}", VALUE)
     while missing:
@@ -246,7 +246,7 @@
         if members.engine.now - at > LONGEST_S:
             raise AssertionError(f"{len(missing)} of {n} lack some of {k} after {LONGEST_S} s")
         missing -= {name for name in missing if len(members.member(name).carrier.held) >= k}
-    took, sent = members.engine.now - at, members.bytes - before
+    took, sent = members.engine.now - at, members.sent_bytes - before
     return took, (sent - rest * took) / n / k, sent / n / took
 
 
--- a/bench/scale/verdicts.py
+++ b/bench/scale/verdicts.py
@@ -112,7 +112,7 @@
             name
         ].look()  # each datagram, as fleet/agreed.py has it
         members.run(RULES.life_s)
-        sent, spent, calls, found, looks = members.bytes, look.spent, look.calls, 0, 0
+        sent, spent, calls, found, looks = members.sent_bytes, look.spent, look.calls, 0, 0
         while looks < 4:
             members.run(LOOK_S)
             looks += 1
@@ -121,7 +121,7 @@
     return {
         "core": (look.spent - spent) / took / n,
         "folds": (look.calls - calls) / took / n,
-        "sent": (members.bytes - sent) / took / n,
+        "sent": (members.sent_bytes - sent) / took / n,
         "found": max(found / looks / n / FEW_ROWS, 1e-6),
     }
 
--- a/flintlatch/lab/members.py
+++ b/flintlatch/lab/members.py
@@ -57,7 +57,7 @@
         self.clocks: dict[str, tuple[float, float]] = {}  # by address: rate, and what it showed at the start
         self.addresses: dict[str, str] = {}  # addresses by name
         self.runs: dict[str, int] = {}  # starts of each address: what an earlier one asked for is void
-        self.bytes = 0
+        self.sent_bytes = 0
         self.on_entries: Callable[[str, float, tuple[Word, ...]], None] = lambda name, now, words: None
         self.on_view_changed: Callable[[str, float, Changed], None] = lambda name, now, change: None
 
@@ -128,7 +128,7 @@
         name = self.members[address].me.name
         for action in actions:
             if isinstance(action, Post):
-                self.bytes += HEAD_BYTES + len(pack(action.envelope))
+                self.sent_bytes += HEAD_BYTES + len(pack(action.envelope))
                 self.network.send(address, action.address, action.envelope)
             elif isinstance(action, Sync):
                 self._sync(address, action.address)
@@ -169,7 +169,7 @@
         if asker is None or asked is None or not self._connected(source, target):
             return
         offered, at = asker.offer(self.now(source)), self.now(source)
-        self.bytes += STREAM_BYTES + len(pack_whole(offered))
+        self.sent_bytes += STREAM_BYTES + len(pack_whole(offered))
 
         def alive() -> bool:
             """Both still run, as the same processes, and reach each other."""
@@ -180,13 +180,13 @@
             if alive():
                 replied = self.now(target)
                 reply = asked.on_offer(replied, offered)
-                self.bytes += len(pack_whole(reply))
+                self.sent_bytes += len(pack_whole(reply))
                 self.engine.after(TRIP_S, lambda: answer(reply, replied))
 
         def answer(reply: Whole, replied: float) -> None:
             if alive():
                 mine, actions = asker.on_reply(self.now(source), reply, at)
-                self.bytes += len(pack_whole(mine))
+                self.sent_bytes += len(pack_whole(mine))
                 self._carry_out(source, actions)
                 self.engine.after(TRIP_S, lambda: last(mine, replied))
 
--- a/tests/capacity/test_agreed.py
+++ b/tests/capacity/test_agreed.py
@@ -81,11 +81,11 @@
         members = peers.Hollow(3)
         names = members.settled(10) if settled else members.start_fleet(10)
         members.run(0.0 if settled else 90.0)
-        before, posted = members.bytes, members.network.sent
+        before, posted = members.sent_bytes, members.network.sent
         members.run(60.0)
         assert members.converged(names)
         assert not any(one.peers.counts.suspected for one in members.members.values())
-        sent.append((members.bytes - before) / 600)
+        sent.append((members.sent_bytes - before) / 600)
         datagrams.append((members.network.sent - posted) / 600)
     assert sent[0] == pytest.approx(sent[1], rel=0.1)
     assert datagrams[0] == pytest.approx(datagrams[1], rel=0.05)
--- a/tests/peers/test_fleet.py
+++ b/tests/peers/test_fleet.py
@@ -167,7 +167,7 @@
 
 def test_the_same_seed_plays_the_same_to_the_last_event() -> None:
     (one, _), (other, _) = joined(10, 3), joined(10, 3)
-    assert (one.engine.events, one.bytes) == (other.engine.events, other.bytes)
+    assert (one.engine.events, one.sent_bytes) == (other.engine.events, other.sent_bytes)
 
 
 TROUBLES = ("cut", "one way", "heal", "pause", "wake", "kill", "start", "leave", "lossy", "slow", "wait")
