--- a/flintlatch/lab/network.py
+++ b/flintlatch/lab/network.py
@@ -1,4 +1,4 @@
-"""A network in virtual time: for each ordered pair of places delay, loss, copies, and cuts of either way."""
+"""A network in virtual time: for each ordered pair of places delay, loss, duplication, and cuts of either way."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
     least_s: float = 0.0005
     most_s: float = 0.003
     loss: float = 0.0
-    copies: float = 0.0  # part of what arrives that arrives twice
+    duplication: float = 0.0  # part of what arrives that arrives twice
     cut: bool = False
 
     def __post_init__(self) -> None:
         if not 0 <= self.least_s <= self.most_s:
             raise ValueError(f"a delay of {self.least_s} to {self.most_s} s, expected 0 <= least <= most")
-        for name in ("loss", "copies"):
+        for name in ("loss", "duplication"):
             if not 0 <= getattr(self, name) <= 1:
                 raise ValueError(f"{name} is {getattr(self, name)}, expected 0 to 1")
 
@@ -65,7 +65,7 @@
         link = self.links.get((source, target), self.usual)
         if (source, target) in self.cuts or self.rng.random() < link.loss:
             return
-        for _ in range(1 + (self.rng.random() < link.copies)):
+        for _ in range(1 + (self.rng.random() < link.duplication)):
             self.engine.after(
                 self.rng.uniform(link.least_s, link.most_s), lambda: self._arrive(source, target, what)
             )
--- a/flintlatch/standin/links.py
+++ b/flintlatch/standin/links.py
@@ -152,7 +152,7 @@
         if link.cut or not self.target or links.random.random() < link.loss:
             links.dropped += 1
             return
-        for _ in range(1 + (links.random.random() < link.copies)):
+        for _ in range(1 + (links.random.random() < link.duplication)):
             delay = links.random.uniform(link.least_s, link.most_s)
             if delay:
                 self.loop.call_later(delay, self._deliver, data)
--- a/tests/fleet/test_peers.py
+++ b/tests/fleet/test_peers.py
@@ -115,7 +115,7 @@
 def test_links_that_flap_and_lose_end_in_agreement_and_carry_words_meanwhile(tmp_path: Path) -> None:
     async def test() -> None:
         async with fleets(tmp_path, 4) as made:
-            made.links.usual = Link(0.0, 0.03, 0.2, copies=0.2)
+            made.links.usual = Link(0.0, 0.03, 0.2, duplication=0.2)
             await say(made, "f3", "through loss", 30.0)
 
             async def heard() -> bool:
@@ -128,7 +128,7 @@
                 made.links.heal()
                 await asyncio.sleep(0.5)
             await made.until(made.agreed, "agreement")
-            made.links.usual = Link(0.0, 0.0, copies=0.5)
+            made.links.usual = Link(0.0, 0.0, duplication=0.5)
 
             async def dropped() -> bool:
                 return int((await made.peers("f0"))["counts"]["replays"]) > 0
--- a/tests/peers/test_fleet.py
+++ b/tests/peers/test_fleet.py
@@ -92,7 +92,7 @@
 @pytest.mark.parametrize("loss", [0.05, 0.2])
 def test_loss_copies_and_reordering_kill_nobody(loss: float) -> None:
     members = MemberSimulation(5)
-    members.network.usual = Link(0.0005, 0.1, loss, copies=0.1)
+    members.network.usual = Link(0.0005, 0.1, loss, duplication=0.1)
     names = members.start_fleet(12)
     members.run_until(lambda: members.converged(names), 60)
     members.run(300)
--- a/tests/peers/test_words.py
+++ b/tests/peers/test_words.py
@@ -221,7 +221,7 @@
 @pytest.mark.parametrize("n", [3, 30])
 def test_a_word_reaches_all_within_seconds_also_through_loss(n: int) -> None:
     members = MemberSimulation(7, topics=(LOAD,))
-    members.network.usual = Link(0.0005, 0.05, 0.2, copies=0.1)
+    members.network.usual = Link(0.0005, 0.05, 0.2, duplication=0.1)
     names = members.start_fleet(n)
     members.run_until(lambda: members.converged(names), 60)
     members.publish("f1", "load", "s", b"1")
