--- a/flintlatch/lab/network.py
+++ b/flintlatch/lab/network.py
@@ -15,14 +15,16 @@
     """From one place to another. Parts are from 0 to 1; a delay is uniform, so order is lost."""
 
     min_delay_s: float = 0.0005
-    most_s: float = 0.003
+    max_delay_s: float = 0.003
     loss: float = 0.0
     duplication: float = 0.0  # part of what arrives that arrives twice
     cut: bool = False
 
     def __post_init__(self) -> None:
-        if not 0 <= self.min_delay_s <= self.most_s:
-            raise ValueError(f"a delay of {self.min_delay_s} to {self.most_s} s, expected 0 <= least <= most")
+        if not 0 <= self.min_delay_s <= self.max_delay_s:
+            raise ValueError(
+                f"a delay of {self.min_delay_s} to {self.max_delay_s} s, expected 0 <= least <= most"
+            )
         for name in ("loss", "duplication"):
             if not 0 <= getattr(self, name) <= 1:
                 raise ValueError(f"{name} is {getattr(self, name)}, expected 0 to 1")
@@ -67,7 +69,8 @@
             return
         for _ in range(1 + (self.rng.random() < link.duplication)):
             self.engine.after(
-                self.rng.uniform(link.min_delay_s, link.most_s), lambda: self._arrive(source, target, what)
+                self.rng.uniform(link.min_delay_s, link.max_delay_s),
+                lambda: self._arrive(source, target, what),
             )
 
     def _arrive(self, source: str, target: str, what: Any) -> None:
--- a/flintlatch/standin/links.py
+++ b/flintlatch/standin/links.py
@@ -153,7 +153,7 @@
             links.dropped += 1
             return
         for _ in range(1 + (links.random.random() < link.duplication)):
-            delay = links.random.uniform(link.min_delay_s, link.most_s)
+            delay = links.random.uniform(link.min_delay_s, link.max_delay_s)
             if delay:
                 self.loop.call_later(delay, self._deliver, data)
             else:
@@ -203,7 +203,7 @@
 
     def data_received(self, data: bytes) -> None:
         link = self.links.between(self.source, self.target)
-        delay = self.links.random.uniform(link.min_delay_s, link.most_s)
+        delay = self.links.random.uniform(link.min_delay_s, link.max_delay_s)
         if link.loss and self.links.random.random() < link.loss:
             delay += RESEND_S
         now = self.relay.loop.time()
