--- a/bench/peers.py
+++ b/bench/peers.py
@@ -214,7 +214,7 @@
 
 def false_deaths(n: int, seed: int, loss: float, minutes: float) -> int:
     members = MemberSimulation(seed, Rules(), tick_s=0.1)
-    members.network.usual = Link(0.0005, 0.05, loss)
+    members.network.default_link = Link(0.0005, 0.05, loss)
     names = members.start_fleet(n)
     members.run_until(lambda: members.converged(names), 120)
     members.run(60 * minutes)
--- a/flintlatch/lab/network.py
+++ b/flintlatch/lab/network.py
@@ -35,7 +35,7 @@
 
     def __init__(self, engine: Engine, rng: Random, deliver: Callable[[str, str, Any], None]) -> None:
         self.engine, self.rng, self.deliver = engine, rng, deliver
-        self.usual = Link()
+        self.default_link = Link()
         self.links: dict[tuple[str, str], Link] = {}
         self.cuts: set[tuple[str, str]] = set()
         self.paused: dict[str, list[tuple[str, Any]]] = {}  # what waits in the buffers of those that are
@@ -64,7 +64,7 @@
 
     def send(self, source: str, target: str, what: Any) -> None:
         self.sent += 1
-        link = self.links.get((source, target), self.usual)
+        link = self.links.get((source, target), self.default_link)
         if (source, target) in self.cuts or self.rng.random() < link.loss:
             return
         for _ in range(1 + (self.rng.random() < link.duplication)):
--- a/tests/peers/test_fleet.py
+++ b/tests/peers/test_fleet.py
@@ -92,7 +92,7 @@
 @pytest.mark.parametrize("loss", [0.05, 0.2])
 def test_loss_copies_and_reordering_kill_nobody(loss: float) -> None:
     members = MemberSimulation(5)
-    members.network.usual = Link(0.0005, 0.1, loss, duplication=0.1)
+    members.network.default_link = Link(0.0005, 0.1, loss, duplication=0.1)
     names = members.start_fleet(12)
     members.run_until(lambda: members.converged(names), 60)
     members.run(300)
@@ -211,7 +211,7 @@
             members.network.cut([place], [f"{names[other]}:7946"], both=what == "cut")
         elif what == "heal":
             members.network.heal()
-            members.network.usual = Link()
+            members.network.default_link = Link()
         elif what == "pause" and name in running:
             members.pause(name)
         elif what == "wake" and name in running:
@@ -227,10 +227,12 @@
             members.start(name, seeds)
             running.add(name)
         elif what in ("lossy", "slow"):
-            members.network.usual = Link(0.0, 0.05 if what == "lossy" else 2.0, 0.2 * (what == "lossy"), 0.1)
+            members.network.default_link = Link(
+                0.0, 0.05 if what == "lossy" else 2.0, 0.2 * (what == "lossy"), 0.1
+            )
         members.run(seconds)
     members.network.heal()
-    members.network.usual = Link()
+    members.network.default_link = Link()
     for name in names:
         if name in running:
             members.resume(name)
--- a/tests/peers/test_words.py
+++ b/tests/peers/test_words.py
@@ -195,7 +195,7 @@
             members.network.cut([address], [members.addresses[names[other]]], both=what == "cut")
         elif what == "heal":
             members.network.heal()
-            members.network.usual = Link()
+            members.network.default_link = Link()
         elif what == "pause":
             members.pause(name)
         elif what == "wake":
@@ -206,7 +206,7 @@
             members.start(name, ("f0:7946", "f1:7946", "f2:7946"))
             meant.pop(name, None)
         elif what in ("slow", "lossy"):
-            members.network.usual = Link(
+            members.network.default_link = Link(
                 0.0, seconds if what == "slow" else 0.1, 0.3 * (what == "lossy"), 0.2
             )
         for _ in range(max(1, int(seconds / 0.25))):
@@ -221,7 +221,7 @@
 @pytest.mark.parametrize("n", [3, 30])
 def test_a_word_reaches_all_within_seconds_also_through_loss(n: int) -> None:
     members = MemberSimulation(7, topics=(LOAD,))
-    members.network.usual = Link(0.0005, 0.05, 0.2, duplication=0.1)
+    members.network.default_link = Link(0.0005, 0.05, 0.2, duplication=0.1)
     names = members.start_fleet(n)
     members.run_until(lambda: members.converged(names), 60)
     members.publish("f1", "load", "s", b"1")
