--- a/bench/hollow.py
+++ b/bench/hollow.py
@@ -204,7 +204,7 @@
     sent: int = 0
     got: int = 0
     sent_bytes: int = 0
-    got_bytes: int = 0
+    received_bytes: int = 0
     ns: int = 0
 
 
@@ -348,6 +348,6 @@
             cost.peak_ns = max(cost.peak_ns, host.ns - last.ns)
             cost.peak_bytes = max(cost.peak_bytes, host.sent_bytes - last.sent_bytes)
             if role == "proxy":
-                self.minutes.rows[name].append(host.got_bytes - last.got_bytes)
+                self.minutes.rows[name].append(host.received_bytes - last.received_bytes)
             last.sent, last.got, last.ns = host.messages, host.got, host.ns
-            last.sent_bytes, last.got_bytes = host.sent_bytes, host.got_bytes
+            last.sent_bytes, last.received_bytes = host.sent_bytes, host.received_bytes
--- a/flintlatch/lab/delivery.py
+++ b/flintlatch/lab/delivery.py
@@ -43,7 +43,7 @@
         self.below: dict[int, Stream] = {}  # of those that it serves
         self.above: dict[int, Stream] = {}  # of those that it follows
         self.accepted = 0
-        self.sent_bytes = self.got_bytes = self.messages = 0
+        self.sent_bytes = self.received_bytes = self.messages = 0
 
     def tick(self) -> None: ...
     def from_below(self, event: relay.Event) -> None: ...
@@ -320,7 +320,7 @@
         host = self.hosts.get(target)
         if host is None or not host.up:
             return
-        host.got_bytes += size
+        host.received_bytes += size
         if target == stream.below:
             if host.above.get(stream.below_number) is stream:
                 number = stream.below_number
--- a/tests/delivery/test_bounds.py
+++ b/tests/delivery/test_bounds.py
@@ -68,7 +68,7 @@
             fleet.start(f"relay{n // 30 % 3}")
         fleet.run(0.1)
         for name in fleet.names:
-            series[name].append(fleet.lab.hosts[name].got_bytes)
+            series[name].append(fleet.lab.hosts[name].received_bytes)
     worst = minute_bound_holds(fleet, 0.1, series)
     assert worst > 0.5 * TIGHT.minute_bytes()  # it was put to the test
     for name in fleet.places:
@@ -81,12 +81,12 @@
     """What was granted long ago and what was saved since come together."""
     fleet = settled(relays=1, rules=TIGHT, proxies=1)
     fleet.run(300)
-    series: dict[str, list[int]] = {"p0": [fleet.lab.hosts["p0"].got_bytes]}
+    series: dict[str, list[int]] = {"p0": [fleet.lab.hosts["p0"].received_bytes]}
     for n in range(700):
         if n % 2 == 0:
             fleet.commit(*(ObjectChange(s, {f"n{n % 8}": fleet.lab.rng.randbytes(1000)}) for s in OBJECTS))
         fleet.run(0.1)
-        series["p0"].append(fleet.lab.hosts["p0"].got_bytes)
+        series["p0"].append(fleet.lab.hosts["p0"].received_bytes)
     worst = minute_bound_holds(fleet, 0.1, series)
     assert worst > 0.9 * TIGHT.minute_bytes()
     assert fleet.core("p0").counts["lost: sends nothing"] == 0
--- a/tests/delivery/test_hard_cases.py
+++ b/tests/delivery/test_hard_cases.py
@@ -125,7 +125,7 @@
 
 def test_all_relays_restart_at_once_and_what_has_not_changed_is_not_sent_again() -> None:
     fleet = settled()
-    before = {name: fleet.lab.hosts[name].got_bytes for name in fleet.names}
+    before = {name: fleet.lab.hosts[name].received_bytes for name in fleet.names}
     for name in fleet.places:
         fleet.lab.kill(name)
         fleet.start(name)
@@ -135,7 +135,7 @@
     for name in fleet.names:
         sent = {one: count for (to, one, _), count in fleet.wire.objects.items() if to == name}
         assert sent == ({"s2": 1} if "s2" in fleet.names[name] else {})
-        assert fleet.lab.hosts[name].got_bytes - before[name] < 2500  # of 5 kB that it holds
+        assert fleet.lab.hosts[name].received_bytes - before[name] < 2500  # of 5 kB that it holds
 
 
 def test_with_no_relay_all_serve_on_know_their_age_and_say_so_once() -> None:
--- a/tests/delivery/test_large.py
+++ b/tests/delivery/test_large.py
@@ -92,13 +92,13 @@
     fleet = large(3, proxies=60, services=120, backends=20)
     some = [f"s{n}" for n in range(100)]
     before = {name: dict(fleet.wanted[name]) for name in some}
-    got = {name: fleet.lab.hosts[name].got_bytes for name in fleet.names}
+    got = {name: fleet.lab.hosts[name].received_bytes for name in fleet.names}
     fleet.commit(*(ObjectChange(name, removed=tuple(before[name])) for name in some))
     assert fleet.settle(2) < 1.5
     fleet.run(8)
     fleet.commit(*(ObjectChange(name, before[name]) for name in some))
     assert fleet.settle(2) < 1.5
-    most = max(fleet.lab.hosts[name].got_bytes - got[name] for name in fleet.names)
+    most = max(fleet.lab.hosts[name].received_bytes - got[name] for name in fleet.names)
     assert most < 50_000  # some 12 services of 20, twice
     assert all(kind is Kind.DELTA for _, kind in fleet.wire.parts)
 
@@ -163,7 +163,7 @@
 
 def test_all_relays_restart_at_once_under_many_proxies_and_little_is_sent() -> None:
     fleet = large(7, proxies=150, services=300)
-    before = {name: fleet.lab.hosts[name].got_bytes for name in fleet.names}
+    before = {name: fleet.lab.hosts[name].received_bytes for name in fleet.names}
     for name in fleet.places:
         fleet.lab.kill(name)
         fleet.start(name)
@@ -173,11 +173,13 @@
     assert fleet.young()
     parts = Counter(to for (to, _), count in fleet.wire.parts.items() for _ in range(count) if to[0] == "p")
     assert set(parts.values()) == {1}
-    sent = [fleet.lab.hosts[name].got_bytes - before[name] for name in fleet.names]
+    sent = [fleet.lab.hosts[name].received_bytes - before[name] for name in fleet.names]
     assert max(sent) < 3000  # of 11 kB: the object that has changed, pings, hellos
 
 
 def test_the_same_seed_plays_the_same_to_the_last_event() -> None:
     one, other = large(8, proxies=20, services=50), large(8, proxies=20, services=50)
     assert one.lab.engine.events == other.lab.engine.events
-    assert [h.got_bytes for h in one.lab.hosts.values()] == [h.got_bytes for h in other.lab.hosts.values()]
+    assert [h.received_bytes for h in one.lab.hosts.values()] == [
+        h.received_bytes for h in other.lab.hosts.values()
+    ]
