--- a/bench/hollow.py
+++ b/bench/hollow.py
@@ -305,7 +305,7 @@
     def _tick(self, group: int) -> None:
         self.engine.after(TICK_S, lambda: self._tick(group))
         for host in list(self.groups[group].values()):
-            if host.up and not host.paused:
+            if host.running and not host.paused:
                 host.tick()
 
     def idle_ns(self, times: int = 5_000) -> float:
--- a/flintlatch/lab/delivery.py
+++ b/flintlatch/lab/delivery.py
@@ -38,7 +38,7 @@
 
     def __init__(self, lab: Lab, place: Place) -> None:
         self.lab, self.place = lab, place
-        self.up, self.paused = True, False
+        self.running, self.paused = True, False
         self.buffer: list[Callable[[], None]] = []
         self.below: dict[int, Stream] = {}  # of those that it serves
         self.above: dict[int, Stream] = {}  # of those that it follows
@@ -54,7 +54,7 @@
         if self.paused:
             if len(self.buffer) < HELD_FRAMES:
                 self.buffer.append(what)
-        elif self.up:
+        elif self.running:
             what()
 
     def _serve(self, actions: Iterable[relay.Action]) -> None:
@@ -174,7 +174,7 @@
         offset = self.rng.random() * TICK_S
 
         def tick() -> None:
-            if self.hosts.get(host.place.name) is not host or not host.up:
+            if self.hosts.get(host.place.name) is not host or not host.running:
                 return
             self.engine.after(TICK_S, tick)
             if not host.paused:
@@ -202,7 +202,7 @@
     def kill(self, name: str) -> None:
         """Its connections are reset."""
         host = self.hosts[name]
-        host.up = False
+        host.running = False
         for stream in [*host.below.values(), *host.above.values()]:
             self.close(stream, name)
         host.below.clear()
@@ -257,7 +257,7 @@
             above = self.hosts.get(name)
             if (source, name) in self.cuts or above is not None and above.paused:
                 return  # nothing answers: the subscriber's own limit ends it
-            if above is None or not above.up:
+            if above is None or not above.running:
                 self.engine.after(
                     self._delay(), lambda: below.later(lambda: below.from_above(subscriber.Closed(number)))
                 )
@@ -268,7 +268,7 @@
             above.from_below(relay.Accepted(stream.above_number))
 
             def back() -> None:
-                if not stream.open or not below.up:
+                if not stream.open or not below.running:
                     return
                 below.above[number] = stream
                 below.later(lambda: below.from_above(subscriber.Connected(number)))
@@ -318,7 +318,7 @@
 
     def _arrive(self, stream: Stream, target: str, message: Any, size: int) -> None:
         host = self.hosts.get(target)
-        if host is None or not host.up:
+        if host is None or not host.running:
             return
         host.received_bytes += size
         if target == stream.below:
--- a/tests/delivery/reference.py
+++ b/tests/delivery/reference.py
@@ -122,7 +122,7 @@
 
     def check_all(self) -> None:
         for name, host in self.lab.hosts.items():
-            if host.up and isinstance(host, Proxy | RelayHost):
+            if host.running and isinstance(host, Proxy | RelayHost):
                 self.check(self.lab.engine.now, name, subscriber_of(self.lab, name))
 
 
@@ -210,7 +210,7 @@
             for item in change.removed:
                 items.pop(item, None)
             self.wanted[change.name] = items | change.items
-        if self.origin.up:
+        if self.origin.running:
             names = self.origin.store.commit(changes)
             self._note()
             self.origin.from_below(relay.Committed(tuple(names)))
--- a/tests/delivery/test_bounds.py
+++ b/tests/delivery/test_bounds.py
@@ -72,7 +72,7 @@
     worst = minute_bound_holds(fleet, 0.1, series)
     assert worst > 0.5 * TIGHT.minute_bytes()  # it was put to the test
     for name in fleet.places:
-        if not fleet.lab.hosts[name].up:
+        if not fleet.lab.hosts[name].running:
             fleet.start(name)
     fleet.settle(200)  # 33 kB at the rate, and what is left of them
 
--- a/tests/delivery/test_property.py
+++ b/tests/delivery/test_property.py
@@ -87,7 +87,7 @@
                 fleet.commit(*part)
         elif what in ("follow", "unfollow", "again"):
             name = PROXIES[step[1]]
-            if fleet.lab.hosts[name].up:
+            if fleet.lab.hosts[name].running:
                 if what != "follow":
                     fleet.unfollow(name, step[2])
                 if what != "unfollow":
@@ -101,13 +101,13 @@
             fleet.lab.heal()
         else:
             host = fleet.lab.hosts[step[1]]
-            if what in ("kill", "bounce") and host.up:
+            if what in ("kill", "bounce") and host.running:
                 fleet.lab.kill(step[1])
-            if what in ("start", "bounce") and not fleet.lab.hosts[step[1]].up:
+            if what in ("start", "bounce") and not fleet.lab.hosts[step[1]].running:
                 start(step[1])
-            if what == "pause" and host.up:
+            if what == "pause" and host.running:
                 fleet.lab.pause(step[1])
-            if what == "wake" and host.paused and host.up:
+            if what == "wake" and host.paused and host.running:
                 fleet.lab.wake(step[1])
 
     def run(seconds: float) -> None:
@@ -121,9 +121,9 @@
         run(wait)
     fleet.lab.heal()
     for name in HOSTS:
-        if fleet.lab.hosts[name].paused and fleet.lab.hosts[name].up:
+        if fleet.lab.hosts[name].paused and fleet.lab.hosts[name].running:
             fleet.lab.wake(name)
-        if not fleet.lab.hosts[name].up:
+        if not fleet.lab.hosts[name].running:
             start(name)
     fleet.until(lambda: fleet.right() and fleet.young(), QUIET_S)
     run(fleet.rules.detect_s() + fleet.rules.spread_s + 3)  # also who had not found out that its relay died
