--- a/bench/hollow.py
+++ b/bench/hollow.py
@@ -101,7 +101,7 @@
         self.pump, self.waits, self.busy = inf, deque[relay.Event](), False
         super().__init__(lab, place, rules)
 
-    def from_below(self, event: relay.Event) -> None:
+    def on_relay_event(self, event: relay.Event) -> None:
         if self.pump == inf:
             self._serve(self._step(event))
             return
@@ -141,7 +141,7 @@
         self.ns += self.fleet.spent("relay", began)
         self._out(actions)
 
-    def from_below(self, event: relay.Event) -> None:
+    def on_relay_event(self, event: relay.Event) -> None:
         self._step(node.Below(event))
 
     def from_above(self, event: subscriber.Event) -> None:
--- a/flintlatch/lab/delivery.py
+++ b/flintlatch/lab/delivery.py
@@ -46,7 +46,7 @@
         self.sent_bytes = self.received_bytes = self.messages = 0
 
     def tick(self) -> None: ...
-    def from_below(self, event: relay.Event) -> None: ...
+    def on_relay_event(self, event: relay.Event) -> None: ...
     def from_above(self, event: subscriber.Event) -> None: ...
 
     def later(self, what: Callable[[], None]) -> None:
@@ -66,7 +66,7 @@
                 if (stream := self.below.pop(action.session, None)) is not None:
                     self.lab.close(stream, self.place.name)
             elif isinstance(action, relay.Again):
-                self.lab.engine.after(0.0, lambda: self.later(lambda: self.from_below(relay.Go())))
+                self.lab.engine.after(0.0, lambda: self.later(lambda: self.on_relay_event(relay.Go())))
             else:
                 self.lab.told.append((self.lab.engine.now, self.place.name, action.text))
 
@@ -97,13 +97,13 @@
 
     def commit(self, changes: Iterable[ObjectChange]) -> int:
         names = self.store.commit(changes)
-        self.from_below(relay.Committed(tuple(names)))
+        self.on_relay_event(relay.Committed(tuple(names)))
         return self.store.revision
 
     def tick(self) -> None:
-        self.from_below(relay.Tick())
+        self.on_relay_event(relay.Tick())
 
-    def from_below(self, event: relay.Event) -> None:
+    def on_relay_event(self, event: relay.Event) -> None:
         self._serve(self.relay.step(self.lab.engine.now, event))
 
 
@@ -114,9 +114,9 @@
 
     def tick(self) -> None:
         self.from_above(subscriber.Tick())
-        self.from_below(relay.Tick())
+        self.on_relay_event(relay.Tick())
 
-    def from_below(self, event: relay.Event) -> None:
+    def on_relay_event(self, event: relay.Event) -> None:
         self._out(self.node.step(self.lab.engine.now, node.Below(event)))
 
     def from_above(self, event: subscriber.Event) -> None:
@@ -227,7 +227,7 @@
             below.later(lambda: below.from_above(subscriber.Closed(stream.below_number)))
         if above.below.get(stream.above_number) is stream:
             del above.below[stream.above_number]
-            above.later(lambda: above.from_below(relay.Closed(stream.above_number)))
+            above.later(lambda: above.on_relay_event(relay.Closed(stream.above_number)))
 
     def cut(self, one: Iterable[str], other: Iterable[str], both: bool = True) -> None:
         others = tuple(other)
@@ -265,7 +265,7 @@
             above.accepted += 1
             stream = Stream(source, name, number, above.accepted)
             above.below[stream.above_number] = stream
-            above.from_below(relay.Accepted(stream.above_number))
+            above.on_relay_event(relay.Accepted(stream.above_number))
 
             def back() -> None:
                 if not stream.open or not below.running:
@@ -297,7 +297,7 @@
                     host.later(lambda: host.from_above(subscriber.Closed(stream.below_number)))
             elif host.below.get(stream.above_number) is stream:
                 del host.below[stream.above_number]
-                host.later(lambda: host.from_below(relay.Closed(stream.above_number)))
+                host.later(lambda: host.on_relay_event(relay.Closed(stream.above_number)))
 
         self.engine.after(max(self._delay(), stream.last.get(other, 0.0) - self.engine.now), arrive)
 
@@ -327,4 +327,4 @@
                 host.later(lambda: host.from_above(subscriber.Received(number, message)))
         elif host.below.get(stream.above_number) is stream:
             number = stream.above_number
-            host.later(lambda: host.from_below(relay.Received(number, message)))
+            host.later(lambda: host.on_relay_event(relay.Received(number, message)))
--- a/tests/delivery/reference.py
+++ b/tests/delivery/reference.py
@@ -213,7 +213,7 @@
         if self.origin.running:
             names = self.origin.store.commit(changes)
             self._note()
-            self.origin.from_below(relay.Committed(tuple(names)))
+            self.origin.on_relay_event(relay.Committed(tuple(names)))
 
     def put(self, name: str, **items: str) -> None:
         self.commit(ObjectChange(name, {item: value.encode() for item, value in items.items()}))
@@ -232,7 +232,7 @@
         names = self.origin.store.replace(self.wanted)
         if names:
             self._note()
-        self.origin.from_below(relay.Committed(tuple(names)))
+        self.origin.on_relay_event(relay.Committed(tuple(names)))
 
     # Others
 
--- a/tests/delivery/test_bounds.py
+++ b/tests/delivery/test_bounds.py
@@ -123,7 +123,7 @@
     fleet = settled(proxies=1)
     one, session = queue_of(fleet, "p0")
     host = fleet.lab.hosts[fleet.relay_of("p0")]
-    host.from_below(relay.Paused(session.number))
+    host.on_relay_event(relay.Paused(session.number))
     at = session.credit
     for n in range(300):
         changed(fleet, f"{n}")
@@ -132,7 +132,7 @@
     fleet.run(1)
     assert session.credit == at and not fleet.exact("p0")
     fleet.wire.clear()
-    host.from_below(relay.Drained(session.number))
+    host.on_relay_event(relay.Drained(session.number))
     fleet.settle(1)
     assert fleet.wire.sent["p0", Begin] == 1 and fleet.wire.parts["p0", Kind.DELTA] == 6
 
