--- a/bench/hollow.py
+++ b/bench/hollow.py
@@ -144,7 +144,7 @@
     def on_relay_event(self, event: relay.Event) -> None:
         self._step(node.Below(event))
 
-    def from_above(self, event: subscriber.Event) -> None:
+    def on_subscriber_event(self, event: subscriber.Event) -> None:
         self._step(node.Above(event))
         if isinstance(event, subscriber.Received) and isinstance(event.message, End):
             self.fleet.share(self.node.subscriber.store, exact=True)
@@ -164,7 +164,7 @@
         if self.lab.engine.now < self.quiet:
             self.fleet.skipped += 1
         else:
-            self.from_above(subscriber.Tick())
+            self.on_subscriber_event(subscriber.Tick())
 
     def _quiet(self) -> float:
         """Until when a step brings nothing, if nothing arrives."""
@@ -176,7 +176,7 @@
             return 0.0
         return main.pinged + rules.ping_s
 
-    def from_above(self, event: subscriber.Event) -> None:
+    def on_subscriber_event(self, event: subscriber.Event) -> None:
         began = process_time_ns()
         actions = self.subscriber.step(self.lab.engine.now, event)
         self.ns += self.fleet.spent("proxy", began)
--- a/flintlatch/lab/delivery.py
+++ b/flintlatch/lab/delivery.py
@@ -47,7 +47,7 @@
 
     def tick(self) -> None: ...
     def on_relay_event(self, event: relay.Event) -> None: ...
-    def from_above(self, event: subscriber.Event) -> None: ...
+    def on_subscriber_event(self, event: subscriber.Event) -> None: ...
 
     def later(self, what: Callable[[], None]) -> None:
         """Now, or when it wakes."""
@@ -113,13 +113,13 @@
         self.node = node.Node(place, origins, rules, rng, lab.engine.now)
 
     def tick(self) -> None:
-        self.from_above(subscriber.Tick())
+        self.on_subscriber_event(subscriber.Tick())
         self.on_relay_event(relay.Tick())
 
     def on_relay_event(self, event: relay.Event) -> None:
         self._out(self.node.step(self.lab.engine.now, node.Below(event)))
 
-    def from_above(self, event: subscriber.Event) -> None:
+    def on_subscriber_event(self, event: subscriber.Event) -> None:
         self._out(self.node.step(self.lab.engine.now, node.Above(event)))
 
     def _out(self, actions: list[node.Upward | node.Downward]) -> None:
@@ -142,12 +142,12 @@
     ) -> None:
         super().__init__(lab, place)
         self.subscriber = subscriber.Subscriber(place, Role.PROXY, relays, rules, rng, lab.engine.now)
-        self.from_above(subscriber.Follow(names))
+        self.on_subscriber_event(subscriber.Follow(names))
 
     def tick(self) -> None:
-        self.from_above(subscriber.Tick())
+        self.on_subscriber_event(subscriber.Tick())
 
-    def from_above(self, event: subscriber.Event) -> None:
+    def on_subscriber_event(self, event: subscriber.Event) -> None:
         self._follow(self.subscriber.step(self.lab.engine.now, event))
 
 
@@ -224,7 +224,7 @@
         below, above = self.hosts[stream.below], self.hosts[stream.above]
         if below.above.get(stream.below_number) is stream:
             del below.above[stream.below_number]
-            below.later(lambda: below.from_above(subscriber.Closed(stream.below_number)))
+            below.later(lambda: below.on_subscriber_event(subscriber.Closed(stream.below_number)))
         if above.below.get(stream.above_number) is stream:
             del above.below[stream.above_number]
             above.later(lambda: above.on_relay_event(relay.Closed(stream.above_number)))
@@ -259,7 +259,8 @@
                 return  # nothing answers: the subscriber's own limit ends it
             if above is None or not above.running:
                 self.engine.after(
-                    self._delay(), lambda: below.later(lambda: below.from_above(subscriber.Closed(number)))
+                    self._delay(),
+                    lambda: below.later(lambda: below.on_subscriber_event(subscriber.Closed(number))),
                 )
                 return
             above.accepted += 1
@@ -271,7 +272,7 @@
                 if not stream.open or not below.running:
                     return
                 below.above[number] = stream
-                below.later(lambda: below.from_above(subscriber.Connected(number)))
+                below.later(lambda: below.on_subscriber_event(subscriber.Connected(number)))
 
             if (name, source) not in self.cuts:
                 self.engine.after(self._delay(), back)
@@ -294,7 +295,7 @@
             if other == stream.below:
                 if host.above.get(stream.below_number) is stream:
                     del host.above[stream.below_number]
-                    host.later(lambda: host.from_above(subscriber.Closed(stream.below_number)))
+                    host.later(lambda: host.on_subscriber_event(subscriber.Closed(stream.below_number)))
             elif host.below.get(stream.above_number) is stream:
                 del host.below[stream.above_number]
                 host.later(lambda: host.on_relay_event(relay.Closed(stream.above_number)))
@@ -324,7 +325,7 @@
         if target == stream.below:
             if host.above.get(stream.below_number) is stream:
                 number = stream.below_number
-                host.later(lambda: host.from_above(subscriber.Received(number, message)))
+                host.later(lambda: host.on_subscriber_event(subscriber.Received(number, message)))
         elif host.below.get(stream.above_number) is stream:
             number = stream.above_number
             host.later(lambda: host.on_relay_event(relay.Received(number, message)))
--- a/tests/delivery/reference.py
+++ b/tests/delivery/reference.py
@@ -253,7 +253,7 @@
         host = self.lab.hosts[name]
         assert isinstance(host, Proxy)
         self.names[name] += tuple(n for n in names if n not in self.names[name])
-        host.later(lambda: host.from_above(subscriber.Follow(names)))
+        host.later(lambda: host.on_subscriber_event(subscriber.Follow(names)))
 
     def unfollow(self, name: str, *names: str) -> None:
         host = self.lab.hosts[name]
@@ -261,7 +261,7 @@
         self.names[name] = tuple(n for n in self.names[name] if n not in names)
 
         def leave() -> None:
-            host.from_above(subscriber.Unfollow(names))
+            host.on_subscriber_event(subscriber.Unfollow(names))
             self.watch.forget(name, names)
 
         host.later(leave)
--- a/tests/delivery/test_bounds.py
+++ b/tests/delivery/test_bounds.py
@@ -212,7 +212,7 @@
         )
     )
     host = fleet.proxy("many", *OBJECTS, rules=Rules(most_names=9))
-    host.from_above(subscriber.Follow(OBJECTS[:11]))
+    host.on_subscriber_event(subscriber.Follow(OBJECTS[:11]))
     fleet.run(2)
     assert absent == [*OBJECTS[9:12], *OBJECTS[9:11]] and len(host.subscriber.names) == 9
     fleet.names["many"] = OBJECTS[:9]
