--- a/flintlatch/lab/delivery.py
+++ b/flintlatch/lab/delivery.py
@@ -24,7 +24,7 @@
 class Stream:
     """One connection: `below` the subscriber, `above` the relay; numbers are each side's own."""
 
-    below: str
+    subscriber: str
     above: str
     below_number: int
     above_number: int
@@ -61,7 +61,7 @@
         for action in actions:
             if isinstance(action, relay.Transmit):
                 if (stream := self.below.get(action.session)) is not None:
-                    self.lab.carry(stream, stream.below, action.message)
+                    self.lab.carry(stream, stream.subscriber, action.message)
             elif isinstance(action, relay.Disconnect):
                 if (stream := self.below.pop(action.session, None)) is not None:
                     self.lab.close(stream, self.place.name)
@@ -221,7 +221,7 @@
     def reset(self, stream: Stream) -> None:
         """The connection is lost to both sides, at once."""
         stream.open = False
-        below, above = self.hosts[stream.below], self.hosts[stream.above]
+        below, above = self.hosts[stream.subscriber], self.hosts[stream.above]
         if below.above.get(stream.below_number) is stream:
             del below.above[stream.below_number]
             below.later(lambda: below.on_subscriber_event(subscriber.Closed(stream.below_number)))
@@ -284,7 +284,7 @@
         if not stream.open:
             return
         stream.open = False
-        other = stream.below if by == stream.above else stream.above
+        other = stream.subscriber if by == stream.above else stream.above
         if (by, other) in self.cuts:
             return
 
@@ -292,7 +292,7 @@
             host = self.hosts.get(other)
             if host is None:
                 return
-            if other == stream.below:
+            if other == stream.subscriber:
                 if host.above.get(stream.below_number) is stream:
                     del host.above[stream.below_number]
                     host.later(lambda: host.on_subscriber_event(subscriber.Closed(stream.below_number)))
@@ -303,7 +303,7 @@
         self.engine.after(max(self._delay(), stream.last.get(other, 0.0) - self.engine.now), arrive)
 
     def carry(self, stream: Stream, target: str, message: Message) -> None:
-        source = stream.below if target == stream.above else stream.above
+        source = stream.subscriber if target == stream.above else stream.above
         if (source, target) in self.cuts:
             if len(stream.held) < HELD_FRAMES:
                 stream.held.append((target, message))
@@ -322,7 +322,7 @@
         if host is None or not host.running:
             return
         host.received_bytes += size
-        if target == stream.below:
+        if target == stream.subscriber:
             if host.above.get(stream.below_number) is stream:
                 number = stream.below_number
                 host.later(lambda: host.on_subscriber_event(subscriber.Received(number, message)))
--- a/tests/delivery/test_bounds.py
+++ b/tests/delivery/test_bounds.py
@@ -142,7 +142,7 @@
     deaf = [True]
 
     def alter(stream: Stream, to: str, message: Message) -> list[Message]:
-        return [] if deaf[0] and isinstance(message, Credit) and stream.below == "p0" else [message]
+        return [] if deaf[0] and isinstance(message, Credit) and stream.subscriber == "p0" else [message]
 
     fleet.wire.alter = alter
     one, session = queue_of(fleet, "p0")
