--- a/flintlatch/lab/delivery.py
+++ b/flintlatch/lab/delivery.py
@@ -25,7 +25,7 @@
     """One connection: `below` the subscriber, `above` the relay; numbers are each side's own."""
 
     subscriber: str
-    above: str
+    relay: str
     below_number: int
     above_number: int
     open: bool = True
@@ -74,7 +74,7 @@
         for action in actions:
             if isinstance(action, subscriber.Transmit):
                 if (stream := self.above.get(action.session)) is not None:
-                    self.lab.carry(stream, stream.above, action.message)
+                    self.lab.carry(stream, stream.relay, action.message)
             elif isinstance(action, subscriber.Connect):
                 self.lab.connect(self, action.session, action.relay.name)
             elif isinstance(action, subscriber.Disconnect):
@@ -221,7 +221,7 @@
     def reset(self, stream: Stream) -> None:
         """The connection is lost to both sides, at once."""
         stream.open = False
-        below, above = self.hosts[stream.subscriber], self.hosts[stream.above]
+        below, above = self.hosts[stream.subscriber], self.hosts[stream.relay]
         if below.above.get(stream.below_number) is stream:
             del below.above[stream.below_number]
             below.later(lambda: below.on_subscriber_event(subscriber.Closed(stream.below_number)))
@@ -284,7 +284,7 @@
         if not stream.open:
             return
         stream.open = False
-        other = stream.subscriber if by == stream.above else stream.above
+        other = stream.subscriber if by == stream.relay else stream.relay
         if (by, other) in self.cuts:
             return
 
@@ -303,7 +303,7 @@
         self.engine.after(max(self._delay(), stream.last.get(other, 0.0) - self.engine.now), arrive)
 
     def carry(self, stream: Stream, target: str, message: Message) -> None:
-        source = stream.subscriber if target == stream.above else stream.above
+        source = stream.subscriber if target == stream.relay else stream.relay
         if (source, target) in self.cuts:
             if len(stream.held) < HELD_FRAMES:
                 stream.held.append((target, message))
--- a/tests/delivery/test_tampered.py
+++ b/tests/delivery/test_tampered.py
@@ -311,7 +311,7 @@
     before = fleet.relay_of("p")
 
     def alter(stream: Stream, to: str, message: Message) -> list[Message]:
-        if to == "p" and stream.above == before:
+        if to == "p" and stream.relay == before:
             return with_item(b"never right")(message)
         return [message]
 
