--- a/flintlatch/lab/delivery.py
+++ b/flintlatch/lab/delivery.py
@@ -41,7 +41,7 @@
         self.running, self.paused = True, False
         self.buffer: list[Callable[[], None]] = []
         self.below: dict[int, Stream] = {}  # of those that it serves
-        self.above: dict[int, Stream] = {}  # of those that it follows
+        self.upstream_sessions: dict[int, Stream] = {}  # of those that it follows
         self.accepted = 0
         self.sent_bytes = self.received_bytes = self.messages = 0
 
@@ -73,12 +73,12 @@
     def _follow(self, actions: Iterable[subscriber.Action]) -> None:
         for action in actions:
             if isinstance(action, subscriber.Transmit):
-                if (stream := self.above.get(action.session)) is not None:
+                if (stream := self.upstream_sessions.get(action.session)) is not None:
                     self.lab.carry(stream, stream.relay, action.message)
             elif isinstance(action, subscriber.Connect):
                 self.lab.connect(self, action.session, action.relay.name)
             elif isinstance(action, subscriber.Disconnect):
-                if (stream := self.above.pop(action.session, None)) is not None:
+                if (stream := self.upstream_sessions.pop(action.session, None)) is not None:
                     self.lab.close(stream, self.place.name)
             elif isinstance(action, subscriber.Told):
                 self.lab.told.append((self.lab.engine.now, self.place.name, action.text))
@@ -203,10 +203,10 @@
         """Its connections are reset."""
         host = self.hosts[name]
         host.running = False
-        for stream in [*host.below.values(), *host.above.values()]:
+        for stream in [*host.below.values(), *host.upstream_sessions.values()]:
             self.close(stream, name)
         host.below.clear()
-        host.above.clear()
+        host.upstream_sessions.clear()
 
     def pause(self, name: str) -> None:
         self.hosts[name].paused = True
@@ -222,8 +222,8 @@
         """The connection is lost to both sides, at once."""
         stream.open = False
         below, above = self.hosts[stream.subscriber], self.hosts[stream.relay]
-        if below.above.get(stream.below_number) is stream:
-            del below.above[stream.below_number]
+        if below.upstream_sessions.get(stream.below_number) is stream:
+            del below.upstream_sessions[stream.below_number]
             below.later(lambda: below.on_subscriber_event(subscriber.Closed(stream.below_number)))
         if above.below.get(stream.above_number) is stream:
             del above.below[stream.above_number]
@@ -240,7 +240,7 @@
         """What was held back on open streams arrives."""
         self.cuts.clear()
         for host in list(self.hosts.values()):
-            for stream in list(host.above.values()):
+            for stream in list(host.upstream_sessions.values()):
                 held, stream.held = stream.held, []
                 for target, message in held:
                     self.carry(stream, target, message)
@@ -271,7 +271,7 @@
             def back() -> None:
                 if not stream.open or not below.running:
                     return
-                below.above[number] = stream
+                below.upstream_sessions[number] = stream
                 below.later(lambda: below.on_subscriber_event(subscriber.Connected(number)))
 
             if (name, source) not in self.cuts:
@@ -293,8 +293,8 @@
             if host is None:
                 return
             if other == stream.subscriber:
-                if host.above.get(stream.below_number) is stream:
-                    del host.above[stream.below_number]
+                if host.upstream_sessions.get(stream.below_number) is stream:
+                    del host.upstream_sessions[stream.below_number]
                     host.later(lambda: host.on_subscriber_event(subscriber.Closed(stream.below_number)))
             elif host.below.get(stream.above_number) is stream:
                 del host.below[stream.above_number]
@@ -323,7 +323,7 @@
             return
         host.received_bytes += size
         if target == stream.subscriber:
-            if host.above.get(stream.below_number) is stream:
+            if host.upstream_sessions.get(stream.below_number) is stream:
                 number = stream.below_number
                 host.later(lambda: host.on_subscriber_event(subscriber.Received(number, message)))
         elif host.below.get(stream.above_number) is stream:
--- a/tests/delivery/test_hard_cases.py
+++ b/tests/delivery/test_hard_cases.py
@@ -251,7 +251,7 @@
         fleet.put("s1", n3=f"older {n}")
     fleet.run(1)
     fleet.lab.cut(["relay0"], ["origin"])
-    for stream in list(fleet.lab.hosts["relay0"].above.values()):
+    for stream in list(fleet.lab.hosts["relay0"].upstream_sessions.values()):
         fleet.lab.reset(stream)
     for n in range(10):
         fleet.put("s1", n3=f"old {n}")
--- a/tests/delivery/test_property.py
+++ b/tests/delivery/test_property.py
@@ -95,7 +95,7 @@
         elif what in ("cut", "one way"):
             fleet.lab.cut([step[1]], [step[2]], both=what == "cut")
         elif what == "reset":
-            for stream in list(fleet.lab.hosts[step[1]].above.values()):
+            for stream in list(fleet.lab.hosts[step[1]].upstream_sessions.values()):
                 fleet.lab.reset(stream)
         elif what == "heal":
             fleet.lab.heal()
