--- a/flintlatch/lab/delivery.py
+++ b/flintlatch/lab/delivery.py
@@ -40,7 +40,7 @@
         self.lab, self.place = lab, place
         self.running, self.paused = True, False
         self.buffer: list[Callable[[], None]] = []
-        self.below: dict[int, Stream] = {}  # of those that it serves
+        self.downstream_sessions: dict[int, Stream] = {}  # of those that it serves
         self.upstream_sessions: dict[int, Stream] = {}  # of those that it follows
         self.accepted = 0
         self.sent_bytes = self.received_bytes = self.messages = 0
@@ -60,10 +60,10 @@
     def _serve(self, actions: Iterable[relay.Action]) -> None:
         for action in actions:
             if isinstance(action, relay.Transmit):
-                if (stream := self.below.get(action.session)) is not None:
+                if (stream := self.downstream_sessions.get(action.session)) is not None:
                     self.lab.carry(stream, stream.subscriber, action.message)
             elif isinstance(action, relay.Disconnect):
-                if (stream := self.below.pop(action.session, None)) is not None:
+                if (stream := self.downstream_sessions.pop(action.session, None)) is not None:
                     self.lab.close(stream, self.place.name)
             elif isinstance(action, relay.Again):
                 self.lab.engine.after(0.0, lambda: self.later(lambda: self.on_relay_event(relay.Go())))
@@ -203,9 +203,9 @@
         """Its connections are reset."""
         host = self.hosts[name]
         host.running = False
-        for stream in [*host.below.values(), *host.upstream_sessions.values()]:
+        for stream in [*host.downstream_sessions.values(), *host.upstream_sessions.values()]:
             self.close(stream, name)
-        host.below.clear()
+        host.downstream_sessions.clear()
         host.upstream_sessions.clear()
 
     def pause(self, name: str) -> None:
@@ -225,8 +225,8 @@
         if below.upstream_sessions.get(stream.below_number) is stream:
             del below.upstream_sessions[stream.below_number]
             below.later(lambda: below.on_subscriber_event(subscriber.Closed(stream.below_number)))
-        if above.below.get(stream.above_number) is stream:
-            del above.below[stream.above_number]
+        if above.downstream_sessions.get(stream.above_number) is stream:
+            del above.downstream_sessions[stream.above_number]
             above.later(lambda: above.on_relay_event(relay.Closed(stream.above_number)))
 
     def cut(self, one: Iterable[str], other: Iterable[str], both: bool = True) -> None:
@@ -265,7 +265,7 @@
                 return
             above.accepted += 1
             stream = Stream(source, name, number, above.accepted)
-            above.below[stream.above_number] = stream
+            above.downstream_sessions[stream.above_number] = stream
             above.on_relay_event(relay.Accepted(stream.above_number))
 
             def back() -> None:
@@ -296,8 +296,8 @@
                 if host.upstream_sessions.get(stream.below_number) is stream:
                     del host.upstream_sessions[stream.below_number]
                     host.later(lambda: host.on_subscriber_event(subscriber.Closed(stream.below_number)))
-            elif host.below.get(stream.above_number) is stream:
-                del host.below[stream.above_number]
+            elif host.downstream_sessions.get(stream.above_number) is stream:
+                del host.downstream_sessions[stream.above_number]
                 host.later(lambda: host.on_relay_event(relay.Closed(stream.above_number)))
 
         self.engine.after(max(self._delay(), stream.last.get(other, 0.0) - self.engine.now), arrive)
@@ -326,6 +326,6 @@
             if host.upstream_sessions.get(stream.below_number) is stream:
                 number = stream.below_number
                 host.later(lambda: host.on_subscriber_event(subscriber.Received(number, message)))
-        elif host.below.get(stream.above_number) is stream:
+        elif host.downstream_sessions.get(stream.above_number) is stream:
             number = stream.above_number
             host.later(lambda: host.on_relay_event(relay.Received(number, message)))
