--- a/bench/delivery.py
+++ b/bench/delivery.py
@@ -306,7 +306,7 @@
             f"{role}_peak_sent_bytes": cost.peak_bytes,
             f"{role}_longest_step_ms": cost.longest_ns / 1e6,
         }
-    told = {text for _, _, text in fleet.told if "refused" in text}
+    told = {text for _, _, text in fleet.log_lines if "refused" in text}
     print(
         f"{name}, seed {seed}, {size.proxies} proxies, {lasts:.0f} s; played in {process_time() - cpu:.0f} s"
     )
--- a/flintlatch/lab/delivery.py
+++ b/flintlatch/lab/delivery.py
@@ -68,7 +68,7 @@
             elif isinstance(action, relay.Again):
                 self.lab.engine.after(0.0, lambda: self.later(lambda: self.on_relay_event(relay.Go())))
             else:
-                self.lab.told.append((self.lab.engine.now, self.place.name, action.text))
+                self.lab.log_lines.append((self.lab.engine.now, self.place.name, action.text))
 
     def _follow(self, actions: Iterable[subscriber.Action]) -> None:
         for action in actions:
@@ -81,7 +81,7 @@
                 if (stream := self.upstream_sessions.pop(action.session, None)) is not None:
                     self.lab.close(stream, self.place.name)
             elif isinstance(action, subscriber.Told):
-                self.lab.told.append((self.lab.engine.now, self.place.name, action.text))
+                self.lab.log_lines.append((self.lab.engine.now, self.place.name, action.text))
             else:
                 self.lab.on_force(self.lab.engine.now, self.place.name, action)
 
@@ -164,7 +164,7 @@
         self.engine = Engine()
         self.hosts: dict[str, Host] = {}
         self.cuts: set[tuple[str, str]] = set()
-        self.told: list[tuple[float, str, str]] = []
+        self.log_lines: list[tuple[float, str, str]] = []
         self.on_force, self.delay_s = on_force, delay_s
         self.tamper: Callable[[Stream, str, Message], list[Message]] | None = None
 
--- a/tests/delivery/reference.py
+++ b/tests/delivery/reference.py
@@ -270,7 +270,7 @@
         return subscriber_of(self.lab, name)
 
     def told(self, name: str) -> list[str]:
-        return [text for _, one, text in self.lab.told if one == name]
+        return [text for _, one, text in self.lab.log_lines if one == name]
 
     def relay_of(self, name: str) -> str:
         """Of a proxy that has a live session."""
--- a/tests/delivery/test_bounds.py
+++ b/tests/delivery/test_bounds.py
@@ -36,7 +36,7 @@
         if n % 10 == 0:
             fleet.watch.check_all()
     assert max(ages) < 2 * (fleet.rules.ping_s + fleet.rules.gather_s + 0.25)
-    assert not fleet.lab.told
+    assert not fleet.lab.log_lines
     assert all(not [why for why in fleet.core(name).counts if why.startswith("lost")] for name in fleet.names)
 
 
