--- a/flintlatch/lab/delivery.py
+++ b/flintlatch/lab/delivery.py
@@ -211,7 +211,7 @@
     def pause(self, name: str) -> None:
         self.hosts[name].paused = True
 
-    def wake(self, name: str) -> None:
+    def resume(self, name: str) -> None:
         host = self.hosts[name]
         host.paused = False
         buffer, host.buffer = host.buffer, []
--- a/tests/delivery/test_hard_cases.py
+++ b/tests/delivery/test_hard_cases.py
@@ -41,7 +41,7 @@
     assert fleet.right() and not served_by(fleet, one)
     changed(fleet, "newer")
     fleet.settle()
-    fleet.lab.wake(one)
+    fleet.lab.resume(one)
     for _ in range(100):
         fleet.run(0.1)
         fleet.watch.check_all()
@@ -59,7 +59,7 @@
         changed(fleet, f"newer {n}")
         fleet.run(1)
     assert not fleet.exact("p0")
-    fleet.lab.wake("p0")
+    fleet.lab.resume("p0")
     for _ in range(50):
         fleet.run(0.1)
         fleet.watch.check_all()
--- a/tests/delivery/test_property.py
+++ b/tests/delivery/test_property.py
@@ -108,7 +108,7 @@
             if what == "pause" and host.running:
                 fleet.lab.pause(step[1])
             if what == "wake" and host.paused and host.running:
-                fleet.lab.wake(step[1])
+                fleet.lab.resume(step[1])
 
     def run(seconds: float) -> None:
         until = fleet.now + seconds
@@ -122,7 +122,7 @@
     fleet.lab.heal()
     for name in HOSTS:
         if fleet.lab.hosts[name].paused and fleet.lab.hosts[name].running:
-            fleet.lab.wake(name)
+            fleet.lab.resume(name)
         if not fleet.lab.hosts[name].running:
             start(name)
     fleet.until(lambda: fleet.right() and fleet.young(), QUIET_S)
