--- a/flintlatch/membership/check.py
+++ b/flintlatch/membership/check.py
@@ -1,4 +1,4 @@
-"""A list's rows, checked as a whole: every fault at once, each with what was found and what was expected."""
+"""Validates the rows of a node list and reports every fault with the value found and the value expected."""
 
 from __future__ import annotations
 
@@ -9,15 +9,18 @@
 
 from flintlatch.membership.model import Node, NodeState
 
-MOST_NODES = 100_000  # of one source: the decision module knows each; more is a mistake or an attack
-MOST_FAULTS = 50  # told; the rest are counted, since a million bad rows have one cause
-MOST_WEIGHT = 1e6
-MOST_NAME = 128  # characters
-KEYS = frozenset(("uid", "address", "pool", "zone", "kind", "cell", "weight", "state", "started_ms"))
+# Per source. The decision module keeps state for each node, and a longer list is a mistake or an attack.
+MAX_NODES = 100_000
+MAX_REPORTED_FAULTS = 50  # the rest are counted only: a million invalid rows have one common cause
+MAX_WEIGHT = 1e6
+MAX_NAME_CHARS = 128
+ROW_KEYS = frozenset(("uid", "address", "pool", "zone", "kind", "cell", "weight", "state", "started_ms"))
 
 
 class Fault(NamedTuple):
-    where: str  # such as "node[3].weight"
+    """One value that is not valid."""
+
+    where: str  # path of the value, for example "node[3].weight"
     found: str
     expected: str
 
@@ -25,50 +28,53 @@
         return f"{self.where}: found {self.found}, expected {self.expected}"
 
 
-class _Row:
-    def __init__(self, place: int, row: Mapping[str, Any], faults: list[Fault]) -> None:
-        self.at, self.row, self.faults = f"node[{place}]", row, faults
+class _RowReader:
+    """Reads the fields of one row. A field that is not valid adds a fault and reads as a default."""
+
+    def __init__(self, index: int, row: Mapping[str, Any], faults: list[Fault]) -> None:
+        self.path, self.row, self.faults = f"node[{index}]", row, faults
 
-    def fault(self, key: str, expected: str) -> None:
-        self.faults.append(Fault(f"{self.at}.{key}", shown(self.row.get(key)), expected))
+    def add_fault(self, key: str, expected: str) -> None:
+        self.faults.append(Fault(f"{self.path}.{key}", abbreviate(self.row.get(key)), expected))
 
     def name(self, key: str, default: str | None = None) -> str:
         value = self.row.get(key, default)
-        good = isinstance(value, str) and 0 < len(value) <= MOST_NAME and value.isprintable()
-        if not good:
-            self.fault(key, f"a name of 1 to {MOST_NAME} printable characters")
+        valid = isinstance(value, str) and 0 < len(value) <= MAX_NAME_CHARS and value.isprintable()
+        if not valid:
+            self.add_fault(key, f"a name of 1 to {MAX_NAME_CHARS} printable characters")
         return value if isinstance(value, str) else ""
 
-    def number(self, key: str, least: float, most: float, default: float) -> float:
+    def number(self, key: str, minimum: float, maximum: float, default: float) -> float:
         value = self.row.get(key, default)
         if isinstance(value, bool) or not isinstance(value, (int, float)):
-            self.fault(key, f"a number from {least:g} to {most:g}")
+            self.add_fault(key, f"a number from {minimum:g} to {maximum:g}")
             return default
-        if not isfinite(value) or not least <= value <= most:
-            self.fault(key, f"a number from {least:g} to {most:g}")
+        if not isfinite(value) or not minimum <= value <= maximum:
+            self.add_fault(key, f"a number from {minimum:g} to {maximum:g}")
             return default
         return float(value)
 
-    def whole(self, key: str, most: int) -> int:
+    def integer(self, key: str, maximum: int) -> int:
         value = self.row.get(key, 0)
-        if type(value) is not int or not 0 <= value <= most:
-            self.fault(key, f"a whole number from 0 to {most}")
+        if type(value) is not int or not 0 <= value <= maximum:
+            self.add_fault(key, f"a whole number from 0 to {maximum}")
             return 0
         return value
 
     def address(self) -> tuple[str, int]:
+        """The IP address in its canonical form, and the port; ("", 0) if the address is not valid."""
         value = self.row.get("address")
         expected = 'an address with a port from 1 to 65535, such as "10.0.0.1:8080" or "[::1]:8080"'
         host, _, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
         try:
-            bare = host[1:-1] if host.startswith("[") and host.endswith("]") else host
-            if (":" in bare) != host.startswith("["):
+            bare_host = host[1:-1] if host.startswith("[") and host.endswith("]") else host
+            if (":" in bare_host) != host.startswith("["):
                 raise ValueError
             if not (port.isascii() and port.isdecimal() and 1 <= int(port) <= 65535):
                 raise ValueError
-            return str(ip_address(bare)), int(port)
+            return str(ip_address(bare_host)), int(port)
         except ValueError:
-            self.fault("address", expected)
+            self.add_fault("address", expected)
             return "", 0
 
     def state(self) -> NodeState:
@@ -76,54 +82,58 @@
         try:
             return NodeState(value)
         except ValueError:
-            self.fault("state", '"active" or "draining"')
+            self.add_fault("state", '"active" or "draining"')
             return NodeState.ACTIVE
 
 
-def shown(value: object) -> str:
+def abbreviate(value: object) -> str:
+    """The value as text of at most 60 characters, for a fault; "nothing" if it is missing."""
     text = "nothing" if value is None else repr(value)
     return text if len(text) <= 60 else text[:57] + "..."
 
 
 def check_rows(rows: Iterable[Any], pool: str = "default") -> tuple[tuple[Node, ...], list[Fault]]:
-    """The nodes, and all that is wrong; with any fault the nodes are of no use. `pool`: the usual one."""
+    """Returns the nodes and all faults; if there is any fault, the nodes must not be used.
+
+    `pool`: the pool of a row that names none.
+    """
     faults: list[Fault] = []
     nodes: list[Node] = []
     uids: dict[str, int] = {}
     addresses: dict[tuple[str, str, int], int] = {}
-    for place, raw in enumerate(rows):
-        if place >= MOST_NODES:
-            faults.append(Fault("node", f"more than {MOST_NODES}", f"at most {MOST_NODES} nodes"))
+    for index, row in enumerate(rows):
+        if index >= MAX_NODES:
+            faults.append(Fault("node", f"more than {MAX_NODES}", f"at most {MAX_NODES} nodes"))
             break
-        if not isinstance(raw, Mapping):
-            faults.append(Fault(f"node[{place}]", shown(raw), "a table with uid and address"))
+        if not isinstance(row, Mapping):
+            faults.append(Fault(f"node[{index}]", abbreviate(row), "a table with uid and address"))
             continue
-        row = _Row(place, raw, faults)
-        for key in sorted(set(map(str, raw)) - KEYS):
-            faults.append(Fault(f"node[{place}].{key}", shown(raw.get(key)), "no such key"))
-        host, port = row.address()
+        reader = _RowReader(index, row, faults)
+        for key in sorted(set(map(str, row)) - ROW_KEYS):
+            faults.append(Fault(f"node[{index}].{key}", abbreviate(row.get(key)), "no such key"))
+        host, port = reader.address()
         node = Node(
-            row.name("uid"),
+            reader.name("uid"),
             host,
             port,
-            row.name("pool", pool),
-            row.name("zone", "default"),
-            row.name("kind", "default"),
-            row.whole("cell", 1_000_000),
-            row.number("weight", 0.01, MOST_WEIGHT, 1.0),
-            row.state(),
-            row.number("started_ms", 0.0, 1e15, 0.0) or None,
+            reader.name("pool", pool),
+            reader.name("zone", "default"),
+            reader.name("kind", "default"),
+            reader.integer("cell", 1_000_000),
+            reader.number("weight", 0.01, MAX_WEIGHT, 1.0),
+            reader.state(),
+            reader.number("started_ms", 0.0, 1e15, 0.0) or None,
         )
-        if node.uid and (first := uids.setdefault(node.uid, place)) != place:
+        if node.uid and (first := uids.setdefault(node.uid, index)) != index:
             faults.append(
-                Fault(f"node[{place}].uid", shown(node.uid), f"each uid once; node[{first}] has it")
+                Fault(f"node[{index}].uid", abbreviate(node.uid), f"each uid once; node[{first}] has it")
             )
-        where = (node.pool, host, port)
-        if port and (first := addresses.setdefault(where, place)) != place:
+        endpoint = (node.pool, host, port)
+        if port and (first := addresses.setdefault(endpoint, index)) != index:
             expected = f"each address once in a pool; node[{first}] has it"
-            faults.append(Fault(f"node[{place}].address", shown(node.address), expected))
+            faults.append(Fault(f"node[{index}].address", abbreviate(node.address), expected))
         nodes.append(node)
-    if len(faults) > MOST_FAULTS:
-        more = len(faults) - MOST_FAULTS
-        faults = [*faults[:MOST_FAULTS], Fault("node", f"{more} faults more", "none")]
+    if len(faults) > MAX_REPORTED_FAULTS:
+        unreported = len(faults) - MAX_REPORTED_FAULTS
+        faults = [*faults[:MAX_REPORTED_FAULTS], Fault("node", f"{unreported} more faults", "none")]
     return tuple(nodes), faults
--- a/flintlatch/membership/core.py
+++ b/flintlatch/membership/core.py
@@ -1,14 +1,15 @@
-"""Every decision of membership: which version becomes current, and what of it is believed. No I/O, no clock.
-
-Order of decisions on a version that a source offers:
-  1. It is rejected if it is older than the current one, or holds no node at all.
-  2. It is held, until somebody confirms it or a stated time has passed, if it takes away too much at once.
-  3. Else it is the source's current one. Sources are merged by precedence, and of the merged list:
-     a node that a source calls unhealthy drains, unless too many of its pool are called so (panic);
-     a node that comes and goes again and again is held down;
-     a weight that jumps goes there in steps.
-A version is taken whole or not at all. So a drain in a version that is rejected does not happen: a file with
-one fault may hold others that can't be seen, and the rejection is told of at once.
+"""Decides which versions of the node list are accepted and what the merged list contains. No I/O, no clock.
+
+A version that a source offers is handled in this order:
+  1. It is rejected if it is older than the source's current one or contains no node.
+  2. It is held if it removes too many nodes at once, until an operator confirms it or `hold_s` has passed.
+  3. Otherwise it becomes the source's current version. The current versions are merged by the precedence of
+     their sources, and in the merged list
+     a node that a source reports unhealthy is drained, unless too many nodes of its pool are (panic mode);
+     a node that repeatedly appears and disappears is held down, that is drained for some time;
+     a weight that changes by a large factor is changed in steps.
+A version is accepted or rejected as a whole. A drain in a rejected version is therefore not applied: a file
+with one fault may contain others that can't be detected, and the rejection is reported at once.
 """
 
 from __future__ import annotations
@@ -19,77 +20,80 @@
 from typing import NamedTuple
 
 from flintlatch.membership.check import Fault
-from flintlatch.membership.model import Change, Node, NodeState, Version, difference
+from flintlatch.membership.model import Change, Node, NodeState, Version, node_changes
 
-REJECTIONS_KEPT = 20  # of each source, for status
+MAX_KEPT_REJECTIONS = 20  # per source, for `status`
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipRules:
-    sources: tuple[str, ...]  # by precedence: of two that name one uid, the first counts
-    max_removed_fraction: float = 0.5  # of the active nodes that one version may take away without being held
-    hold_s: float = 30.0  # after which a held version is taken unconfirmed
-    weight_factor: float = 4.0  # a weight changes by no more than this at once
-    weight_step_s: float = 5.0  # between two such changes
-    flaps: int = 4  # comings and goings of a node
-    flap_window_s: float = 60.0  # within which they count
-    flap_hold_s: float = 60.0  # for which it is held down then
-    panic_part: float = 0.5  # of a pool's nodes called unhealthy or held down; beyond it nothing is believed
-    drains_at_once: frozenset[str] = frozenset()  # sources whose drains are no taking away, and never held
+    sources: tuple[str, ...]  # in order of precedence: the first source that lists a uid defines its node
+    max_removed_fraction: float = 0.5  # of the active nodes; a version that removes more is held
+    hold_s: float = 30.0  # after this time a held version is accepted without confirmation
+    weight_factor: float = 4.0  # largest factor by which a weight changes in one step
+    weight_step_s: float = 5.0  # time between two such steps
+    flaps: int = 4  # appearances and disappearances of a node within `flap_window_s` that hold it down
+    flap_window_s: float = 60.0
+    flap_hold_s: float = 60.0  # for how long the node is then held down
+    panic_fraction: float = 0.5  # with more of a pool's nodes unhealthy or held down, none of them is drained
+    drains_at_once: frozenset[str] = frozenset()  # sources whose drains don't count as removals
 
     def __post_init__(self) -> None:
         if not self.sources or len(set(self.sources)) != len(self.sources):
-            raise ValueError("sources: at least one, each once")
-        for name in ("max_removed_fraction", "panic_part"):
+            raise ValueError(f"sources are {self.sources}, expected at least one and none twice")
+        for name in ("max_removed_fraction", "panic_fraction"):
             if not 0 <= getattr(self, name) <= 1:
-                raise ValueError(f"{name} must be from 0 to 1")
+                raise ValueError(f"{name} is {getattr(self, name)}, expected 0 to 1")
         for name in ("hold_s", "weight_step_s", "flap_window_s", "flap_hold_s"):
             if not getattr(self, name) >= 0:
-                raise ValueError(f"{name} must not be negative")
+                raise ValueError(f"{name} is {getattr(self, name)}, expected 0 or more")
         if not self.weight_factor > 1:
-            raise ValueError("weight_factor must be above 1")
+            raise ValueError(f"weight_factor is {self.weight_factor}, expected more than 1")
         if self.flaps < 2:
-            raise ValueError("flaps must be at least 2")
+            raise ValueError(f"flaps is {self.flaps}, expected at least 2")
 
 
 # Events
 
 
 class VersionOffered(NamedTuple):
-    """A source has a whole, checked version."""
+    """A source has a complete and valid version."""
 
     version: Version
 
 
 class VersionRestored(NamedTuple):
-    """The last good version, as it was kept over a restart: old until its source confirms or replaces it."""
+    """The last accepted version, loaded after a restart.
+
+    It is unconfirmed until its source offers it again or replaces it.
+    """
 
     version: Version
 
 
-class Unread(NamedTuple):
-    """A source has something that is no version."""
+class InvalidVersionOffered(NamedTuple):
+    """A source has content that is not a valid version."""
 
     source: str
     faults: tuple[Fault, ...]
 
 
-class Failed(NamedTuple):
-    """A source can't be reached, or is gone; what it said last stands."""
+class SourceFailed(NamedTuple):
+    """A source is missing or can't be reached. Its current version stays in effect."""
 
     source: str
     reason: str
 
 
 class Confirmed(NamedTuple):
-    """Somebody wants the held version of this number taken."""
+    """An operator accepts the held version with this number."""
 
     source: str
     number: int
 
 
-class Health(NamedTuple):
-    """A source's word on a node's health, beside the list."""
+class HealthReported(NamedTuple):
+    """A source reports the health of a node, separately from its list."""
 
     source: str
     uid: str
@@ -97,16 +101,24 @@
 
 
 class TimerExpired(NamedTuple):
-    """The time that `WakeAt` asked for has come."""
+    """The time requested with `WakeAt` has come."""
 
 
-Event = VersionOffered | VersionRestored | Unread | Failed | Confirmed | Health | TimerExpired
+Event = (
+    VersionOffered
+    | VersionRestored
+    | InvalidVersionOffered
+    | SourceFailed
+    | Confirmed
+    | HealthReported
+    | TimerExpired
+)
 
 # Actions
 
 
 class Apply(NamedTuple):
-    """The list has changed. `nodes`: all of it; `revision` grows with each."""
+    """The merged list has changed. `nodes`: the whole list. `revision`: counts the lists from 1."""
 
     revision: int
     change: Change
@@ -114,18 +126,22 @@
 
 
 class Save(NamedTuple):
-    """Keep this version for a restart."""
+    """Save this version, so that it can be restored after a restart."""
 
     version: Version
 
 
 class Rejected(NamedTuple):
+    """A version was rejected. `number`: None if the content could not be read as a version."""
+
     source: str
     number: int | None
     faults: tuple[Fault, ...]
 
 
 class VersionHeld(NamedTuple):
+    """A version waits for its confirmation, at most until `until_s`."""
+
     source: str
     number: int
     reason: str
@@ -137,6 +153,8 @@
 
 
 class WakeAt(NamedTuple):
+    """Send `TimerExpired` at this time. Replaces the time of an earlier `WakeAt`."""
+
     at_s: float
 
 
@@ -147,13 +165,13 @@
 class Source:
     name: str
     current: Version | None = None
-    unconfirmed: bool = False  # it is from before a restart, and nobody has confirmed it
+    unconfirmed: bool = False  # the current version was restored, and the source has not offered it since
     held: Version | None = None
     held_until_s: float = 0.0
-    heard_s: float = 0.0  # when it last said something of use
+    last_offer_s: float = 0.0  # when the source last offered a version or one was accepted
     failure: str = ""
-    rejections: deque[Rejected] = field(default_factory=lambda: deque(maxlen=REJECTIONS_KEPT))
-    rejection_count: int = 0  # in all
+    rejections: deque[Rejected] = field(default_factory=lambda: deque(maxlen=MAX_KEPT_REJECTIONS))
+    rejection_count: int = 0  # since the start
     unhealthy: set[str] = field(default_factory=set)
 
 
@@ -161,41 +179,42 @@
     def __init__(self, rules: MembershipRules) -> None:
         self.rules = rules
         self.sources = {name: Source(name) for name in rules.sources}
-        self.nodes: dict[str, Node] = {}  # the list in effect
+        self.nodes: dict[str, Node] = {}  # the list in effect, by uid
         self.revision = 0
-        self.flaps: dict[str, deque[float]] = {}  # when each node came or went of late
-        self.down_until: dict[str, float] = {}  # held down
-        self.weights_at = 0.0  # when weights that jump may take their next step
-        self.present: set[str] = set()  # uids that sources name and call healthy
-        self.panics: set[str] = set()  # pools in which no claim is believed
-        self.clashes: set[str] = set()  # told of
-        self.out: list[Action] = []
+        self.flap_times: dict[str, deque[float]] = {}  # by uid: recent appearances and disappearances
+        self.held_down_until: dict[str, float] = {}  # by uid
+        self.next_weight_step_at = 0.0
+        self.present: set[str] = set()  # uids that are listed and not reported unhealthy
+        self.panic_pools: set[str] = set()  # pools in panic mode
+        self.address_conflicts: set[str] = set()  # those already logged
+        self.actions: list[Action] = []
 
     def step(self, now_s: float, event: Event) -> list[Action]:
-        self.out = []
+        """Handles one event and returns the actions that follow from it and from the time."""
+        self.actions = []
         if isinstance(event, VersionOffered):
             self._on_offer(now_s, event.version)
         elif isinstance(event, VersionRestored):
             source = self.sources.get(event.version.source)
             if source is not None and source.current is None and event.version.nodes:
                 source.current, source.unconfirmed = event.version, True
-        elif isinstance(event, Unread):
+        elif isinstance(event, InvalidVersionOffered):
             self._reject(self.sources[event.source], None, event.faults)
-        elif isinstance(event, Failed):
+        elif isinstance(event, SourceFailed):
             source = self.sources[event.source]
             if source.failure != event.reason:
-                self.out.append(LogWarning(f"{event.source}: {event.reason}; the list held stands"))
+                self.actions.append(LogWarning(f"{event.source}: {event.reason}; the list held stands"))
             source.failure = event.reason
         elif isinstance(event, Confirmed):
             self._on_confirm(now_s, event)
-        elif isinstance(event, Health):
-            claims = self.sources[event.source].unhealthy
-            (claims.discard if event.healthy else claims.add)(event.uid)
+        elif isinstance(event, HealthReported):
+            unhealthy = self.sources[event.source].unhealthy
+            (unhealthy.discard if event.healthy else unhealthy.add)(event.uid)
         for source in self.sources.values():
             if source.held is not None and now_s >= source.held_until_s:
-                self._take(now_s, source, source.held)
-        self._settle(now_s)
-        return self.out
+                self._accept(now_s, source, source.held)
+        self._update_list(now_s)
+        return self.actions
 
     # Versions
 
@@ -203,144 +222,156 @@
         source = self.sources.get(version.source)
         if source is None:
             fault = Fault("source", repr(version.source), "one of " + ", ".join(self.sources))
-            self.out.append(Rejected(version.source, version.number, (fault,)))
+            self.actions.append(Rejected(version.source, version.number, (fault,)))
             return
-        source.failure, source.heard_s = "", now_s
+        source.failure, source.last_offer_s = "", now_s
         newest = source.held or source.current
         if newest is not None and version.number <= newest.number:
             if version.number < newest.number or version.nodes != newest.nodes:
-                fault = Fault("version", str(version.number), f"one above {newest.number}")
+                fault = Fault("version", str(version.number), f"a number above {newest.number}")
                 self._reject(source, version.number, (fault,))
             elif source.held is None:
-                source.unconfirmed = False  # the current one again: confirmed
+                source.unconfirmed = False  # the source offers its current version again
             return
         if not version.nodes:
-            self._reject(source, version.number, (Fault("node", "none", "a node: all would be gone"),))
-            self.out.append(
+            self._reject(source, version.number, (Fault("node", "none", "at least one node"),))
+            self.actions.append(
                 LogWarning(f"{source.name}: version {version.number} removes every node: refused")
             )
             return
-        lost, active = self._lost(source, version)
-        if active and lost / active > self.rules.max_removed_fraction:
+        removed, active = self._removed_nodes(source, version)
+        if active and removed / active > self.rules.max_removed_fraction:
             source.held, source.held_until_s = version, now_s + self.rules.hold_s
-            reason = f"it takes away {lost} of {active} active nodes"
-            self.out.append(VersionHeld(source.name, version.number, reason, source.held_until_s))
+            reason = f"it takes away {removed} of {active} active nodes"
+            self.actions.append(VersionHeld(source.name, version.number, reason, source.held_until_s))
             return
-        self._take(now_s, source, version)
+        self._accept(now_s, source, version)
 
-    def _lost(self, source: Source, version: Version) -> tuple[int, int]:
-        """How many active nodes it would take away, and of how many."""
+    def _removed_nodes(self, source: Source, version: Version) -> tuple[int, int]:
+        """How many active nodes the version would remove or drain, and how many there are."""
         if source.current is None:
             return 0, 0
         after = version.by_uid()
         active = [node.uid for node in source.current.nodes if node.state is NodeState.ACTIVE]
-        drains = source.name not in self.rules.drains_at_once
-        lost = sum(
-            uid not in after or (drains and after[uid].state is not NodeState.ACTIVE) for uid in active
+        count_drains = source.name not in self.rules.drains_at_once
+        removed = sum(
+            uid not in after or (count_drains and after[uid].state is not NodeState.ACTIVE) for uid in active
         )
-        return lost, len(active)
+        return removed, len(active)
 
     def _on_confirm(self, now_s: float, event: Confirmed) -> None:
         source = self.sources.get(event.source)
         if source is None or source.held is None or source.held.number != event.number:
-            self.out.append(LogWarning(f"{event.source}: no version {event.number} is held"))
+            self.actions.append(LogWarning(f"{event.source}: no version {event.number} is held"))
         else:
-            self._take(now_s, source, source.held)
+            self._accept(now_s, source, source.held)
 
-    def _take(self, now_s: float, source: Source, version: Version) -> None:
-        source.current, source.held, source.unconfirmed, source.heard_s = version, None, False, now_s
-        named = {node.uid for node in version.nodes}
-        source.unhealthy &= named  # claims on nodes that are gone would pile up
-        self.out.append(Save(version))
+    def _accept(self, now_s: float, source: Source, version: Version) -> None:
+        source.current, source.held, source.unconfirmed, source.last_offer_s = version, None, False, now_s
+        listed = {node.uid for node in version.nodes}
+        source.unhealthy &= listed  # otherwise reports about removed nodes would accumulate
+        self.actions.append(Save(version))
 
     def _reject(self, source: Source, number: int | None, faults: Iterable[Fault]) -> None:
         rejected = Rejected(source.name, number, tuple(faults))
         source.rejections.append(rejected)
         source.rejection_count += 1
-        self.out.append(rejected)
+        self.actions.append(rejected)
 
     # The list in effect
 
-    def _settle(self, now_s: float) -> None:
-        named = self._merged()
+    def _update_list(self, now_s: float) -> None:
+        listed = self._merge_sources()
         unhealthy = {uid for source in self.sources.values() for uid in source.unhealthy}
-        self._note_flaps(now_s, {uid for uid in named if uid not in unhealthy})
-        doubted = self._believed(named, unhealthy | set(self.down_until))
-        wake = [source.held_until_s for source in self.sources.values() if source.held is not None]
-        wake += self.down_until.values()
-        stepping, nodes = now_s >= self.weights_at, {}
-        more_steps = False
-        for uid, node in named.items():
-            if uid in doubted and node.state is NodeState.ACTIVE:
+        self._record_flaps(now_s, {uid for uid in listed if uid not in unhealthy})
+        to_drain = self._without_panic(listed, unhealthy | set(self.held_down_until))
+        wake_times = [source.held_until_s for source in self.sources.values() if source.held is not None]
+        wake_times += self.held_down_until.values()
+        step_due, nodes = now_s >= self.next_weight_step_at, {}
+        steps_remain = False
+        for uid, node in listed.items():
+            if uid in to_drain and node.state is NodeState.ACTIVE:
                 node = node._replace(state=NodeState.DRAINING)
             before = self.nodes.get(uid)
             if before is not None and before.weight != node.weight:
-                weight = self._stepped(before.weight, node.weight) if stepping else before.weight
-                more_steps = more_steps or weight != node.weight
+                weight = self._limited_weight(before.weight, node.weight) if step_due else before.weight
+                steps_remain = steps_remain or weight != node.weight
                 node = node._replace(weight=weight)
             nodes[uid] = node
-        if stepping and more_steps:
-            self.weights_at = now_s + self.rules.weight_step_s
-        if more_steps:
-            wake.append(self.weights_at)
-        change = difference(self.nodes, nodes)
+        if step_due and steps_remain:
+            self.next_weight_step_at = now_s + self.rules.weight_step_s
+        if steps_remain:
+            wake_times.append(self.next_weight_step_at)
+        change = node_changes(self.nodes, nodes)
         if change:
             self.revision += 1
             self.nodes = nodes
-            self.out.append(Apply(self.revision, change, tuple(nodes.values())))
-        if wake:
-            self.out.append(WakeAt(min(wake)))
+            self.actions.append(Apply(self.revision, change, tuple(nodes.values())))
+        if wake_times:
+            self.actions.append(WakeAt(min(wake_times)))
 
-    def _merged(self) -> dict[str, Node]:
-        """By precedence; an address that an earlier source has is not listed twice in a pool."""
+    def _merge_sources(self) -> dict[str, Node]:
+        """The nodes of all sources by uid.
+
+        If several sources list a uid, or an address of a pool, the source with the highest precedence wins.
+        """
         nodes: dict[str, Node] = {}
-        places: set[tuple[str, str, int]] = set()
-        clashes = set()
+        endpoints: set[tuple[str, str, int]] = set()
+        conflicts = set()
         for source in self.sources.values():
             for node in source.current.nodes if source.current is not None else ():
-                place = (node.pool, node.host, node.port)
+                endpoint = (node.pool, node.host, node.port)
                 if node.uid in nodes:
                     continue
-                if place in places:
-                    clashes.add(f"{source.name}: {node.uid} at {node.address} in {node.pool}")
+                if endpoint in endpoints:
+                    conflicts.add(f"{source.name}: {node.uid} at {node.address} in {node.pool}")
                     continue
                 nodes[node.uid] = node
-                places.add(place)
-        for clash in sorted(clashes - self.clashes):
-            self.out.append(LogWarning(f"{clash}: another source has this address; left out"))
-        self.clashes = clashes
+                endpoints.add(endpoint)
+        for conflict in sorted(conflicts - self.address_conflicts):
+            self.actions.append(LogWarning(f"{conflict}: another source has this address; left out"))
+        self.address_conflicts = conflicts
         return nodes
 
-    def _note_flaps(self, now_s: float, present: set[str]) -> None:
+    def _record_flaps(self, now_s: float, present: set[str]) -> None:
         rules = self.rules
-        if self.present:  # the first list is no coming
+        if self.present:  # the nodes of the first list don't count as appearing
             for uid in present ^ self.present:
-                times = self.flaps.setdefault(uid, deque(maxlen=rules.flaps))
+                times = self.flap_times.setdefault(uid, deque(maxlen=rules.flaps))
                 times.append(now_s)
                 if len(times) == rules.flaps and times[0] > now_s - rules.flap_window_s:
-                    if uid not in self.down_until:
-                        self.out.append(LogWarning(f"{uid} comes and goes: held down"))
-                    self.down_until[uid] = now_s + rules.flap_hold_s
+                    if uid not in self.held_down_until:
+                        self.actions.append(LogWarning(f"{uid} comes and goes: held down"))
+                    self.held_down_until[uid] = now_s + rules.flap_hold_s
         self.present = present
-        self.down_until = {uid: until for uid, until in self.down_until.items() if until > now_s}
+        self.held_down_until = {uid: until for uid, until in self.held_down_until.items() if until > now_s}
         oldest = now_s - rules.flap_window_s
-        self.flaps = {uid: times for uid, times in self.flaps.items() if times[-1] > oldest}
+        self.flap_times = {uid: times for uid, times in self.flap_times.items() if times[-1] > oldest}
+
+    def _without_panic(self, listed: dict[str, Node], suspects: set[str]) -> set[str]:
+        """Returns the uids in `suspects` to drain: listed nodes of pools that are not in panic mode.
 
-    def _believed(self, named: dict[str, Node], doubted: set[str]) -> set[str]:
-        """Those of `doubted` that drain. Where most of a pool is called bad, it is likelier that whoever says
-        so is cut off than that all fail at once; and with all drained, nobody would be served for certain."""
-        pools: dict[str, list[int]] = {}
-        for uid, node in named.items():
+        If most of a pool is reported unhealthy, it is more likely that the reporting source is cut off than
+        that all nodes fail at once. With all of them drained, certainly no request would be served.
+        """
+        pools: dict[str, list[int]] = {}  # by pool: suspected and all active nodes
+        for uid, node in listed.items():
             if node.state is NodeState.ACTIVE:
-                count = pools.setdefault(node.pool, [0, 0])
-                count[0] += uid in doubted
-                count[1] += 1
-        panics = {pool for pool, (bad, all_of) in pools.items() if bad > self.rules.panic_part * all_of}
-        for pool in sorted(panics - self.panics):
-            bad, all_of = pools[pool]
-            self.out.append(LogWarning(f"pool {pool}: {bad} of {all_of} nodes are called bad: not believed"))
-        self.panics = panics
-        return {uid for uid in doubted if uid in named and named[uid].pool not in panics}
-
-    def _stepped(self, old: float, new: float) -> float:
+                counts = pools.setdefault(node.pool, [0, 0])
+                counts[0] += uid in suspects
+                counts[1] += 1
+        panic_pools = {
+            pool
+            for pool, (suspected, total) in pools.items()
+            if suspected > self.rules.panic_fraction * total
+        }
+        for pool in sorted(panic_pools - self.panic_pools):
+            suspected, total = pools[pool]
+            self.actions.append(
+                LogWarning(f"pool {pool}: {suspected} of {total} nodes are called bad: not believed")
+            )
+        self.panic_pools = panic_pools
+        return {uid for uid in suspects if uid in listed and listed[uid].pool not in panic_pools}
+
+    def _limited_weight(self, old: float, new: float) -> float:
         return min(max(new, old / self.rules.weight_factor), old * self.rules.weight_factor)
--- a/flintlatch/membership/model.py
+++ b/flintlatch/membership/model.py
@@ -1,4 +1,4 @@
-"""Nodes, versions of the list of them, and the change from one to the next."""
+"""Defines nodes, versions of the node list, and the changes from one list to the next."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 class NodeState(Enum):
     ACTIVE = "active"
-    DRAINING = "draining"  # nothing new to it; what it holds ends there
+    DRAINING = "draining"  # gets no new requests; those in progress are completed
 
 
 class Node(NamedTuple):
@@ -22,7 +22,7 @@
     cell: int = 0
     weight: float = 1.0
     state: NodeState = NodeState.ACTIVE
-    started_ms: float | None = None  # Unix ms of its latest start
+    started_ms: float | None = None  # Unix time of its latest start
 
     @property
     def address(self) -> str:
@@ -31,7 +31,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Version:
-    """One whole list. `number` grows within its source; `made_ms`: Unix time at which the source made it."""
+    """A complete list from one source.
+
+    `number` grows with each version of the source. `made_ms`: Unix time at which the source made the version.
+    """
 
     source: str
     number: int
@@ -44,19 +47,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """From one list to the next, in the order in which it is to be applied: whoever stops halfway has sent
-    nothing new to a node that leaves."""
+    """The changes from one list to the next, in the order in which they are applied.
+
+    Because of this order, a process that stops halfway has sent no new request to a node that leaves.
+    """
 
     drained: tuple[Node, ...] = ()
     removed: tuple[Node, ...] = ()
-    changed: tuple[Node, ...] = ()  # weight, zone, address, or a new start; active again
+    changed: tuple[Node, ...] = ()  # in weight, zone, address or start time, or active again
     added: tuple[Node, ...] = ()
 
     def __bool__(self) -> bool:
         return bool(self.drained or self.removed or self.changed or self.added)
 
 
-def difference(old: dict[str, Node], new: dict[str, Node]) -> Change:
+def node_changes(old: dict[str, Node], new: dict[str, Node]) -> Change:
+    """The changes from the list `old` to the list `new`, both by uid."""
     drained: list[Node] = []
     changed: list[Node] = []
     added: list[Node] = []
@@ -68,5 +74,5 @@
             drained.append(node)
         else:
             (added if before is None else changed).append(node)
-    gone = [node for uid, node in old.items() if uid not in new]
-    return Change(tuple(drained), tuple(gone), tuple(changed), tuple(added))
+    removed = [node for uid, node in old.items() if uid not in new]
+    return Change(tuple(drained), tuple(removed), tuple(changed), tuple(added))
--- a/flintlatch/membership/registry.py
+++ b/flintlatch/membership/registry.py
@@ -1,4 +1,4 @@
-"""The platform's registry as a source: each of its answers, put together with what is held, is a version."""
+"""Turns the snapshots and deltas of a registry into complete versions of the node list."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 from collections.abc import Callable
 
 from flintlatch.api import ServerState
-from flintlatch.membership.core import Event, Failed, VersionOffered
+from flintlatch.membership.core import Event, SourceFailed, VersionOffered
 from flintlatch.membership.model import Node, NodeState, Version
 from flintlatch.net.clock import now_ms
 from flintlatch.net.discovery import Discovery, Listing, Target
 from flintlatch.settings import SocketSettings
 
-RETRY_S = (0.1, 2.0)  # s until a failed call is made again, first and longest: doubled
+RETRY_DELAY_RANGE_S = (0.1, 2.0)  # first and longest delay after a failed call; doubled each time
 
 
-def node_of(target: Target, zones: dict[int, str], kinds: dict[int, str]) -> Node:
-    """`zones` and `kinds`: names by number; what has none is named by its number."""
+def node_from_target(target: Target, zones: dict[int, str], kinds: dict[int, str]) -> Node:
+    """`zones` and `kinds`: names by number. A zone or kind without a name gets its number as the name."""
     info = target.info
     return Node(
         target.uid,
@@ -33,40 +33,47 @@
 
 
 class RegistrySource:
-    """Tells the core's events of a registry to `on_event`, on the loop, until closed."""
+    """Calls `on_event` on the event loop with the events of a registry, until it is closed."""
 
     def __init__(
-        self, name: str, address: str, wire: SocketSettings, on_event: Callable[[Event], None]
+        self,
+        name: str,
+        address: str,
+        socket_settings: SocketSettings,
+        on_event: Callable[[Event], None],
     ) -> None:
-        self.name, self.wire, self.on_event = name, wire, on_event
+        self.name, self.socket_settings, self.on_event = name, socket_settings, on_event
         self.nodes: dict[str, Node] = {}
-        self.number, self.wait_s = 0, RETRY_S[0]
-        self.retry: asyncio.TimerHandle | None = None
-        self.discovery = Discovery(address, wire, None, self._on_list, self._on_failure)
+        self.version_number, self.retry_delay_s = 0, RETRY_DELAY_RANGE_S[0]
+        self.retry_timer: asyncio.TimerHandle | None = None
+        self.discovery = Discovery(address, socket_settings, None, self._on_list, self._on_failure)
         self.discovery.watch()
 
     def _on_list(self, listing: Listing) -> None:
-        self.wait_s = RETRY_S[0]
-        zones = {number: name for name, number in self.wire.zones.items()}
-        kinds = {number: name for name, number in self.wire.kinds.items()}
+        self.retry_delay_s = RETRY_DELAY_RANGE_S[0]
+        zones = {number: name for name, number in self.socket_settings.zones.items()}
+        kinds = {number: name for name, number in self.socket_settings.kinds.items()}
         nodes = {} if listing.is_snapshot else dict(self.nodes)
         for target in listing.targets:
             if target.info.state is ServerState.GONE:
                 nodes.pop(target.uid, None)
             else:
-                nodes[target.uid] = node_of(target, zones, kinds)
-        if nodes != self.nodes or not self.number:
-            # Its versions are its own, and begin anew with it; ours never go back, also over a restart.
-            self.number = max(self.number + 1, int(now_ms()))
+                nodes[target.uid] = node_from_target(target, zones, kinds)
+        if nodes != self.nodes or not self.version_number:
+            # The registry's revisions restart with it. Version numbers must grow, also over a restart of this
+            # process.
+            self.version_number = max(self.version_number + 1, int(now_ms()))
         self.nodes = nodes
-        self.on_event(VersionOffered(Version(self.name, self.number, tuple(nodes.values()), now_ms())))
+        self.on_event(
+            VersionOffered(Version(self.name, self.version_number, tuple(nodes.values()), now_ms()))
+        )
 
     def _on_failure(self, reason: str) -> None:
-        self.on_event(Failed(self.name, reason))
-        self.retry = asyncio.get_running_loop().call_later(self.wait_s, self.discovery.watch)
-        self.wait_s = min(2 * self.wait_s, RETRY_S[1])
+        self.on_event(SourceFailed(self.name, reason))
+        self.retry_timer = asyncio.get_running_loop().call_later(self.retry_delay_s, self.discovery.watch)
+        self.retry_delay_s = min(2 * self.retry_delay_s, RETRY_DELAY_RANGE_S[1])
 
     def close(self) -> None:
-        if self.retry is not None:
-            self.retry.cancel()
+        if self.retry_timer is not None:
+            self.retry_timer.cancel()
         self.discovery.close()
--- a/tests/membership/test_consul.py
+++ b/tests/membership/test_consul.py
@@ -16,12 +16,12 @@
 from flintlatch.membership import (
     Apply,
     Event,
-    Failed,
-    Health,
+    HealthReported,
+    InvalidVersionOffered,
     Membership,
     MembershipRules,
     NodeState,
-    Unread,
+    SourceFailed,
     VersionOffered,
 )
 from flintlatch.membership import catalogue as catalogue_module
@@ -60,14 +60,18 @@
     source, offers = catalogue(), []
     for place, (index, uids) in enumerate(answers):
         asked = source.index
-        events = source.answered(1000.0 + place, 200, headers(index), body(*sorted(uids)))
+        events = source.on_response(1000.0 + place, 200, headers(index), body(*sorted(uids)))
         if index <= 0 or (asked and index < asked):
-            assert [type(event) for event in events] == [Failed] and source.index == 0 and source.rest_s > 0
-            assert "index=" not in source.ask().path
+            assert (
+                [type(event) for event in events] == [SourceFailed]
+                and source.index == 0
+                and source.delay_s > 0
+            )
+            assert "index=" not in source.next_query().path
             continue
         (offer,) = offered(events)
         assert {node.uid for node in offer.version.nodes} == {f"m1/{uid}" for uid in uids}
-        assert source.ask().path.endswith(f"index={index}&wait=30s")
+        assert source.next_query().path.endswith(f"index={index}&wait=30s")
         offers.append(offer.version)
     for before, after in zip(offers, offers[1:], strict=False):
         assert after.number > before.number or (after.number == before.number and after.nodes == before.nodes)
@@ -88,15 +92,15 @@
     status: int, told: dict[str, str], sent: bytes, words: str
 ) -> None:
     source = catalogue()
-    source.answered(1.0, 200, headers(4), body("a"))
-    (event,) = source.answered(2.0, status, told, sent)
-    assert isinstance(event, Failed) and words in event.reason
+    source.on_response(1.0, 200, headers(4), body("a"))
+    (event,) = source.on_response(2.0, status, told, sent)
+    assert isinstance(event, SourceFailed) and words in event.reason
     rests = []
     for _ in range(12):
-        source.failed("again")
-        rests.append(source.rest_s)
-    assert rests == sorted(rests) and rests[-1] == consul_module.RETRY_S[1]
-    assert source.answered(3.0, 200, headers(1), body("a")) and source.rest_s == 0
+        source.on_failure("again")
+        rests.append(source.delay_s)
+    assert rests == sorted(rests) and rests[-1] == consul_module.RETRY_DELAY_RANGE_S[1]
+    assert source.on_response(3.0, 200, headers(1), body("a")) and source.delay_s == 0
 
 
 @pytest.mark.parametrize(
@@ -116,16 +120,18 @@
 )
 def test_a_list_with_one_fault_is_not_taken_and_the_fault_is_named(sent: bytes, where: str) -> None:
     source = catalogue()
-    (event,) = source.answered(1.0, 200, headers(4), sent)
-    assert isinstance(event, Unread) and any(fault.where.startswith(where) for fault in event.faults)
-    assert source.index == 0 and source.rest_s > 0
+    (event,) = source.on_response(1.0, 200, headers(4), sent)
+    assert isinstance(event, InvalidVersionOffered) and any(
+        fault.where.startswith(where) for fault in event.faults
+    )
+    assert source.index == 0 and source.delay_s > 0
 
 
 def test_checks_are_evidence_beside_the_list_and_are_taken_back() -> None:
     source, core = catalogue(), Membership(MembershipRules(("c",)))
 
     def told(index: int, *bad: str, uids: str = "abc") -> dict[str, NodeState]:
-        for event in source.answered(float(index), 200, headers(index), body(*uids, bad=bad)):
+        for event in source.on_response(float(index), 200, headers(index), body(*uids, bad=bad)):
             core.step(index, event)
         return {uid: node.state for uid, node in core.nodes.items()}
 
@@ -145,7 +151,7 @@
 def test_an_empty_list_after_an_outage_is_refused_and_the_next_one_taken() -> None:
     source, core = catalogue(), Membership(MembershipRules(("c",)))
     for number, uids in enumerate(("ab", "", "", "ab", "abc"), 1):
-        for event in source.answered(float(number), 200, headers(number), body(*uids)):
+        for event in source.on_response(float(number), 200, headers(number), body(*uids)):
             core.step(number, event)
         assert set(core.nodes) >= {"m1/a", "m1/b"}
     assert set(core.nodes) == {"m1/a", "m1/b", "m1/c"}
@@ -198,7 +204,7 @@
             await until(lambda: len(core.nodes) == 3)
             consul.drop("a")
             await until(lambda: "m1/a" not in core.nodes)
-            assert source.queries <= 6  # it waits for news, and does not ask again and again
+            assert source.query_count <= 6  # it waits for news, and does not ask again and again
 
     run(test())
 
@@ -207,9 +213,9 @@
 def test_each_fault_leaves_the_list_and_ends_when_it_is_mended(
     monkeypatch: pytest.MonkeyPatch, fault: str
 ) -> None:
-    monkeypatch.setattr(consul_module, "RETRY_S", (0.01, 0.05))
-    monkeypatch.setattr(catalogue_module, "ANSWER_S", 0.2)
-    monkeypatch.setattr(catalogue_module, "LEAST_S", 0.001)
+    monkeypatch.setattr(consul_module, "RETRY_DELAY_RANGE_S", (0.01, 0.05))
+    monkeypatch.setattr(catalogue_module, "RESPONSE_MARGIN_S", 0.2)
+    monkeypatch.setattr(catalogue_module, "MIN_QUERY_INTERVAL_S", 0.001)
 
     async def test() -> None:
         async with watched(wait_s=0.2) as (consul, _, core):
@@ -277,10 +283,12 @@
 def test_applied_changes_name_the_catalogue_by_its_nodes() -> None:
     source, core = catalogue(), Membership(MembershipRules(("c",)))
     actions = []
-    for event in source.answered(5.0, 200, headers(3), body("a")):
+    for event in source.on_response(5.0, 200, headers(3), body("a")):
         actions += core.step(5.0, event)
     (applied,) = [action for action in actions if isinstance(action, Apply)]
     assert [node.uid for node in applied.change.added] == ["m1/a"]
     assert not [
-        event for event in source.answered(6.0, 200, headers(3), body("a")) if isinstance(event, Health)
+        event
+        for event in source.on_response(6.0, 200, headers(3), body("a"))
+        if isinstance(event, HealthReported)
     ]
--- a/tests/membership/test_core.py
+++ b/tests/membership/test_core.py
@@ -11,9 +11,9 @@
     Apply,
     Confirmed,
     Event,
-    Failed,
     Fault,
-    Health,
+    HealthReported,
+    InvalidVersionOffered,
     LogWarning,
     Membership,
     MembershipRules,
@@ -21,8 +21,8 @@
     NodeState,
     Rejected,
     Save,
+    SourceFailed,
     TimerExpired,
-    Unread,
     Version,
     VersionHeld,
     VersionOffered,
@@ -128,7 +128,7 @@
     driver.offer(5, *TEN)
     for number, nodes in ((4, TEN[1:]), (5, TEN[1:])):
         (rejected,) = driver.offer(number, *nodes)
-        assert isinstance(rejected, Rejected) and rejected.faults[0].expected == "one above 5"
+        assert isinstance(rejected, Rejected) and rejected.faults[0].expected == "a number above 5"
     assert driver.offer(5, *TEN) == [] and driver.core.sources["file"].rejection_count == 2
 
 
@@ -145,14 +145,14 @@
     driver = Driver()
     driver.offer(1, *TEN)
     faults = (Fault("node[3].weight", "nan", "a number"),)
-    (rejected,) = driver.step(Unread("file", faults))
+    (rejected,) = driver.step(InvalidVersionOffered("file", faults))
     assert isinstance(rejected, Rejected) and rejected.faults == faults and rejected.number is None
     for _ in range(100):
-        driver.step(Unread("file", faults))
+        driver.step(InvalidVersionOffered("file", faults))
     source = driver.core.sources["file"]
     assert (len(source.rejections), source.rejection_count) == (20, 101)
-    assert kinds(driver.step(Failed("file", "gone"))) == ["LogWarning"]
-    assert driver.step(Failed("file", "gone")) == [] and len(driver.listed) == 10
+    assert kinds(driver.step(SourceFailed("file", "gone"))) == ["LogWarning"]
+    assert driver.step(SourceFailed("file", "gone")) == [] and len(driver.listed) == 10
 
 
 def test_a_weight_that_jumps_goes_in_steps() -> None:
@@ -177,23 +177,23 @@
     assert [w.text for w in warned] == ["n0 comes and goes: held down"]
     assert driver.listed["n0"].state.value == "draining"
     driver.step(TimerExpired(), after=61.0)
-    assert driver.listed["n0"].state.value == "active" and not driver.core.flaps
+    assert driver.listed["n0"].state.value == "active" and not driver.core.flap_times
 
 
 def test_unhealthy_nodes_drain_unless_too_many_are_called_so() -> None:
-    driver = Driver(MembershipRules(("file",), panic_part=0.5, flaps=50))
+    driver = Driver(MembershipRules(("file",), panic_fraction=0.5, flaps=50))
     driver.offer(1, *TEN, *(node(n, pool="other") for n in range(20, 24)))
     for number in range(5):
-        driver.step(Health("file", f"n{number}", False))
+        driver.step(HealthReported("file", f"n{number}", False))
         assert driver.listed[f"n{number}"].state.value == "draining"
-    actions = driver.step(Health("file", "n5", False))
+    actions = driver.step(HealthReported("file", "n5", False))
     assert "pool default: 6 of 10 nodes are called bad: not believed" in [
         a.text for a in actions if isinstance(a, LogWarning)
     ]
     assert all(n.state is NodeState.ACTIVE for n in driver.listed.values())
-    driver.step(Health("file", "n20", False))  # the other pool is not concerned
+    driver.step(HealthReported("file", "n20", False))  # the other pool is not concerned
     assert driver.listed["n20"].state.value == "draining"
-    driver.step(Health("file", "n5", True))
+    driver.step(HealthReported("file", "n5", True))
     assert {uid for uid, n in driver.listed.items() if n.state is NodeState.DRAINING} == {
         "n0", "n1", "n2", "n3", "n4", "n20",
     }  # fmt: skip
@@ -222,8 +222,8 @@
         NODES,
     ),
     st.builds(Confirmed, st.sampled_from(SOURCES), st.integers(0, 30)),
-    st.builds(Health, st.sampled_from(SOURCES), st.integers(0, 9).map("n{}".format), st.booleans()),
-    st.builds(Unread, st.sampled_from(SOURCES), st.just((Fault("x", "y", "z"),))),
+    st.builds(HealthReported, st.sampled_from(SOURCES), st.integers(0, 9).map("n{}".format), st.booleans()),
+    st.builds(InvalidVersionOffered, st.sampled_from(SOURCES), st.just((Fault("x", "y", "z"),))),
     st.just(TimerExpired()),
 )
 
@@ -249,16 +249,16 @@
         assert set(driver.listed) == named  # each address has one uid here, so nothing is left out
         if named:
             active = [n for n in driver.listed.values() if n.state is NodeState.ACTIVE]
-            assert len(active) >= len(named) * (1 - driver.core.rules.panic_part)
+            assert len(active) >= len(named) * (1 - driver.core.rules.panic_fraction)
         for action in actions:
             if isinstance(action, Apply):
                 assert action.revision == revision + 1 and action.change
                 revision = action.revision
             elif isinstance(action, WakeAt):
-                assert action.at_s > driver.now - 1e-6 or driver.core.weights_at >= driver.now - 1e-6
+                assert action.at_s > driver.now - 1e-6 or driver.core.next_weight_step_at >= driver.now - 1e-6
             elif isinstance(action, Save):
                 assert action.version in offered[action.version.source]
-        assert len(driver.core.flaps) <= 10
+        assert len(driver.core.flap_times) <= 10
 
 
 @pytest.mark.parametrize(
@@ -266,7 +266,7 @@
     [
         ({"sources": ()}, "sources"),
         ({"sources": ("a", "a")}, "sources"),
-        ({"panic_part": 2.0}, "panic_part"),
+        ({"panic_fraction": 2.0}, "panic_fraction"),
         ({"hold_s": -1.0}, "hold_s"),
         ({"weight_factor": 1.0}, "weight_factor"),
         ({"flaps": 1}, "flaps"),
--- a/tests/membership/test_delivered.py
+++ b/tests/membership/test_delivered.py
@@ -14,12 +14,12 @@
     Apply,
     Change,
     Event,
-    Failed,
+    InvalidVersionOffered,
     Membership,
     MembershipRules,
     NodeState,
     Rejected,
-    Unread,
+    SourceFailed,
     VersionHeld,
     VersionOffered,
     VersionRestored,
@@ -45,7 +45,7 @@
 
 def faults(events: list[Event]) -> list[str]:
     (event,) = events
-    assert isinstance(event, Unread), event
+    assert isinstance(event, InvalidVersionOffered), event
     return list(map(str, event.faults))
 
 
@@ -148,7 +148,7 @@
 
 def test_faults_told_are_bounded_and_counted() -> None:
     found = faults(DeliveredNodeList(SERVICE).on_snapshot(0.0, 1, {f"i{n:03}": b"{" for n in range(80)}))
-    assert len(found) == 51 and found[-1] == "item: found 30 faults more, expected none"
+    assert len(found) == 51 and found[-1] == "item: found 30 more faults, expected none"
 
 
 def test_guards_hold_as_for_any_other_source() -> None:
@@ -160,9 +160,9 @@
     (event,) = rows.on_delta(2.0, 7, {}, ("i3",))
     assert any(isinstance(action, Rejected) for action in core.step(2.0, event))
     (event,) = rows.on_object_absent()
-    assert isinstance(event, Failed)
+    assert isinstance(event, SourceFailed)
     core.step(3.0, event)
-    assert len(core.nodes) == 4 and core.sources[SERVICE].failure == delivered.NO_OBJECT
+    assert len(core.nodes) == 4 and core.sources[SERVICE].failure == delivered.NO_OBJECT_REASON
     # Back again, it begins from nothing: what was bad or there before counts no more.
     assert uids(rows.on_delta(4.0, 8, {"i2": row(2), "i3": row(3)}, ())) == ["s2", "s3"]
 
@@ -180,7 +180,7 @@
     # A relay, or an origin begun anew, that is behind what was kept is not followed back.
     (event,) = DeliveredNodeList(SERVICE).on_snapshot(2.0, 8, {"i0": row(0)})
     (rejected,) = core.step(2.0, event)
-    assert isinstance(rejected, Rejected) and "one above 9" in str(rejected.faults[0])
+    assert isinstance(rejected, Rejected) and "a number above 9" in str(rejected.faults[0])
 
 
 @given(st.integers(0, 2**32), st.integers(1, 30))
@@ -197,8 +197,8 @@
         events = rows.on_delta(float(number), number, put, removed)
         (whole,) = DeliveredNodeList(SERVICE).on_snapshot(float(number), number, items)
         (event,) = events
-        if isinstance(whole, Unread):
+        if isinstance(whole, InvalidVersionOffered):
             # Of two items that clash the one that came second is named: which, depends on the way here.
-            assert isinstance(event, Unread) and len(event.faults) == len(whole.faults)
+            assert isinstance(event, InvalidVersionOffered) and len(event.faults) == len(whole.faults)
         else:
             assert event == whole
--- a/tests/membership/test_document.py
+++ b/tests/membership/test_document.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from flintlatch.membership import (
-    MOST_NODES,
+    MAX_NODES,
     InvalidDocument,
     Node,
     NodeState,
@@ -104,11 +104,11 @@
         "node[0].address", "node[0].weight", "node[1].address", "node[1].uid",
     ]  # fmt: skip
     _, faults = check_rows([{}] * 1000)
-    assert len(faults) == 51 and faults[-1].found == "1950 faults more"
+    assert len(faults) == 51 and faults[-1].found == "1950 more faults"
 
 
 def test_a_million_rows_end_at_the_bound() -> None:
     _, faults = check_rows(
         {"uid": str(n), "address": f"10.0.{n % 250}.1:{n // 250 + 1}"} for n in range(1_000_000)
     )
-    assert [fault.expected for fault in faults] == [f"at most {MOST_NODES} nodes"]
+    assert [fault.expected for fault in faults] == [f"at most {MAX_NODES} nodes"]
--- a/tests/membership/test_files.py
+++ b/tests/membership/test_files.py
@@ -13,7 +13,15 @@
 
 import pytest
 
-from flintlatch.membership import Event, Failed, Node, Unread, Version, VersionOffered, write_document
+from flintlatch.membership import (
+    Event,
+    InvalidVersionOffered,
+    Node,
+    SourceFailed,
+    Version,
+    VersionOffered,
+    write_document,
+)
 from flintlatch.membership import files as files_module
 from flintlatch.membership import files as shell
 from tests.loopback import run
@@ -91,7 +99,7 @@
     async def test() -> None:
         path = tmp_path / "nodes.json"
         async with watching(path) as watched:
-            await watched.until(lambda e: isinstance(e, Failed))
+            await watched.until(lambda e: isinstance(e, SourceFailed))
             for number in range(1, 6):
                 write(path, content(number))
                 version = await watched.version(number)
@@ -149,7 +157,7 @@
                 await asyncio.sleep(random.choice((0, 0.01, 0.06)))
 
         async with watching(path) as watched:
-            await watched.until(lambda e: isinstance(e, Unread))
+            await watched.until(lambda e: isinstance(e, InvalidVersionOffered))
             await asyncio.gather(write(100), write(101))
             by_rename(path, sealed(900))  # whatever mixture they left
             seen: list[Version] = []
@@ -159,7 +167,7 @@
                 seen.append(event.version)
             for version in seen:
                 assert [n.port for n in version.nodes] == [1000 + version.number] * 5
-            print("seed", seed, "read", watched.source.reads, "whole", len(seen))
+            print("seed", seed, "read", watched.source.read_count, "whole", len(seen))
 
     run(test())
 
@@ -168,7 +176,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Raised where open(2) would: whoever runs the tests as root may read anything.
-    def refuse(path: str) -> files_module.Read:
+    def refuse(path: str) -> files_module.FileContent:
         raise PermissionError(13, "Permission denied", path)
 
     async def test() -> None:
@@ -177,8 +185,8 @@
         allowed = files_module.read_regular_file
         monkeypatch.setattr(files_module, "read_regular_file", refuse)
         async with watching(path) as watched:
-            event = await watched.until(lambda e: isinstance(e, Failed))
-            assert isinstance(event, Failed) and "Permission denied" in event.reason
+            event = await watched.until(lambda e: isinstance(e, SourceFailed))
+            assert isinstance(event, SourceFailed) and "Permission denied" in event.reason
             monkeypatch.setattr(files_module, "read_regular_file", allowed)
             await watched.version(2)
 
@@ -203,9 +211,9 @@
         else:
             path.symlink_to("/dev/zero")
         async with watching(path) as watched:
-            event = await watched.until(lambda e: isinstance(e, (Failed, Unread)))
+            event = await watched.until(lambda e: isinstance(e, (SourceFailed, InvalidVersionOffered)))
             if kind in ("folder", "fifo", "huge", "device"):
-                assert isinstance(event, Unread) and "expected" in str(event.faults[0])
+                assert isinstance(event, InvalidVersionOffered) and "expected" in str(event.faults[0])
             if kind == "folder":
                 path.rmdir()
             by_rename(path, content(3))
--- a/tests/membership/test_formats.py
+++ b/tests/membership/test_formats.py
@@ -9,7 +9,7 @@
 from flintlatch.membership import InvalidDocument, Node, NodeState, Version, write_document
 from flintlatch.membership.formats import read_file_content
 
-OURS = {
+NATIVE_KEYS = {
     "version": 3,
     "count": 2,
     "nodes": [{"uid": "a", "address": "10.0.0.1:80"}, {"uid": "b", "address": "[::1]:81"}],
@@ -75,7 +75,7 @@
 )
 FILES = {
     "n.jsonl": (write_document(Version("s", 3, (A, B))), (A, B), 3),
-    "n.json": (json.dumps(OURS).encode(), (A, B), 3),
+    "n.json": (json.dumps(NATIVE_KEYS).encode(), (A, B), 3),
     "n.toml": (TOML, (A._replace(weight=2.0), B), 3),
     "sd.json": (json.dumps(SD).encode(), SD_NODES, None),
     "sd.yaml": (YAML, SD_NODES, None),
