--- a/flintlatch/lab/delivery.py
+++ b/flintlatch/lab/delivery.py
@@ -49,7 +49,7 @@
     def on_relay_event(self, event: relay.Event) -> None: ...
     def on_subscriber_event(self, event: subscriber.Event) -> None: ...
 
-    def later(self, what: Callable[[], None]) -> None:
+    def run_or_buffer(self, what: Callable[[], None]) -> None:
         """Now, or when it wakes."""
         if self.paused:
             if len(self.buffer) < HELD_FRAMES:
@@ -66,7 +66,9 @@
                 if (stream := self.downstream_sessions.pop(action.session, None)) is not None:
                     self.lab.close(stream, self.place.name)
             elif isinstance(action, relay.Again):
-                self.lab.engine.after(0.0, lambda: self.later(lambda: self.on_relay_event(relay.Go())))
+                self.lab.engine.after(
+                    0.0, lambda: self.run_or_buffer(lambda: self.on_relay_event(relay.Go()))
+                )
             else:
                 self.lab.log_lines.append((self.lab.engine.now, self.place.name, action.text))
 
@@ -224,10 +226,10 @@
         below, above = self.hosts[stream.subscriber], self.hosts[stream.relay]
         if below.upstream_sessions.get(stream.below_number) is stream:
             del below.upstream_sessions[stream.below_number]
-            below.later(lambda: below.on_subscriber_event(subscriber.Closed(stream.below_number)))
+            below.run_or_buffer(lambda: below.on_subscriber_event(subscriber.Closed(stream.below_number)))
         if above.downstream_sessions.get(stream.above_number) is stream:
             del above.downstream_sessions[stream.above_number]
-            above.later(lambda: above.on_relay_event(relay.Closed(stream.above_number)))
+            above.run_or_buffer(lambda: above.on_relay_event(relay.Closed(stream.above_number)))
 
     def cut(self, one: Iterable[str], other: Iterable[str], both: bool = True) -> None:
         others = tuple(other)
@@ -260,7 +262,7 @@
             if above is None or not above.running:
                 self.engine.after(
                     self._delay(),
-                    lambda: below.later(lambda: below.on_subscriber_event(subscriber.Closed(number))),
+                    lambda: below.run_or_buffer(lambda: below.on_subscriber_event(subscriber.Closed(number))),
                 )
                 return
             above.accepted += 1
@@ -272,7 +274,7 @@
                 if not stream.open or not below.running:
                     return
                 below.upstream_sessions[number] = stream
-                below.later(lambda: below.on_subscriber_event(subscriber.Connected(number)))
+                below.run_or_buffer(lambda: below.on_subscriber_event(subscriber.Connected(number)))
 
             if (name, source) not in self.cuts:
                 self.engine.after(self._delay(), back)
@@ -295,10 +297,12 @@
             if other == stream.subscriber:
                 if host.upstream_sessions.get(stream.below_number) is stream:
                     del host.upstream_sessions[stream.below_number]
-                    host.later(lambda: host.on_subscriber_event(subscriber.Closed(stream.below_number)))
+                    host.run_or_buffer(
+                        lambda: host.on_subscriber_event(subscriber.Closed(stream.below_number))
+                    )
             elif host.downstream_sessions.get(stream.above_number) is stream:
                 del host.downstream_sessions[stream.above_number]
-                host.later(lambda: host.on_relay_event(relay.Closed(stream.above_number)))
+                host.run_or_buffer(lambda: host.on_relay_event(relay.Closed(stream.above_number)))
 
         self.engine.after(max(self._delay(), stream.last.get(other, 0.0) - self.engine.now), arrive)
 
@@ -325,7 +329,7 @@
         if target == stream.subscriber:
             if host.upstream_sessions.get(stream.below_number) is stream:
                 number = stream.below_number
-                host.later(lambda: host.on_subscriber_event(subscriber.Received(number, message)))
+                host.run_or_buffer(lambda: host.on_subscriber_event(subscriber.Received(number, message)))
         elif host.downstream_sessions.get(stream.above_number) is stream:
             number = stream.above_number
-            host.later(lambda: host.on_relay_event(relay.Received(number, message)))
+            host.run_or_buffer(lambda: host.on_relay_event(relay.Received(number, message)))
--- a/tests/delivery/reference.py
+++ b/tests/delivery/reference.py
@@ -253,7 +253,7 @@
         host = self.lab.hosts[name]
         assert isinstance(host, Proxy)
         self.names[name] += tuple(n for n in names if n not in self.names[name])
-        host.later(lambda: host.on_subscriber_event(subscriber.Follow(names)))
+        host.run_or_buffer(lambda: host.on_subscriber_event(subscriber.Follow(names)))
 
     def unfollow(self, name: str, *names: str) -> None:
         host = self.lab.hosts[name]
@@ -264,7 +264,7 @@
             host.on_subscriber_event(subscriber.Unfollow(names))
             self.watch.forget(name, names)
 
-        host.later(leave)
+        host.run_or_buffer(leave)
 
     def core(self, name: str) -> Subscriber:
         return subscriber_of(self.lab, name)
