--- a/bench/hollow.py
+++ b/bench/hollow.py
@@ -342,12 +342,12 @@
             if last is None or last.host is not host:
                 last = self.sampled[name] = Sampled(host)
             role = "proxy" if isinstance(host, HollowProxy) else "relay" if name != "origin" else "origin"
-            cost, messages = self.costs[role], host.messages - last.sent + host.got - last.got
+            cost, messages = self.costs[role], host.sent_messages - last.sent + host.got - last.got
             cost.frames += messages
             cost.peak_messages = max(cost.peak_messages, messages)
             cost.peak_ns = max(cost.peak_ns, host.ns - last.ns)
             cost.peak_bytes = max(cost.peak_bytes, host.sent_bytes - last.sent_bytes)
             if role == "proxy":
                 self.minutes.rows[name].append(host.received_bytes - last.received_bytes)
-            last.sent, last.got, last.ns = host.messages, host.got, host.ns
+            last.sent, last.got, last.ns = host.sent_messages, host.got, host.ns
             last.sent_bytes, last.received_bytes = host.sent_bytes, host.received_bytes
--- a/flintlatch/lab/delivery.py
+++ b/flintlatch/lab/delivery.py
@@ -43,7 +43,7 @@
         self.downstream_sessions: dict[int, Stream] = {}  # of those that it serves
         self.upstream_sessions: dict[int, Stream] = {}  # of those that it follows
         self.accepted = 0
-        self.sent_bytes = self.received_bytes = self.messages = 0
+        self.sent_bytes = self.received_bytes = self.sent_messages = 0
 
     def tick(self) -> None: ...
     def on_relay_event(self, event: relay.Event) -> None: ...
@@ -315,7 +315,7 @@
         size = size_of(message)
         sender = self.hosts[source]
         sender.sent_bytes += size
-        sender.messages += 1
+        sender.sent_messages += 1
         for one in [message] if self.tamper is None else self.tamper(stream, target, message):
             when = max(self.engine.now + self._delay(), stream.last.get(target, 0.0))
             stream.last[target] = when
