--- a/flintlatch/lab/__init__.py
+++ b/flintlatch/lab/__init__.py
@@ -1,1 +1,1 @@
-"""Fleets in virtual time: an engine of events, and a network with faults, on which the real cores run."""
+"""Simulates fleets in virtual time: the real cores run on an event queue and a network with faults."""
--- a/flintlatch/lab/delivery.py
+++ b/flintlatch/lab/delivery.py
@@ -1,7 +1,8 @@
-"""Delivery in virtual time: an origin, relays and hollow proxies, the real cores on the lab's engine.
+"""Simulates delivery in virtual time: the real cores of an origin, relays and proxies that only subscribe.
 
-A link is a stream: what is sent on it arrives in order, unless a test takes a frame away, doubles it or swaps
-two. A cut holds frames back and then drops the session when it heals, as a half-open connection is reset.
+Messages on a stream arrive in order, unless a test drops, duplicates or reorders them with `Lab.tamper`. A
+cut holds back the messages of open streams and delivers them when it heals. The other side of a stream that is
+closed during a cut is not notified, as with a half-open connection.
 """
 
 from __future__ import annotations
@@ -17,51 +18,51 @@
 from flintlatch.lab.engine import Engine
 
 TICK_S = 0.1
-HELD_FRAMES = 10_000  # that a paused process finds in its buffers, or that a cut holds back
+MAX_BUFFERED_MESSAGES = 10_000  # of a paused process, and of a stream during a cut
 
 
 @dataclass(slots=True)
 class Stream:
-    """One connection: `below` the subscriber, `above` the relay; numbers are each side's own."""
+    """A connection of a subscriber to a relay. Each side has a session number of its own for it."""
 
     subscriber: str
     relay: str
-    below_number: int
-    above_number: int
+    subscriber_session: int
+    relay_session: int
     open: bool = True
-    last: dict[str, float] = field(default_factory=dict)  # by receiver: when its last frame arrives
-    held: list[tuple[str, Message]] = field(default_factory=list)  # by the cut, with their receiver
+    last_arrival_at: dict[str, float] = field(default_factory=dict)  # of the last message, by receiver
+    held_back: list[tuple[str, Message]] = field(default_factory=list)  # by a cut: (receiver, message)
 
 
 class Host:
-    """What all processes here share: a name, whether it runs, its streams by its own numbers."""
+    """A simulated process. The base class of the origin, relays and proxies."""
 
     def __init__(self, lab: Lab, place: Place) -> None:
         self.lab, self.place = lab, place
         self.running, self.paused = True, False
         self.buffer: list[Callable[[], None]] = []
-        self.downstream_sessions: dict[int, Stream] = {}  # of those that it serves
-        self.upstream_sessions: dict[int, Stream] = {}  # of those that it follows
-        self.accepted = 0
+        self.downstream_sessions: dict[int, Stream] = {}  # streams to its subscribers, by its session number
+        self.upstream_sessions: dict[int, Stream] = {}  # streams to its relays, by its session number
+        self.accepted = 0  # connections; the last session number that was assigned
         self.sent_bytes = self.received_bytes = self.sent_messages = 0
 
     def tick(self) -> None: ...
     def on_relay_event(self, event: relay.Event) -> None: ...
     def on_subscriber_event(self, event: subscriber.Event) -> None: ...
 
-    def run_or_buffer(self, what: Callable[[], None]) -> None:
-        """Now, or when it wakes."""
+    def run_or_buffer(self, call: Callable[[], None]) -> None:
+        """Runs the call at once, or when the process resumes if it is paused; never if it is not running."""
         if self.paused:
-            if len(self.buffer) < HELD_FRAMES:
-                self.buffer.append(what)
+            if len(self.buffer) < MAX_BUFFERED_MESSAGES:
+                self.buffer.append(call)
         elif self.running:
-            what()
+            call()
 
     def _serve(self, actions: Iterable[relay.Action]) -> None:
         for action in actions:
             if isinstance(action, relay.Transmit):
                 if (stream := self.downstream_sessions.get(action.session)) is not None:
-                    self.lab.carry(stream, stream.subscriber, action.message)
+                    self.lab.send(stream, stream.subscriber, action.message)
             elif isinstance(action, relay.Disconnect):
                 if (stream := self.downstream_sessions.pop(action.session, None)) is not None:
                     self.lab.close(stream, self.place.name)
@@ -76,7 +77,7 @@
         for action in actions:
             if isinstance(action, subscriber.Transmit):
                 if (stream := self.upstream_sessions.get(action.session)) is not None:
-                    self.lab.carry(stream, stream.relay, action.message)
+                    self.lab.send(stream, stream.relay, action.message)
             elif isinstance(action, subscriber.Connect):
                 self.lab.connect(self, action.session, action.relay.name)
             elif isinstance(action, subscriber.Disconnect):
@@ -85,16 +86,16 @@
             elif isinstance(action, subscriber.Told):
                 self.lab.log_lines.append((self.lab.engine.now, self.place.name, action.text))
             else:
-                self.lab.on_force(self.lab.engine.now, self.place.name, action)
+                self.lab.on_change(self.lab.engine.now, self.place.name, action)
 
 
 class Origin(Host):
-    """`first`: the revision at which it starts; else, by the clock, one above that of any life before."""
+    """`first_revision`: by default the time in ms, which is above the revisions of an earlier run."""
 
-    def __init__(self, lab: Lab, place: Place, rules: Rules, first: int | None = None) -> None:
+    def __init__(self, lab: Lab, place: Place, rules: Rules, first_revision: int | None = None) -> None:
         super().__init__(lab, place)
         self.store = Store()
-        self.store.restamp(int(lab.engine.now * 1000) if first is None else first)
+        self.store.restamp(int(lab.engine.now * 1000) if first_revision is None else first_revision)
         self.relay = relay.Relay(place.name, self.store, rules, lambda now: 0.0, authority=True)
 
     def commit(self, changes: Iterable[ObjectChange]) -> int:
@@ -154,26 +155,30 @@
 
 
 class Lab:
-    """`on_force(now, name, action)` hears of each `Changed` and `Absent` at subscribers."""
+    """A simulated fleet of an origin, relays and proxies.
+
+    `on_change(now, name, action)` is called with each `Changed` and `Absent` action of a subscriber.
+    `tamper(stream, receiver, message)` returns the messages that are sent in place of the message.
+    """
 
     def __init__(
         self,
         seed: int,
-        on_force: Callable[[float, str, Any], None] = lambda now, name, action: None,
+        on_change: Callable[[float, str, Any], None] = lambda now, name, action: None,
         delay_s: tuple[float, float] = (0.0005, 0.003),
     ) -> None:
         self.rng = Random(f"{seed}/delivery")
         self.engine = Engine()
         self.hosts: dict[str, Host] = {}
-        self.cuts: set[tuple[str, str]] = set()
-        self.log_lines: list[tuple[float, str, str]] = []
-        self.on_force, self.delay_s = on_force, delay_s
+        self.cuts: set[tuple[str, str]] = set()  # (sender, receiver)
+        self.log_lines: list[tuple[float, str, str]] = []  # (time, process, text)
+        self.on_change, self.delay_s = on_change, delay_s
         self.tamper: Callable[[Stream, str, Message], list[Message]] | None = None
 
     def add(self, host: Host) -> None:
-        """Also in place of one that was killed."""
+        """Adds a process, or replaces the killed one of the same name, and schedules its ticks."""
         self.hosts[host.place.name] = host
-        offset = self.rng.random() * TICK_S
+        first_tick_s = self.rng.random() * TICK_S
 
         def tick() -> None:
             if self.hosts.get(host.place.name) is not host or not host.running:
@@ -182,7 +187,7 @@
             if not host.paused:
                 host.tick()
 
-        self.engine.after(offset, tick)
+        self.engine.after(first_tick_s, tick)
 
     def origin(self, place: Place, rules: Rules = RELAY_RULES, first: int | None = None) -> Origin:
         host = Origin(self, place, rules, first)
@@ -202,7 +207,7 @@
     # Faults
 
     def kill(self, name: str) -> None:
-        """Its connections are reset."""
+        """Ends the process; its connections are reset."""
         host = self.hosts[name]
         host.running = False
         for stream in [*host.downstream_sessions.values(), *host.upstream_sessions.values()]:
@@ -217,72 +222,77 @@
         host = self.hosts[name]
         host.paused = False
         buffer, host.buffer = host.buffer, []
-        for what in buffer:
-            what()
+        for call in buffer:
+            call()
 
     def reset(self, stream: Stream) -> None:
-        """The connection is lost to both sides, at once."""
+        """Closes the connection at both sides at once."""
         stream.open = False
-        below, above = self.hosts[stream.subscriber], self.hosts[stream.relay]
-        if below.upstream_sessions.get(stream.below_number) is stream:
-            del below.upstream_sessions[stream.below_number]
-            below.run_or_buffer(lambda: below.on_subscriber_event(subscriber.Closed(stream.below_number)))
-        if above.downstream_sessions.get(stream.above_number) is stream:
-            del above.downstream_sessions[stream.above_number]
-            above.run_or_buffer(lambda: above.on_relay_event(relay.Closed(stream.above_number)))
-
-    def cut(self, one: Iterable[str], other: Iterable[str], both: bool = True) -> None:
-        others = tuple(other)
-        for a in one:
-            self.cuts.update((a, b) for b in others if a != b)
+        client, server = self.hosts[stream.subscriber], self.hosts[stream.relay]
+        if client.upstream_sessions.get(stream.subscriber_session) is stream:
+            del client.upstream_sessions[stream.subscriber_session]
+            client.run_or_buffer(
+                lambda: client.on_subscriber_event(subscriber.Closed(stream.subscriber_session))
+            )
+        if server.downstream_sessions.get(stream.relay_session) is stream:
+            del server.downstream_sessions[stream.relay_session]
+            server.run_or_buffer(lambda: server.on_relay_event(relay.Closed(stream.relay_session)))
+
+    def cut(self, senders: Iterable[str], receivers: Iterable[str], both: bool = True) -> None:
+        """Holds back all messages from senders to receivers and, if `both`, from receivers to senders."""
+        all_receivers = tuple(receivers)
+        for sender in senders:
+            self.cuts.update((sender, receiver) for receiver in all_receivers if sender != receiver)
             if both:
-                self.cuts.update((b, a) for b in others if a != b)
+                self.cuts.update((receiver, sender) for receiver in all_receivers if sender != receiver)
 
     def heal(self) -> None:
-        """What was held back on open streams arrives."""
+        """Removes all cuts and sends what they held back on open streams."""
         self.cuts.clear()
         for host in list(self.hosts.values()):
             for stream in list(host.upstream_sessions.values()):
-                held, stream.held = stream.held, []
-                for target, message in held:
-                    self.carry(stream, target, message)
+                held_back, stream.held_back = stream.held_back, []
+                for receiver, message in held_back:
+                    self.send(stream, receiver, message)
 
     # Streams
 
     def _delay(self) -> float:
         return self.rng.uniform(*self.delay_s)
 
-    def connect(self, below: Host, number: int, name: str) -> None:
-        source = below.place.name
+    def connect(self, client: Host, session: int, relay_name: str) -> None:
+        client_name = client.place.name
 
-        def arrive() -> None:
-            above = self.hosts.get(name)
-            if (source, name) in self.cuts or above is not None and above.paused:
-                return  # nothing answers: the subscriber's own limit ends it
-            if above is None or not above.running:
+        def on_connect() -> None:
+            server = self.hosts.get(relay_name)
+            if (client_name, relay_name) in self.cuts or server is not None and server.paused:
+                return  # no response: the subscriber's timeout ends the attempt
+            if server is None or not server.running:
                 self.engine.after(
                     self._delay(),
-                    lambda: below.run_or_buffer(lambda: below.on_subscriber_event(subscriber.Closed(number))),
+                    lambda: client.run_or_buffer(
+                        lambda: client.on_subscriber_event(subscriber.Closed(session))
+                    ),
                 )
                 return
-            above.accepted += 1
-            stream = Stream(source, name, number, above.accepted)
-            above.downstream_sessions[stream.above_number] = stream
-            above.on_relay_event(relay.Accepted(stream.above_number))
+            server.accepted += 1
+            stream = Stream(client_name, relay_name, session, server.accepted)
+            server.downstream_sessions[stream.relay_session] = stream
+            server.on_relay_event(relay.Accepted(stream.relay_session))
 
-            def back() -> None:
-                if not stream.open or not below.running:
+            def on_accepted() -> None:
+                if not stream.open or not client.running:
                     return
-                below.upstream_sessions[number] = stream
-                below.run_or_buffer(lambda: below.on_subscriber_event(subscriber.Connected(number)))
+                client.upstream_sessions[session] = stream
+                client.run_or_buffer(lambda: client.on_subscriber_event(subscriber.Connected(session)))
 
-            if (name, source) not in self.cuts:
-                self.engine.after(self._delay(), back)
+            if (relay_name, client_name) not in self.cuts:
+                self.engine.after(self._delay(), on_accepted)
 
-        self.engine.after(self._delay(), arrive)
+        self.engine.after(self._delay(), on_connect)
 
     def close(self, stream: Stream, by: str) -> None:
-        """The other side hears of it, unless a cut lies between."""
+        """Closes the stream at the side `by` and, unless a cut is in between, notifies the other side."""
         if not stream.open:
             return
         stream.open = False
@@ -295,41 +305,43 @@
             if host is None:
                 return
             if other == stream.subscriber:
-                if host.upstream_sessions.get(stream.below_number) is stream:
-                    del host.upstream_sessions[stream.below_number]
+                if host.upstream_sessions.get(stream.subscriber_session) is stream:
+                    del host.upstream_sessions[stream.subscriber_session]
                     host.run_or_buffer(
-                        lambda: host.on_subscriber_event(subscriber.Closed(stream.below_number))
+                        lambda: host.on_subscriber_event(subscriber.Closed(stream.subscriber_session))
                     )
-            elif host.downstream_sessions.get(stream.above_number) is stream:
-                del host.downstream_sessions[stream.above_number]
-                host.run_or_buffer(lambda: host.on_relay_event(relay.Closed(stream.above_number)))
-
-        self.engine.after(max(self._delay(), stream.last.get(other, 0.0) - self.engine.now), arrive)
-
-    def carry(self, stream: Stream, target: str, message: Message) -> None:
-        source = stream.subscriber if target == stream.relay else stream.relay
-        if (source, target) in self.cuts:
-            if len(stream.held) < HELD_FRAMES:
-                stream.held.append((target, message))
+            elif host.downstream_sessions.get(stream.relay_session) is stream:
+                del host.downstream_sessions[stream.relay_session]
+                host.run_or_buffer(lambda: host.on_relay_event(relay.Closed(stream.relay_session)))
+
+        self.engine.after(
+            max(self._delay(), stream.last_arrival_at.get(other, 0.0) - self.engine.now), arrive
+        )
+
+    def send(self, stream: Stream, receiver: str, message: Message) -> None:
+        sender_name = stream.subscriber if receiver == stream.relay else stream.relay
+        if (sender_name, receiver) in self.cuts:
+            if len(stream.held_back) < MAX_BUFFERED_MESSAGES:
+                stream.held_back.append((receiver, message))
             return
         size = size_of(message)
-        sender = self.hosts[source]
+        sender = self.hosts[sender_name]
         sender.sent_bytes += size
         sender.sent_messages += 1
-        for one in [message] if self.tamper is None else self.tamper(stream, target, message):
-            when = max(self.engine.now + self._delay(), stream.last.get(target, 0.0))
-            stream.last[target] = when
-            self.engine.at(when, lambda one=one: self._arrive(stream, target, one, size))  # type: ignore[misc]
+        for sent in [message] if self.tamper is None else self.tamper(stream, receiver, message):
+            arrives_at = max(self.engine.now + self._delay(), stream.last_arrival_at.get(receiver, 0.0))
+            stream.last_arrival_at[receiver] = arrives_at
+            self.engine.at(arrives_at, lambda sent=sent: self._arrive(stream, receiver, sent, size))  # type: ignore[misc]
 
-    def _arrive(self, stream: Stream, target: str, message: Any, size: int) -> None:
-        host = self.hosts.get(target)
+    def _arrive(self, stream: Stream, receiver: str, message: Any, size: int) -> None:
+        host = self.hosts.get(receiver)
         if host is None or not host.running:
             return
         host.received_bytes += size
-        if target == stream.subscriber:
-            if host.upstream_sessions.get(stream.below_number) is stream:
-                number = stream.below_number
-                host.run_or_buffer(lambda: host.on_subscriber_event(subscriber.Received(number, message)))
-        elif host.downstream_sessions.get(stream.above_number) is stream:
-            number = stream.above_number
-            host.run_or_buffer(lambda: host.on_relay_event(relay.Received(number, message)))
+        if receiver == stream.subscriber:
+            if host.upstream_sessions.get(stream.subscriber_session) is stream:
+                session = stream.subscriber_session
+                host.run_or_buffer(lambda: host.on_subscriber_event(subscriber.Received(session, message)))
+        elif host.downstream_sessions.get(stream.relay_session) is stream:
+            session = stream.relay_session
+            host.run_or_buffer(lambda: host.on_relay_event(relay.Received(session, message)))
--- a/flintlatch/lab/engine.py
+++ b/flintlatch/lab/engine.py
@@ -1,4 +1,4 @@
-"""Events in virtual time. The same seed gives the same order, to the last event."""
+"""Runs scheduled calls in virtual time. The same seed gives the same order of all events."""
 
 from __future__ import annotations
 
@@ -8,23 +8,24 @@
 
 
 class Engine:
-    """`now` in seconds; what is due at one moment comes in the order in which it was asked for."""
+    """A queue of calls. `now` is in seconds. Calls for the same time run in the order of their scheduling."""
 
     def __init__(self, start: float = 0.0) -> None:
         self.now = start
-        self.events = 0
-        self._due: list[tuple[float, int, Callable[[], None]]] = []
-        self._order = count()
+        self.events = 0  # calls run so far
+        self._queue: list[tuple[float, int, Callable[[], None]]] = []
+        self._sequence = count()
 
-    def at(self, when: float, what: Callable[[], None]) -> None:
-        heappush(self._due, (max(when, self.now), next(self._order), what))
+    def at(self, when: float, call: Callable[[], None]) -> None:
+        """Schedules a call; a time in the past counts as `now`."""
+        heappush(self._queue, (max(when, self.now), next(self._sequence), call))
 
-    def after(self, seconds: float, what: Callable[[], None]) -> None:
-        self.at(self.now + seconds, what)
+    def after(self, seconds: float, call: Callable[[], None]) -> None:
+        self.at(self.now + seconds, call)
 
     def run(self, until: float) -> None:
-        while self._due and self._due[0][0] <= until:
-            self.now, _, what = heappop(self._due)
+        while self._queue and self._queue[0][0] <= until:
+            self.now, _, call = heappop(self._queue)
             self.events += 1
-            what()
+            call()
         self.now = max(self.now, until)
--- a/flintlatch/lab/explore.py
+++ b/flintlatch/lab/explore.py
@@ -1,8 +1,9 @@
-"""Every order of events of a small world, to a stated depth: breadth first, so a trace found is a shortest
-one.
+"""Checks an invariant in all states that a small model reaches within some events (bounded model checking).
 
-A world is a value that is never changed: `steps` gives each event with the world after it, `key` what tells
-two worlds apart, `check` says what is wrong with one, or nothing. The cores in it are the real ones.
+The search is breadth-first, so the trace to a violation is one of the shortest. A state (`World`) is a value
+that is never modified. `steps` yields each possible event with the state after it, `key` identifies equal
+states, and `check` returns a description of what is wrong with a state, or an empty string. The states
+contain the real cores.
 """
 
 from __future__ import annotations
@@ -16,37 +17,40 @@
 
 
 class InvariantViolation(AssertionError):
-    """A promise that does not hold: the events that lead there, and what is wrong."""
+    """An invariant doesn't hold.
 
-    def __init__(self, what: str, trace: tuple[str, ...]) -> None:
-        super().__init__(f"{what}, after: " + "; ".join(trace))
-        self.what, self.trace = what, trace
+    `violation`: what is wrong with the state. `trace`: the labels of the events that lead to it.
+    """
+
+    def __init__(self, violation: str, trace: tuple[str, ...]) -> None:
+        super().__init__(f"{violation}, after: " + "; ".join(trace))
+        self.violation, self.trace = violation, trace
 
 
 @dataclass(frozen=True, slots=True)
 class Explored:
     states: int
     events: int
-    depth: int  # to which every order was played
-    whole: bool  # nothing is left: no state has an event that leads to a new one
+    depth: int  # number of events to which every order was explored
+    exhaustive: bool  # all reachable states were explored: no event leads to a new one
 
     def __str__(self) -> str:
-        end = "the whole of it" if self.whole else "every order to that depth"
-        return f"{self.states} states, {self.events} events, depth {self.depth}, {end}"
+        coverage = "all reachable states" if self.exhaustive else "every order to that depth"
+        return f"{self.states} states, {self.events} events, depth {self.depth}, {coverage}"
 
 
 @dataclass(slots=True)
 class _Node(Generic[World]):
     world: World
-    label: str
-    before: _Node[World] | None
+    label: str  # of the event that leads here
+    parent: _Node[World] | None
 
     def trace(self) -> tuple[str, ...]:
         labels: list[str] = []
         node: _Node[World] | None = self
-        while node is not None and node.before is not None:
+        while node is not None and node.parent is not None:
             labels.append(node.label)
-            node = node.before
+            node = node.parent
         return tuple(reversed(labels))
 
 
@@ -56,31 +60,35 @@
     key: Callable[[World], Hashable],
     check: Callable[[World], str],
     depth: int,
-    most_states: int = 1_000_000,
+    max_states: int = 1_000_000,
 ) -> Explored:
-    """Raises Broken. Stops at the depth, or at the last whole depth before `most_states` are passed."""
-    if what := check(start):
-        raise InvariantViolation(what, ())
+    """Explores every order of events to `depth`. Raises InvariantViolation.
+
+    Stops earlier when more than `max_states` states have been seen; `Explored.depth` is then the last depth
+    that was completed before.
+    """
+    if violation := check(start):
+        raise InvariantViolation(violation, ())
     seen = {key(start)}
     layer, events = [_Node(start, "", None)], 0
-    for done in range(depth):
-        following: list[_Node[World]] = []
+    for completed_depth in range(depth):
+        next_layer: list[_Node[World]] = []
         for node in layer:
             for label, world in steps(node.world):
                 events += 1
-                mark = key(world)
-                if mark in seen:
+                world_key = key(world)
+                if world_key in seen:
                     continue
-                seen.add(mark)
-                after = _Node(world, label, node)
-                if what := check(world):
-                    raise InvariantViolation(what, after.trace())
-                following.append(after)
-            if len(seen) > most_states:
-                return Explored(len(seen), events, done, False)
-        if not following:
-            return Explored(len(seen), events, done, True)
-        layer = following
+                seen.add(world_key)
+                child = _Node(world, label, node)
+                if violation := check(world):
+                    raise InvariantViolation(violation, child.trace())
+                next_layer.append(child)
+            if len(seen) > max_states:
+                return Explored(len(seen), events, completed_depth, False)
+        if not next_layer:
+            return Explored(len(seen), events, completed_depth, True)
+        layer = next_layer
     return Explored(len(seen), events, depth, False)
 
 
@@ -93,7 +101,11 @@
     length: int,
     weight: Callable[[str], float] = lambda label: 1.0,
 ) -> int:
-    """Walks by chance, deeper than every order can be played; the events played. Raises Broken."""
+    """Follows random sequences of events, which can be much longer than the depth that `explore` reaches.
+
+    `weight`: the relative probability of an event by its label. Returns the number of events. Raises
+    InvariantViolation.
+    """
     rng, events = Random(seed), 0
     for _ in range(walks):
         world, trace = start, list[str]()
@@ -104,6 +116,6 @@
             label, world = rng.choices(choices, [weight(label) for label, _ in choices])[0]
             trace.append(label)
             events += 1
-            if what := check(world):
-                raise InvariantViolation(what, tuple(trace))
+            if violation := check(world):
+                raise InvariantViolation(violation, tuple(trace))
     return events
--- a/flintlatch/lab/members.py
+++ b/flintlatch/lab/members.py
@@ -1,7 +1,7 @@
-"""Members in virtual time: the cores of `flintlatch.peers` with the lab's network for a shell.
+"""Simulates a fleet of members in virtual time: the cores of `flintlatch.peers` on the simulated network.
 
-Bytes are those of the real encoding, with seal and heads. Each member has a clock of its own, at a rate of
-its own if that is asked for.
+Messages have the size of their real encoding, with encryption and packet headers. Each member has a clock of
+its own, which can run at a rate of its own.
 """
 
 from __future__ import annotations
@@ -33,12 +33,17 @@
 from flintlatch.peers.wire import pack, pack_whole
 
 TICK_S = 0.1
-HEAD_BYTES, STREAM_BYTES = 37 + 28, 400  # seal, UDP and IP of a datagram; handshakes and seals of a stream
-TRIP_S = 0.0025  # of each of the three messages of an exchange of whole views
+DATAGRAM_OVERHEAD_BYTES = 37 + 28  # encryption, then UDP and IP headers
+SYNC_OVERHEAD_BYTES = 400  # handshakes and encryption of a stream
+SYNC_MESSAGE_DELAY_S = 0.0025  # of each of the three messages of a sync
 
 
 class MemberSimulation:
-    """Places are addresses. `changed` hears of each new view: (name, now, view)."""
+    """A fleet of members, each identified by its name and its address.
+
+    `on_view_changed` is called with (name, now, change) for each new view of a member, and `on_entries` with
+    (name, now, entries) for the entries that a member receives.
+    """
 
     def __init__(
         self,
@@ -48,23 +53,23 @@
         topics: tuple[Topic, ...] = (),
         drift: float = 0.0,
     ) -> None:
-        """`drift`: each member's clock runs at a rate of its own, within so much of the true one."""
+        """`drift`: the largest relative deviation of a member's clock rate from 1."""
         self.rng, self.rules, self.tick_s = Random(seed), rules or Rules(), tick_s
         self.topics, self.drift = topics, drift
         self.engine = Engine()
         self.network = Network(self.engine, Random(seed + 1), self._deliver)
         self.members: dict[str, Member] = {}  # by address
-        self.clocks: dict[str, tuple[float, float]] = {}  # by address: rate, and what it showed at the start
-        self.addresses: dict[str, str] = {}  # addresses by name
-        self.runs: dict[str, int] = {}  # starts of each address: what an earlier one asked for is void
+        self.clocks: dict[str, tuple[float, float]] = {}  # by address: rate, and offset at virtual time 0
+        self.addresses: dict[str, str] = {}  # by name
+        self.runs: dict[str, int] = {}  # number of starts by address; ticks of an earlier run are ignored
         self.sent_bytes = 0
-        self.on_entries: Callable[[str, float, tuple[Word, ...]], None] = lambda name, now, words: None
+        self.on_entries: Callable[[str, float, tuple[Word, ...]], None] = lambda name, now, entries: None
         self.on_view_changed: Callable[[str, float, Changed], None] = lambda name, now, change: None
 
     def start(self, name: str, seeds: tuple[str, ...] = (), address: str = "", zone: str = "") -> Peers:
         address = address or f"{name}:7946"
-        life = self.rng.getrandbits(48)
-        me = Record(name, address, 0, State.ALIVE, life, zone=zone)
+        run_id = self.rng.getrandbits(48)
+        me = Record(name, address, 0, State.ALIVE, run_id, zone=zone)
         if self.drift:
             rate = 1 + self.rng.uniform(-self.drift, self.drift)
             self.clocks[address] = rate, self.rng.uniform(0, 1e6) - rate * self.engine.now
@@ -76,7 +81,7 @@
         return member.peers
 
     def start_fleet(self, n: int, seeds: int = 3) -> list[str]:
-        """n members that start at one moment; their names."""
+        """Starts n members at the same time, with the first `seeds` of them as seeds. Returns their names."""
         names = [f"f{i}" for i in range(n)]
         for name in names:
             self.start(name, tuple(f"{seed}:7946" for seed in names[:seeds]))
@@ -89,19 +94,19 @@
         return self.members[self.addresses[name]]
 
     def now(self, address: str) -> float:
-        """What its own clock shows."""
-        rate, start = self.clocks.get(address, (1.0, 0.0))
-        return rate * self.engine.now + start
+        """The time that the member's own clock shows."""
+        rate, offset = self.clocks.get(address, (1.0, 0.0))
+        return rate * self.engine.now + offset
 
-    def publish(self, name: str, topic: str, subject: str, value: bytes, life_s: float = 0.0) -> None:
+    def publish(self, name: str, topic: str, subject: str, value: bytes, ttl_s: float = 0.0) -> None:
         address = self.addresses[name]
-        self.members[address].carrier.say(self.now(address), topic, subject, value, life_s)
+        self.members[address].carrier.say(self.now(address), topic, subject, value, ttl_s)
 
     def read_values(self, name: str, topic: str) -> dict[tuple[str, str], bytes]:
-        """What it believes at this moment: values by (member, subject)."""
+        """The values that a member's unexpired entries have at this moment, by (origin, subject)."""
         address = self.addresses[name]
-        found = self.members[address].carrier.read(self.now(address), topic)
-        return {(said.origin, said.subject): said.value for said in found}
+        entries = self.members[address].carrier.read(self.now(address), topic)
+        return {(entry.origin, entry.subject): entry.value for entry in entries}
 
     def kill(self, name: str) -> None:
         address = self.addresses.pop(name)
@@ -128,7 +133,7 @@
         name = self.members[address].me.name
         for action in actions:
             if isinstance(action, Post):
-                self.sent_bytes += HEAD_BYTES + len(pack(action.envelope))
+                self.sent_bytes += DATAGRAM_OVERHEAD_BYTES + len(pack(action.envelope))
                 self.network.send(address, action.address, action.envelope)
             elif isinstance(action, Sync):
                 self._sync(address, action.address)
@@ -138,17 +143,17 @@
                 self.on_entries(name, self.engine.now, action.words)
 
     def converged(self, names: list[str]) -> bool:
-        """Whether all of these hold the same to be there, and it is these."""
+        """Whether these members have the same view and it has exactly their names as alive."""
         cores = [self.core(name) for name in names]
         same = len({core.digest() for core in cores}) == 1
         return same and {record.name for record in cores[0].alive()} == set(names)
 
-    def run_until(self, what: Callable[[], bool], most_s: float) -> float:
-        """Seconds until it holds; raises AssertionError past `most_s`."""
+    def run_until(self, condition: Callable[[], bool], timeout_s: float) -> float:
+        """Runs until the condition holds. Returns the seconds it took; raises AssertionError on timeout."""
         start = self.engine.now
-        while not what():
-            if self.engine.now - start > most_s:
-                raise AssertionError(f"not within {most_s} s")
+        while not condition():
+            if self.engine.now - start > timeout_s:
+                raise AssertionError(f"the condition does not hold after {timeout_s} s")
             self.run(self.tick_s)
         return self.engine.now - start
 
@@ -159,42 +164,42 @@
             self.step(address, Tick())
         self.engine.after(self.tick_s, lambda: self._tick(address, run))
 
-    def _deliver(self, source: str, target: str, what: Any) -> None:
+    def _deliver(self, source: str, target: str, message: Any) -> None:
         if target in self.members:
-            self.step(target, Opened(what))
+            self.step(target, Opened(message))
 
     def _sync(self, source: str, target: str) -> None:
-        """Over TCP: both ways or not at all, and a place that is cut off is not connected to."""
-        asker, asked = self.members.get(source), self.members.get(target)
-        if asker is None or asked is None or not self._connected(source, target):
+        """Exchanges snapshots over TCP, which needs both directions: a cut of one prevents the connection."""
+        initiator, responder = self.members.get(source), self.members.get(target)
+        if initiator is None or responder is None or not self._connected(source, target):
             return
-        offered, at = asker.offer(self.now(source)), self.now(source)
-        self.sent_bytes += STREAM_BYTES + len(pack_whole(offered))
+        offer, offered_at = initiator.offer(self.now(source)), self.now(source)
+        self.sent_bytes += SYNC_OVERHEAD_BYTES + len(pack_whole(offer))
 
-        def alive() -> bool:
-            """Both still run, as the same processes, and reach each other."""
-            same = self.members.get(source) is asker and self.members.get(target) is asked
+        def still_connected() -> bool:
+            """Whether both processes still run, without a restart, and reach each other."""
+            same = self.members.get(source) is initiator and self.members.get(target) is responder
             return same and self._connected(source, target)
 
-        def arrive() -> None:
-            if alive():
-                replied = self.now(target)
-                reply = asked.on_offer(replied, offered)
+        def on_offer() -> None:
+            if still_connected():
+                replied_at = self.now(target)
+                reply = responder.on_offer(replied_at, offer)
                 self.sent_bytes += len(pack_whole(reply))
-                self.engine.after(TRIP_S, lambda: answer(reply, replied))
+                self.engine.after(SYNC_MESSAGE_DELAY_S, lambda: on_reply(reply, replied_at))
 
-        def answer(reply: Whole, replied: float) -> None:
-            if alive():
-                mine, actions = asker.on_reply(self.now(source), reply, at)
-                self.sent_bytes += len(pack_whole(mine))
+        def on_reply(reply: Whole, replied_at: float) -> None:
+            if still_connected():
+                content, actions = initiator.on_reply(self.now(source), reply, offered_at)
+                self.sent_bytes += len(pack_whole(content))
                 self._carry_out(source, actions)
-                self.engine.after(TRIP_S, lambda: last(mine, replied))
+                self.engine.after(SYNC_MESSAGE_DELAY_S, lambda: on_content(content, replied_at))
 
-        def last(mine: Whole, replied: float) -> None:
-            if alive():
-                self._carry_out(target, asked.on_last(self.now(target), mine, replied))
+        def on_content(content: Whole, replied_at: float) -> None:
+            if still_connected():
+                self._carry_out(target, responder.on_last(self.now(target), content, replied_at))
 
-        self.engine.after(TRIP_S, arrive)
+        self.engine.after(SYNC_MESSAGE_DELAY_S, on_offer)
 
     def _connected(self, source: str, target: str) -> bool:
         reaches = self.network.reaches
--- a/flintlatch/lab/network.py
+++ b/flintlatch/lab/network.py
@@ -1,4 +1,4 @@
-"""A network in virtual time: for each ordered pair of places delay, loss, duplication, and cuts of either way."""
+"""Simulates a datagram network in virtual time, with faults for each ordered pair of addresses."""
 
 from __future__ import annotations
 
@@ -9,21 +9,27 @@
 
 from flintlatch.lab.engine import Engine
 
+PAUSED_BUFFER_DATAGRAMS = 200  # what the socket buffer of a paused process holds
+
 
 @dataclass(frozen=True, slots=True)
 class Link:
-    """From one place to another. Parts are from 0 to 1; a delay is uniform, so order is lost."""
+    """The faults of one direction between two addresses.
+
+    `loss` and `duplication` are fractions from 0 to 1. The delay of each datagram is uniformly distributed,
+    so datagrams can be reordered.
+    """
 
     min_delay_s: float = 0.0005
     max_delay_s: float = 0.003
     loss: float = 0.0
-    duplication: float = 0.0  # part of what arrives that arrives twice
+    duplication: float = 0.0  # of the datagrams that are not lost
     cut: bool = False
 
     def __post_init__(self) -> None:
         if not 0 <= self.min_delay_s <= self.max_delay_s:
             raise ValueError(
-                f"a delay of {self.min_delay_s} to {self.max_delay_s} s, expected 0 <= least <= most"
+                f"delay is {self.min_delay_s} to {self.max_delay_s} s, expected 0 <= minimum <= maximum"
             )
         for name in ("loss", "duplication"):
             if not 0 <= getattr(self, name) <= 1:
@@ -31,38 +37,43 @@
 
 
 class Network:
-    """`deliver` gets (from, to, what) for what arrives. Cuts are by ordered pair; the paused keep theirs."""
+    """Calls `deliver` with (source, target, message) for each datagram that arrives.
+
+    Cuts apply to ordered pairs of addresses. Datagrams for a paused process are buffered.
+    """
 
     def __init__(self, engine: Engine, rng: Random, deliver: Callable[[str, str, Any], None]) -> None:
         self.engine, self.rng, self.deliver = engine, rng, deliver
         self.default_link = Link()
-        self.links: dict[tuple[str, str], Link] = {}
+        self.links: dict[tuple[str, str], Link] = {}  # by source and target, instead of the default link
         self.cuts: set[tuple[str, str]] = set()
-        self.paused: dict[str, list[tuple[str, Any]]] = {}  # what waits in the buffers of those that are
-        self.sent = 0
-
-    def cut(self, one: Iterable[str], other: Iterable[str], both: bool = True) -> None:
-        others = tuple(other)
-        for a in one:
-            self.cuts.update((a, b) for b in others if a != b)
+        self.paused: dict[str, list[tuple[str, Any]]] = {}  # buffered (source, message) by paused address
+        self.sent = 0  # datagrams
+
+    def cut(self, sources: Iterable[str], targets: Iterable[str], both: bool = True) -> None:
+        """Drops all datagrams from sources to targets and, if `both`, from targets to sources."""
+        all_targets = tuple(targets)
+        for source in sources:
+            self.cuts.update((source, target) for target in all_targets if source != target)
             if both:
-                self.cuts.update((b, a) for b in others if a != b)
+                self.cuts.update((target, source) for target in all_targets if source != target)
 
     def heal(self) -> None:
+        """Removes all cuts."""
         self.cuts.clear()
 
-    def pause(self, place: str) -> None:
-        self.paused.setdefault(place, [])
+    def pause(self, address: str) -> None:
+        self.paused.setdefault(address, [])
 
-    def resume(self, place: str) -> None:
-        """It finds in its buffers what came meanwhile, old as it is."""
-        for source, what in self.paused.pop(place, []):
-            self.deliver(source, place, what)
+    def resume(self, address: str) -> None:
+        """Ends a pause and delivers the buffered datagrams, however old they are."""
+        for source, message in self.paused.pop(address, []):
+            self.deliver(source, address, message)
 
     def reaches(self, source: str, target: str) -> bool:
         return (source, target) not in self.cuts and target not in self.paused
 
-    def send(self, source: str, target: str, what: Any) -> None:
+    def send(self, source: str, target: str, message: Any) -> None:
         self.sent += 1
         link = self.links.get((source, target), self.default_link)
         if (source, target) in self.cuts or self.rng.random() < link.loss:
@@ -70,14 +81,14 @@
         for _ in range(1 + (self.rng.random() < link.duplication)):
             self.engine.after(
                 self.rng.uniform(link.min_delay_s, link.max_delay_s),
-                lambda: self._arrive(source, target, what),
+                lambda: self._arrive(source, target, message),
             )
 
-    def _arrive(self, source: str, target: str, what: Any) -> None:
+    def _arrive(self, source: str, target: str, message: Any) -> None:
         if (source, target) in self.cuts:
             return
         if target in self.paused:
-            if len(self.paused[target]) < 200:  # a socket's buffer
-                self.paused[target].append((source, what))
+            if len(self.paused[target]) < PAUSED_BUFFER_DATAGRAMS:
+                self.paused[target].append((source, message))
             return
-        self.deliver(source, target, what)
+        self.deliver(source, target, message)
