--- a/flintlatch/lab/delivery.py
+++ b/flintlatch/lab/delivery.py
@@ -189,8 +189,8 @@
 
         self.engine.after(first_tick_s, tick)
 
-    def origin(self, place: Place, rules: Rules = RELAY_RULES, first: int | None = None) -> Origin:
-        host = Origin(self, place, rules, first)
+    def origin(self, place: Place, rules: Rules = RELAY_RULES, first_revision: int | None = None) -> Origin:
+        host = Origin(self, place, rules, first_revision)
         self.add(host)
         return host
 
--- a/tests/delivery/reference.py
+++ b/tests/delivery/reference.py
@@ -180,7 +180,7 @@
         self.places = {
             f"relay{i}": Place(f"relay{i}", f"r{i % regions}", address=f"relay{i}:1") for i in range(relays)
         }
-        self.origin = self.lab.origin(Place("origin"), first=0)
+        self.origin = self.lab.origin(Place("origin"), first_revision=0)
         for name in self.places:
             self.start(name)
 
@@ -225,7 +225,7 @@
     def restart_origin(self, first: int | None = None) -> None:
         """From nothing: it reads all that it is to hold anew."""
         self.lab.kill("origin")
-        self.origin = self.lab.origin(Place("origin"), first=first)
+        self.origin = self.lab.origin(Place("origin"), first_revision=first)
         self.load()
 
     def load(self) -> None:
