--- a/flintlatch/lab/delivery.py
+++ b/flintlatch/lab/delivery.py
@@ -1,8 +1,8 @@
 """Simulates delivery in virtual time: the real cores of an origin, relays and proxies that only subscribe.
 
 Messages on a stream arrive in order, unless a test drops, duplicates or reorders them with `Lab.tamper`. A
-cut holds back the messages of open streams and delivers them when it heals. The other side of a stream that is
-closed during a cut is not notified, as with a half-open connection.
+cut holds back the messages of open streams until it heals. If a stream is closed during a cut, the other side
+is not notified, as with a half-open connection.
 """
 
 from __future__ import annotations
--- a/flintlatch/lab/members.py
+++ b/flintlatch/lab/members.py
@@ -33,8 +33,8 @@
 from flintlatch.peers.wire import pack, pack_whole
 
 TICK_S = 0.1
-DATAGRAM_OVERHEAD_BYTES = 37 + 28  # encryption, then UDP and IP headers
-SYNC_OVERHEAD_BYTES = 400  # handshakes and encryption of a stream
+# Of a datagram: encryption, UDP and IP headers. Of a sync: the handshakes and encryption of its stream.
+DATAGRAM_OVERHEAD_BYTES, SYNC_OVERHEAD_BYTES = 37 + 28, 400
 SYNC_MESSAGE_DELAY_S = 0.0025  # of each of the three messages of a sync
 
 
