--- a/tests/membership/test_consul.py
+++ b/tests/membership/test_consul.py
@@ -1,4 +1,4 @@
-"""A catalogue's word: what is taken of it, and what says nothing. The core alone, then over loopback."""
+"""Consul-compatible catalogues: `ServiceWatch` alone, then a source against a stand-in over loopback."""
 
 from __future__ import annotations
 
@@ -33,35 +33,35 @@
 from tests.loopback import run
 
 
-def body(*uids: str, bad: tuple[str, ...] = (), **service: Any) -> bytes:
-    made = Consul()
-    for place, uid in enumerate(uids):
-        made.put(uid, f"127.0.0.1:{9000 + place}", "critical" if uid in bad else "passing")
-        made.instances[uid]["Service"].update(service)
-    return orjson.dumps(list(made.instances.values()))
+def response_body(*uids: str, critical: tuple[str, ...] = (), **service: Any) -> bytes:
+    consul = Consul()
+    for index, uid in enumerate(uids):
+        consul.put(uid, f"127.0.0.1:{9000 + index}", "critical" if uid in critical else "passing")
+        consul.instances[uid]["Service"].update(service)
+    return orjson.dumps(list(consul.instances.values()))
 
 
-def headers(index: object, **more: str) -> dict[str, str]:
-    return {"x-consul-index": str(index), "x-consul-lastcontact": "0"} | more
+def headers(index: object, **others: str) -> dict[str, str]:
+    return {"x-consul-index": str(index), "x-consul-lastcontact": "0"} | others
 
 
-def catalogue() -> ServiceWatch:
+def service_watch() -> ServiceWatch:
     return ServiceWatch("c", "review", 30.0, 10.0)
 
 
-def offered(events: list[Event]) -> list[VersionOffered]:
+def offers_in(events: list[Event]) -> list[VersionOffered]:
     return [event for event in events if isinstance(event, VersionOffered)]
 
 
 @given(st.lists(st.tuples(st.integers(-2, 9), st.sets(st.sampled_from("abcd"), max_size=4)), max_size=40))
-def test_numbers_only_grow_and_an_index_that_goes_back_is_begun_anew(answers: list[Any]) -> None:
-    # Whatever indexes and lists come, in whatever order: what is offered is a whole answer, numbered above
-    # all that was offered before unless it is the same list.
-    source, offers = catalogue(), []
-    for place, (index, uids) in enumerate(answers):
-        asked = source.index
-        events = source.on_response(1000.0 + place, 200, headers(index), body(*sorted(uids)))
-        if index <= 0 or (asked and index < asked):
+def test_version_numbers_grow_and_an_index_that_goes_back_is_reset(responses: list[Any]) -> None:
+    # For any sequence of indexes and lists: each offer is one complete response, and its number is above all
+    # earlier ones unless the list is the same.
+    source, offers = service_watch(), []
+    for position, (index, uids) in enumerate(responses):
+        previous_index = source.index
+        events = source.on_response(1000.0 + position, 200, headers(index), response_body(*sorted(uids)))
+        if index <= 0 or (previous_index and index < previous_index):
             assert (
                 [type(event) for event in events] == [SourceFailed]
                 and source.index == 0
@@ -69,7 +69,7 @@
             )
             assert "index=" not in source.next_query().path
             continue
-        (offer,) = offered(events)
+        (offer,) = offers_in(events)
         assert {node.uid for node in offer.version.nodes} == {f"m1/{uid}" for uid in uids}
         assert source.next_query().path.endswith(f"index={index}&wait=30s")
         offers.append(offer.version)
@@ -78,7 +78,7 @@
 
 
 @pytest.mark.parametrize(
-    ("status", "told", "sent", "words"),
+    ("status", "response_headers", "content", "expected_text"),
     [
         (500, headers(5), b"", "status 500"),
         (200, headers(0), b"[]", "X-Consul-Index"),
@@ -88,70 +88,72 @@
         (200, headers(5, **{"x-consul-lastcontact": "10001"}), b"[]", "10001"),
     ],
 )
-def test_what_says_nothing_leaves_what_is_held(
-    status: int, told: dict[str, str], sent: bytes, words: str
+def test_unusable_response_is_a_failure_with_growing_delays(
+    status: int, response_headers: dict[str, str], content: bytes, expected_text: str
 ) -> None:
-    source = catalogue()
-    source.on_response(1.0, 200, headers(4), body("a"))
-    (event,) = source.on_response(2.0, status, told, sent)
-    assert isinstance(event, SourceFailed) and words in event.reason
-    rests = []
+    source = service_watch()
+    source.on_response(1.0, 200, headers(4), response_body("a"))
+    (event,) = source.on_response(2.0, status, response_headers, content)
+    assert isinstance(event, SourceFailed) and expected_text in event.reason
+    delays = []
     for _ in range(12):
         source.on_failure("again")
-        rests.append(source.delay_s)
-    assert rests == sorted(rests) and rests[-1] == consul_module.RETRY_DELAY_RANGE_S[1]
-    assert source.on_response(3.0, 200, headers(1), body("a")) and source.delay_s == 0
+        delays.append(source.delay_s)
+    assert delays == sorted(delays) and delays[-1] == consul_module.RETRY_DELAY_RANGE_S[1]
+    assert source.on_response(3.0, 200, headers(1), response_body("a")) and source.delay_s == 0
 
 
 @pytest.mark.parametrize(
-    ("sent", "where"),
+    ("content", "where"),
     [
         (b"[", "answer"),
         (b"{}", "answer"),
         (b'[{"Node": 1}]', "instance[0]"),
-        (body("a", Port=0), "node[0].address"),
-        (body("a", Port=None), "node[0].address"),
-        (body("a", Address="name.example"), "node[0].address"),
-        (body("a", Weights={"Passing": -1}), "node[0].weight"),
-        (body("a", Weights={"Passing": 1e308}), "node[0].weight"),
-        (body("a", Meta={"cell": "x"}), "node[0].cell"),
-        (body("a", "b", ID="a"), "node[1].uid"),
+        (response_body("a", Port=0), "node[0].address"),
+        (response_body("a", Port=None), "node[0].address"),
+        (response_body("a", Address="name.example"), "node[0].address"),
+        (response_body("a", Weights={"Passing": -1}), "node[0].weight"),
+        (response_body("a", Weights={"Passing": 1e308}), "node[0].weight"),
+        (response_body("a", Meta={"cell": "x"}), "node[0].cell"),
+        (response_body("a", "b", ID="a"), "node[1].uid"),
     ],
 )
-def test_a_list_with_one_fault_is_not_taken_and_the_fault_is_named(sent: bytes, where: str) -> None:
-    source = catalogue()
-    (event,) = source.on_response(1.0, 200, headers(4), sent)
+def test_list_with_a_fault_is_rejected_and_the_fault_is_named(content: bytes, where: str) -> None:
+    source = service_watch()
+    (event,) = source.on_response(1.0, 200, headers(4), content)
     assert isinstance(event, InvalidVersionOffered) and any(
         fault.where.startswith(where) for fault in event.faults
     )
     assert source.index == 0 and source.delay_s > 0
 
 
-def test_checks_are_evidence_beside_the_list_and_are_taken_back() -> None:
-    source, core = catalogue(), Membership(MembershipRules(("c",)))
+def test_health_checks_drain_nodes_until_they_pass() -> None:
+    source, core = service_watch(), Membership(MembershipRules(("c",)))
 
-    def told(index: int, *bad: str, uids: str = "abc") -> dict[str, NodeState]:
-        for event in source.on_response(float(index), 200, headers(index), body(*uids, bad=bad)):
+    def states_after(index: int, *critical: str, uids: str = "abc") -> dict[str, NodeState]:
+        for event in source.on_response(
+            float(index), 200, headers(index), response_body(*uids, critical=critical)
+        ):
             core.step(index, event)
         return {uid: node.state for uid, node in core.nodes.items()}
 
     active, draining = NodeState.ACTIVE, NodeState.DRAINING
-    assert told(1) == {"m1/a": active, "m1/b": active, "m1/c": active}
-    assert told(2, "b") == {"m1/a": active, "m1/b": draining, "m1/c": active}
-    # Most of them called bad at once is not believed.
-    assert set(told(3, "a", "b").values()) == {active}
-    assert told(4, "b")["m1/b"] is draining
-    assert told(5)["m1/b"] is active
-    # A claim on one that has gone does not wait for another of its name.
-    told(6, "c")
-    assert "m1/c" not in told(7, uids="ab")
+    assert states_after(1) == {"m1/a": active, "m1/b": active, "m1/c": active}
+    assert states_after(2, "b") == {"m1/a": active, "m1/b": draining, "m1/c": active}
+    # With most of the pool critical, none is drained.
+    assert set(states_after(3, "a", "b").values()) == {active}
+    assert states_after(4, "b")["m1/b"] is draining
+    assert states_after(5)["m1/b"] is active
+    # A report about a removed node must not apply to a later node of the same name.
+    states_after(6, "c")
+    assert "m1/c" not in states_after(7, uids="ab")
     assert not core.sources["c"].unhealthy
 
 
-def test_an_empty_list_after_an_outage_is_refused_and_the_next_one_taken() -> None:
-    source, core = catalogue(), Membership(MembershipRules(("c",)))
+def test_empty_list_after_an_outage_is_rejected_and_the_next_accepted() -> None:
+    source, core = service_watch(), Membership(MembershipRules(("c",)))
     for number, uids in enumerate(("ab", "", "", "ab", "abc"), 1):
-        for event in source.on_response(float(number), 200, headers(number), body(*uids)):
+        for event in source.on_response(float(number), 200, headers(number), response_body(*uids)):
             core.step(number, event)
         assert set(core.nodes) >= {"m1/a", "m1/b"}
     assert set(core.nodes) == {"m1/a", "m1/b", "m1/c"}
@@ -180,12 +182,12 @@
         consul.close()
 
 
-async def until(wanted: Callable[[], object]) -> None:
-    while not wanted():
+async def until(condition: Callable[[], object]) -> None:
+    while not condition():
         await asyncio.sleep(0.002)
 
 
-def test_a_catalogue_is_followed_by_blocking_queries(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_source_follows_a_catalogue_with_blocking_queries(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         async with watched() as (consul, source, core):
             await until(lambda: len(core.nodes) == 2)
@@ -204,13 +206,13 @@
             await until(lambda: len(core.nodes) == 3)
             consul.drop("a")
             await until(lambda: "m1/a" not in core.nodes)
-            assert source.query_count <= 6  # it waits for news, and does not ask again and again
+            assert source.query_count <= 6  # queries block until there is a change
 
     run(test())
 
 
 @pytest.mark.parametrize("fault", ["hang", "reset", "status", "noise", "stale", "back", "zero"])
-def test_each_fault_leaves_the_list_and_ends_when_it_is_mended(
+def test_list_is_unchanged_during_a_fault_and_updated_after_it(
     monkeypatch: pytest.MonkeyPatch, fault: str
 ) -> None:
     monkeypatch.setattr(consul_module, "RETRY_DELAY_RANGE_S", (0.01, 0.05))
@@ -221,7 +223,7 @@
         async with watched(wait_s=0.2) as (consul, _, core):
             await until(lambda: len(core.nodes) == 2)
             before = dict(core.nodes)
-            asked = len(consul.asked)
+            query_count = len(consul.asked)
             if fault == "hang":
                 consul.hang = True
             elif fault == "reset":
@@ -238,9 +240,9 @@
                 consul.tell_index = "1"
             else:
                 consul.tell_index = "0"
-            consul.put("x", "127.0.0.1:9099")  # a good instance: taken, if the fault were not seen
-            await until(lambda: len(consul.asked) >= asked + 3)
-            if fault == "back":  # begun anew, its word counts from the next answer on
+            consul.put("x", "127.0.0.1:9099")  # a valid instance, which must not appear while the fault lasts
+            await until(lambda: len(consul.asked) >= query_count + 3)
+            if fault == "back":  # the index is reset, so the next response is used
                 await until(lambda: "m1/x" in core.nodes)
             else:
                 assert core.nodes == before
@@ -253,7 +255,7 @@
     run(test())
 
 
-def test_a_fleet_serves_by_a_catalogue_and_drains_what_its_checks_call_bad(tmp_path: Path) -> None:
+def test_fleet_gets_its_nodes_from_a_catalogue_and_drains_critical_ones(tmp_path: Path) -> None:
     async def test() -> None:
         consul = await Consul().open()
         async with daemon(tmp_path, fleet={"instances": 2}) as made:
@@ -280,15 +282,15 @@
     run(test())
 
 
-def test_applied_changes_name_the_catalogue_by_its_nodes() -> None:
-    source, core = catalogue(), Membership(MembershipRules(("c",)))
+def test_first_response_adds_its_nodes_and_reports_no_health() -> None:
+    source, core = service_watch(), Membership(MembershipRules(("c",)))
     actions = []
-    for event in source.on_response(5.0, 200, headers(3), body("a")):
+    for event in source.on_response(5.0, 200, headers(3), response_body("a")):
         actions += core.step(5.0, event)
     (applied,) = [action for action in actions if isinstance(action, Apply)]
     assert [node.uid for node in applied.change.added] == ["m1/a"]
     assert not [
         event
-        for event in source.on_response(6.0, 200, headers(3), body("a"))
+        for event in source.on_response(6.0, 200, headers(3), response_body("a"))
         if isinstance(event, HealthReported)
     ]
--- a/tests/membership/test_delivered.py
+++ b/tests/membership/test_delivered.py
@@ -1,4 +1,4 @@
-"""Items of a followed object as rows: what is offered of them, and what one bad row does."""
+"""Node lists received over delivery: the versions that are offered, and the effect of an invalid row."""
 
 from __future__ import annotations
 
@@ -33,37 +33,37 @@
 SERVICE = "service/answers"
 
 
-def row(number: int, **more: Any) -> bytes:
-    return orjson.dumps({"uid": f"s{number}", "address": f"10.0.0.1:{9000 + number}"} | more)
+def row(number: int, **fields: Any) -> bytes:
+    return orjson.dumps({"uid": f"s{number}", "address": f"10.0.0.1:{9000 + number}"} | fields)
 
 
-def offered(events: list[Event]) -> VersionOffered:
+def only_offer(events: list[Event]) -> VersionOffered:
     (event,) = events
     assert isinstance(event, VersionOffered), event
     return event
 
 
-def faults(events: list[Event]) -> list[str]:
+def fault_texts(events: list[Event]) -> list[str]:
     (event,) = events
     assert isinstance(event, InvalidVersionOffered), event
     return list(map(str, event.faults))
 
 
 def uids(events: list[Event]) -> list[str]:
-    return [node.uid for node in offered(events).version.nodes]
+    return [node.uid for node in only_offer(events).version.nodes]
 
 
 def membership(*sources: str, **rules: Any) -> Membership:
     return Membership(MembershipRules(sources or (SERVICE,), **rules))
 
 
-def applied(core: Membership, now: float, events: list[Event]) -> list[Change]:
+def applied_changes(core: Membership, now: float, events: list[Event]) -> list[Change]:
     return [a.change for e in events for a in core.step(now, e) if isinstance(a, Apply)]
 
 
-def test_items_become_rows_of_one_version_with_the_number_of_its_revision() -> None:
+def test_items_become_a_version_with_the_number_of_the_revision() -> None:
     rows = DeliveredNodeList(SERVICE)
-    event = offered(
+    event = only_offer(
         rows.on_snapshot(5.0, 7, {"b": row(2, weight=3, zone="z"), "a": row(1, state="draining")})
     )
     assert (event.version.source, event.version.number, event.version.made_ms) == (SERVICE, 7, 5.0)
@@ -72,39 +72,39 @@
     assert (second.uid, second.port, second.weight, second.zone) == ("s2", 9002, 3.0, "z")
 
 
-def test_a_row_without_a_uid_has_its_items_name() -> None:
+def test_row_without_a_uid_gets_the_name_of_its_item() -> None:
     rows = DeliveredNodeList(SERVICE)
     assert uids(rows.on_snapshot(0.0, 1, {"a": b'{"address": "10.0.0.1:1"}', "b": row(1)})) == ["a", "s1"]
-    found = rows.on_delta(
+    events = rows.on_delta(
         1.0, 2, {"s1": b'{"address": "10.0.0.1:2"}', "n" * 129: b'{"address": "[::1]:1"}'}, ()
     )
-    long, twice = faults(found)
-    assert "expected a name of 1 to 128 printable" in long and "item['s1'].uid: found 's1'" in twice
+    too_long, duplicate = fault_texts(events)
+    assert "expected a name of 1 to 128 printable" in too_long and "item['s1'].uid: found 's1'" in duplicate
 
 
-def test_one_changed_row_is_read_alone_and_is_all_of_the_change(monkeypatch: pytest.MonkeyPatch) -> None:
-    read: list[Any] = []
+def test_delta_parses_and_applies_only_the_rows_in_it(monkeypatch: pytest.MonkeyPatch) -> None:
+    checked_rows: list[Any] = []
 
-    def counted(given: Any) -> Any:
-        read.extend(given)
-        return check_rows(given)
+    def recording_check_rows(rows: Any) -> Any:
+        checked_rows.extend(rows)
+        return check_rows(rows)
 
-    monkeypatch.setattr(delivered, "check_rows", counted)
+    monkeypatch.setattr(delivered, "check_rows", recording_check_rows)
     rows, core = DeliveredNodeList(SERVICE), membership()
-    (first,) = applied(core, 0.0, rows.on_snapshot(0.0, 1, {f"i{n}": row(n) for n in range(500)}))
-    assert len(first.added) == len(read) == 500
-    read.clear()
-    (change,) = applied(core, 1.0, rows.on_delta(1.0, 2, {"i7": row(7, state="draining")}, ()))
-    assert [r["uid"] for r in read] == ["s7"]
+    (first,) = applied_changes(core, 0.0, rows.on_snapshot(0.0, 1, {f"i{n}": row(n) for n in range(500)}))
+    assert len(first.added) == len(checked_rows) == 500
+    checked_rows.clear()
+    (change,) = applied_changes(core, 1.0, rows.on_delta(1.0, 2, {"i7": row(7, state="draining")}, ()))
+    assert [r["uid"] for r in checked_rows] == ["s7"]
     assert [node.uid for node in change.drained] == ["s7"]
     assert not (change.removed or change.changed or change.added)
-    read.clear()
-    (change,) = applied(core, 2.0, rows.on_delta(2.0, 3, {}, ("i9",)))
-    assert not read and [node.uid for node in change.removed] == ["s9"]
+    checked_rows.clear()
+    (change,) = applied_changes(core, 2.0, rows.on_delta(2.0, 3, {}, ("i9",)))
+    assert not checked_rows and [node.uid for node in change.removed] == ["s9"]
 
 
 @pytest.mark.parametrize(
-    ("value", "words"),
+    ("value", "expected_text"),
     [
         (b"{", "item['bad']: found b'{', expected JSON"),
         (b"\xff\xfe", "item['bad']: found"),
@@ -119,42 +119,44 @@
         (row(1, uid="other"), "item['bad'].address: found '10.0.0.1:9001', expected each address once"),
     ],
 )
-def test_a_bad_row_rejects_its_version_and_those_after_it_until_it_is_mended(
-    value: bytes, words: str
+def test_invalid_row_rejects_versions_until_it_is_corrected_or_removed(
+    value: bytes, expected_text: str
 ) -> None:
     rows, core = DeliveredNodeList(SERVICE), membership()
-    applied(core, 0.0, rows.on_snapshot(0.0, 1, {"i1": row(1), "i2": row(2)}))
-    found = rows.on_delta(1.0, 2, {"bad": value, "i2": row(2, state="draining")}, ())
-    assert any(words in fault for fault in faults(found)), faults(found)
-    (rejected,) = (a for event in found for a in core.step(1.0, event))
+    applied_changes(core, 0.0, rows.on_snapshot(0.0, 1, {"i1": row(1), "i2": row(2)}))
+    events = rows.on_delta(1.0, 2, {"bad": value, "i2": row(2, state="draining")}, ())
+    assert any(expected_text in fault for fault in fault_texts(events)), fault_texts(events)
+    (rejected,) = (a for event in events for a in core.step(1.0, event))
     assert isinstance(rejected, Rejected) and rejected.faults
-    assert [node.state for node in core.nodes.values()] == [NodeState.ACTIVE] * 2  # its drain neither
-    assert faults(rows.on_delta(2.0, 3, {"i3": row(3)}, ()))
-    # Mended, the next version has all that came meanwhile.
-    (change,) = applied(core, 3.0, rows.on_delta(3.0, 4, {"bad": row(4)}, ()))
+    # The drain in this version is not applied.
+    assert [node.state for node in core.nodes.values()] == [NodeState.ACTIVE] * 2
+    assert fault_texts(rows.on_delta(2.0, 3, {"i3": row(3)}, ()))
+    # After the correction, the next version has all changes made in the meantime.
+    (change,) = applied_changes(core, 3.0, rows.on_delta(3.0, 4, {"bad": row(4)}, ()))
     assert [node.uid for node in change.drained] == ["s2"]
     assert sorted(node.uid for node in change.added) == ["s3", "s4"]
-    # Taken away instead of mended does as well.
-    assert faults(rows.on_delta(4.0, 5, {"bad": value}, ()))
+    # Removing the invalid row has the same effect.
+    assert fault_texts(rows.on_delta(4.0, 5, {"bad": value}, ()))
     assert uids(rows.on_delta(5.0, 6, {}, ("bad",))) == ["s1", "s2", "s3"]
 
 
-def test_rows_that_swap_places_in_one_change_are_no_clash() -> None:
+def test_items_can_exchange_rows_in_one_delta() -> None:
     rows = DeliveredNodeList(SERVICE)
     rows.on_snapshot(0.0, 1, {"a": row(1), "b": row(2)})
     assert uids(rows.on_delta(1.0, 2, {"a": row(2), "b": row(1)}, ())) == ["s2", "s1"]
     assert uids(rows.on_delta(2.0, 3, {"c": row(1)}, ("b",))) == ["s2", "s1"]
 
 
-def test_faults_told_are_bounded_and_counted() -> None:
-    found = faults(DeliveredNodeList(SERVICE).on_snapshot(0.0, 1, {f"i{n:03}": b"{" for n in range(80)}))
-    assert len(found) == 51 and found[-1] == "item: found 30 more faults, expected none"
+def test_reported_faults_are_limited_and_the_rest_counted() -> None:
+    texts = fault_texts(DeliveredNodeList(SERVICE).on_snapshot(0.0, 1, {f"i{n:03}": b"{" for n in range(80)}))
+    assert len(texts) == 51 and texts[-1] == "item: found 30 more faults, expected none"
 
 
-def test_guards_hold_as_for_any_other_source() -> None:
+def test_large_removals_are_held_and_empty_lists_rejected() -> None:
     rows, core = DeliveredNodeList(SERVICE), membership(hold_s=30.0)
-    applied(core, 0.0, rows.on_snapshot(0.0, 5, {f"i{n}": row(n) for n in range(4)}))
-    # Too much at once is held; nothing at all is refused; an object that is gone takes nothing away.
+    applied_changes(core, 0.0, rows.on_snapshot(0.0, 5, {f"i{n}": row(n) for n in range(4)}))
+    # A version that removes too many nodes is held, an empty version is rejected, and an absent object
+    # removes no node.
     (event,) = rows.on_delta(1.0, 6, {}, ("i0", "i1", "i2"))
     assert any(isinstance(action, VersionHeld) for action in core.step(1.0, event))
     (event,) = rows.on_delta(2.0, 7, {}, ("i3",))
@@ -163,28 +165,28 @@
     assert isinstance(event, SourceFailed)
     core.step(3.0, event)
     assert len(core.nodes) == 4 and core.sources[SERVICE].failure == delivered.NO_OBJECT_REASON
-    # Back again, it begins from nothing: what was bad or there before counts no more.
+    # When the object exists again, its earlier items and faults have no effect.
     assert uids(rows.on_delta(4.0, 8, {"i2": row(2), "i3": row(3)}, ())) == ["s2", "s3"]
 
 
-def test_what_was_kept_is_confirmed_by_the_same_revision_in_whatever_order_it_comes() -> None:
+def test_restored_version_is_confirmed_by_the_same_revision_in_any_item_order() -> None:
     items = {f"i{n}": row(n) for n in range(5)}
-    version = offered(DeliveredNodeList(SERVICE).on_snapshot(0.0, 9, items)).version
-    kept = read_document(write_document(version))
+    version = only_offer(DeliveredNodeList(SERVICE).on_snapshot(0.0, 9, items)).version
+    saved = read_document(write_document(version))
     core, rows = membership(), DeliveredNodeList(SERVICE)
-    core.step(0.0, VersionRestored(kept))
+    core.step(0.0, VersionRestored(saved))
     assert core.sources[SERVICE].unconfirmed
-    again = rows.on_snapshot(1.0, 9, dict(reversed(items.items())))
-    assert [type(action) for event in again for action in core.step(1.0, event)] == []
+    events = rows.on_snapshot(1.0, 9, dict(reversed(items.items())))
+    assert [type(action) for event in events for action in core.step(1.0, event)] == []
     assert not core.sources[SERVICE].unconfirmed
-    # A relay, or an origin begun anew, that is behind what was kept is not followed back.
+    # An older revision, from a relay that lags or an origin that was restarted, is rejected.
     (event,) = DeliveredNodeList(SERVICE).on_snapshot(2.0, 8, {"i0": row(0)})
     (rejected,) = core.step(2.0, event)
     assert isinstance(rejected, Rejected) and "a number above 9" in str(rejected.faults[0])
 
 
 @given(st.integers(0, 2**32), st.integers(1, 30))
-def test_changes_in_any_order_end_where_a_snapshot_of_the_same_items_does(seed: int, steps: int) -> None:
+def test_a_sequence_of_deltas_gives_the_same_version_as_a_snapshot(seed: int, steps: int) -> None:
     random, items, rows = Random(seed), dict[str, bytes](), DeliveredNodeList(SERVICE)
     rows.on_snapshot(0.0, 1, {})
     for number in range(2, steps + 2):
@@ -195,10 +197,12 @@
         removed = [n for n in random.sample(sorted(items), random.randint(0, len(items))) if n not in put]
         items = {n: v for n, v in items.items() if n not in removed} | put
         events = rows.on_delta(float(number), number, put, removed)
-        (whole,) = DeliveredNodeList(SERVICE).on_snapshot(float(number), number, items)
-        (event,) = events
-        if isinstance(whole, InvalidVersionOffered):
-            # Of two items that clash the one that came second is named: which, depends on the way here.
-            assert isinstance(event, InvalidVersionOffered) and len(event.faults) == len(whole.faults)
+        (snapshot_event,) = DeliveredNodeList(SERVICE).on_snapshot(float(number), number, items)
+        (delta_event,) = events
+        if isinstance(snapshot_event, InvalidVersionOffered):
+            # Of two items with the same uid or address the later one is named; which, depends on the deltas.
+            assert isinstance(delta_event, InvalidVersionOffered) and len(delta_event.faults) == len(
+                snapshot_event.faults
+            )
         else:
-            assert event == whole
+            assert delta_event == snapshot_event
--- a/tests/membership/test_formats.py
+++ b/tests/membership/test_formats.py
@@ -1,4 +1,4 @@
-"""Files of each make: read as their makers mean them, and no prefix of one is ever taken for whole."""
+"""File formats: each is read with the meaning that its specification gives it, and a prefix is rejected."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from flintlatch.membership import InvalidDocument, Node, NodeState, Version, write_document
 from flintlatch.membership.formats import read_file_content
 
-NATIVE_KEYS = {
+NATIVE = {
     "version": 3,
     "count": 2,
     "nodes": [{"uid": "a", "address": "10.0.0.1:80"}, {"uid": "b", "address": "[::1]:81"}],
@@ -24,7 +24,7 @@
 uid = "b"
 address = "[::1]:81"
 """
-SD = [
+FILE_SD = [
     {"targets": ["10.0.0.1:80", "10.0.0.2:80"], "labels": {"zone": "z1", "weight": "2", "team": "x"}},
     {"targets": ["10.0.0.3:80"], "labels": {"__flintlatch_state__": "draining"}},
 ]
@@ -64,7 +64,7 @@
     ],
 }
 A, B = Node("a", "10.0.0.1", 80), Node("b", "::1", 81)
-SD_NODES = tuple(
+FILE_SD_NODES = tuple(
     Node(f"10.0.0.{n}:80", f"10.0.0.{n}", 80, zone="z1", weight=2.0) if n < 3
     else Node("10.0.0.3:80", "10.0.0.3", 80, state=NodeState.DRAINING)
     for n in (1, 2, 3)
@@ -75,34 +75,34 @@
 )
 FILES = {
     "n.jsonl": (write_document(Version("s", 3, (A, B))), (A, B), 3),
-    "n.json": (json.dumps(NATIVE_KEYS).encode(), (A, B), 3),
+    "n.json": (json.dumps(NATIVE).encode(), (A, B), 3),
     "n.toml": (TOML, (A._replace(weight=2.0), B), 3),
-    "sd.json": (json.dumps(SD).encode(), SD_NODES, None),
-    "sd.yaml": (YAML, SD_NODES, None),
+    "sd.json": (json.dumps(FILE_SD).encode(), FILE_SD_NODES, None),
+    "sd.yaml": (YAML, FILE_SD_NODES, None),
     "eds.json": (json.dumps(EDS, indent=1).encode(), EDS_NODES, None),
 }
 
 
 @pytest.mark.parametrize("name", FILES)
-def test_each_form_is_read_as_it_is_meant(name: str) -> None:
+def test_each_format_is_read(name: str) -> None:
     data, nodes, number = FILES[name]
     assert read_file_content(name, data) == (nodes, number)
 
 
 @pytest.mark.parametrize("name", FILES)
-def test_no_prefix_of_any_form_is_whole(name: str) -> None:
+def test_prefix_of_a_file_is_rejected_or_has_all_nodes(name: str) -> None:
     data, nodes, _ = FILES[name]
     for cut in range(len(data)):
         try:
-            got = read_file_content(name, data[:cut])
+            content = read_file_content(name, data[:cut])
         except InvalidDocument:
             continue
-        # A last line without its end of line may say all there is, and nothing less.
-        assert got.nodes == nodes, f"{cut} of {len(data)} bytes"
+        # Without its final newline a file may still be complete.
+        assert content.nodes == nodes, f"{cut} of {len(data)} bytes"
 
 
 @pytest.mark.parametrize(
-    ("name", "data", "words"),
+    ("name", "data", "expected_text"),
     [
         ("n.toml", TOML.replace(b"count = 2", b"count = 3"), "count: found 3, expected 2"),
         ("n.toml", TOML.replace(b"count = 2\n", b""), "count: found nothing"),
@@ -122,7 +122,7 @@
         ("eds.json", b'{"resources": 7}', "resources: found 7"),
     ],
 )
-def test_what_is_wrong_is_said(name: str, data: bytes, words: str) -> None:
+def test_fault_names_the_value_and_what_is_expected(name: str, data: bytes, expected_text: str) -> None:
     with pytest.raises(InvalidDocument) as caught:
         read_file_content(name, data)
-    assert any(words in str(fault) for fault in caught.value.faults), caught.value.faults
+    assert any(expected_text in str(fault) for fault in caught.value.faults), caught.value.faults
