--- a/tests/membership/test_delivered.py
+++ b/tests/membership/test_delivered.py
@@ -85,9 +85,9 @@
 def test_delta_parses_and_applies_only_the_rows_in_it(monkeypatch: pytest.MonkeyPatch) -> None:
     checked_rows: list[Any] = []
 
-    def recording_check_rows(rows: Any) -> Any:
-        checked_rows.extend(rows)
-        return check_rows(rows)
+    def recording_check_rows(new_rows: Any) -> Any:
+        checked_rows.extend(new_rows)
+        return check_rows(new_rows)
 
     monkeypatch.setattr(delivered, "check_rows", recording_check_rows)
     rows, core = DeliveredNodeList(SERVICE), membership()
