--- a/flintlatch/lab/delivery.py
+++ b/flintlatch/lab/delivery.py
@@ -90,7 +90,11 @@
 
 
 class Origin(Host):
-    """`first_revision`: by default the time in ms, which is above the revisions of an earlier run."""
+    """The origin.
+
+    `first_revision`: the revision at which it starts; by default the time in ms, which is above the revisions
+    of an earlier run.
+    """
 
     def __init__(self, lab: Lab, place: Place, rules: Rules, first_revision: int | None = None) -> None:
         super().__init__(lab, place)
@@ -111,6 +115,8 @@
 
 
 class RelayHost(Host):
+    """A relay, which subscribes at an origin and serves subscribers."""
+
     def __init__(self, lab: Lab, place: Place, origins: tuple[Place, ...], rules: Rules, rng: Random) -> None:
         super().__init__(lab, place)
         self.node = node.Node(place, origins, rules, rng, lab.engine.now)
@@ -134,6 +140,8 @@
 
 
 class Proxy(Host):
+    """A proxy, which only subscribes: to the objects `names`."""
+
     def __init__(
         self,
         lab: Lab,
--- a/flintlatch/membership/core.py
+++ b/flintlatch/membership/core.py
@@ -163,6 +163,8 @@
 
 @dataclass(slots=True)
 class Source:
+    """The state of one source."""
+
     name: str
     current: Version | None = None
     unconfirmed: bool = False  # the current version was restored, and the source has not offered it since
@@ -176,6 +178,8 @@
 
 
 class Membership:
+    """The state of all sources and the list in effect; `step` is called with each event."""
+
     def __init__(self, rules: MembershipRules) -> None:
         self.rules = rules
         self.sources = {name: Source(name) for name in rules.sources}
@@ -281,6 +285,7 @@
     # The list in effect
 
     def _update_list(self, now_s: float) -> None:
+        """Computes the list in effect. Adds `Apply` if it has changed, `WakeAt` if time will change it."""
         listed = self._merge_sources()
         unhealthy = {uid for source in self.sources.values() for uid in source.unhealthy}
         self._record_flaps(now_s, {uid for uid in listed if uid not in unhealthy})
