--- a/bench/hollow.py
+++ b/bench/hollow.py
@@ -101,7 +101,7 @@
         self.pump, self.waits, self.busy = inf, deque[relay.Event](), False
         super().__init__(lab, place, rules)
 
-    def from_below(self, event: relay.Event) -> None:
+    def on_relay_event(self, event: relay.Event) -> None:
         if self.pump == inf:
             self._serve(self._step(event))
             return
@@ -141,10 +141,10 @@
         self.ns += self.fleet.spent("relay", began)
         self._out(actions)
 
-    def from_below(self, event: relay.Event) -> None:
+    def on_relay_event(self, event: relay.Event) -> None:
         self._step(node.RelayEvent(event))
 
-    def from_above(self, event: subscriber.Event) -> None:
+    def on_subscriber_event(self, event: subscriber.Event) -> None:
         self._step(node.SubscriberEvent(event))
         if isinstance(event, subscriber.Received) and isinstance(event.message, End):
             self.fleet.share(self.node.subscriber.store, exact=True)
@@ -164,7 +164,7 @@
         if self.lab.engine.now < self.quiet:
             self.fleet.skipped += 1
         else:
-            self.from_above(subscriber.Tick())
+            self.on_subscriber_event(subscriber.Tick())
 
     def _quiet(self) -> float:
         """Until when a step brings nothing, if nothing arrives."""
@@ -179,7 +179,7 @@
             return 0.0
         return main.last_ping_at + rules.ping_s
 
-    def from_above(self, event: subscriber.Event) -> None:
+    def on_subscriber_event(self, event: subscriber.Event) -> None:
         began = process_time_ns()
         actions = self.subscriber.step(self.lab.engine.now, event)
         self.ns += self.fleet.spent("proxy", began)
--- a/tests/delivery/test_commands.py
+++ b/tests/delivery/test_commands.py
@@ -132,7 +132,7 @@
         "sys.argv = ['flintlatch']\n"
         "try: runpy.run_module('flintlatch', run_name='__main__')\n"
         "except SystemExit: pass\n"
-        "import flintlatch.cli; flintlatch.cli.parser().format_help()\n"
+        "import flintlatch.cli; flintlatch.cli.build_parser().format_help()\n"
         "print(*[m for m in sys.modules if 'delivery' in m or m in ('msgspec', 'cryptography')])\n"
     )
     env = {k: v for k, v in os.environ.items() if not k.startswith("LB_")}
