--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -26,7 +26,7 @@
         series: list[data.Series] = importlib.import_module(f"bench.scale.{part}").run(seed, small)
         for one in series:
             shape = data.fit(one.points)
-            points = ", ".join(f"{rows.short(n)}: {rows.short(v)}" for n, v in one.points)
+            points = ", ".join(f"{rows.format_short(n)}: {rows.format_short(v)}" for n, v in one.points)
             print(f"{one.name} ({one.unit}) over {one.over}: {points}; {shape.formula}", flush=True)
         if not small:
             data.write(series)
@@ -56,7 +56,7 @@
     print(f"seed {options.seed}, load {data.load():.1f}", flush=True)
     made = measure(parts, options.seed, options.small)
     found = {one.name: one for one in made} if options.small else data.read()
-    promised, known, rows, ratio, row = page.worst(found)
+    promised, known, rows, ratio, row = page.worst_ratios(found)
     if not known:
         print(f"no row that is promised was measured; worst of all rows {ratio:.3g}: {row}")
         return 0
--- a/bench/scale/__init__.py
+++ b/bench/scale/__init__.py
@@ -1,1 +1,1 @@
-"""The parts of `bench.capacity`: one file a subject, each with `run(seed, small) -> list[Series]`."""
+"""The parts of `bench.capacity`: one module per subject, each with `run(seed, small) -> list[Series]`."""
--- a/bench/scale/page.py
+++ b/bench/scale/page.py
@@ -1,7 +1,7 @@
-"""docs/CAPACITY.md: the prose stands in the page, its tables are made from the data file.
+"""Generates the tables of docs/CAPACITY.md and docs/design/slopes.md from the data file.
 
-A table stands between `<!-- table NAME -->` and `<!-- end -->`. Every figure is marked: measured at N,
-extrapolated x k from the largest size measured, or assumed.
+The prose is written by hand. A table is placed between `<!-- table NAME -->` and `<!-- end -->`. Every
+figure is marked as measured at N, extrapolated x k from the largest measured size, or computed by formula.
 """
 
 from __future__ import annotations
@@ -9,25 +9,35 @@
 import re
 from pathlib import Path
 
-from bench.scale import target as t
+from bench.scale import target
 from bench.scale.data import fit
-from bench.scale.rows import AHEAD, MISSING, SIZES, TODAY, Figure, Found, Row, at, short
+from bench.scale.rows import (
+    CURRENT_ROWS,
+    MISSING_MECHANISMS,
+    TARGET_ROWS,
+    TARGET_SIZES,
+    Figure,
+    Row,
+    SeriesByName,
+    figure_at,
+    format_short,
+)
 
 DOCS = Path(__file__).parent.parent.parent / "docs"
 PAGES = (DOCS / "CAPACITY.md", DOCS / "design" / "slopes.md")
 TABLE = re.compile(r"(<!-- table (\w+) -->\n).*?(<!-- end -->)", re.DOTALL)
-UNTOLD = "not measured"
+NOT_MEASURED = "not measured"
 
 
-def ranking(found: Found, rows: tuple[Row, ...]) -> list[tuple[float, Row, Figure | None]]:
+def ranking(found: SeriesByName, rows: tuple[Row, ...]) -> list[tuple[float, Row, Figure | None]]:
     out = []
     for row in rows:
-        figure = row.now(found)
+        figure = row.current(found)
         out.append((figure.value / row.allowed if figure else 0.0, row, figure))
     return sorted(out, key=lambda one: -one[0])
 
 
-def rows_table(found: Found, rows: tuple[Row, ...], ordered: bool) -> str:
+def rows_table(found: SeriesByName, rows: tuple[Row, ...], ordered: bool) -> str:
     lines = [
         "| what | allowed | now | ratio | figure | carried by |",
         "| --- | --- | --- | --- | --- | --- |",
@@ -36,37 +46,38 @@
     if not ordered:
         ranked.sort(key=lambda one: rows.index(one[1]))
     for ratio, row, figure in ranked:
-        now, mark = (short(figure.value), figure.mark) if figure else ("-", UNTOLD)
-        shown = short(ratio) if figure else "-"
+        now, provenance = (format_short(figure.value), figure.provenance) if figure else ("-", NOT_MEASURED)
+        shown = format_short(ratio) if figure else "-"
         lines.append(
-            f"| {row.what} | {short(row.allowed)} {row.unit} | {now} | {shown} | {mark} | {row.mechanism} |"
+            f"| {row.what} | {format_short(row.allowed)} {row.unit} | {now} "
+            f"| {shown} | {provenance} | {row.mechanism} |"
         )
     return "\n".join(lines)
 
 
-SHOWN = (
+SUMMARY_SERIES = (
     "module.memory_bytes", "module.rest_core", "module.rest_step_ms", "module.services_rest_core",
     "lists.snapshot_bytes", "peers.death_s", "limits.core_by_holders", "delivery.proxy_memory_bytes",
     "delivery.change_bytes", "delivery.relay_memory_bytes", "delivery.relay_core", "delivery.origin_core",
 )  # fmt: skip
 
 
-def slopes_table(found: Found, names: tuple[str, ...]) -> str:
+def slopes_table(found: SeriesByName, names: tuple[str, ...]) -> str:
     lines = ["| series | over n | points, smallest to largest | shape | residual | kind, seed, load |"]
     lines.append("| --- | --- | --- | --- | --- | --- |")
     for name in names:
         one = found.get(name)
         if one is None or not one.points:
-            lines.append(f"| {name} | | {UNTOLD} | | | |")
+            lines.append(f"| {name} | | {NOT_MEASURED} | | | |")
             continue
         ordered = sorted(one.points)
         (n1, v1), (n2, v2) = ordered[0], ordered[-1]
-        points = f"{short(n1)}: {short(v1)} ... {short(n2)}: {short(v2)}"
+        points = f"{format_short(n1)}: {format_short(v1)} ... {format_short(n2)}: {format_short(v2)}"
         shape = fit(one.points)
-        few = "" if one.whole() else " (few sizes)"
+        few_sizes_note = "" if one.allows_extrapolation() else " (few sizes)"
         lines.append(
-            f"| {name} ({one.unit}) | {one.over} | {points}{few} | {shape.formula} | {shape.residual:.2f} "
-            f"| {one.kind}, {one.seed}, {one.load:.0f} |"
+            f"| {name} ({one.unit}) | {one.over} | {points}{few_sizes_note} "
+            f"| {shape.formula} | {shape.residual:.2f} | {one.kind}, {one.seed}, {one.load:.0f} |"
         )
     return "\n".join(lines)
 
@@ -98,8 +109,8 @@
 }
 
 
-def days_table(found: Found) -> str:
-    """The largest size that was played; a second seed behind a stroke."""
+def days_table(found: SeriesByName) -> str:
+    """The figures of each simulated day at its largest size; those of a second seed follow a slash."""
     lines = ["| day | " + " | ".join(label for _, label in DAY_FIGURES) + " | proxies |"]
     lines.append("| --- " * (len(DAY_FIGURES) + 2) + "|")
     for day, label in DAYS.items():
@@ -110,80 +121,101 @@
                 cells.append("-")
                 continue
             size, value = max(one.points)
-            second = f" / {short(max(two.points)[1])}" if two is not None else ""
-            cells.append(short(value) + second)
-        lines.append(f"| {label} | " + " | ".join(cells) + f" | {short(size)} |")
+            second = f" / {format_short(max(two.points)[1])}" if two is not None else ""
+            cells.append(format_short(value) + second)
+        lines.append(f"| {label} | " + " | ".join(cells) + f" | {format_short(size)} |")
     return "\n".join(lines)
 
 
-def who_table(found: Found) -> str:
-    """Who carries what, by formula from the target."""
-    q, a = t.REQUESTS_A_PROXY, t.A_SERVICE
+def assignments_table(found: SeriesByName) -> str:
+    """Compares the assignments of services to proxies, computed from the target sizes."""
+    requests_per_s, backends_per_service = target.REQUESTS_PER_PROXY_PER_S, target.BACKENDS_PER_SERVICE
     rows = [
-        ("every proxy all services", t.SERVICES, t.PROXIES, "none"),
-        ("cells: 22 of 100 proxies, 500 services each", t.SERVICES / 22, 100, "service -> cell, 22 rows"),
-        (f"shuffle sharding, {t.FOLLOWED} services a proxy", t.FOLLOWED, t.CARRIERS, "service -> 40 proxies"),
-        ("on demand, whoever is asked", t.SERVICES, t.PROXIES, "none; all of it in 16 s of even traffic"),
+        ("every proxy all services", target.SERVICES, target.PROXIES, "none"),
+        (
+            "cells: 22 of 100 proxies, 500 services each",
+            target.SERVICES / 22,
+            100,
+            "service -> cell, 22 rows",
+        ),
+        (
+            f"shuffle sharding, {target.SERVICES_PER_PROXY} services a proxy",
+            target.SERVICES_PER_PROXY,
+            target.PROXIES_PER_SERVICE,
+            "service -> 40 proxies",
+        ),
+        (
+            "on demand, whoever is asked",
+            target.SERVICES,
+            target.PROXIES,
+            "none; all of it in 16 s of even traffic",
+        ),
     ]
     lines = [
         "| who carries what | backends a proxy | MB, module | proxies a backend may meet | requests a proxy "
         "learns from, a backend a minute | lost with one proxy, of a service | asks of the front |",
         "| --- | --- | --- | --- | --- | --- | --- |",
     ]
-    for what, services, carriers, asks in rows:
-        own = services * a
-        memory = at(found, "module.memory_bytes", own, 1e-6)
-        mb = f"{short(memory.value)}, {memory.mark}" if memory else UNTOLD
+    for what, services, proxies_per_service, routing_needs in rows:
+        backends_followed = services * backends_per_service
+        memory = figure_at(found, "module.memory_bytes", backends_followed, 1e-6)
+        memory_cell = f"{format_short(memory.value)}, {memory.provenance}" if memory else NOT_MEASURED
         lines.append(
-            f"| {what} | {short(own)} | {mb} | {short(carriers)} | {short(q * 60 / own)} "
-            f"| 1/{short(carriers)} | {asks} |"
+            f"| {what} | {format_short(backends_followed)} | {memory_cell} "
+            f"| {format_short(proxies_per_service)} "
+            f"| {format_short(requests_per_s * 60 / backends_followed)} "
+            f"| 1/{format_short(proxies_per_service)} | {routing_needs} |"
         )
     return "\n".join(lines)
 
 
-def cell(found: Found, unit: str, *terms: tuple[str, float, float]) -> str:
-    """The sum of series at their sizes, each with its scale, and the mark of what was extrapolated."""
-    figures = [at(found, name, size, scale) for name, size, scale in terms]
+def format_sum(found: SeriesByName, unit: str, *terms: tuple[str, float, float]) -> str:
+    """The sum of (series, size, scale) terms, with the weakest provenance among them in parentheses."""
+    figures = [figure_at(found, name, size, scale) for name, size, scale in terms]
     known = [figure for figure in figures if figure is not None]
     if len(known) < len(figures):
-        return UNTOLD
-    marks = sorted({figure.mark for figure in known}, key=lambda mark: (-"mbe".index(mark[0]), mark))
-    return f"{short(sum(figure.value for figure in known))} {unit} ({'; '.join(marks[:1])})"
+        return NOT_MEASURED
+    marks = sorted(
+        {figure.provenance for figure in known},
+        key=lambda provenance: (-"mbe".index(provenance[0]), provenance),
+    )
+    return f"{format_short(sum(figure.value for figure in known))} {unit} ({'; '.join(marks[:1])})"
 
 
-def roles_table(found: Found) -> str:
-    own, followers = t.FOLLOWED, t.PROXIES / (t.CONTROL_MACHINES - 3)
+def roles_table(found: SeriesByName) -> str:
+    services, followers = target.SERVICES_PER_PROXY, target.PROXIES / (target.CONTROL_MACHINES - 3)
     rows = [
         ("proxy, its control",
-         cell(found, "MB", ("delivery.proxy_memory_bytes", own, 1e-6),
-              ("module.services_memory_bytes", own, 1e-6)),
-         cell(found, "bytes/s at rest", ("delivery.rest_bytes_per_s", own, 1.0)),
-         cell(found, "of a core", ("delivery.proxy_core", own, 1.0), ("module.services_rest_core", own, 1.0)),
-         cell(found, "ms", ("delivery.snapshot_step_ms", own, 1.0)) + ", its first snapshot"),
+         format_sum(found, "MB", ("delivery.proxy_memory_bytes", services, 1e-6),
+              ("module.services_memory_bytes", services, 1e-6)),
+         format_sum(found, "bytes/s at rest", ("delivery.rest_bytes_per_s", services, 1.0)),
+         format_sum(found, "of a core", ("delivery.proxy_core", services, 1.0),
+         ("module.services_rest_core", services, 1.0)),
+         format_sum(found, "ms", ("delivery.snapshot_step_ms", services, 1.0)) + ", its first snapshot"),
         ("supervisor, as a peer",
-         cell(found, "MB", ("peers.memory_bytes", t.PROXIES, 1e-6)),
-         cell(found, "bytes/s", ("peers.rest_bytes_per_s", t.PROXIES, 1.0)),
-         cell(found, "of a core", ("peers.core", t.PROXIES, 1.0)),
-         cell(found, "ms", ("peers.tick_ms", t.PROXIES, 1.0))),
+         format_sum(found, "MB", ("peers.memory_bytes", target.PROXIES, 1e-6)),
+         format_sum(found, "bytes/s", ("peers.rest_bytes_per_s", target.PROXIES, 1.0)),
+         format_sum(found, "of a core", ("peers.core", target.PROXIES, 1.0)),
+         format_sum(found, "ms", ("peers.tick_ms", target.PROXIES, 1.0))),
         ("relay, 50 of the 53",
-         cell(found, "MB", ("delivery.relay_memory_bytes", t.BACKENDS, 1e-6),
-              ("delivery.relay_routes_memory_bytes", t.ROUTES, 1e-6),
-              ("delivery.relay_tenants_memory_bytes", t.TENANTS, 1e-6)),
-         cell(found, "bytes/s to each of 44", ("delivery.rest_bytes_per_s", own, 1.0)),
-         cell(found, "of a core", ("delivery.relay_core", followers, 1.0)),
-         cell(found, "ms", ("delivery.longest_step_ms", followers, 1.0))),
+         format_sum(found, "MB", ("delivery.relay_memory_bytes", target.BACKENDS, 1e-6),
+              ("delivery.relay_routes_memory_bytes", target.ROUTES, 1e-6),
+              ("delivery.relay_tenants_memory_bytes", target.TENANTS, 1e-6)),
+         format_sum(found, "bytes/s to each of 44", ("delivery.rest_bytes_per_s", services, 1.0)),
+         format_sum(found, "of a core", ("delivery.relay_core", followers, 1.0)),
+         format_sum(found, "ms", ("delivery.longest_step_ms", followers, 1.0))),
         ("origin, 1 of the 53",
-         cell(found, "MB", ("delivery.relay_memory_bytes", t.BACKENDS, 1e-6),
-              ("delivery.relay_routes_memory_bytes", t.ROUTES, 1e-6),
-              ("delivery.relay_tenants_memory_bytes", t.TENANTS, 1e-6)),
+         format_sum(found, "MB", ("delivery.relay_memory_bytes", target.BACKENDS, 1e-6),
+              ("delivery.relay_routes_memory_bytes", target.ROUTES, 1e-6),
+              ("delivery.relay_tenants_memory_bytes", target.TENANTS, 1e-6)),
          "the same to each of 52",
-         cell(found, "of a core", ("delivery.origin_core", 52, 1.0)),
-         cell(found, "ms", ("delivery.origin_longest_step_ms", 52, 1.0))),
+         format_sum(found, "of a core", ("delivery.origin_core", 52, 1.0)),
+         format_sum(found, "ms", ("delivery.origin_longest_step_ms", 52, 1.0))),
         ("lease server of limits, 2,200 holders",
-         cell(found, "MB", ("limits.memory_bytes_by_holders", t.PROXIES, 1e-6)),
-         cell(found, "bytes/s", ("limits.keeper_bytes_per_s", t.PROXIES, 1.0)),
-         cell(found, "of a core", ("limits.core_by_holders", t.PROXIES, 1.0)),
-         cell(found, "ms", ("limits.cpu_ms_by_holders", t.PROXIES, 1.0))),
+         format_sum(found, "MB", ("limits.memory_bytes_by_holders", target.PROXIES, 1e-6)),
+         format_sum(found, "bytes/s", ("limits.keeper_bytes_per_s", target.PROXIES, 1.0)),
+         format_sum(found, "of a core", ("limits.core_by_holders", target.PROXIES, 1.0)),
+         format_sum(found, "ms", ("limits.cpu_ms_by_holders", target.PROXIES, 1.0))),
     ]  # fmt: skip
     lines = [
         "| role | state | messages | processor | longest hold of its loop |",
@@ -192,46 +224,52 @@
     return "\n".join([*lines, *("| " + " | ".join(row) + " |" for row in rows)])
 
 
-def missing_table(found: Found) -> str:
+def missing_table(found: SeriesByName) -> str:
     def ratio(name: str, place: int) -> str:
         if not name:
             return "-"
-        figure = at(found, name, SIZES[name][place])
-        return f"{short(figure.value / SIZES[name][2])} ({name})" if figure else UNTOLD
+        figure = figure_at(found, name, TARGET_SIZES[name][place])
+        return f"{format_short(figure.value / TARGET_SIZES[name][2])} ({name})" if figure else NOT_MEASURED
 
     lines = [
         "| mechanism | ratio, all in every proxy | ratio, own part | what needs it |",
         "| --- | --- | --- | --- |",
     ]
-    for one in MISSING:
-        lines.append(f"| {one.what} | {ratio(one.today, 0)} | {ratio(one.own, 1)} | {one.needs} |")
+    for one in MISSING_MECHANISMS:
+        lines.append(
+            f"| {one.what} | {ratio(one.series_for_all, 0)} "
+            f"| {ratio(one.series_for_own_part, 1)} | {one.needed_by} |"
+        )
     return "\n".join(lines)
 
 
-def tables(found: Found) -> dict[str, str]:
+def tables(found: SeriesByName) -> dict[str, str]:
     return {
-        "today": rows_table(found, TODAY, True),
-        "ahead": rows_table(found, AHEAD, False),
-        "who": who_table(found),
+        "today": rows_table(found, CURRENT_ROWS, True),
+        "ahead": rows_table(found, TARGET_ROWS, False),
+        "who": assignments_table(found),
         "roles": roles_table(found),
         "missing": missing_table(found),
         "days": days_table(found),
-        "slopes": slopes_table(found, SHOWN),
+        "slopes": slopes_table(found, SUMMARY_SERIES),
         "all": slopes_table(found, tuple(n for n in sorted(found) if not n.startswith("day."))),
     }
 
 
-def page(text: str, found: Found) -> str:
-    """The page with its tables made anew. KeyError: a table that nobody makes."""
+def page(text: str, found: SeriesByName) -> str:
+    """The page with all tables regenerated. Raises KeyError for a table name that is not defined here."""
     made = tables(found)
     return TABLE.sub(lambda m: f"{m[1]}{made[m[2]]}\n{m[3]}", text)
 
 
-def worst(found: Found) -> tuple[float, int, int, float, str]:
-    """The largest ratio of what the page promises, how many of these rows were measured, and of how many; the
-    largest ratio of all, and its row."""
-    promised = ranking(found, tuple(row for row in (*TODAY, *AHEAD) if row.promised))
-    known = [one for one in promised if one[2] is not None]
-    ratio, row, figure = ranking(found, (*TODAY, *AHEAD))[0]
-    what = f"{row.what} ({figure.mark if figure else UNTOLD})"
-    return max((one[0] for one in known), default=0.0), len(known), len(promised), ratio, what
+def worst_ratios(found: SeriesByName) -> tuple[float, int, int, float, str]:
+    """The worst ratios of figure to budget.
+
+    Returns the largest ratio of the guaranteed rows, the number of these that were measured, their total
+    number, the largest ratio of all rows, and the description of that row.
+    """
+    guaranteed = ranking(found, tuple(row for row in (*CURRENT_ROWS, *TARGET_ROWS) if row.is_guaranteed))
+    known = [one for one in guaranteed if one[2] is not None]
+    ratio, row, figure = ranking(found, (*CURRENT_ROWS, *TARGET_ROWS))[0]
+    what = f"{row.what} ({figure.provenance if figure else NOT_MEASURED})"
+    return max((one[0] for one in known), default=0.0), len(known), len(guaranteed), ratio, what
--- a/tests/capacity/test_page.py
+++ b/tests/capacity/test_page.py
@@ -29,7 +29,7 @@
 
 def test_every_series_of_the_data_file_has_sizes_enough_to_extrapolate_or_is_marked() -> None:
     found = data.read()
-    few = [s.name for s in found.values() if not s.whole() and not s.name.startswith("day.")]
+    few = [s.name for s in found.values() if not s.allows_extrapolation() and not s.name.startswith("day.")]
     table = page.slopes_table(found, tuple(found))
     for name in few:
         (line,) = [one for one in table.splitlines() if one.startswith(f"| {name} (")]
@@ -38,12 +38,12 @@
 
 def test_a_figure_says_whether_it_was_measured_there() -> None:
     found = {"a": series("a", (10, 1.0), (100, 10.0), (1000, 100.0), (10_000, 1000.0))}
-    measured, between, beyond = (rows.at(found, "a", n) for n in (1000, 5500, 100_000))
+    measured, between, beyond = (rows.figure_at(found, "a", n) for n in (1000, 5500, 100_000))
     assert measured is not None and between is not None and beyond is not None
-    assert (measured.value, measured.mark) == (100.0, "measured at 1,000")
-    assert between.value == pytest.approx(550.0) and between.mark.startswith("between")
-    assert beyond.value == pytest.approx(10_000.0) and "extrapolated x 10" in beyond.mark
-    assert rows.at(found, "b", 10) is None
+    assert (measured.value, measured.provenance) == (100.0, "measured at 1,000")
+    assert between.value == pytest.approx(550.0) and between.provenance.startswith("between")
+    assert beyond.value == pytest.approx(10_000.0) and "extrapolated x 10" in beyond.provenance
+    assert rows.figure_at(found, "b", 10) is None
 
 
 def test_no_line_is_drawn_through_a_bend() -> None:
@@ -51,15 +51,17 @@
     assert straight.line is not None and straight.residual < 0.01
     bent = data.fit(((1, 1.0), (10, 10.0), (100, 100.0), (1000, 20_000.0)))
     assert bent.line is None and "bends" in bent.formula
-    assert bent.at(10_000) == pytest.approx(20_000 * 200, rel=1e-6)
+    assert bent.predict(10_000) == pytest.approx(20_000 * 200, rel=1e-6)
 
 
 def test_a_broken_promise_is_the_worst_ratio() -> None:
     name = "day.ordinary.staleness_999_s"
     good, bad = ({name: series(name, (2200, value))} for value in (1.0, 26.0))
-    assert page.worst(good)[0] < 1 and page.worst(bad)[0] == pytest.approx(2.0)
-    assert page.worst(good)[1] == 1 and page.worst({})[1] == 0  # what was not measured is not held
-    full = page.worst(data.read())
+    assert page.worst_ratios(good)[0] < 1 and page.worst_ratios(bad)[0] == pytest.approx(2.0)
+    assert (
+        page.worst_ratios(good)[1] == 1 and page.worst_ratios({})[1] == 0
+    )  # what was not measured is not held
+    full = page.worst_ratios(data.read())
     assert full[0] <= 1 and full[1] == full[2]
 
 
