--- a/tests/capacity/test_agreed.py
+++ b/tests/capacity/test_agreed.py
@@ -78,8 +78,8 @@
     """What the large sizes rest on."""
     sent, datagrams = [], []
     for settled in (True, False):
-        members = peers.Hollow(3)
-        names = members.settled(10) if settled else members.fleet(10)
+        members = peers.MeteredMembers(3)
+        names = members.start_settled(10) if settled else members.fleet(10)
         members.run(0.0 if settled else 90.0)
         before, posted = members.bytes, members.network.sent
         members.run(60.0)
@@ -128,7 +128,7 @@
 @pytest.mark.parametrize(("rows", "voices"), [(3, 2), (12, 2), (12, 8)])
 def test_a_fold_reads_each_report_once(monkeypatch: pytest.MonkeyPatch, rows: int, voices: int) -> None:
     reports = counted(monkeypatch, EntryStore, "read", len)
-    got = verdicts.fold(rows, 8, voices, 100, 1, False)
+    got = verdicts.measure_fold(rows, 8, voices, 100, 1, False)
     assert got["out"] == rows
     assert max(reports) == rows * voices and min(reports) >= 0
     assert len(reports) <= 5  # looks of one span of renewal: nothing but time asks for one
