--- a/bench/scale/delivery.py
+++ b/bench/scale/delivery.py
@@ -1,8 +1,9 @@
-"""What delivery costs a proxy, a relay and the origin, over what they hold and whom they serve.
+"""Measures the cost of delivery for a proxy, a relay and the origin, over their objects and subscribers.
 
-One relay's core and one subscriber's stand for most of it, each message made into bytes and read again, with
-no time between them; a hollow fleet with one relay, or with relays alone, for the rest. Processor time is
-that of the cores' steps. Sockets are not there; encoding and sealing have series of their own, by frame.
+Most series come from one relay core and one subscriber core, connected without latency, where each message is
+encoded and decoded. The others come from a simulated fleet with one relay, or with relays only. Processor
+time is that of the cores' steps. There are no sockets; encoding and sealing have series of their own, by
+frame.
 """
 
 from __future__ import annotations
@@ -34,23 +35,27 @@
 from flintlatch.delivery.store import Store
 from flintlatch.peers.seal import StreamSeal
 
-FOLLOWED, FOLLOWED_SMALL = (2, 20, 200, 2_000), (2, 20)
-BACKENDS, BACKENDS_SMALL = (2_000, 9_000, 42_000, 200_000), (180, 1_800)
-ROUTES, TENANTS = (520, 2_400, 11_000, 52_000), (3_900, 18_000, 84_000, 390_000)
-SUBSCRIBERS, SUBSCRIBERS_SMALL = (4, 44, 120, 400), (2, 8)
-RELAYS, RELAYS_SMALL = (2, 10, 52, 200), (1, 4)
-FRAMES, FRAMES_SMALL = (160, 1_000, 4_000, 16_000), (160, 1_000)  # bytes of a part's items
-A_BUCKET = 30  # tenants of one object, where they are not an object each
-REST_S, WAIT_S = 60.0, 3_600.0
-A_SERVICE, ROUTES_A_SERVICE = 18, 5
-OF_DAY = (
-    45_000 / 86_400 / 11_000
-)  # changes a second of one service: a route, a backend gone, one in its place
+FOLLOWED_COUNTS, FOLLOWED_COUNTS_SMALL = (2, 20, 200, 2_000), (2, 20)
+BACKEND_COUNTS, BACKEND_COUNTS_SMALL = (2_000, 9_000, 42_000, 200_000), (180, 1_800)
+ROUTE_COUNTS, TENANT_COUNTS = (520, 2_400, 11_000, 52_000), (3_900, 18_000, 84_000, 390_000)
+SUBSCRIBER_COUNTS, SUBSCRIBER_COUNTS_SMALL = (4, 44, 120, 400), (2, 8)
+RELAY_COUNTS, RELAY_COUNTS_SMALL = (2, 10, 52, 200), (1, 4)
+FRAME_BYTES, FRAME_BYTES_SMALL = (
+    (160, 1_000, 4_000, 16_000),
+    (160, 1_000),
+)  # bytes of the items of an ObjectPart
+TENANTS_PER_BUCKET = 30  # tenants per object, in the runs that group them
+IDLE_S, MAX_WAIT_S = 60.0, 3_600.0
+BACKENDS_PER_SERVICE, ROUTES_PER_SERVICE = 18, 5
+# changes of one service: routes, removed backends and their replacements
+CHANGES_PER_SERVICE_PER_S = 45_000 / 86_400 / 11_000
 
 Objects = list[ObjectChange]
 
 
-def services(count: int, rng: Random, backends: int = A_SERVICE, routes: int = ROUTES_A_SERVICE) -> Objects:
+def make_services(
+    count: int, rng: Random, backends: int = BACKENDS_PER_SERVICE, routes: int = ROUTES_PER_SERVICE
+) -> Objects:
     return [
         ObjectChange(
             f"s{n}",
@@ -61,16 +66,16 @@
     ]
 
 
-class Line:
-    """One relay's core and one subscriber's."""
+class DirectLink:
+    """One relay core and one subscriber core, connected without latency."""
 
     def __init__(self, store: Store, names: Iterable[str] | None) -> None:
         self.now, self.store = 0.0, store
-        self.spent = {"relay": 0, "subscriber": 0}
-        self.longest = {"relay": 0, "subscriber": 0}
-        self.got: dict[str, int] = {}  # bytes that the subscriber received, by the message's kind
+        self.spent_ns = {"relay": 0, "subscriber": 0}
+        self.longest_ns = {"relay": 0, "subscriber": 0}
+        self.received_bytes: dict[str, int] = {}  # bytes received by the subscriber, by message type
         self.encoded = 0
-        self.waits: deque[Callable[[], None]] = deque()  # on their way
+        self.in_transit: deque[Callable[[], None]] = deque()  # calls for the messages in transit
         everything = names is None
         rules = RELAY_RULES if everything else Rules()
         self.relay = relay.Relay("above", store, rules, lambda now: 0.0, is_origin=True)
@@ -81,10 +86,10 @@
             self._up(subscriber.Follow(tuple(names)))
             self._run()
 
-    def _timed(self, who: str, began: int) -> None:
+    def _timed(self, role: str, began: int) -> None:
         ns = process_time_ns() - began
-        self.spent[who] += ns
-        self.longest[who] = max(self.longest[who], ns)
+        self.spent_ns[role] += ns
+        self.longest_ns[role] = max(self.longest_ns[role], ns)
 
     def _down(self, event: relay.Event) -> None:
         began = process_time_ns()
@@ -94,11 +99,11 @@
             if isinstance(action, relay.Transmit):
                 data = wire.encode(action.message)
                 kind = type(action.message).__name__
-                self.got[kind] = self.got.get(kind, 0) + wire_size(action.message)
+                self.received_bytes[kind] = self.received_bytes.get(kind, 0) + wire_size(action.message)
                 self.encoded += len(data) + wire.SEAL_OVERHEAD_BYTES
-                self.waits.append(partial(self._read, data))
+                self.in_transit.append(partial(self._read, data))
             elif isinstance(action, relay.RequestTurn):
-                self.waits.append(partial(self._down, relay.SendTurn()))
+                self.in_transit.append(partial(self._down, relay.SendTurn()))
             else:
                 raise RuntimeError(str(action))
 
@@ -112,17 +117,17 @@
         for action in actions:
             if isinstance(action, subscriber.Transmit):
                 message = wire.from_subscriber(wire.encode(action.message))
-                self.waits.append(partial(self._down, relay.Received(1, message)))
+                self.in_transit.append(partial(self._down, relay.Received(1, message)))
             elif isinstance(action, subscriber.Connect):
-                self.waits.append(partial(self._down, relay.Accepted(1)))
-                self.waits.append(partial(self._up, subscriber.Connected(1)))
+                self.in_transit.append(partial(self._down, relay.Accepted(1)))
+                self.in_transit.append(partial(self._up, subscriber.Connected(1)))
             elif isinstance(action, subscriber.Disconnect):
                 raise RuntimeError(str(action))
 
     def _run(self) -> None:
-        """All that follows, in its order."""
-        while self.waits:
-            self.waits.popleft()()
+        """Delivers all messages in transit, in order."""
+        while self.in_transit:
+            self.in_transit.popleft()()
 
     def commit(self, changes: Iterable[ObjectChange]) -> None:
         self._down(relay.Committed(tuple(self.store.commit(changes))))
@@ -134,110 +139,110 @@
         self._down(relay.Tick())
         self._run()
 
-    def until(self, over: Callable[[], bool]) -> float:
+    def run_until(self, over: Callable[[], bool]) -> float:
         began = self.now
         while not over():
             self.tick()
-            if self.now - began > WAIT_S:
+            if self.now - began > MAX_WAIT_S:
                 raise RuntimeError("not within an hour")
         return self.now - began
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         return self.subscriber.ready()
 
-    def bytes(self) -> int:
-        return sum(self.got.values())
+    def total_bytes(self) -> int:
+        return sum(self.received_bytes.values())
 
 
-def held(changes: Objects, everything: bool) -> tuple[float, float, Line]:
-    """Bytes that a subscriber has for these objects, and at the most while they came."""
+def measure_memory(changes: Objects, everything: bool) -> tuple[float, float, DirectLink]:
+    """Memory in bytes of a subscriber with these objects, and its peak during the transfer."""
     store = Store()
     store.commit(changes)
     gc.collect()
-    line = Line(store, None if everything else [change.name for change in changes])
+    link = DirectLink(store, None if everything else [change.name for change in changes])
     tracemalloc.start()
-    line.until(line.ready)
+    link.run_until(link.is_ready)
     now, peak = tracemalloc.get_traced_memory()
-    # What the relay keeps of its one subscriber is not the subscriber's.
-    line.relay.sessions.clear()
-    line.relay.followers.clear()
+    # The relay's session is not part of the subscriber's memory.
+    link.relay.sessions.clear()
+    link.relay.followers.clear()
     gc.collect()
     now = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    return float(now), float(peak), line
+    return float(now), float(peak), link
 
 
-def of_proxy(seed: int, size: int, rest_s: float) -> dict[str, float]:
+def measure_proxy(seed: int, size: int, idle_s: float) -> dict[str, float]:
     rng, store = Random(f"{seed}/{size}"), Store()
-    changes = services(size, rng)
-    now, peak, _ = held(changes, False)
-    got = {"proxy_memory_bytes": now, "proxy_peak_bytes": peak}
+    changes = make_services(size, rng)
+    now, peak, _ = measure_memory(changes, False)
+    figures = {"proxy_memory_bytes": now, "proxy_peak_bytes": peak}
     store.commit(changes)
-    line = Line(store, [change.name for change in changes])
-    got["snapshot_s"] = line.until(line.ready)
-    got["snapshot_bytes"] = line.bytes()
-    got["snapshot_encoded_bytes"] = line.encoded
-    got["snapshot_step_ms"] = line.longest["subscriber"] / 1e6
-    line.until(lambda: line.subscriber.tokens > 200_000)
-    before, began, spent = line.bytes(), line.now, line.spent["subscriber"]
-    line.longest["subscriber"] = 0
-    line.until(lambda: line.now - began >= rest_s)
-    lasted = line.now - began
-    got["rest_bytes_per_s"] = (line.bytes() - before) / lasted
-    got["proxy_rest_core"] = (line.spent["subscriber"] - spent) / 1e9 / lasted
-    got["proxy_longest_step_ms"] = line.longest["subscriber"] / 1e6
-    line.got.clear()
-    line.commit([ObjectChange("s1", {"b7": rng.randbytes(BACKEND)})])
-    line.until(lambda: line.subscriber.store.revision == store.revision)
-    got["change_bytes"] = sum(line.got[kind.__name__] for kind in (Begin, ObjectPart, End))
-    began, spent, due = line.now, line.spent["subscriber"], 0.0
-    while line.now - began < rest_s:
-        due += 0.1 * OF_DAY * size
-        while due > rng.random():
-            due -= 1
-            item = {f"b{rng.randrange(A_SERVICE)}": rng.randbytes(BACKEND)}
-            line.commit([ObjectChange(f"s{rng.randrange(size)}", item)])
-        line.tick()
-    got["proxy_core"] = (line.spent["subscriber"] - spent) / 1e9 / (line.now - began)
-    return got
-
-
-def of_relay(seed: int, kind: str, size: int) -> dict[str, float]:
-    """A relay that starts with nothing takes all of it from the one above."""
+    link = DirectLink(store, [change.name for change in changes])
+    figures["snapshot_s"] = link.run_until(link.is_ready)
+    figures["snapshot_bytes"] = link.total_bytes()
+    figures["snapshot_encoded_bytes"] = link.encoded
+    figures["snapshot_step_ms"] = link.longest_ns["subscriber"] / 1e6
+    link.run_until(lambda: link.subscriber.tokens > 200_000)
+    before, began, spent = link.total_bytes(), link.now, link.spent_ns["subscriber"]
+    link.longest_ns["subscriber"] = 0
+    link.run_until(lambda: link.now - began >= idle_s)
+    lasted = link.now - began
+    figures["rest_bytes_per_s"] = (link.total_bytes() - before) / lasted
+    figures["proxy_rest_core"] = (link.spent_ns["subscriber"] - spent) / 1e9 / lasted
+    figures["proxy_longest_step_ms"] = link.longest_ns["subscriber"] / 1e6
+    link.received_bytes.clear()
+    link.commit([ObjectChange("s1", {"b7": rng.randbytes(BACKEND)})])
+    link.run_until(lambda: link.subscriber.store.revision == store.revision)
+    figures["change_bytes"] = sum(link.received_bytes[kind.__name__] for kind in (Begin, ObjectPart, End))
+    began, spent, pending_changes = link.now, link.spent_ns["subscriber"], 0.0
+    while link.now - began < idle_s:
+        pending_changes += 0.1 * CHANGES_PER_SERVICE_PER_S * size
+        while pending_changes > rng.random():
+            pending_changes -= 1
+            item = {f"b{rng.randrange(BACKENDS_PER_SERVICE)}": rng.randbytes(BACKEND)}
+            link.commit([ObjectChange(f"s{rng.randrange(size)}", item)])
+        link.tick()
+    figures["proxy_core"] = (link.spent_ns["subscriber"] - spent) / 1e9 / (link.now - began)
+    return figures
+
+
+def measure_relay(seed: int, kind: str, size: int) -> dict[str, float]:
+    """Measures a relay that starts empty and takes a full snapshot from its upstream."""
     rng, store = Random(f"{seed}/{kind}/{size}"), Store()
     if kind == "backends":
-        changes = services(size // A_SERVICE, rng, routes=0)
+        changes = make_services(size // BACKENDS_PER_SERVICE, rng, routes=0)
     elif kind == "routes":
-        changes = services(size // ROUTES_A_SERVICE, rng, backends=0)
+        changes = make_services(size // ROUTES_PER_SERVICE, rng, backends=0)
     else:
-        each = A_BUCKET if kind == "bucketed" else 1
+        each = TENANTS_PER_BUCKET if kind == "bucketed" else 1
         changes = [
             ObjectChange(f"t{n}", {f"{n}.{k}": rng.randbytes(ROW) for k in range(each)})
             for n in range(size // each)
         ]
-    now, peak, _ = held(changes, True)
+    now, peak, _ = measure_memory(changes, True)
     store.commit(changes)
-    line = Line(store, None)
-    line.until(line.ready)
+    link = DirectLink(store, None)
+    link.run_until(link.is_ready)
     return {
         "memory_bytes": now,
         "peak_bytes": peak,
-        "snapshot_bytes": line.bytes(),
-        "snapshot_step_ms": line.longest["subscriber"] / 1e6,
-        "snapshot_cpu_s": line.spent["subscriber"] / 1e9,
-        "snapshot_above_s": line.spent["relay"] / 1e9,
+        "snapshot_bytes": link.total_bytes(),
+        "snapshot_step_ms": link.longest_ns["subscriber"] / 1e6,
+        "snapshot_cpu_s": link.spent_ns["subscriber"] / 1e9,
+        "snapshot_above_s": link.spent_ns["relay"] / 1e9,
     }
 
 
-def of_fleet(seed: int, size: Size, role: str, seconds: float) -> tuple[float, float, float]:
-    """Share of a core at rest and with the target's changes, and the longest step in ms of both."""
+def measure_fleet(seed: int, size: Size, role: str, seconds: float) -> tuple[float, float, float]:
+    """The fractions of a core at rest and at the target's rate of changes, and the longest step in ms."""
     fleet = Fleet(seed, size)
     fleet.begin()
     cores, longest = [], 0.0
     for changing in (False, True):
         fleet.clear()
         rng = Random(f"{seed}/changes")
-        for n in range(round(OF_DAY * size.services * seconds) if changing else 0):
+        for n in range(round(CHANGES_PER_SERVICE_PER_S * size.services * seconds) if changing else 0):
             change = fleet.world.configured() if n % 3 else fleet.world.moved()[1]
             fleet.engine.after(rng.random() * seconds, lambda change=change: fleet.commit([change]))  # type: ignore[misc]  # noqa: B023
         gc.collect()
@@ -250,25 +255,27 @@
     return cores[0], cores[1], longest
 
 
-def seal_us(sizes: tuple[int, ...], times: int = 400) -> tuple[list[float], list[float]]:
-    """Processor time to encode and seal a part, and to open and read it, in microseconds; least of five."""
-    shut, read = [], []
+def measure_sealing(sizes: tuple[int, ...], times: int = 400) -> tuple[list[float], list[float]]:
+    """Processor time in us to encode and seal an ObjectPart, and to open and decode it; best of five runs."""
+    seal_times_us, open_times_us = [], []
     for size in sizes:
         items = {f"b{n}": bytes(BACKEND) for n in range(max(1, size // (BACKEND + 12)))}
         message: Message = ObjectPart("s1", 1, 1 << 40, items, (), 18, 1 << 60, False)
-        out, back = [], []
+        sealing_us, opening_us = [], []
         for _ in range(5):
-            ours, theirs = (StreamSeal(bytes(32), b"a" * 16, b"b" * 16, asks) for asks in (True, False))
+            sender, receiver = (
+                StreamSeal(bytes(32), b"a" * 16, b"b" * 16, initiates) for initiates in (True, False)
+            )
             began = process_time()
-            frames = [ours.encrypt(wire.encode(message)) for _ in range(times)]
+            frames = [sender.encrypt(wire.encode(message)) for _ in range(times)]
             between = process_time()
             for frame in frames:
-                wire.from_relay(theirs.decrypt(frame))
-            out.append((between - began) / times * 1e6)
-            back.append((process_time() - between) / times * 1e6)
-        shut.append(min(out))
-        read.append(min(back))
-    return shut, read
+                wire.from_relay(receiver.decrypt(frame))
+            sealing_us.append((between - began) / times * 1e6)
+            opening_us.append((process_time() - between) / times * 1e6)
+        seal_times_us.append(min(sealing_us))
+        open_times_us.append(min(opening_us))
+    return seal_times_us, open_times_us
 
 
 NOTES = {
@@ -292,7 +299,7 @@
 }
 
 
-OF_RELAY = {
+RELAY_NOTES = {
     "memory_bytes": ("bytes", "tracemalloc; without its subscribers"),
     "peak_bytes": ("bytes", "tracemalloc; while all came from nothing"),
     "snapshot_bytes": ("bytes", "counted as sent at most"),
@@ -304,33 +311,38 @@
 
 def run(seed: int, small: bool) -> list[Series]:
     began = load()
-    out: list[Series] = []
+    series: list[Series] = []
 
     def add(
         what: str, over: str, unit: str, sizes: Iterable[float], values: Iterable[float], note: str
     ) -> None:
         points = tuple(zip(map(float, sizes), values, strict=True))
-        out.append(Series(f"delivery.{what}", over, unit, points, "hollow", {}, seed, began, note))
+        series.append(Series(f"delivery.{what}", over, unit, points, "hollow", {}, seed, began, note))
 
-    followed = FOLLOWED_SMALL if small else FOLLOWED
-    each = [of_proxy(seed, size, 5.0 if small else REST_S) for size in followed]
+    followed = FOLLOWED_COUNTS_SMALL if small else FOLLOWED_COUNTS
+    each = [measure_proxy(seed, size, 5.0 if small else IDLE_S) for size in followed]
     for what, (unit, note) in NOTES.items():
-        add(what, "services followed", unit, followed, [got[what] for got in each], note)
-    held_by = (
-        {"backends": BACKENDS_SMALL}
+        add(what, "services followed", unit, followed, [figures[what] for figures in each], note)
+    counts_by_kind = (
+        {"backends": BACKEND_COUNTS_SMALL}
         if small
-        else {"backends": BACKENDS, "routes": ROUTES, "tenants": TENANTS, "bucketed": TENANTS}
+        else {
+            "backends": BACKEND_COUNTS,
+            "routes": ROUTE_COUNTS,
+            "tenants": TENANT_COUNTS,
+            "bucketed": TENANT_COUNTS,
+        }
     )
-    for kind, sizes in held_by.items():
-        found = [of_relay(seed, kind, n) for n in sizes]
+    for kind, sizes in counts_by_kind.items():
+        found = [measure_relay(seed, kind, n) for n in sizes]
         name = "relay" if kind == "backends" else f"relay_{kind}"
-        over = f"tenants, {A_BUCKET} an object" if kind == "bucketed" else kind
-        for what, (unit, note) in OF_RELAY.items():
-            add(f"{name}_{what}", over, unit, sizes, [got[what] for got in found], note)
-    few = Size(0, 1, 1, 1, 40 if small else 11_000, 20 if small else 200, 0.2, 4)
-    sizes = SUBSCRIBERS_SMALL if small else SUBSCRIBERS
+        over = f"tenants, {TENANTS_PER_BUCKET} an object" if kind == "bucketed" else kind
+        for what, (unit, note) in RELAY_NOTES.items():
+            add(f"{name}_{what}", over, unit, sizes, [figures[what] for figures in found], note)
+    base_size = Size(0, 1, 1, 1, 40 if small else 11_000, 20 if small else 200, 0.2, 4)
+    sizes = SUBSCRIBER_COUNTS_SMALL if small else SUBSCRIBER_COUNTS
     seconds = 2.0 if small else 15.0
-    rows = [of_fleet(seed, replace(few, proxies=n), "relay", seconds) for n in sizes]
+    rows = [measure_fleet(seed, replace(base_size, proxies=n), "relay", seconds) for n in sizes]
     note = "steps of one relay's core; each subscriber follows 200 services"
     add("relay_rest_core", "subscribers", "of a core", sizes, [row[0] for row in rows], note)
     add(
@@ -342,16 +354,16 @@
         note + "; the target's changes",
     )
     add("longest_step_ms", "subscribers", "ms", sizes, [row[2] for row in rows], note)
-    sizes = RELAYS_SMALL if small else RELAYS
-    rows = [of_fleet(seed, replace(few, relays=n), "origin", seconds) for n in sizes]
+    sizes = RELAY_COUNTS_SMALL if small else RELAY_COUNTS
+    rows = [measure_fleet(seed, replace(base_size, relays=n), "origin", seconds) for n in sizes]
     note = "steps of the origin's core"
     add("origin_rest_core", "relays", "of a core", sizes, [row[0] for row in rows], note)
     add(
         "origin_core", "relays", "of a core", sizes, [row[1] for row in rows], note + "; the target's changes"
     )
     add("origin_longest_step_ms", "relays", "ms", sizes, [row[2] for row in rows], note)
-    sizes = FRAMES_SMALL if small else FRAMES
-    shut, read = seal_us(sizes)
-    add("seal_us", "bytes of a frame", "us", sizes, shut, "a part encoded and sealed; least of five")
-    add("open_us", "bytes of a frame", "us", sizes, read, "a part opened and read; least of five")
-    return out
+    sizes = FRAME_BYTES_SMALL if small else FRAME_BYTES
+    seal_times_us, open_times_us = measure_sealing(sizes)
+    add("seal_us", "bytes of a frame", "us", sizes, seal_times_us, "a part encoded and sealed; least of five")
+    add("open_us", "bytes of a frame", "us", sizes, open_times_us, "a part opened and read; least of five")
+    return series
--- a/bench/scale/lists.py
+++ b/bench/scale/lists.py
@@ -1,4 +1,4 @@
-"""What the list of servers costs one proxy: bytes, processor time, the turn it holds, and where it is cut."""
+"""Measures the cost of the server list for one proxy, and the largest list that a proxy accepts."""
 
 from __future__ import annotations
 
@@ -25,19 +25,19 @@
 from flintlatch.standin.rig import CLASSES
 
 SIZES = (20, 200, 2_000, 20_000, 200_000), (20, 200)
-LOOK_S = 3.0  # for which a proxy that can't take its list is looked at
-ANSWER_S, TRIES = 10.0, 4
+OBSERVED_S = 3.0  # observation time of a proxy whose list is too long
+ANSWER_TIMEOUT_S, MAX_TRIES = 10.0, 4
 CONNECT_MS, IDLE_MS = 1000.0, 30_000.0
 
 
-def wire() -> SocketSettings:
+def socket_settings() -> SocketSettings:
     return SocketSettings({}, {}, {}, {"default": 0}, CONNECT_MS, IDLE_MS)
 
 
 def put(registry: Registry, number: int, state: str = "active") -> None:
-    place = ".".join(str(number >> shift & 255) for shift in (16, 8, 0))
+    address_suffix = ".".join(str(number >> shift & 255) for shift in (16, 8, 0))
     uid, zone, cell = f"backend-{number:06d}", number % module.ZONES, number // 4
-    registry.put(uid, f"10.{place}:8080", state, zone, cell)
+    registry.put(uid, f"10.{address_suffix}:8080", state, zone, cell)
 
 
 def fill(registry: Registry, servers: int) -> Registry:
@@ -47,100 +47,100 @@
 
 
 def snapshot(registry: Registry) -> bytes:
-    """As the stand-in registry answers a first call."""
+    """The body of the stand-in registry's answer to a first call."""
     return orjson.dumps({"rev": registry.rev, "all": True, "targets": list(registry.entries.values())})
 
 
 def delta(registry: Registry, number: int = 0, state: str = "leaving") -> bytes:
-    """The same to a watch, after one entry has changed."""
+    """The body of the registry's answer to a watch after one entry has changed."""
     since = registry.rev
     put(registry, number, state)
-    news = [entry for rev, entry in registry.changes[-1:] if rev > since]
-    return orjson.dumps({"rev": registry.rev, "all": False, "targets": news})
+    changed = [entry for rev, entry in registry.changes[-1:] if rev > since]
+    return orjson.dumps({"rev": registry.rev, "all": False, "targets": changed})
 
 
-class Holder:
-    """Whatever one proxy does with a list, in the two turns of its loop that follow one another."""
+class ListReceiver:
+    """Processes a list as a proxy does in two consecutive turns of its event loop."""
 
     def __init__(self, seed: int) -> None:
         self.backends = Backends(CONNECT_MS, IDLE_MS, 100)
         self.balancer = Balancer(module.settings(), seed)
-        self.wire, self.now = wire(), 1000.0
+        self.socket_settings, self.now = socket_settings(), 1000.0
         self.event = ServerList(ListKind.SNAPSHOT)
 
     def read(self, body: bytes) -> Listing:
-        listing = read_listing(orjson.loads(body), self.wire)
+        listing = read_listing(orjson.loads(body), self.socket_settings)
         self.backends.update(listing.targets, listing.is_snapshot)
         kind = ListKind.SNAPSHOT if listing.is_snapshot else ListKind.DELTA
         self.event = ServerList(kind, tuple(target.info for target in listing.targets))
         return listing
 
-    def take(self, body: bytes) -> tuple[float, float]:
-        """Processor time in ms: reading it and telling the pools, and the module's step."""
+    def process(self, body: bytes) -> tuple[float, float]:
+        """Processor time in ms to read the list and update the pools, and for the module's step."""
         self.now += 25.0
-        begun = process_time()
+        began = process_time()
         self.read(body)
         middle = process_time()
         self.balancer.step(self.now, [self.event])
-        return (middle - begun) * 1000, (process_time() - middle) * 1000
+        return (middle - began) * 1000, (process_time() - middle) * 1000
 
     def close(self) -> None:
         self.backends.close()
 
 
-async def hold(servers: int, seed: int, small: bool) -> dict[str, float]:
-    registry, holder = fill(Registry(), servers), Holder(seed)
-    whole = snapshot(registry)
-    module.settle()
-    wholes = [holder.take(whole) for _ in range(3 if servers > 20_000 or small else 6)]
-    changed = [delta(registry, n // 2, "active" if n % 2 else "leaving") for n in range(10)]
-    changes = [holder.take(body) for body in changed]
-    holder.close()
-    both = [sum(pair) for pair in wholes]
+async def measure_list(servers: int, seed: int, small: bool) -> dict[str, float]:
+    registry, receiver = fill(Registry(), servers), ListReceiver(seed)
+    body = snapshot(registry)
+    module.freeze_heap()
+    snapshot_times = [receiver.process(body) for _ in range(3 if servers > 20_000 or small else 6)]
+    delta_bodies = [delta(registry, n // 2, "active" if n % 2 else "leaving") for n in range(10)]
+    delta_times = [receiver.process(body) for body in delta_bodies]
+    receiver.close()
+    total_times = [sum(pair) for pair in snapshot_times]
     return {
-        "snapshot_bytes": len(whole),
-        "snapshot_cpu_ms": sum(both) / len(both),
-        "snapshot_turn_ms": max(both),
-        "delta_bytes": len(changed[0]),
-        "delta_cpu_ms": sum(map(sum, changes)) / len(changes),
-        "samples": len(wholes),
-        "step": sum(pair[1] for pair in wholes) / sum(both),
+        "snapshot_bytes": len(body),
+        "snapshot_cpu_ms": sum(total_times) / len(total_times),
+        "snapshot_turn_ms": max(total_times),
+        "delta_bytes": len(delta_bodies[0]),
+        "delta_cpu_ms": sum(map(sum, delta_times)) / len(delta_times),
+        "samples": len(snapshot_times),
+        "step": sum(pair[1] for pair in snapshot_times) / sum(total_times),
     }
 
 
 def measure(servers: int, seed: int, small: bool) -> dict[str, float]:
-    return asyncio.run(hold(servers, seed, small))
+    return asyncio.run(measure_list(servers, seed, small))
 
 
 def memory(servers: int, seed: int) -> int:
-    """Bytes that the pools hold for a list that was read, the module left out."""
+    """Bytes of memory of the pools for a list, without those of the module."""
 
-    async def held() -> int:
+    async def measure_held() -> int:
         body = snapshot(fill(Registry(), servers))
         gc.collect()
         tracemalloc.start()
-        holder = Holder(seed)
+        receiver = ListReceiver(seed)
         before, _ = tracemalloc.get_traced_memory()
-        holder.read(body)
-        holder.event = ServerList(ListKind.SNAPSHOT)
+        receiver.read(body)
+        receiver.event = ServerList(ListKind.SNAPSHOT)
         gc.collect()
         after, _ = tracemalloc.get_traced_memory()
         tracemalloc.stop()
-        holder.close()
+        receiver.close()
         return after - before
 
-    return asyncio.run(held())
+    return asyncio.run(measure_held())
 
 
-async def takes(servers: int) -> str:
-    """What the real Discovery says of so many, over a socket; empty if it has taken them."""
-    for _ in range(TRIES):  # a busy machine may be too slow for its time limit, which is no cut
-        if not (said := await ask_for(servers)).startswith("TimeoutError"):
+async def rejection_reason(servers: int) -> str:
+    """The failure that the real Discovery reports for a list of this size; empty if it accepts the list."""
+    for _ in range(MAX_TRIES):  # a timeout on a busy machine is not the size limit
+        if not (said := await load_list(servers)).startswith("TimeoutError"):
             break
     return said
 
 
-async def ask_for(servers: int) -> str:
+async def load_list(servers: int) -> str:
     registry = await fill(Registry(), servers).open()
     said: asyncio.Future[str] = asyncio.get_running_loop().create_future()
 
@@ -152,37 +152,39 @@
         if not said.done():
             said.set_result(reason)
 
-    discovery = Discovery(registry.address, wire(), None, on_list, on_failure)
+    discovery = Discovery(registry.address, socket_settings(), None, on_list, on_failure)
     discovery.watch()
     try:
-        async with asyncio.timeout(ANSWER_S):
+        async with asyncio.timeout(ANSWER_TIMEOUT_S):
             return await said
     finally:
         discovery.close()
         registry.close()
 
 
-async def most_taken() -> tuple[int, str]:
-    """The most entries that the real Discovery takes whole, and what it says to one more."""
+async def largest_accepted() -> tuple[int, str]:
+    """The most entries that the real Discovery accepts, and the failure that it reports for one more."""
     servers, size = 0, 0
-    for known in fill(Registry(), MAX_LIST // 100).entries.values():  # where to look, by the bytes alone
-        size += len(orjson.dumps(known)) + 1
+    for entry in fill(
+        Registry(), MAX_LIST // 100
+    ).entries.values():  # an estimate from the bytes of each entry
+        size += len(orjson.dumps(entry)) + 1
         servers += size <= MAX_LIST
-    while await takes(servers):
+    while await rejection_reason(servers):
         servers -= 1
-    while not (said := await takes(servers + 1)):
+    while not (said := await rejection_reason(servers + 1)):
         servers += 1
     return servers, said
 
 
-async def complaint(servers: int) -> tuple[list[str], int]:
-    """What a real proxy logs of such a list, and how often it asks, in LOOK_S."""
+async def observe_rejection(servers: int) -> tuple[list[str], int]:
+    """The log lines of a real proxy about a list of this size, and its number of calls, in OBSERVED_S."""
     registry = await fill(Registry(), servers).open()
     with tempfile.TemporaryDirectory(prefix="fl-") as name:
-        told: dict[str, Any] = configuration(free_address(), registry.address, CLASSES, [])
-        proxy = await ProxyProcess.start(write(Path(name) / "config.json", told), TMPDIR=name)
+        config: dict[str, Any] = configuration(free_address(), registry.address, CLASSES, [])
+        proxy = await ProxyProcess.start(write(Path(name) / "config.json", config), TMPDIR=name)
         try:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(OBSERVED_S)
             calls = len(registry.calls)
             await proxy.end()
         finally:
@@ -193,13 +195,13 @@
     return [line.strip() for line in proxy.lines if "list:" in line], calls
 
 
-def cut(small: bool) -> str:
-    servers, said = asyncio.run(most_taken())
+def describe_limit(small: bool) -> str:
+    servers, said = asyncio.run(largest_accepted())
     text = f"real Discovery on loopback takes {servers} entries whole, to one more it says {said!r}"
     if small:
         return text
-    lines, calls = asyncio.run(complaint(servers + 1))
-    return f"{text}; a real proxy logs {lines} and asks {calls} times in {LOOK_S:g} s"
+    lines, calls = asyncio.run(observe_rejection(servers + 1))
+    return f"{text}; a real proxy logs {lines} and asks {calls} times in {OBSERVED_S:g} s"
 
 
 NOTES = {
@@ -214,14 +216,14 @@
 
 def run(seed: int, small: bool) -> list[Series]:
     load, sizes = data.load(), SIZES[small]
-    each = module.here if small else module.alone
-    rows = [each(measure, size, seed, small) for size in sizes]
-    where = cut(small)
+    run_size = module.run_in_process if small else module.run_in_child
+    rows = [run_size(measure, size, seed, small) for size in sizes]
+    limit_note = describe_limit(small)
     counts = "; ".join(
         f"{name} " + "/".join(f"{row[name]:.2g}" for row in rows) for name in ("samples", "step")
     )
     notes = {name: f"{text}; by size, step as a part: {counts}" for name, text in NOTES.items()}
-    notes["snapshot_bytes"] = f"{NOTES['snapshot_bytes']}; {where}"
+    notes["snapshot_bytes"] = f"{NOTES['snapshot_bytes']}; {limit_note}"
     fixed = {"proxies": float(module.PROXIES), "services": 1.0}
     found = [
         Series(f"lists.{name}", "servers", UNITS[name.rpartition("_")[2]],
@@ -229,6 +231,9 @@
                "hollow", fixed, seed, load, notes[name])
         for name in NOTES
     ]  # fmt: skip
-    held = tuple((size, float(each(memory, size, seed))) for size in sizes)
+    points = tuple((size, float(run_size(memory, size, seed))) for size in sizes)
     text = "tracemalloc, the pools with what was read, the module's own left out"
-    return [*found, Series("lists.memory_bytes", "servers", "bytes", held, "hollow", fixed, seed, load, text)]
+    return [
+        *found,
+        Series("lists.memory_bytes", "servers", "bytes", points, "hollow", fixed, seed, load, text),
+    ]
--- a/tests/capacity/test_delivery.py
+++ b/tests/capacity/test_delivery.py
@@ -13,7 +13,7 @@
 from bench.audit import Audit, Minutes
 from bench.hollow import ALLOWED, WITHIN_S, Fleet, HollowProxy, Size
 from bench.scale import delivery
-from bench.scale.delivery import Line, services
+from bench.scale.delivery import DirectLink, make_services
 from flintlatch.delivery.model import (
     FRAME_OVERHEAD_BYTES,
     ITEM_OVERHEAD_BYTES,
@@ -29,19 +29,19 @@
 TIMED = ("_core", "_step_ms")
 
 
-def ready(size: int) -> Line:
+def ready_link(size: int) -> DirectLink:
     store = Store()
-    store.commit(services(size, Random(1)))
-    line = Line(store, [f"s{n}" for n in range(size)])
-    line.until(line.ready)
-    line.until(lambda: line.subscriber.tokens > 200_000)
-    line.got.clear()
-    return line
+    store.commit(make_services(size, Random(1)))
+    link = DirectLink(store, [f"s{n}" for n in range(size)])
+    link.run_until(link.is_ready)
+    link.run_until(lambda: link.subscriber.tokens > 200_000)
+    link.received_bytes.clear()
+    return link
 
 
-def run_s(line: Line, seconds: float) -> None:
-    until = line.now + seconds
-    line.until(lambda: line.now >= until)
+def run_s(link: DirectLink, seconds: float) -> None:
+    until = link.now + seconds
+    link.run_until(lambda: link.now >= until)
 
 
 def counts(figures: dict[str, float]) -> dict[str, float]:
@@ -63,57 +63,57 @@
 
 @pytest.mark.parametrize("size", [2, 20, 200])
 def test_a_change_costs_its_item_and_a_stated_overhead_whatever_is_held(size: int) -> None:
-    line = ready(size)
-    line.commit([ObjectChange("s1", {"b7": b"x" * 60})])
-    run_s(line, 0.5)
-    of_change = sum(line.got[kind] for kind in ("Begin", "ObjectPart", "End"))
+    link = ready_link(size)
+    link.commit([ObjectChange("s1", {"b7": b"x" * 60})])
+    run_s(link, 0.5)
+    of_change = sum(link.received_bytes[kind] for kind in ("Begin", "ObjectPart", "End"))
     assert of_change == BATCH_BYTES + PART_BYTES + len("s1") + len("b7") + 60 + ITEM_OVERHEAD_BYTES
 
 
 @pytest.mark.parametrize("size", [2, 20, 200])
 def test_a_change_touches_one_entry_on_both_sides(size: int, digests: list[str]) -> None:
-    line = ready(size)
+    link = ready_link(size)
     digests.clear()
-    line.commit([ObjectChange("s1", {"b7": b"x" * 60})])
-    run_s(line, 0.5)
+    link.commit([ObjectChange("s1", {"b7": b"x" * 60})])
+    run_s(link, 0.5)
     assert digests == ["b7"] * 4  # at each side the old one out, the new one in
 
 
 def test_ten_changes_of_one_entry_go_out_once() -> None:
-    line = ready(20)
+    link = ready_link(20)
     for n in range(10):
-        line.commit([ObjectChange("s1", {"b7": bytes([n]) * 60})])
-    run_s(line, 0.5)
-    assert line.subscriber.store.objects["s1"].items["b7"] == bytes([9]) * 60
-    assert line.got["ObjectPart"] == PART_BYTES + len("s1") + len("b7") + 60 + ITEM_OVERHEAD_BYTES
+        link.commit([ObjectChange("s1", {"b7": bytes([n]) * 60})])
+    run_s(link, 0.5)
+    assert link.subscriber.store.objects["s1"].items["b7"] == bytes([9]) * 60
+    assert link.received_bytes["ObjectPart"] == PART_BYTES + len("s1") + len("b7") + 60 + ITEM_OVERHEAD_BYTES
 
 
 def test_who_does_not_follow_gets_nothing(digests: list[str]) -> None:
-    line = ready(20)
+    link = ready_link(20)
     digests.clear()
-    line.commit([ObjectChange("other", {f"b{n}": b"x" * 60 for n in range(18)})])
-    run_s(line, 0.5)
-    assert not {"Begin", "ObjectPart", "End"} & set(line.got)
+    link.commit([ObjectChange("other", {f"b{n}": b"x" * 60 for n in range(18)})])
+    run_s(link, 0.5)
+    assert not {"Begin", "ObjectPart", "End"} & set(link.received_bytes)
     assert len(digests) == 18  # the origin's own
 
 
 @pytest.mark.parametrize("size", [2, 200])
 def test_at_rest_a_proxy_gets_one_small_answer_a_second(size: int) -> None:
-    line = ready(size)
-    run_s(line, 20.0)
-    assert set(line.got) == {"Pong"}
-    assert line.got["Pong"] <= 20 * (FRAME_OVERHEAD_BYTES + 40)
+    link = ready_link(size)
+    run_s(link, 20.0)
+    assert set(link.received_bytes) == {"Pong"}
+    assert link.received_bytes["Pong"] <= 20 * (FRAME_OVERHEAD_BYTES + 40)
 
 
 def test_a_snapshot_keeps_within_the_bytes_of_a_minute() -> None:
     store = Store()
-    store.commit(services(800, Random(1)))
-    line = Line(store, [f"s{n}" for n in range(800)])
+    store.commit(make_services(800, Random(1)))
+    link = DirectLink(store, [f"s{n}" for n in range(800)])
     minute = 0
-    while not line.ready():
-        before = line.bytes()
-        run_s(line, 60.0)
-        minute = max(minute, line.bytes() - before)
+    while not link.is_ready():
+        before = link.total_bytes()
+        run_s(link, 60.0)
+        minute = max(minute, link.total_bytes() - before)
     pongs = 61 * (FRAME_OVERHEAD_BYTES + 40)
     assert Rules().burst_bytes < minute <= Rules().max_bytes_per_minute() + pongs
     assert minute <= 60 * ALLOWED
--- a/tests/capacity/test_module.py
+++ b/tests/capacity/test_module.py
@@ -50,14 +50,14 @@
 
 
 def test_small_run_of_the_module_gives_each_series() -> None:
-    found = module.alone(module.run, 1, True)
+    found = module.run_in_child(module.run, 1, True)
     check(found, "module", OF_MODULE)
     sizes = {series.over: max(size for size, _ in series.points) for series in found}
     assert sizes == {"servers": 200, "tenants": 390, "services": 11}
 
 
 def test_small_run_of_lists_gives_each_series() -> None:
-    found = module.alone(lists.run, 1, True)
+    found = module.run_in_child(lists.run, 1, True)
     check(found, "lists", OF_LISTS)
     points = {series.name: dict(series.points) for series in found}
     for servers in (20, 200):
@@ -73,11 +73,11 @@
 def test_a_delta_of_one_entry_is_one_entry_for_the_module(servers: int) -> None:
     registry = lists.fill(Registry(), servers)
     balancer = Counting(module.settings(), 1)
-    whole = read_listing(orjson.loads(lists.snapshot(registry)), lists.wire())
+    whole = read_listing(orjson.loads(lists.snapshot(registry)), lists.socket_settings())
     assert whole.is_snapshot and len(whole.targets) == servers
     balancer.step(1000.0, [ServerList(ListKind.SNAPSHOT, tuple(target.info for target in whole.targets))])
     assert balancer.entries == servers
-    change = read_listing(orjson.loads(lists.delta(registry)), lists.wire())
+    change = read_listing(orjson.loads(lists.delta(registry)), lists.socket_settings())
     assert not change.is_snapshot and change.revision == whole.revision + 1
     news: list[Event] = [ServerList(ListKind.DELTA, tuple(target.info for target in change.targets))]
     balancer.step(1025.0, news)
@@ -93,35 +93,35 @@
 
 
 def test_the_list_is_cut_where_its_bytes_are_more_than_discovery_takes() -> None:
-    taken, said = asyncio.run(lists.most_taken())
+    taken, said = asyncio.run(lists.largest_accepted())
     size = [len(lists.snapshot(lists.fill(Registry(), servers))) for servers in (taken, taken + 1)]
     assert size[0] <= MAX_LIST < size[1]
     assert said == f"Malformed: a list of {size[1]} bytes, {MAX_LIST} at most can be taken"
 
 
 def test_memory_of_a_server_and_of_a_tenant_is_bounded() -> None:
-    a, b = (module.alone(module.server_memory, servers, 1) for servers in (20, 200))
+    a, b = (module.run_in_child(module.server_memory, servers, 1) for servers in (20, 200))
     assert 180 * 500 < b - a < 180 * 3000
-    a, b = (module.alone(module.tenant_memory, tenants, 1) for tenants in (39, 390))
+    a, b = (module.run_in_child(module.tenant_memory, tenants, 1) for tenants in (39, 390))
     assert 351 * 8 < b - a < 351 * 200
 
 
 @pytest.mark.parametrize("keyed", [False, True])
 def test_each_request_of_a_play_is_sent_or_ended_once(keyed: bool) -> None:
-    play = module.Play(module.settings(keyed), 18, 1)
-    play.arrive()
-    play.run(1.0)
-    waiting = sum(request.is_queued for request in play.balancer.requests.values())
-    assert play.arrivals > module.RATE / 2
-    assert play.sent + play.final + waiting == play.arrivals
-    assert len(play.rest) == 1000 / module.BEAT_MS
+    simulation = module.Simulation(module.settings(keyed), 18, 1)
+    simulation.start_request()
+    simulation.run(1.0)
+    waiting = sum(request.is_queued for request in simulation.balancer.requests.values())
+    assert simulation.arrivals > module.RATE / 2
+    assert simulation.sent + simulation.rejected_or_failed + waiting == simulation.arrivals
+    assert len(simulation.tick_ms) == 1000 / module.TICK_MS
 
 
 def test_the_same_seed_gives_the_same_requests() -> None:
     def counts(seed: int) -> tuple[int, int, int]:
-        play = module.Play(module.settings(), 200, seed)
-        play.arrive()
-        play.run(0.5)
-        return play.arrivals, play.sent, play.final
+        simulation = module.Simulation(module.settings(), 200, seed)
+        simulation.start_request()
+        simulation.run(0.5)
+        return simulation.arrivals, simulation.sent, simulation.rejected_or_failed
 
     assert counts(1) == counts(1) != counts(2)
