--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,12 +1,13 @@
-"""What each part of the program costs with the size of the fleet, and what that is at the fleet ahead.
+"""Measures how the cost of each part of the program grows with the fleet, and evaluates it for the target.
 
     python -m bench.capacity --seed 1 [--part module,lists,path,peers,limits,verdicts,delivery] [--small]
-    python -m bench.capacity --page          prints docs/CAPACITY.md and the page of all slopes
+    python -m bench.capacity --page          prints docs/CAPACITY.md and docs/design/slopes.md
     python -m bench.capacity --page --write  writes them
 
-Runs measure series over one size each (processor time by process clocks, memory by what the process holds),
-and keep them in bench/capacity.json with seed and machine load; a small run keeps nothing. The last line has
-the worst ratio to an allowance, and its row; the exit code is 1 if a row that the page promises is over one.
+Each run measures series over one size each: processor time by process clocks, memory by that of the process.
+The series are stored in bench/capacity.json with the seed and the load of the machine, unless the run is
+small. The last line has the worst ratio of a figure to its budget, with its row; the exit code is 1 if the
+ratio of a guaranteed row is above 1.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 
 def measure(parts: list[str], seed: int, small: bool) -> list[data.Series]:
-    made: list[data.Series] = []
+    measured: list[data.Series] = []
     for part in parts:
         series: list[data.Series] = importlib.import_module(f"bench.scale.{part}").run(seed, small)
         for one in series:
@@ -30,15 +31,15 @@
             print(f"{one.name} ({one.unit}) over {one.over}: {points}; {shape.formula}", flush=True)
         if not small:
             data.write(series)
-        made += series
-    return made
+        measured += series
+    return measured
 
 
 def main() -> int:
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--part", default=",".join(PARTS), help="comma between several")
-    parser.add_argument("--small", action="store_true", help="few and small sizes, as CI runs them")
+    parser.add_argument("--part", default=",".join(PARTS), help="separated by commas")
+    parser.add_argument("--small", action="store_true", help="few and small sizes, for CI")
     parser.add_argument("--page", action="store_true")
     parser.add_argument("--write", action="store_true")
     options = parser.parse_args()
@@ -54,18 +55,19 @@
     if unknown := [part for part in parts if part not in PARTS]:
         parser.error(f"--part: {', '.join(unknown)} is not one of {', '.join(PARTS)}")
     print(f"seed {options.seed}, load {data.load():.1f}", flush=True)
-    made = measure(parts, options.seed, options.small)
-    found = {one.name: one for one in made} if options.small else data.read()
-    promised, known, rows, ratio, row = page.worst_ratios(found)
-    if not known:
+    measured = measure(parts, options.seed, options.small)
+    found = {one.name: one for one in measured} if options.small else data.read()
+    worst_guaranteed, measured_rows, total_rows, ratio, row = page.worst_ratios(found)
+    if not measured_rows:
         print(f"no row that is promised was measured; worst of all rows {ratio:.3g}: {row}")
         return 0
-    kept = "broken" if promised > 1 else "held"
+    verdict = "broken" if worst_guaranteed > 1 else "held"
     print(
-        f"promises {kept}, {known} of {rows} measured, at most {promised:.3g} of an allowance; "
+        f"promises {verdict}, {measured_rows} of {total_rows} measured, at most {worst_guaranteed:.3g} of "
+        f"an allowance; "
         f"worst of all rows {ratio:.3g}: {row}"
     )
-    return 1 if promised > 1 else 0
+    return 1 if worst_guaranteed > 1 else 0
 
 
 if __name__ == "__main__":
--- a/bench/operations.py
+++ b/bench/operations.py
@@ -1,10 +1,10 @@
-"""One proxy through a day of operators: new versions, drains, figures, callers that stay, all under load.
+"""Runs a day of operations on one proxy under load: new versions, drains, statistics and idle callers.
 
     python -m bench.operations --seed N --times 6 --rate 150
 
-The last line is the figure; the exit code is not 0 if a rule broke, more than two requests a version were
-turned back unheard, a drained proxy kept a client past 4 s, an answer of the second address took over a
-second, or a figure was untrue.
+The last line has the result; the exit code is not 0 if a rule of the ledger was broken, more than two
+requests per version were refused unread, a drained proxy kept a client connection for more than 4 s, an
+answer of the admin address took more than a second, or a statistic was wrong.
 """
 
 from __future__ import annotations
@@ -33,8 +33,9 @@
     "grade": RequestClass(500, 1000, Effect.UNSAFE, worth=3),
 }
 MIX = {"answer": 0.7, "purchase": 0.2, "grade": 0.1}
-ANSWER_S, DRAINED_S, BACK_S = 1.0, 4.0, 2.0  # what the operators are owed
-UNTRUE, FEW = 0.02, 3  # part, and count, by which a figure may miss what clients saw
+MAX_ANSWER_S, MAX_DRAIN_S, BACK_S = 1.0, 4.0, 2.0  # the limits promised to the operators
+# fraction and count by which a statistic may differ from the clients' counts
+MAX_FIGURE_ERROR_FRACTION, MAX_FIGURE_ERROR = 0.02, 3
 
 
 class Day:
@@ -43,8 +44,8 @@
         self.rig = Rig(folder, seed)
         self.address = free_address()
         self.broken: list[str] = []
-        self.calls: list[float] = []  # s, each answer of the second address
-        self.drains: list[float] = []  # s until no client was held
+        self.response_times_s: list[float] = []  # of the admin address
+        self.drain_times_s: list[float] = []  # until the proxy had no client connection
 
     async def open(self) -> None:
         await self.rig.open(4, Shape(slots=32, queue=256, work_ms=5))
@@ -58,18 +59,18 @@
             self.config, LB_LISTEN=self.address, LB_ADMIN=free_address(), TMPDIR=str(self.folder)
         )
 
-    async def call(self, method: str, path: str, wanted: int = 200) -> str:
-        begun = time.monotonic()
+    async def call(self, method: str, path: str, expected: int = 200) -> str:
+        began = time.monotonic()
         status, text = await call(self.proxy.admin, method, path)
-        self.calls.append(time.monotonic() - begun)
-        if status != wanted:
-            self.broken.append(f"{method} {path}: {status}, expected {wanted}")
-        if self.calls[-1] > ANSWER_S:
-            self.broken.append(f"{method} {path}: answered after {self.calls[-1]:.2f} s")
+        self.response_times_s.append(time.monotonic() - began)
+        if status != expected:
+            self.broken.append(f"{method} {path}: {status}, expected {expected}")
+        if self.response_times_s[-1] > MAX_ANSWER_S:
+            self.broken.append(f"{method} {path}: answered after {self.response_times_s[-1]:.2f} s")
         return text
 
-    async def new_version(self) -> None:
-        """As the platform does it: a second process, its yes, SIGTERM to the first."""
+    async def replace_version(self) -> None:
+        """Replaces the process as the platform does: start the second, check readiness, end the first."""
         old, self.proxy = self.proxy, await self.start()
         await self.call("GET", "/ops/readiness")
         await asyncio.sleep(self.random.uniform(0.1, 1.0))
@@ -77,20 +78,20 @@
             self.broken.append(f"a version ended with {code}: {old.lines[-3:]}")
 
     async def drain(self) -> None:
-        """With one proxy the front has nowhere else to go: the clients' pause stands for it."""
+        """Drains the proxy, and undoes it. The clients pause, as there is no other proxy for them to use."""
         await self.call("POST", "/ops/drain/start")
         await self.call("GET", "/ops/readiness", 503)
-        begun = time.monotonic()
+        began = time.monotonic()
         while ports_of(self.proxy.process.pid) & {one.port for one in self.clients.connections}:
-            if time.monotonic() - begun > DRAINED_S:
-                self.broken.append(f"a client was still held {DRAINED_S:g} s after the drain began")
+            if time.monotonic() - began > MAX_DRAIN_S:
+                self.broken.append(f"a client was still held {MAX_DRAIN_S:g} s after the drain began")
                 break
             await asyncio.sleep(0.05)
-        self.drains.append(time.monotonic() - begun)
+        self.drain_times_s.append(time.monotonic() - began)
         await self.call("POST", "/ops/drain/stop")
         await self.call("GET", "/ops/readiness")
 
-    async def silent_callers(self) -> None:
+    async def open_idle_callers(self) -> None:
         host, _, port = self.proxy.admin.rpartition(":")
         writers = []
         for number in range(40):
@@ -102,18 +103,21 @@
             writer.close()
 
     async def check_figures(self, since: dict[int, int]) -> None:
-        """Of the process that serves now, once nothing is open; `since`: statuses seen before it began."""
+        """Compares the statistics of the current process with the clients' counts; no request may be open.
+
+        `since`: the clients' counts by status before this process started.
+        """
         figures = read_figures(await self.call("GET", "/ops/stats"))
-        seen = {status: count - since.get(status, 0) for status, count in self.clients.statuses.items()}
-        wanted = {
-            "completed": seen.get(200, 0),
-            "rejected": seen.get(503, 0) + seen.get(429, 0),
-            "failed": sum(count for status, count in seen.items() if status not in (200, 429, 503)),
+        observed = {status: count - since.get(status, 0) for status, count in self.clients.statuses.items()}
+        expected = {
+            "completed": observed.get(200, 0),
+            "rejected": observed.get(503, 0) + observed.get(429, 0),
+            "failed": sum(count for status, count in observed.items() if status not in (200, 429, 503)),
         }
-        for name, count in wanted.items():
-            told = sum(value for key, value in figures.items() if key.startswith(f"proxy.{name}."))
-            if abs(told - count) > max(FEW, UNTRUE * count):
-                self.broken.append(f"{name}: told {told}, seen {count}")
+        for name, count in expected.items():
+            reported = sum(value for key, value in figures.items() if key.startswith(f"proxy.{name}."))
+            if abs(reported - count) > max(MAX_FIGURE_ERROR, MAX_FIGURE_ERROR_FRACTION * count):
+                self.broken.append(f"{name}: told {reported}, seen {count}")
         if figures["proxy.pending"] != 0 or figures["proxy.members"] != len(self.rig.nodes):
             self.broken.append(f"pending or members: {figures}")
 
@@ -122,8 +126,8 @@
         for _ in range(times):
             load = asyncio.create_task(self.clients.run(rate, 4.0, MIX))
             await asyncio.sleep(self.random.uniform(0.3, 0.8))
-            await self.new_version()
-            await self.silent_callers()
+            await self.replace_version()
+            await self.open_idle_callers()
             await load
         await self.clients.none_open.wait()
         before = dict(self.clients.statuses)
@@ -153,22 +157,22 @@
         if day.proxy.process.returncode is None:
             day.proxy.process.kill()
         day.rig.close()
-    asked = day.rig.ledger.asked.values()
-    crossed = sum(one.crossed for one in asked)
-    unheard = day.clients.refused_connections + crossed
+    requests = day.rig.ledger.asked.values()
+    crossed = sum(one.crossed for one in requests)
+    refused_unread = day.clients.refused_connections + crossed
     broken = day.broken + [str(breach) for breach in day.rig.ledger.broken()]
-    if unheard > 2 * (times + 1):  # what the operators let pass: two a version
-        broken.append(f"{unheard} turned back unheard")
+    if refused_unread > 2 * (times + 1):  # the operators accept two per version
+        broken.append(f"{refused_unread} turned back unheard")
     for line in broken[:10]:
         print(line)
     print(
         f"statuses {dict(day.clients.statuses)}; "
-        f"the second address answers in {max(day.calls) * 1000:.0f} ms at most; "
-        f"drained after {' and '.join(f'{s:.2f}' for s in day.drains)} s"
+        f"the second address answers in {max(day.response_times_s) * 1000:.0f} ms at most; "
+        f"drained after {' and '.join(f'{s:.2f}' for s in day.drain_times_s)} s"
     )
     print(
         f"operations seed {seed}: {times + 1} new versions and 2 drains under {rate:g} requests a second, "
-        f"{len(asked)} requests, {unheard} turned back unheard, {len(broken)} promises broken: "
+        f"{len(requests)} requests, {refused_unread} turned back unheard, {len(broken)} promises broken: "
         f"{'BROKEN' if broken else 'held'}"
     )
     return 1 if broken else 0
--- a/bench/orphans.py
+++ b/bench/orphans.py
@@ -1,9 +1,9 @@
-"""A supervisor killed outright under new connections, again and again: who goes without an answer.
+"""Kills a supervisor repeatedly while new connections arrive, and counts those that get no answer.
 
     python -m bench.orphans --seed N --times 10 --rate 200
 
-Each time a successor is started at once, as a service manager would. The last line is the figure; the exit
-code is not 0 if a connection was refused, closed without an answer or reset.
+Each time a new supervisor is started at once, as a service manager does. The last line has the result; the
+exit code is not 0 if a connection was refused, closed without an answer or reset.
 """
 
 from __future__ import annotations
@@ -25,29 +25,29 @@
 from flintlatch.standin.process import FleetProcess
 from flintlatch.standin.rig import Rig
 
-ANSWERED = ("200", "503", "504")
+ANSWER_STATUSES = ("200", "503", "504")
 
 
 class Load:
-    """New connections at random moments, each with one request."""
+    """Opens new connections at random times (Poisson), each for one request."""
 
     def __init__(self, address: str, rate: float, seed: int) -> None:
         self.host, _, port = address.rpartition(":")
         self.port, self.rate, self.random = int(port), rate, Random(seed)
-        self.found: Counter[str] = Counter()
+        self.outcomes: Counter[str] = Counter()
         self.numbers, self.stop = count(), asyncio.Event()
 
     async def run(self) -> None:
-        asked: set[asyncio.Task[None]] = set()
+        tasks: set[asyncio.Task[None]] = set()
         while not self.stop.is_set():
-            task = asyncio.create_task(self._one())
-            asked.add(task)
-            task.add_done_callback(asked.discard)
+            task = asyncio.create_task(self._count_one())
+            tasks.add(task)
+            task.add_done_callback(tasks.discard)
             await asyncio.sleep(self.random.expovariate(self.rate))
-        await asyncio.gather(*asked)
+        await asyncio.gather(*tasks)
 
-    async def _one(self) -> None:
-        self.found[await self._ask()] += 1
+    async def _count_one(self) -> None:
+        self.outcomes[await self._ask()] += 1
 
     async def _ask(self) -> str:
         try:
@@ -74,15 +74,15 @@
     load = Load(fleet.address, rate, seed)
     running = asyncio.create_task(load.run())
     config = rig.write(fleet={"instances": instances, "listen": [fleet.address]})
-    gaps = []
+    recovery_times_s = []
     try:
         for _ in range(times):
             await asyncio.sleep(random.uniform(0.5, 1.5))
             os.kill(fleet.process.pid, signal.SIGKILL)
             await fleet.process.wait()
-            begun = asyncio.get_running_loop().time()
+            killed_at = asyncio.get_running_loop().time()
             fleet = await (await FleetProcess(config).start()).ready()
-            gaps.append(asyncio.get_running_loop().time() - begun)
+            recovery_times_s.append(asyncio.get_running_loop().time() - killed_at)
         await asyncio.sleep(1.0)
         load.stop.set()
         await running
@@ -90,14 +90,19 @@
     finally:
         await fleet.close()
         rig.close()
-    without = {what: number for what, number in load.found.items() if what not in ANSWERED}
-    print(f"answers {dict(load.found)}; successors served after {min(gaps):.2f} to {max(gaps):.2f} s")
+    unanswered = {
+        outcome: number for outcome, number in load.outcomes.items() if outcome not in ANSWER_STATUSES
+    }
+    print(
+        f"answers {dict(load.outcomes)}; successors served after {min(recovery_times_s):.2f} to "
+        f"{max(recovery_times_s):.2f} s"
+    )
     print(
         f"orphans seed {seed}: supervisor killed {times} times under {rate:g} connections a second, "
-        f"{load.found.total()} in all, {sum(without.values())} without an answer {without or ''}: "
-        f"{'BROKEN' if without else 'held'}"
+        f"{load.outcomes.total()} in all, {sum(unanswered.values())} without an answer {unanswered or ''}: "
+        f"{'BROKEN' if unanswered else 'held'}"
     )
-    return 1 if without else 0
+    return 1 if unanswered else 0
 
 
 def main() -> int:
--- a/bench/spread.py
+++ b/bench/spread.py
@@ -1,9 +1,9 @@
-"""Long-lived clients over the instances of a fleet: the fullest instance's share against the mean.
+"""Measures how evenly long-lived clients are distributed over the instances of a fleet.
 
     python -m bench.spread --seed N --instances 8 --clients 800
 
-Clients come at random moments, some leave, more come. The last line is the figure; the exit code is not 0
-if the fullest holds more than WORST of the mean.
+Clients connect at random times, some disconnect, more connect. The last line has the ratio of the fullest
+instance to the mean; the exit code is not 0 if it is above MAX_RATIO.
 """
 
 from __future__ import annotations
@@ -20,9 +20,9 @@
 from flintlatch.standin.process import FleetProcess
 from flintlatch.standin.rig import Rig
 
-WORST = 1.2  # of the mean, at the end
-AT_ONCE = 40  # connections that are opened at the same moment
-LEAVE_PART = 0.3  # of the clients, halfway
+MAX_RATIO = 1.2  # of the fullest instance to the mean, at the end
+MAX_BATCH = 40  # most connections that are opened at the same time
+LEAVE_FRACTION = 0.3  # fraction of the clients that disconnect halfway
 
 
 async def run(seed: int, instances: int, clients: int, folder: Path) -> int:
@@ -30,53 +30,59 @@
     rig = await Rig(folder, seed).open(2)
     limits = {"sockets": 4096}
     fleet = FleetProcess(rig.write(fleet={"instances": instances, "log_level": "warning"}, limits=limits))
-    held: list[asyncio.StreamWriter] = []
+    connections: list[asyncio.StreamWriter] = []
     try:
         await (await fleet.start()).ready_by_status()
         await fleet.until(lambda s: all(one["state"] == "serving" for one in s["instances"]))
         host, _, port = fleet.address.rpartition(":")
 
         async def one() -> asyncio.StreamWriter:
-            """Asks once, and stays."""
+            """Sends one request and keeps the connection open."""
             reader, writer = await asyncio.open_connection(host, int(port))
             writer.write(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
             await reader.readuntil(b"\r\n\r\n")
             return writer
 
-        async def come(number: int) -> None:
+        async def connect_clients(number: int) -> None:
             while number > 0:
-                batch = min(number, random.randint(1, AT_ONCE))
+                batch = min(number, random.randint(1, MAX_BATCH))
                 number -= batch
-                held.extend(await asyncio.gather(*(one() for _ in range(batch))))
+                connections.extend(await asyncio.gather(*(one() for _ in range(batch))))
                 await asyncio.sleep(random.uniform(0, 0.02))
 
-        async def counts() -> list[int]:
-            status = await fleet.until(lambda s: sum(o["clients"] or 0 for o in s["instances"]) == len(held))
+        async def clients_per_instance() -> list[int]:
+            status = await fleet.until(
+                lambda s: sum(o["clients"] or 0 for o in s["instances"]) == len(connections)
+            )
             return sorted(one["clients"] for one in status["instances"])
 
-        await come(clients)
-        first = await counts()
-        random.shuffle(held)
-        for _ in range(int(clients * LEAVE_PART)):
-            held.pop().close()
+        await connect_clients(clients)
+        after_connect = await clients_per_instance()
+        random.shuffle(connections)
+        for _ in range(int(clients * LEAVE_FRACTION)):
+            connections.pop().close()
         await asyncio.sleep(0.2)
-        left = await counts()
-        await come(clients - len(held))
-        last = await counts()
+        after_leave = await clients_per_instance()
+        await connect_clients(clients - len(connections))
+        after_refill = await clients_per_instance()
     finally:
-        for writer in held:
+        for writer in connections:
             writer.close()
         await fleet.close()
         rig.close()
-    for name, found in (("all come", first), ("some left", left), ("as many came", last)):
+    for name, found in (
+        ("all come", after_connect),
+        ("some left", after_leave),
+        ("as many came", after_refill),
+    ):
         print(f"{name}: {found}, fullest {max(found) / (sum(found) / len(found)):.3f} of the mean")
-    worst = max(last) / (sum(last) / len(last))
-    good = worst <= WORST
+    worst_ratio = max(after_refill) / (sum(after_refill) / len(after_refill))
+    is_even = worst_ratio <= MAX_RATIO
     print(
         f"spread seed {seed}: {clients} long-lived clients over {instances} instances, the fullest holds "
-        f"{worst:.3f} of the mean: {'held' if good else 'BROKEN'}"
+        f"{worst_ratio:.3f} of the mean: {'held' if is_even else 'BROKEN'}"
     )
-    return 0 if good else 1
+    return 0 if is_even else 1
 
 
 def main() -> int:
