--- a/bench/scale/lists.py
+++ b/bench/scale/lists.py
@@ -90,15 +90,15 @@
 
 async def measure_list(servers: int, seed: int, small: bool) -> dict[str, float]:
     registry, receiver = fill(Registry(), servers), ListReceiver(seed)
-    body = snapshot(registry)
+    snapshot_body = snapshot(registry)
     module.freeze_heap()
-    snapshot_times = [receiver.process(body) for _ in range(3 if servers > 20_000 or small else 6)]
+    snapshot_times = [receiver.process(snapshot_body) for _ in range(3 if servers > 20_000 or small else 6)]
     delta_bodies = [delta(registry, n // 2, "active" if n % 2 else "leaving") for n in range(10)]
     delta_times = [receiver.process(body) for body in delta_bodies]
     receiver.close()
     total_times = [sum(pair) for pair in snapshot_times]
     return {
-        "snapshot_bytes": len(body),
+        "snapshot_bytes": len(snapshot_body),
         "snapshot_cpu_ms": sum(total_times) / len(total_times),
         "snapshot_turn_ms": max(total_times),
         "delta_bytes": len(delta_bodies[0]),
--- a/tests/capacity/__init__.py
+++ b/tests/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""What capacity runs measure, held in CI by counts."""
+"""Tests of the capacity runs by counts instead of times, so that they are stable in CI."""
--- a/tests/capacity/test_module.py
+++ b/tests/capacity/test_module.py
@@ -1,4 +1,4 @@
-"""What capacity runs say of the module, its list and one proxy's path, held by counts and never by time."""
+"""Tests the capacity runs of the module, its list and the data path by counts, never by time."""
 
 import asyncio
 from math import inf, isfinite
@@ -13,7 +13,7 @@
 from flintlatch.net.discovery import MAX_LIST, read_listing
 from flintlatch.standin.registry import Registry
 
-OF_MODULE = {
+MODULE_SERIES = {
     *(prefix + name for prefix in ("", "keyed_") for name in module.NOTES),
     "memory_bytes",
     "tenants_memory_bytes",
@@ -22,14 +22,14 @@
     "services_memory_bytes",
     "services_rest_core",
 }
-OF_LISTS = {*lists.NOTES, "memory_bytes"}
-OF_PATH = {"p50_added_ms", "p99_added_ms", "cpu_us", "rest_core", "memory_bytes"}
-SNAPSHOT_BYTES = range(120, 181)  # a server; more would cut the list at fewer of them than we say
+LISTS_SERIES = {*lists.NOTES, "memory_bytes"}
+PATH_SERIES = {"p50_added_ms", "p99_added_ms", "cpu_us", "rest_core", "memory_bytes"}
+SNAPSHOT_BYTES = range(120, 181)  # per server; more would lower the documented limit of servers in a list
 DELTA_BYTES = range(140, 221)
 
 
-class Counting(Balancer):
-    """Counts the entries that its lists make it touch."""
+class CountingBalancer(Balancer):
+    """Counts the list entries that the module processes."""
 
     entries = 0
 
@@ -38,68 +38,68 @@
         super().on_entry(now, entry)
 
 
-def check(found: list[Series], part: str, names: set[str]) -> None:
+def check_series(found: list[Series], part: str, names: set[str]) -> None:
     assert {series.name for series in found} == {f"{part}.{name}" for name in names}
     for series in found:
         assert len(series.points) >= 2, series.name
-        # Added is a difference of two runs: by chance it may be below nothing.
+        # Added latency is a difference of two runs and can be negative by chance.
         least = -inf if series.name.endswith("_added_ms") else 0.0
         for size, value in series.points:
             assert isfinite(value) and value > least and size > 0, (series.name, size, value)
         assert series.kind in ("hollow", "process", "sockets") and series.note
 
 
-def test_small_run_of_the_module_gives_each_series() -> None:
+def test_small_run_of_the_module_has_every_series() -> None:
     found = module.run_in_child(module.run, 1, True)
-    check(found, "module", OF_MODULE)
+    check_series(found, "module", MODULE_SERIES)
     sizes = {series.over: max(size for size, _ in series.points) for series in found}
     assert sizes == {"servers": 200, "tenants": 390, "services": 11}
 
 
-def test_small_run_of_lists_gives_each_series() -> None:
+def test_small_run_of_lists_has_every_series() -> None:
     found = module.run_in_child(lists.run, 1, True)
-    check(found, "lists", OF_LISTS)
+    check_series(found, "lists", LISTS_SERIES)
     points = {series.name: dict(series.points) for series in found}
     for servers in (20, 200):
         assert int(points["lists.snapshot_bytes"][servers] / servers) in SNAPSHOT_BYTES
         assert int(points["lists.delta_bytes"][servers]) in DELTA_BYTES
 
 
-def test_small_run_of_the_path_gives_each_series() -> None:
-    check(path.run(1, True), "path", OF_PATH)
+def test_small_run_of_the_path_has_every_series() -> None:
+    check_series(path.run(1, True), "path", PATH_SERIES)
 
 
 @pytest.mark.parametrize("servers", [20, 200])
-def test_a_delta_of_one_entry_is_one_entry_for_the_module(servers: int) -> None:
+def test_module_processes_one_entry_for_a_delta_of_one(servers: int) -> None:
     registry = lists.fill(Registry(), servers)
-    balancer = Counting(module.settings(), 1)
-    whole = read_listing(orjson.loads(lists.snapshot(registry)), lists.socket_settings())
-    assert whole.is_snapshot and len(whole.targets) == servers
-    balancer.step(1000.0, [ServerList(ListKind.SNAPSHOT, tuple(target.info for target in whole.targets))])
+    balancer = CountingBalancer(module.settings(), 1)
+    snapshot = read_listing(orjson.loads(lists.snapshot(registry)), lists.socket_settings())
+    assert snapshot.is_snapshot and len(snapshot.targets) == servers
+    balancer.step(1000.0, [ServerList(ListKind.SNAPSHOT, tuple(target.info for target in snapshot.targets))])
     assert balancer.entries == servers
     change = read_listing(orjson.loads(lists.delta(registry)), lists.socket_settings())
-    assert not change.is_snapshot and change.revision == whole.revision + 1
+    assert not change.is_snapshot and change.revision == snapshot.revision + 1
     news: list[Event] = [ServerList(ListKind.DELTA, tuple(target.info for target in change.targets))]
     balancer.step(1025.0, news)
     assert balancer.entries == servers + 1
     assert len(balancer.servers) == servers and len(balancer.active) == servers - 1
 
 
-def test_bytes_of_a_delta_do_not_grow_with_the_list_and_those_of_a_snapshot_do() -> None:
+def test_snapshot_grows_with_the_list_but_a_delta_does_not() -> None:
     few, many = lists.fill(Registry(), 20), lists.fill(Registry(), 200)
     a, b = len(lists.snapshot(few)), len(lists.snapshot(many))
     assert 9 * a < b < 11 * a
-    assert abs(len(lists.delta(few)) - len(lists.delta(many))) <= 4  # digits of its version
+    assert abs(len(lists.delta(few)) - len(lists.delta(many))) <= 4  # digits of the revision
 
 
-def test_the_list_is_cut_where_its_bytes_are_more_than_discovery_takes() -> None:
-    taken, said = asyncio.run(lists.largest_accepted())
-    size = [len(lists.snapshot(lists.fill(Registry(), servers))) for servers in (taken, taken + 1)]
+def test_discovery_rejects_a_list_above_its_limit_of_bytes() -> None:
+    accepted, reason = asyncio.run(lists.largest_accepted())
+    size = [len(lists.snapshot(lists.fill(Registry(), servers))) for servers in (accepted, accepted + 1)]
     assert size[0] <= MAX_LIST < size[1]
-    assert said == f"Malformed: a list of {size[1]} bytes, {MAX_LIST} at most can be taken"
+    assert reason == f"Malformed: a list of {size[1]} bytes, {MAX_LIST} at most can be taken"
 
 
-def test_memory_of_a_server_and_of_a_tenant_is_bounded() -> None:
+def test_memory_per_server_and_per_tenant_is_bounded() -> None:
     a, b = (module.run_in_child(module.server_memory, servers, 1) for servers in (20, 200))
     assert 180 * 500 < b - a < 180 * 3000
     a, b = (module.run_in_child(module.tenant_memory, tenants, 1) for tenants in (39, 390))
@@ -107,13 +107,13 @@
 
 
 @pytest.mark.parametrize("keyed", [False, True])
-def test_each_request_of_a_play_is_sent_or_ended_once(keyed: bool) -> None:
+def test_each_simulated_request_is_sent_or_ended_once(keyed: bool) -> None:
     simulation = module.Simulation(module.settings(keyed), 18, 1)
     simulation.start_request()
     simulation.run(1.0)
-    waiting = sum(request.is_queued for request in simulation.balancer.requests.values())
+    queued = sum(request.is_queued for request in simulation.balancer.requests.values())
     assert simulation.arrivals > module.RATE / 2
-    assert simulation.sent + simulation.rejected_or_failed + waiting == simulation.arrivals
+    assert simulation.sent + simulation.rejected_or_failed + queued == simulation.arrivals
     assert len(simulation.tick_ms) == 1000 / module.TICK_MS
 
 
