--- a/bench/bodies.py
+++ b/bench/bodies.py
@@ -344,7 +344,7 @@
             await asyncio.sleep(0.005)
         moving.cancel()
         ended = sum(slow_client.is_closed() for slow_client in slow_clients)
-        pids = {one["pid"] for one in (await instance.fleet.status())["instances"]}
+        pids = {row["pid"] for row in (await instance.fleet.status())["instances"]}
         has_new_generation = bool(pids - {old})
         is_right = (await reloading)["ok"] and not ended and alive(old) and has_new_generation
         for slow_client in slow_clients:
@@ -377,7 +377,7 @@
     }
     is_right, reports = True, []
 
-    async def one(raw: bytes) -> int:
+    async def send_raw(raw: bytes) -> int:
         """The status, 0 for a response that was cut off, or -1 for a complete one."""
         host, _, port = instance.address.rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
@@ -399,9 +399,9 @@
         return 0 if len(body) < length else -1
 
     for name, (raw, status) in kinds.items():
-        found = Counter(await asyncio.gather(*(one(raw) for _ in range(count))))
-        # A request that was sent and got no answer fails with 504; one that was not sent yet is refused with
-        # 503.
+        found = Counter(await asyncio.gather(*(send_raw(raw) for _ in range(count))))
+        # A request that was sent and got no answer fails with 504; one that was not sent yet is refused
+        # with 503.
         accepted = {status, 503} if status == 504 else {status}
         all_accepted = set(found) <= accepted
         is_right &= all_accepted
@@ -445,11 +445,12 @@
             http = {"other_class": "purchase", "safe_class": "answer"}
             rate = await measure(1, addresses, 1, seconds, folder, seed, http)
             costs[True].append(1e6 / rate.per_cpu_s)
-        ours, theirs = median(costs[True]), median(costs[False])
+        http_us, platform_us = median(costs[True]), median(costs[False])
         print(
-            f"a small request: {ours:.0f} us of CPU through [http], {theirs:.0f} us by the platform's front"
+            f"a small request: {http_us:.0f} us of CPU through [http], {platform_us:.0f} us by the "
+            f"platform's front"
         )
-        return ours / theirs
+        return http_us / platform_us
     finally:
         for node in nodes:
             node.kill()
@@ -464,7 +465,7 @@
     held, summary = True, []
     try:
         address = await read_line(node)
-        node_addresses = [address, *[await read_line(one) for one in more_nodes]]
+        node_addresses = [address, *[await read_line(process) for process in more_nodes]]
         relay = await start_child("--relay", address)
         relay_address = await read_line(relay)
         instance = await Instance(folder / "one", [address]).start()
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -25,10 +25,10 @@
     measured: list[data.Series] = []
     for part in parts:
         series: list[data.Series] = importlib.import_module(f"bench.scale.{part}").run(seed, small)
-        for one in series:
-            shape = data.fit(one.points)
-            points = ", ".join(f"{rows.format_short(n)}: {rows.format_short(v)}" for n, v in one.points)
-            print(f"{one.name} ({one.unit}) over {one.over}: {points}; {shape.formula}", flush=True)
+        for entry in series:
+            shape = data.fit(entry.points)
+            points = ", ".join(f"{rows.format_short(n)}: {rows.format_short(v)}" for n, v in entry.points)
+            print(f"{entry.name} ({entry.unit}) over {entry.over}: {points}; {shape.formula}", flush=True)
         if not small:
             data.write(series)
         measured += series
@@ -56,7 +56,7 @@
         parser.error(f"--part: {', '.join(unknown)} is not one of {', '.join(PARTS)}")
     print(f"seed {options.seed}, load {data.load():.1f}", flush=True)
     measured = measure(parts, options.seed, options.small)
-    found = {one.name: one for one in measured} if options.small else data.read()
+    found = {entry.name: entry for entry in measured} if options.small else data.read()
     worst_guaranteed, measured_rows, total_rows, ratio, row = page.worst_ratios(found)
     if not measured_rows:
         print(f"no row that is promised was measured; worst of all rows {ratio:.3g}: {row}")
--- a/bench/delivery.py
+++ b/bench/delivery.py
@@ -114,52 +114,52 @@
 def rack(fleet: Fleet) -> float:
     """Half of the proxies of a zone and its relay fail silently."""
 
-    def fall() -> None:
+    def fail() -> None:
         silent(fleet, ["relay0"])
         for place in [p for p in fleet.places if p.zone == "z0"][::2]:
             fleet.stop_proxy(place.name, silent=True)
 
     probe(fleet, FAULT_START_S)
-    fleet.engine.after(FAULT_START_S, fall)
+    fleet.engine.after(FAULT_START_S, fail)
     return 90.0
 
 
 def zone(fleet: Fleet) -> float:
     """A zone fails silently and restarts empty after a minute."""
-    mine = [p for p in fleet.places if p.zone == "z0"]
-    above = [p for p in fleet.relays if p.zone == "z0"]
+    proxies = [p for p in fleet.places if p.zone == "z0"]
+    relays_of_zone = [p for p in fleet.relays if p.zone == "z0"]
 
-    def fall() -> None:
-        for place in above:
+    def fail() -> None:
+        for place in relays_of_zone:
             fleet.pause(place.name)
-        for place in mine:
+        for place in proxies:
             fleet.stop_proxy(place.name, silent=True)
 
-    def back() -> None:
-        for place in above:
+    def restart_zone() -> None:
+        for place in relays_of_zone:
             fleet.kill(place.name)
             fleet.start_relay(place)
-        for place in mine:
+        for place in proxies:
             fleet.stop_proxy(place.name, silent=False)
             fleet.start_proxy(place)
 
     probe(fleet, FAULT_START_S)
     probe(fleet, FAULT_START_S + OUTAGE_S)
-    fleet.engine.after(FAULT_START_S, fall)
-    fleet.engine.after(FAULT_START_S + OUTAGE_S, back)
+    fleet.engine.after(FAULT_START_S, fail)
+    fleet.engine.after(FAULT_START_S + OUTAGE_S, restart_zone)
     return 180.0
 
 
 def parted(fleet: Fleet) -> float:
     """Two regions without the origin are partitioned from the other three."""
     far = ("r0", "r1")
-    one = [p.name for p in (*fleet.relays, *fleet.places) if p.region in far]
-    other = [p.name for p in (*fleet.relays, fleet.top.place) if p.region not in far]
-    rest = [p.name for p in fleet.places if p.region not in far]
+    far_hosts = [p.name for p in (*fleet.relays, *fleet.places) if p.region in far]
+    near_relays = [p.name for p in (*fleet.relays, fleet.top.place) if p.region not in far]
+    near_proxies = [p.name for p in fleet.places if p.region not in far]
 
     def cut() -> None:
-        fleet.cut(one, other)
-        fleet.cut([p.name for p in fleet.relays if p.region in far], rest)
+        fleet.cut(far_hosts, near_relays)
+        fleet.cut([p.name for p in fleet.relays if p.region in far], near_proxies)
 
     def heal() -> None:
         for place in fleet.places:
@@ -196,21 +196,21 @@
 
 def flap(fleet: Fleet) -> float:
     """A tenth of all backends is removed within five seconds and added again in the next five."""
-    world, held = fleet.world, fleet.top.store.objects
+    world, objects = fleet.world, fleet.top.store.objects
     all_of = [(n, f"b{k}") for n, count in world.backends.items() for k in range(count)]
-    lost = world.rng.sample(all_of, len(all_of) // 10)
-    rows: list[list[tuple[str, str]]] = [lost[n::50] for n in range(50)]
-    kept = {pair: held[pair[0]].items[pair[1]] for pair in lost}
+    removed = world.rng.sample(all_of, len(all_of) // 10)
+    batches: list[list[tuple[str, str]]] = [removed[n::50] for n in range(50)]
+    values = {pair: objects[pair[0]].items[pair[1]] for pair in removed}
 
-    def go(n: int) -> None:
-        fleet.commit([ObjectChange(name, removed=(item,)) for name, item in rows[n]])
+    def remove(n: int) -> None:
+        fleet.commit([ObjectChange(name, removed=(item,)) for name, item in batches[n]])
 
-    def come(n: int) -> None:
-        fleet.commit([ObjectChange(name, {item: kept[name, item]}) for name, item in rows[n]])
+    def add(n: int) -> None:
+        fleet.commit([ObjectChange(name, {item: values[name, item]}) for name, item in batches[n]])
 
     for n in range(50):
-        fleet.engine.after(FAULT_START_S + n / 10, lambda n=n: go(n))  # type: ignore[misc]
-        fleet.engine.after(FAULT_START_S + 5 + n / 10, lambda n=n: come(n))  # type: ignore[misc]
+        fleet.engine.after(FAULT_START_S + n / 10, lambda n=n: remove(n))  # type: ignore[misc]
+        fleet.engine.after(FAULT_START_S + 5 + n / 10, lambda n=n: add(n))  # type: ignore[misc]
     return 90.0
 
 
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -61,7 +61,7 @@
             failed += not answer["ok"]
             continue
         status = await fleet.status()
-        serving = [one["pid"] for one in status["instances"] if one["state"] == "serving"]
+        serving = [row["pid"] for row in status["instances"] if row["state"] == "serving"]
         if len(serving) > 1:
             await fleet.kill_worker(random.choice(serving), clients)
             kills += 1
@@ -158,14 +158,14 @@
     loop = asyncio.get_running_loop()
     until, counts = loop.time() + seconds, [0, 0]
 
-    async def one(number: int) -> None:
+    async def run_client(number: int) -> None:
         name = (seed << 32) + (os.getpid() << 8) + number
         _, client = await loop.create_connection(
             lambda: _ClosedLoopClient(name, counts, until), host, int(port)
         )
         await client.done
 
-    await asyncio.gather(*(one(number) for number in range(connections)))
+    await asyncio.gather(*(run_client(number) for number in range(connections)))
     print(counts[0], counts[1])
 
 
@@ -301,7 +301,7 @@
     )
     try:
         await (await fleet.start()).ready_by_status()
-        pids = [one["pid"] for one in (await fleet.status())["instances"]]
+        pids = [row["pid"] for row in (await fleet.status())["instances"]]
         found = await drive(fleet.address, pids, loads, seconds, seed)
         await fleet.stop()
     finally:
--- a/bench/hollow.py
+++ b/bench/hollow.py
@@ -73,10 +73,12 @@
 
     def followed_names(self, number: int) -> tuple[str, ...]:
         size, rng = self.size, self.rng
-        cell, whole = number % size.cells, size.follows
-        mine = self.services[cell :: size.cells]
-        names = dict.fromkeys(rng.sample(mine, min(len(mine), round(whole * (1 - size.shuffled)))))
-        while len(names) < min(whole, len(self.services)):
+        cell, service_count = number % size.cells, size.follows
+        cell_services = self.services[cell :: size.cells]
+        names = dict.fromkeys(
+            rng.sample(cell_services, min(len(cell_services), round(service_count * (1 - size.shuffled))))
+        )
+        while len(names) < min(service_count, len(self.services)):
             names[rng.choice(self.services)] = None
         rows = self.rows[cell * 2 * size.tenants : (cell + 1) * 2 * size.tenants]
         return (*names, *rng.sample(rows, size.tenants))
@@ -295,17 +297,17 @@
         `exact` compares all of an object, as relays need: they forward items by their versions.
         """
         top = self.top.store.objects
-        found: list[tuple[str, StoredObject]] = []
+        equal: list[tuple[str, StoredObject]] = []
         for name in reversed(store.objects):
-            mine, other = store.objects[name], top.get(name)
-            if mine is other:
+            own, other = store.objects[name], top.get(name)
+            if own is other:
                 break
-            if other is None or (mine.version, mine.checksum) != (other.version, other.checksum):
+            if other is None or (own.version, own.checksum) != (other.version, other.checksum):
                 continue
-            if not exact or mine == other:
-                found.append((name, other))
-        for name, one in found:
-            store.objects[name] = one
+            if not exact or own == other:
+                equal.append((name, other))
+        for name, stored in equal:
+            store.objects[name] = stored
 
     # Counting
 
--- a/bench/many.py
+++ b/bench/many.py
@@ -299,15 +299,15 @@
             server.hanging, server.started, server.free_at = False, world.now, world.now
             server.key_used_at.clear()
         return
-    gone: list[tuple[float, Server]] = []
+    ending: list[tuple[float, Server]] = []
     for place, server in enumerate(affected_servers):
         while world.now < at + 7000 * place / len(affected_servers):
             yield
         server.state = ServerState.DRAINING
-        gone.append((world.now + LIST_AGE_MS + LIST_MS + DRAIN_TO_END_MS, server))
+        ending.append((world.now + LIST_AGE_MS + LIST_MS + DRAIN_TO_END_MS, server))
         world.start(world.now)
-        while gone and gone[0][0] <= world.now:
-            del world.servers[gone.pop(0)[1].name]
+        while ending and ending[0][0] <= world.now:
+            del world.servers[ending.pop(0)[1].name]
 
 
 def recovery_s(world: World, at: float, until: float) -> float:
@@ -343,31 +343,34 @@
     for _ in range(2000 // TICK_MS):
         world.tick(TICK_MS, 0.0)
     cold = [s for s in world.servers.values() if s.started is not None]
-    told = max((s.worst()[0] for s in cold), default=0.0)
-    worst = max((s.worst()[1] for s in cold), default=0.0)
+    worst_known = max((s.worst()[0] for s in cold), default=0.0)
+    worst_any = max((s.worst()[1] for s in cold), default=0.0)
     broken = []
-    if told > 1:
-        broken.append(f"a cold server was sent {told:.2f} of what it may by proxies that knew of its start")
+    if worst_known > 1:
+        broken.append(
+            f"a cold server was sent {worst_known:.2f} of what it may by proxies that knew of its start"
+        )
     if world.open:
         broken.append(f"{len(world.open)} requests got no answer")
     if answered_twice := sum(n != 1 for n in world.answers.values()):
         broken.append(f"{answered_twice} requests got more than one answer")
     fault_end = at + (7000 if name == "replace" else 5000)
-    took = recovery_s(world, at, fault_end)
+    recovered_after_s = recovery_s(world, at, fault_end)
     # not checked in a shorter run
-    if took > MAX_RECOVERY_S and seconds >= fault_end / 1000 + MAX_RECOVERY_S + 3:
-        broken.append(f"served as before only {took:.0f} s after the trouble's end")
-    early = [s for s in cold if (s.started or 0.0) < world.now - 5000]
-    if idle := sum(not any(t >= (s.started or 0.0) + 1000 for t, _, _ in s.sent) for s in early):
-        broken.append(f"{idle} of {len(early)} servers were not used once they had started")
-    parts = [s / max(a, 1) for s, a in zip(world.served, world.asked, strict=True)]
+    if recovered_after_s > MAX_RECOVERY_S and seconds >= fault_end / 1000 + MAX_RECOVERY_S + 3:
+        broken.append(f"served as before only {recovered_after_s:.0f} s after the trouble's end")
+    started_early = [s for s in cold if (s.started or 0.0) < world.now - 5000]
+    if idle := sum(not any(t >= (s.started or 0.0) + 1000 for t, _, _ in s.sent) for s in started_early):
+        broken.append(f"{idle} of {len(started_early)} servers were not used once they had started")
+    served_fractions = [s / max(a, 1) for s, a in zip(world.served, world.asked, strict=True)]
     print(
         f"{name}: {proxies} proxies, {servers} servers, {len(cold)} started cold, {int(sum(world.asked))}"
-        f" requests; served {parts[0]:.3f} of purchases, {parts[1]:.3f} of answers;"
-        f" most of what a cold one may get {told:.2f} told, {worst:.2f} told or not; back after {took:.0f} s;"
+        f" requests; served {served_fractions[0]:.3f} of purchases, {served_fractions[1]:.3f} of answers;"
+        f" most of what a cold one may get {worst_known:.2f} told, {worst_any:.2f} told or "
+        f"not; back after {recovered_after_s:.0f} s;"
         f" time-outs by second {' '.join(str(world.timed_out.get(n, 0)) for n in range(seconds))}"
     )
-    return (told, worst), broken
+    return (worst_known, worst_any), broken
 
 
 def main() -> int:
@@ -379,16 +382,18 @@
     parser.add_argument("--only", choices=("replace", "zone"))
     args = parser.parse_args()
     print(f"seed {args.seed}")
-    told = worst = 0.0
+    worst_known = worst_any = 0.0
     broken: list[str] = []
     for name in (args.only,) if args.only else ("replace", "zone"):
-        most, bad = play(name, args.proxies, args.servers, args.seconds, args.seed)
-        told, worst = max(told, most[0]), max(worst, most[1])
-        broken += [f"{name}: {what}" for what in bad]
+        ratios, faults = play(name, args.proxies, args.servers, args.seconds, args.seed)
+        worst_known, worst_any = max(worst_known, ratios[0]), max(worst_any, ratios[1])
+        broken += [f"{name}: {what}" for what in faults]
     for line in broken:
         print(line)
     verdict = "broken" if broken else "held"
-    print(f"most of what a cold server may get {told:.2f} told, {worst:.2f} told or not, {verdict}")
+    print(
+        f"most of what a cold server may get {worst_known:.2f} told, {worst_any:.2f} told or not, {verdict}"
+    )
     return 1 if broken else 0
 
 
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -144,7 +144,7 @@
                 asked = now_ms()
                 status = await fleet.status()
                 longest_status_ms = max(longest_status_ms, now_ms() - asked)
-                worker_lists = {(one["rev"], one["nodes"]) for one in status["instances"]}
+                worker_lists = {(row["rev"], row["nodes"]) for row in status["instances"]}
                 current = status["generations"][-1]["nodes"]
                 sizes = set(writer.nodes_by_version.values())
                 mixed_lists += sum(size not in sizes for _, size in worker_lists if size is not None)
@@ -163,7 +163,7 @@
         await fleet.close()
         rig.close()
     after_drain_ms = [ms for *_, ms in rig.ledger.to_draining]
-    rig.ledger.to_draining = [one for one in rig.ledger.to_draining if one[2] > DRAIN_GRACE_MS + GRACE_MS]
+    rig.ledger.to_draining = [row for row in rig.ledger.to_draining if row[2] > DRAIN_GRACE_MS + GRACE_MS]
     counts, broken = rig.ledger.counts(), rig.ledger.broken()
     for breach in broken[:10]:
         print(f"BROKEN {breach}")
--- a/bench/operations.py
+++ b/bench/operations.py
@@ -82,7 +82,7 @@
         await self.call("POST", "/ops/drain/start")
         await self.call("GET", "/ops/readiness", 503)
         began = time.monotonic()
-        while ports_of(self.proxy.process.pid) & {one.port for one in self.clients.connections}:
+        while ports_of(self.proxy.process.pid) & {connection.port for connection in self.clients.connections}:
             if time.monotonic() - began > MAX_DRAIN_S:
                 self.broken.append(f"a client was still held {MAX_DRAIN_S:g} s after the drain began")
                 break
@@ -158,7 +158,7 @@
             day.proxy.process.kill()
         day.rig.close()
     requests = day.rig.ledger.asked.values()
-    crossed = sum(one.crossed for one in requests)
+    crossed = sum(request.crossed for request in requests)
     refused_unread = day.clients.refused_connections + crossed
     broken = day.broken + [str(breach) for breach in day.rig.ledger.broken()]
     if refused_unread > 2 * (times + 1):  # the operators accept two per version
--- a/bench/peers.py
+++ b/bench/peers.py
@@ -193,13 +193,13 @@
     cpu = time.process_time()
     members.run(20)
     cpu = time.process_time() - cpu
-    span = members.engine.now - at
+    elapsed_s = members.engine.now - at
     rate, datagrams = (
-        (members.bytes - bytes_before) / n / span,
-        (members.network.sent - sent_before) / n / span,
+        (members.bytes - bytes_before) / n / elapsed_s,
+        (members.network.sent - sent_before) / n / elapsed_s,
     )
     members.say(names[-1], "word", "s", b"v" * 20)
-    heard = members.until(lambda: all(members.read(name, "word") for name in names), 60)
+    entry_s = members.until(lambda: all(members.read(name, "word") for name in names), 60)
     deaths: list[float] = []
     surviving = list(names)
     for _ in range(5 if n < 1000 else 3):
@@ -218,8 +218,9 @@
     heal = members.until(lambda: members.agreed(surviving), 300)
     print(
         f"virtual: {n} members: agreed {agreed:.1f} s after a common start; at rest {rate:.0f} bytes/s and"
-        f" {datagrams:.1f} datagrams/s a member, {1e3 * cpu / span / n:.2f} ms of this core a member-second;"
-        f" a word known to all after {heard:.1f} s; deaths known to all after"
+        f" {datagrams:.1f} datagrams/s a member, {1e3 * cpu / elapsed_s / n:.2f} ms of this core a "
+        f"member-second;"
+        f" a word known to all after {entry_s:.1f} s; deaths known to all after"
         f" {', '.join(f'{d:.1f}' for d in deaths)} s (bound "
         f"{members.core(surviving[0]).death_bound_s(n):.0f});"
         f" a join {join:.1f} s; each half agrees {cut:.1f} s after a cut, all {heal:.1f} s after the heal;"
@@ -233,8 +234,8 @@
     names = members.fleet(n)
     members.until(lambda: members.agreed(names), 120)
     members.run(60 * minutes)
-    died = sum(one.peers.counts.died for one in members.members.values())
-    suspected = sum(one.peers.counts.suspected for one in members.members.values())
+    died = sum(member.peers.counts.died for member in members.members.values())
+    suspected = sum(member.peers.counts.suspected for member in members.members.values())
     hours = n * minutes / 60
     print(
         f"virtual: {n} members, {100 * loss:g}% of datagrams lost, {n * minutes:.0f} member-minutes:"
@@ -257,7 +258,7 @@
     )
     args = parser.parse_args()
     died = 0
-    for n in [int(one) for one in args.members.split(",") if one]:
+    for n in [int(size) for size in args.members.split(",") if size]:
         run_virtual(n, args.seed)
     for loss in (0.0, 0.05, 0.2) if args.minutes else ():
         count = false_deaths(100, args.seed, loss, args.minutes if loss == 0.05 else args.minutes / 5)
--- a/bench/scale/delivery.py
+++ b/bench/scale/delivery.py
@@ -308,19 +308,28 @@
 
 
 def run(seed: int, small: bool) -> list[Series]:
-    began = load()
+    load_at_start = load()
     series: list[Series] = []
 
     def add(
-        what: str, over: str, unit: str, sizes: Iterable[float], values: Iterable[float], note: str
+        what: str, varied: str, unit: str, sizes: Iterable[float], values: Iterable[float], note: str
     ) -> None:
         points = tuple(zip(map(float, sizes), values, strict=True))
-        series.append(Series(f"delivery.{what}", over, unit, points, "hollow", {}, seed, began, note))
+        series.append(
+            Series(f"delivery.{what}", varied, unit, points, "hollow", {}, seed, load_at_start, note)
+        )
 
     followed_names = FOLLOWED_COUNTS_SMALL if small else FOLLOWED_COUNTS
-    each = [measure_proxy(seed, size, 5.0 if small else IDLE_S) for size in followed_names]
+    figures_by_size = [measure_proxy(seed, size, 5.0 if small else IDLE_S) for size in followed_names]
     for what, (unit, note) in NOTES.items():
-        add(what, "services followed", unit, followed_names, [figures[what] for figures in each], note)
+        add(
+            what,
+            "services followed",
+            unit,
+            followed_names,
+            [figures[what] for figures in figures_by_size],
+            note,
+        )
     counts_by_kind = (
         {"backends": BACKEND_COUNTS_SMALL}
         if small
@@ -334,9 +343,9 @@
     for kind, sizes in counts_by_kind.items():
         found = [measure_relay(seed, kind, n) for n in sizes]
         name = "relay" if kind == "backends" else f"relay_{kind}"
-        over = f"tenants, {TENANTS_PER_BUCKET} an object" if kind == "bucketed" else kind
+        varied = f"tenants, {TENANTS_PER_BUCKET} an object" if kind == "bucketed" else kind
         for what, (unit, note) in RELAY_NOTES.items():
-            add(f"{name}_{what}", over, unit, sizes, [figures[what] for figures in found], note)
+            add(f"{name}_{what}", varied, unit, sizes, [figures[what] for figures in found], note)
     base_size = Size(0, 1, 1, 1, 40 if small else 11_000, 20 if small else 200, 0.2, 4)
     sizes = SUBSCRIBER_COUNTS_SMALL if small else SUBSCRIBER_COUNTS
     seconds = 2.0 if small else 15.0
--- a/bench/scale/limits.py
+++ b/bench/scale/limits.py
@@ -228,14 +228,17 @@
         self.limiter.start()
         self.report()
 
-    def tell(self, worker: int, told: dict[str, Any]) -> None:
-        self.follows[told["limit"]] = told["value"][2:]
+    def tell(self, worker: int, message: dict[str, Any]) -> None:
+        self.follows[message["limit"]] = message["value"][2:]
 
     def report(self) -> None:
         self.members.engine.after(INSTANCE_REPORT_INTERVAL_S, self.report)
-        asked = int(self.share * (self.members.engine.now - self.began))
-        told = {"asked": dict.fromkeys(self.limiter.rows, asked), "follows": dict(self.follows)}
-        self.limiter.on_instance_report(0, told)
+        request_count = int(self.share * (self.members.engine.now - self.began))
+        report_message = {
+            "asked": dict.fromkeys(self.limiter.rows, request_count),
+            "follows": dict(self.follows),
+        }
+        self.limiter.on_instance_report(0, report_message)
 
 
 def measure_fleet(rows: int, n: int, seed: int) -> dict[str, float]:
@@ -294,11 +297,11 @@
 
 
 def run(seed: int, small: bool) -> list[Series]:
-    began, found = load(), list[Series]()
+    load_at_start, found = load(), list[Series]()
 
     def add_series(name: str, by: str, unit: str, points: Any, note: str, **fixed: float) -> None:
         points = tuple((float(n), float(value)) for n, value in points)
-        found.append(Series(f"limits.{name}", by, unit, points, "hollow", fixed, seed, began, note))
+        found.append(Series(f"limits.{name}", by, unit, points, "hollow", fixed, seed, load_at_start, note))
 
     def run_size(work: Callable[..., Got], *args: Any) -> Got:
         return work(*args) if small else run_in_child(work, *args)
@@ -306,12 +309,12 @@
     def measure_both(rows: int, holders: int) -> dict[str, float]:
         return run_size(lessor, rows, holders, seed, False) | run_size(lessor, rows, holders, seed, True)
 
-    few, few_members = (
+    few_holders, few_members = (
         (MEMBERS_OVER_ROWS_SMALL, MEMBERS_OVER_ROWS_SMALL)
         if small
         else (HOLDERS_OVER_ROWS, MEMBERS_OVER_ROWS)
     )
-    by_rows = [(r, measure_both(r, few)) for r in (ROW_COUNTS_SMALL if small else ROW_COUNTS)]
+    by_rows = [(r, measure_both(r, few_holders)) for r in (ROW_COUNTS_SMALL if small else ROW_COUNTS)]
     by_holders = [(h, measure_both(1, h)) for h in (HOLDER_COUNTS_SMALL if small else HOLDER_COUNTS)]
     whole_rows = [
         (r, run_size(measure_fleet, r, few_members, seed))
@@ -319,7 +322,7 @@
     ]
     fleets = [(n, run_size(measure_fleet, 1, n, seed)) for n in (FLEET_SIZES_SMALL if small else FLEET_SIZES)]
     simulated_note = "one real lessor; the others are the asks that come to it"
-    all_ = "every member real, at rest for long, steady demand"
+    fleet_note = "every member real, at rest for long, steady demand"
     alone_too = (
         ("look", "cpu_ms", "ms", f"processor time of one look at all rows, with packing; {simulated_note}"),
         ("looks", "looks_per_s", "1/s", f"that are asked for; {simulated_note}"),
@@ -340,13 +343,13 @@
         ),
     )
     all_real = (
-        ("granted", "granted", "part", f"of all (holder, limit), have a grant that holds; {all_}"),
-        ("mean", "member_bytes_per_s", "bytes/s", f"that a member sends on average; {all_}"),
-        ("most", "most_bytes_per_s", "bytes/s", f"that the member which sends most sends; {all_}"),
+        ("granted", "granted", "part", f"of all (holder, limit), have a grant that holds; {fleet_note}"),
+        ("mean", "member_bytes_per_s", "bytes/s", f"that a member sends on average; {fleet_note}"),
+        ("most", "most_bytes_per_s", "bytes/s", f"that the member which sends most sends; {fleet_note}"),
     )
     # Each series has a name of its own for each varied size; `keeper_bytes_per_s` is the one over holders.
     for kinds, by, end, points, fixed in (
-        (alone_too, "rows", "", by_rows, {"holders": float(few)}),
+        (alone_too, "rows", "", by_rows, {"holders": float(few_holders)}),
         (alone_too, "holders", "_by_holders", by_holders, {"rows": 1.0}),
         (all_real, "rows", "", whole_rows, {"members": float(few_members)}),
         (all_real, "members", "_by_members", fleets, {"rows": 1.0}),
--- a/bench/scale/lists.py
+++ b/bench/scale/lists.py
@@ -135,28 +135,28 @@
 async def rejection_reason(servers: int) -> str:
     """The failure that the real Discovery reports for a list of this size; empty if it accepts the list."""
     for _ in range(MAX_TRIES):  # a timeout on a busy machine is not the size limit
-        if not (said := await load_list(servers)).startswith("TimeoutError"):
+        if not (reason := await load_list(servers)).startswith("TimeoutError"):
             break
-    return said
+    return reason
 
 
 async def load_list(servers: int) -> str:
     registry = await fill(Registry(), servers).open()
-    said: asyncio.Future[str] = asyncio.get_running_loop().create_future()
+    outcome: asyncio.Future[str] = asyncio.get_running_loop().create_future()
 
     def on_list(listing: Listing) -> None:
-        if not said.done():
-            said.set_result("" if len(listing.targets) == servers else f"{len(listing.targets)} of them")
+        if not outcome.done():
+            outcome.set_result("" if len(listing.targets) == servers else f"{len(listing.targets)} of them")
 
     def on_failure(reason: str) -> None:
-        if not said.done():
-            said.set_result(reason)
+        if not outcome.done():
+            outcome.set_result(reason)
 
     discovery = Discovery(registry.address, socket_settings(), None, on_list, on_failure)
     discovery.watch()
     try:
         async with asyncio.timeout(ANSWER_TIMEOUT_S):
-            return await said
+            return await outcome
     finally:
         discovery.close()
         registry.close()
@@ -172,9 +172,9 @@
         servers += size <= MAX_LIST
     while await rejection_reason(servers):
         servers -= 1
-    while not (said := await rejection_reason(servers + 1)):
+    while not (reason := await rejection_reason(servers + 1)):
         servers += 1
-    return servers, said
+    return servers, reason
 
 
 async def observe_rejection(servers: int) -> tuple[list[str], int]:
@@ -196,8 +196,8 @@
 
 
 def describe_limit(small: bool) -> str:
-    servers, said = asyncio.run(largest_accepted())
-    text = f"real Discovery on loopback takes {servers} entries whole, to one more it says {said!r}"
+    servers, reason = asyncio.run(largest_accepted())
+    text = f"real Discovery on loopback takes {servers} entries whole, to one more it says {reason!r}"
     if small:
         return text
     lines, calls = asyncio.run(observe_rejection(servers + 1))
--- a/bench/scale/page.py
+++ b/bench/scale/page.py
@@ -30,11 +30,11 @@
 
 
 def ranking(found: SeriesByName, rows: tuple[Row, ...]) -> list[tuple[float, Row, Figure | None]]:
-    out = []
+    ranked = []
     for row in rows:
         figure = row.current(found)
-        out.append((figure.value / row.allowed if figure else 0.0, row, figure))
-    return sorted(out, key=lambda one: -one[0])
+        ranked.append((figure.value / row.allowed if figure else 0.0, row, figure))
+    return sorted(ranked, key=lambda ranked_row: -ranked_row[0])
 
 
 def rows_table(found: SeriesByName, rows: tuple[Row, ...], ordered: bool) -> str:
@@ -44,7 +44,7 @@
     ]
     ranked = ranking(found, rows)
     if not ordered:
-        ranked.sort(key=lambda one: rows.index(one[1]))
+        ranked.sort(key=lambda ranked_row: rows.index(ranked_row[1]))
     for ratio, row, figure in ranked:
         now, provenance = (format_short(figure.value), figure.provenance) if figure else ("-", NOT_MEASURED)
         shown = format_short(ratio) if figure else "-"
@@ -66,18 +66,18 @@
     lines = ["| series | over n | points, smallest to largest | shape | residual | kind, seed, load |"]
     lines.append("| --- | --- | --- | --- | --- | --- |")
     for name in names:
-        one = found.get(name)
-        if one is None or not one.points:
+        series = found.get(name)
+        if series is None or not series.points:
             lines.append(f"| {name} | | {NOT_MEASURED} | | | |")
             continue
-        ordered = sorted(one.points)
+        ordered = sorted(series.points)
         (n1, v1), (n2, v2) = ordered[0], ordered[-1]
         points = f"{format_short(n1)}: {format_short(v1)} ... {format_short(n2)}: {format_short(v2)}"
-        shape = fit(one.points)
-        few_sizes_note = "" if one.allows_extrapolation() else " (few sizes)"
+        shape = fit(series.points)
+        few_sizes_note = "" if series.allows_extrapolation() else " (few sizes)"
         lines.append(
-            f"| {name} ({one.unit}) | {one.over} | {points}{few_sizes_note} "
-            f"| {shape.formula} | {shape.residual:.2f} | {one.kind}, {one.seed}, {one.load:.0f} |"
+            f"| {name} ({series.unit}) | {series.over} | {points}{few_sizes_note} "
+            f"| {shape.formula} | {shape.residual:.2f} | {series.kind}, {series.seed}, {series.load:.0f} |"
         )
     return "\n".join(lines)
 
@@ -116,13 +116,13 @@
     for day, label in DAYS.items():
         cells, size = [], 0.0
         for key, _ in DAY_FIGURES:
-            one, two = (found.get(f"day.{day}{seed}.{key}") for seed in ("", "_seed_2"))
-            if one is None:
+            first_seed, second_seed = (found.get(f"day.{day}{seed}.{key}") for seed in ("", "_seed_2"))
+            if first_seed is None:
                 cells.append("-")
                 continue
-            size, value = max(one.points)
-            second = f" / {format_short(max(two.points)[1])}" if two is not None else ""
-            cells.append(format_short(value) + second)
+            size, value = max(first_seed.points)
+            second_text = f" / {format_short(max(second_seed.points)[1])}" if second_seed is not None else ""
+            cells.append(format_short(value) + second_text)
         lines.append(f"| {label} | " + " | ".join(cells) + f" | {format_short(size)} |")
     return "\n".join(lines)
 
@@ -235,10 +235,10 @@
         "| mechanism | ratio, all in every proxy | ratio, own part | what needs it |",
         "| --- | --- | --- | --- |",
     ]
-    for one in MISSING_MECHANISMS:
+    for mechanism in MISSING_MECHANISMS:
         lines.append(
-            f"| {one.what} | {ratio(one.series_for_all, 0)} "
-            f"| {ratio(one.series_for_own_part, 1)} | {one.needed_by} |"
+            f"| {mechanism.what} | {ratio(mechanism.series_for_all, 0)} "
+            f"| {ratio(mechanism.series_for_own_part, 1)} | {mechanism.needed_by} |"
         )
     return "\n".join(lines)
 
@@ -269,7 +269,13 @@
     number, the largest ratio of all rows, and the description of that row.
     """
     guaranteed = ranking(found, tuple(row for row in (*CURRENT_ROWS, *TARGET_ROWS) if row.is_guaranteed))
-    known = [one for one in guaranteed if one[2] is not None]
+    measured = [ranked_row for ranked_row in guaranteed if ranked_row[2] is not None]
     ratio, row, figure = ranking(found, (*CURRENT_ROWS, *TARGET_ROWS))[0]
-    what = f"{row.what} ({figure.provenance if figure else NOT_MEASURED})"
-    return max((one[0] for one in known), default=0.0), len(known), len(guaranteed), ratio, what
+    description = f"{row.what} ({figure.provenance if figure else NOT_MEASURED})"
+    return (
+        max((ranked_row[0] for ranked_row in measured), default=0.0),
+        len(measured),
+        len(guaranteed),
+        ratio,
+        description,
+    )
--- a/bench/scale/peers.py
+++ b/bench/scale/peers.py
@@ -130,10 +130,10 @@
 
 def seal_and_open_us(recorded: list[Envelope]) -> tuple[float, float]:
     """Microseconds to pack and seal a datagram, and to open and unpack it."""
-    seals = {one.run_id: Seal((KEY,), one.run_id) for one in recorded}
+    seals = {envelope.run_id: Seal((KEY,), envelope.run_id) for envelope in recorded}
     receiver_seal = Seal((KEY,), 1)
     began = time.process_time()
-    datagrams = [seals[one.run_id].encrypt(one.number, pack(one)) for one in recorded]
+    datagrams = [seals[envelope.run_id].encrypt(envelope.number, pack(envelope)) for envelope in recorded]
     sealed_at = time.process_time()
     # derives the key of each run id, once
     opened_datagrams = [receiver_seal.decrypt(data) for data in datagrams]
@@ -229,8 +229,8 @@
         seal = Seal((KEY,), records[0].run_id)
         for record in records[1:]:
             head = (record.name, record.address, record.run_id, 1, INITIAL_CLOCK_S, 1, 1)
-            told = tuple(records) if record is records[1] else ()
-            member.on_content(INITIAL_CLOCK_S, SyncMessage(*head, told), INITIAL_CLOCK_S - 1.0)
+            sync_records = tuple(records) if record is records[1] else ()
+            member.on_content(INITIAL_CLOCK_S, SyncMessage(*head, sync_records), INITIAL_CLOCK_S - 1.0)
             member.guard.senders[record.run_id].accept_number(1000)  # allocates the replay window
             receiver_seal = Seal((KEY,), record.run_id)
             seal.decrypt(receiver_seal.encrypt(1, b""))
@@ -275,34 +275,34 @@
 
 
 def run(seed: int, small: bool) -> list[Series]:
-    began, sizes = load(), SIZES_SMALL if small else SIZES
+    load_at_start, sizes = load(), SIZES_SMALL if small else SIZES
     found: list[Series] = []
 
     def add_series(name: str, unit: str, points: Any, note: str, by: str = "members", **fixed: float) -> None:
         points = tuple((float(n), float(value)) for n, value in points)
-        found.append(Series(f"peers.{name}", by, unit, points, "hollow", fixed, seed, began, note))
+        found.append(Series(f"peers.{name}", by, unit, points, "hollow", fixed, seed, load_at_start, note))
 
     def run_sizes(work: Callable[..., Got], *args: Any) -> list[tuple[int, Got]]:
         return [(n, work(n, seed, *args) if small else run_in_child(work, n, seed, *args)) for n in sizes]
 
     rows = run_sizes(measure_members, 10.0, 1 if small else 5)
-    words = f"of {TIMED_ENTRIES} entries said at once, TTL {TTL_S:g} s, while one member died"
+    words_note = f"of {TIMED_ENTRIES} entries said at once, TTL {TTL_S:g} s, while one member died"
     played = ", ".join(f"{n}: {len(row['died'])}, longest {max(row['died']):.1f} s" for n, row in rows)
-    spent = "processor seconds of each run: " + ", ".join(f"{n}: {row['cpu']:.0f}" for n, row in rows)
-    for key, name, unit, pick, note in (
+    spent_note = "processor seconds of each run: " + ", ".join(f"{n}: {row['cpu']:.0f}" for n, row in rows)
+    for key, name, unit, reduce, note in (
         ("bytes", "rest_bytes_per_s", "bytes/s", float, "as sealed, UDP, IP and streams; long after a start"),
         ("datagrams", "rest_datagrams_per_s", "1/s", float, "long after a start; one run of 10 s a size"),
-        ("core", "core", "core", float, f"at rest, cores alone; one run of 10 s a size; {spent}"),
+        ("core", "core", "core", float, f"at rest, cores alone; one run of 10 s a size; {spent_note}"),
         ("tick", "tick_ms", "ms", float, "longest call of one member at rest, with entries and deaths"),
         ("close", "seal_us", "us", float,
         f"to pack and seal a datagram, of {RECORDED_DATAGRAMS} at rest at the most"),
         ("open", "open_us", "us", float,
         f"to open and unpack one, of {RECORDED_DATAGRAMS} at rest at the most"),
         ("died", "death_s", "s", median, f"until all hold the same view, median; played {played}"),
-        ("heard", "word_s", "s", median, f"until known to all, median {words}"),
-        ("heard", "word_worst_s", "s", max, f"until known to all, longest {words}"),
+        ("heard", "word_s", "s", median, f"until known to all, median {words_note}"),
+        ("heard", "word_worst_s", "s", max, f"until known to all, longest {words_note}"),
     ):  # fmt: skip
-        add_series(name, unit, [(n, pick(row[key])) for n, row in rows], note)
+        add_series(name, unit, [(n, reduce(row[key])) for n, row in rows], note)
     note = "resident set of a fresh process, many members, each with its ciphers and all lives known"
     records = MEMORY_RECORDS_SMALL if small else MEMORY_RECORDS
     add_series("memory_bytes", "bytes", [(n, run_in_child(memory, n, seed, records)) for n in sizes], note)
@@ -313,5 +313,7 @@
         (1, "words_bytes", "bytes", "that a member sends above rest for each of them until then"),
         (2, "words_bytes_per_s", "bytes/s", "that a member sends meanwhile, rest included"),
     ):
-        add_series(name, unit, [(k, one[place]) for k, one in news], note, "words", members=n, ttl_s=TTL_S)
+        add_series(
+            name, unit, [(k, result[place]) for k, result in news], note, "words", members=n, ttl_s=TTL_S
+        )
     return found
--- a/bench/scale/verdicts.py
+++ b/bench/scale/verdicts.py
@@ -157,11 +157,11 @@
 
 
 def run(seed: int, small: bool) -> list[Series]:
-    began, found = load(), list[Series]()
+    load_at_start, found = load(), list[Series]()
 
     def add_series(name: str, by: str, unit: str, points: Any, note: str, **fixed: float) -> None:
         points = tuple((float(n), float(value)) for n, value in points)
-        found.append(Series(f"verdicts.{name}", by, unit, points, "hollow", fixed, seed, began, note))
+        found.append(Series(f"verdicts.{name}", by, unit, points, "hollow", fixed, seed, load_at_start, note))
 
     def run_size(work: Callable[..., Got], *args: Any) -> Got:
         return work(*args) if small else run_in_child(work, *args)
--- a/bench/spread.py
+++ b/bench/spread.py
@@ -33,10 +33,10 @@
     connections: list[asyncio.StreamWriter] = []
     try:
         await (await fleet.start()).ready_by_status()
-        await fleet.until(lambda s: all(one["state"] == "serving" for one in s["instances"]))
+        await fleet.until(lambda s: all(row["state"] == "serving" for row in s["instances"]))
         host, _, port = fleet.address.rpartition(":")
 
-        async def one() -> asyncio.StreamWriter:
+        async def connect_one() -> asyncio.StreamWriter:
             """Sends one request and keeps the connection open."""
             reader, writer = await asyncio.open_connection(host, int(port))
             writer.write(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -47,14 +47,14 @@
             while number > 0:
                 batch = min(number, random.randint(1, MAX_BATCH))
                 number -= batch
-                connections.extend(await asyncio.gather(*(one() for _ in range(batch))))
+                connections.extend(await asyncio.gather(*(connect_one() for _ in range(batch))))
                 await asyncio.sleep(random.uniform(0, 0.02))
 
         async def clients_per_instance() -> list[int]:
             status = await fleet.until(
                 lambda s: sum(o["clients"] or 0 for o in s["instances"]) == len(connections)
             )
-            return sorted(one["clients"] for one in status["instances"])
+            return sorted(row["clients"] for row in status["instances"])
 
         await connect_clients(clients)
         after_connect = await clients_per_instance()
