--- a/bench/audit.py
+++ b/bench/audit.py
@@ -33,12 +33,12 @@
         self.history: dict[str, dict[int | None, int]] = {}  # by object name: checksum -> revision
         # by running proxy and object name: (revision, commit time)
         self.pending: dict[str, dict[str, list[tuple[int, float]]]] = {}
-        self.since: dict[str, float] = {}  # by proxy: when it became ready or its partition healed
-        self.stale = array("d")
-        self.worst: dict[int, float] = {}  # by revision: seconds until in force at all proxies
-        self.loads: list[float] = []  # seconds from the start of a proxy until it is ready
-        self.began: dict[str, float] = {}
-        self.torn: list[str] = []  # content that the origin never had
+        self.counted_from: dict[str, float] = {}  # by proxy: when it became ready or its partition healed
+        self.staleness_s = array("d")
+        self.worst_staleness_s: dict[int, float] = {}  # by revision: until in force at all proxies
+        self.load_times_s: list[float] = []  # from the start of a proxy until it is ready
+        self.started_at: dict[str, float] = {}
+        self.unknown_content: list[str] = []  # content that the origin never had
 
     def _checksum(self, store: Store, name: str) -> int | None:
         stored = store.objects.get(name)
@@ -58,12 +58,12 @@
 
     def start(self, now: float, proxy: str, ready: bool) -> None:
         self.pending[proxy] = {}
-        self.since[proxy] = now if ready else inf
-        self.began[proxy] = now
+        self.counted_from[proxy] = now if ready else inf
+        self.started_at[proxy] = now
 
     def ready(self, now: float, proxy: str) -> None:
-        self.since[proxy] = now
-        self.loads.append(now - self.began[proxy])
+        self.counted_from[proxy] = now
+        self.load_times_s.append(now - self.started_at[proxy])
 
     def check(self, now: float, proxy: str, store: Store) -> None:
         pending = self.pending.get(proxy)
@@ -72,8 +72,8 @@
         for name in list(pending):
             held_revision = self.history[name].get(self._checksum(store, name))
             if held_revision is None:
-                if proxy in self.since and self.since[proxy] < inf:
-                    self.torn.append(f"{proxy} {name}")
+                if proxy in self.counted_from and self.counted_from[proxy] < inf:
+                    self.unknown_content.append(f"{proxy} {name}")
                 continue
             rows = pending[name]
             for revision, committed_at in rows:
@@ -84,12 +84,12 @@
                 del pending[name]
 
     def _record_staleness(self, proxy: str, revision: int, committed_at: float, now: float) -> None:
-        since = self.since[proxy]
+        since = self.counted_from[proxy]
         if since == inf:
             return
         staleness_s = max(0.0, now - max(committed_at, since))
-        self.stale.append(staleness_s)
-        self.worst[revision] = max(self.worst.get(revision, 0.0), staleness_s)
+        self.staleness_s.append(staleness_s)
+        self.worst_staleness_s[revision] = max(self.worst_staleness_s.get(revision, 0.0), staleness_s)
 
     def finish(self, now: float) -> int:
         """Counts the changes that are not in force yet with their staleness so far. Returns their number."""
--- a/bench/bodies.py
+++ b/bench/bodies.py
@@ -465,7 +465,7 @@
     held, summary = True, []
     try:
         address = await read_line(node)
-        node_addresses = [address, *[await read_line(process) for process in more_nodes]]
+        node_addresses = [address, *[await read_line(other) for other in more_nodes]]
         relay = await start_child("--relay", address)
         relay_address = await read_line(relay)
         instance = await Instance(folder / "one", [address]).start()
--- a/bench/delivery.py
+++ b/bench/delivery.py
@@ -164,7 +164,7 @@
     def heal() -> None:
         for place in fleet.places:
             if place.region in far:
-                fleet.audit.since[place.name] = fleet.engine.now
+                fleet.audit.counted_from[place.name] = fleet.engine.now
         fleet.heal()
 
     probe(fleet, FAULT_START_S)
@@ -287,8 +287,8 @@
         gc.unfreeze()
     audit, costs = fleet.audit, fleet.costs
     remaining = audit.finish(fleet.engine.now)
-    stale, everywhere = sorted(audit.stale), sorted(audit.worst.values())
-    per_second = [sum(row) / len(row) for row in fleet.minutes.rows.values() if row]
+    stale, everywhere = sorted(audit.staleness_s), sorted(audit.worst_staleness_s.values())
+    per_second = [sum(row) / len(row) for row in fleet.received_by_second.rows.values() if row]
     figures = {
         "staleness_50_s": quantile(everywhere, 0.5),
         "staleness_99_s": quantile(everywhere, 0.99),
@@ -300,11 +300,11 @@
         "changes": len(everywhere),
         "pairs": len(stale),
         "not_in_force": remaining,
-        "torn": len(audit.torn),
-        "minute_bytes_per_s": fleet.minutes.worst(),
+        "torn": len(audit.unknown_content),
+        "minute_bytes_per_s": fleet.received_by_second.worst(),
         "mean_bytes_per_s": sum(per_second) / max(1, len(per_second)),
-        "load_median_s": quantile(sorted(audit.loads), 0.5),
-        "load_worst_s": max(audit.loads, default=0.0),
+        "load_median_s": quantile(sorted(audit.load_times_s), 0.5),
+        "load_worst_s": max(audit.load_times_s, default=0.0),
     }
     hosts = {"origin": 1, "relay": size.relays, "proxy": size.proxies}
     for role, cost in costs.items():
--- a/bench/hollow.py
+++ b/bench/hollow.py
@@ -102,7 +102,7 @@
     """An origin whose sending can be limited to `send_bytes_per_s`; events then wait while it sends."""
 
     def __init__(self, lab: Fleet, place: Participant, rules: Rules) -> None:
-        self.fleet, self.ns, self.got = lab, 0, 0
+        self.fleet, self.ns, self.received_messages = lab, 0, 0
         self.send_bytes_per_s, self.queued, self.is_sending = inf, deque[relay.Event](), False
         super().__init__(lab, place, rules)
 
@@ -135,7 +135,7 @@
 
 class SimulatedRelay(RelayHost):
     def __init__(self, lab: Fleet, place: Participant, rules: Rules, rng: Random, warm: bool) -> None:
-        self.fleet, self.ns, self.got = lab, 0, 0
+        self.fleet, self.ns, self.received_messages = lab, 0, 0
         super().__init__(lab, place, (lab.top.place,), rules, rng)
         if warm:
             self.fleet.fill_store(self.node.subscriber.store, None)
@@ -159,7 +159,7 @@
     def __init__(
         self, lab: Fleet, place: Participant, names: tuple[str, ...], rules: Rules, rng: Random, warm: bool
     ) -> None:
-        self.fleet, self.ns, self.got, self.idle_until = lab, 0, 0, 0.0
+        self.fleet, self.ns, self.received_messages, self.idle_until = lab, 0, 0, 0.0
         super().__init__(lab, place, lab.relays, names, rules, rng)
         if warm:
             self.fleet.fill_store(self.subscriber.store, names)
@@ -194,7 +194,7 @@
             return
         self.idle_until = self._idle_until()
         audit, now, name = self.fleet.audit, self.lab.engine.now, self.place.name
-        if audit.since.get(name) == inf and self.subscriber.ready():
+        if audit.counted_from.get(name) == inf and self.subscriber.ready():
             audit.ready(now, name)
         if isinstance(event.message, End):
             self.fleet.share_objects(self.subscriber.store, exact=False)
@@ -210,7 +210,7 @@
 
     host: SimulatedHost
     sent: int = 0
-    got: int = 0
+    received_messages: int = 0
     sent_bytes: int = 0
     got_bytes: int = 0
     ns: int = 0
@@ -225,7 +225,7 @@
         self.skipped_steps = 0  # steps of proxies without effect
         self.groups: list[dict[str, Host]] = [{} for _ in range(TICK_GROUPS)]
         self.host_samples: dict[str, HostSample] = {}
-        self.minutes = Minutes()
+        self.received_by_second = Minutes()
         self.top = SimulatedOrigin(
             self, Participant("origin", "r2"), Rules(bytes_per_s=20e6, burst_bytes=64e6, window_bytes=8e6)
         )
@@ -258,7 +258,7 @@
         """Resets the costs."""
         self.costs = {role: Cost() for role in self.costs}
         self.skipped_steps = 0
-        self.minutes = Minutes()
+        self.received_by_second = Minutes()
 
     def start_relay(self, place: Participant, warm: bool = False) -> None:
         self.add(SimulatedRelay(self, place, self.rules, Random(self.rng.random()), warm))
@@ -347,7 +347,7 @@
     def _arrive(self, stream: Stream, target: str, message: Message, size: int) -> None:
         host = self.hosts.get(target)
         if isinstance(host, SimulatedHost):
-            host.got += 1
+            host.received_messages += 1
         super()._arrive(stream, target, message, size)
 
     def _sample(self) -> None:
@@ -358,12 +358,15 @@
             if last is None or last.host is not host:
                 last = self.host_samples[name] = HostSample(host)
             role = "proxy" if isinstance(host, SimulatedProxy) else "relay" if name != "origin" else "origin"
-            cost, messages = self.costs[role], host.messages - last.sent + host.got - last.got
+            cost, messages = (
+                self.costs[role],
+                host.messages - last.sent + host.received_messages - last.received_messages,
+            )
             cost.frames += messages
             cost.peak_messages = max(cost.peak_messages, messages)
             cost.peak_ns = max(cost.peak_ns, host.ns - last.ns)
             cost.peak_bytes = max(cost.peak_bytes, host.sent_bytes - last.sent_bytes)
             if role == "proxy":
-                self.minutes.rows[name].append(host.got_bytes - last.got_bytes)
-            last.sent, last.got, last.ns = host.messages, host.got, host.ns
+                self.received_by_second.rows[name].append(host.got_bytes - last.got_bytes)
+            last.sent, last.received_messages, last.ns = host.messages, host.received_messages, host.ns
             last.sent_bytes, last.got_bytes = host.sent_bytes, host.got_bytes
--- a/bench/limits.py
+++ b/bench/limits.py
@@ -58,11 +58,11 @@
             first.setdefault(execution.id, execution.at_ms)
         self.times = sorted(first.values())
 
-    def worst(self, window_s: float) -> int:
+    def max_in_window(self, window_s: float) -> int:
         times = self.times
         return max((bisect_right(times, t + window_s * 1000) - n for n, t in enumerate(times)), default=0)
 
-    def per_s(self, since_ms: float, until_ms: float) -> float:
+    def admitted_per_s(self, since_ms: float, until_ms: float) -> float:
         count = bisect_right(self.times, until_ms) - bisect_right(self.times, since_ms)
         return count * 1000 / max(until_ms - since_ms, 1.0)
 
@@ -128,20 +128,20 @@
         )
         terms = LeaseSettings(tuple(keepers["voters"]), count, LEASE_TERM_S)  # type: ignore[arg-type]
         bound_fractions = {
-            w: audit.worst(w) / max_admitted(limit, terms, w + MAX_QUEUED_S, count) for w in WINDOWS_S
+            w: audit.max_in_window(w) / max_admitted(limit, terms, w + MAX_QUEUED_S, count) for w in WINDOWS_S
         }
         settled_stays = [(a + 1000 * SETTLED_S, b - 300) for a, b in undisturbed_stays]
-        settled = [audit.per_s(a, b) / LIMIT_PER_S for a, b in settled_stays if b - a > 500]
+        settled = [audit.admitted_per_s(a, b) / LIMIT_PER_S for a, b in settled_stays if b - a > 500]
         used = min(settled, default=0.0)
         rates = [max(b - a, 0) * 1000 / (ended - began) for a, b in zip(before, after, strict=True)]
         windows = ", ".join(
-            f"{w:g} s: {audit.worst(w)} ({bound_fraction:.2f})"
+            f"{w:g} s: {audit.max_in_window(w)} ({bound_fraction:.2f})"
             for w, bound_fraction in bound_fractions.items()
         )
         print(
             f"{mode}: {count} fleets, {len(schedule)} faults; most in a window (of the bound) {windows};"
             f" used undisturbed {used:.2f} of it at the least, through the faults"
-            f" {audit.per_s(began, ended) / LIMIT_PER_S:.2f};"
+            f" {audit.admitted_per_s(began, ended) / LIMIT_PER_S:.2f};"
             f" {sorted(rates)[len(rates) // 2]:.0f} datagrams/s a fleet"
         )
         return max(bound_fractions.values()), used
--- a/bench/many.py
+++ b/bench/many.py
@@ -84,13 +84,13 @@
     def kind(self) -> int:
         return int(self.speed > 1)
 
-    def part(self, now: float) -> float:
+    def capacity_fraction(self, now: float) -> float:
         """The fraction of its capacity that the server has at this moment."""
         if self.started is None:
             return 1.0
         return min(1.0, START_CAPACITY + (1 - START_CAPACITY) * max(0.0, now - self.started) / COLD_MS)
 
-    def take(self, now: float, key: int, work_ms: float, mean_ms: float, knew: bool) -> float:
+    def enqueue(self, now: float, key: int, work_ms: float, mean_ms: float, knew: bool) -> float:
         """Adds a request to the queue. Returns the time of its completion.
 
         For the budget it counts with the mean work of its class, as the proxies can't know its real work. A
@@ -102,34 +102,34 @@
         self.key_used_at[key] = now
         if len(self.key_used_at) > MAX_KEYS:
             del self.key_used_at[next(iter(self.key_used_at))]
-        self.free_at = max(now, self.free_at) + work_ms / (self.speed * self.part(now))
+        self.free_at = max(now, self.free_at) + work_ms / (self.speed * self.capacity_fraction(now))
         return self.free_at
 
-    def worst(self) -> tuple[float, float]:
+    def worst_load_ratio(self) -> tuple[float, float]:
         """The largest ratio of sent to allowed load in any window since the cold start.
 
         Loads are in requests of mean work. Allowed are the budget of N, and 2 x sqrt(N) + 2 for random
-        variation. The first value is over windows of which at least two thirds came from proxies that knew
-        of the start, as the rule requires; the second is over all windows.
+        variation. The first value is over windows of which at least two thirds came from proxies that
+        knew of the start, as the rule requires; the second is over all windows.
         """
         if self.started is None:
             return 0.0, 0.0
         sent = [row for row in self.sent if row[0] >= self.started]
         times = [t for t, _, _ in sent]
-        sums, known = [0.0], [0.0]
+        sums, known_sums = [0.0], [0.0]
         for _, work, knew in sent:
             sums.append(sums[-1] + work)
-            known.append(known[-1] + work * knew)
-        worst = whole = 0.0
+            known_sums.append(known_sums[-1] + work * knew)
+        worst_known = worst_any = 0.0
         for first, t in enumerate(times):
             last = bisect_left(times, t + WINDOW_MS)
-            came, told = sums[last] - sums[first], known[last] - known[first]
-            if self.part(t) < 1:
-                budget = FALL_MULTIPLE * self.speed * self.part(t) * WINDOW_MS / MEAN_MS
-                part = came / MEAN_MS / (budget + 2 * sqrt(budget) + 2)
-                whole = max(whole, part)
-                worst = max(worst, part if told >= 2 / 3 * came else 0.0)
-        return worst, whole
+            sent_work, known_work = sums[last] - sums[first], known_sums[last] - known_sums[first]
+            if self.capacity_fraction(t) < 1:
+                budget = FALL_MULTIPLE * self.speed * self.capacity_fraction(t) * WINDOW_MS / MEAN_MS
+                part = sent_work / MEAN_MS / (budget + 2 * sqrt(budget) + 2)
+                worst_any = max(worst_any, part)
+                worst_known = max(worst_known, part if known_work >= 2 / 3 * sent_work else 0.0)
+        return worst_known, worst_any
 
 
 class World:
@@ -155,20 +155,20 @@
         )
         self.proxies = [Balancer(replace(config, me=me), seed * 1000 + me) for me in range(proxies)]
         # Most proxies get about the mean, one in ten several times as much.
-        self.parts = [
+        self.traffic_shares = [
             4.0 if me % 10 == 3 else self.rng.uniform(0.3, 1.2) * (1 if me % 7 else 0.4)
             for me in range(proxies)
         ]
-        self.keys = [1 / rank**0.8 for rank in range(1, 801)]
+        self.key_weights = [1 / rank**0.8 for rank in range(1, 801)]
         self.open: dict[str, int] = {}  # by request without a final answer: its proxy
         self.attempts: dict[tuple[str, int], Server] = {}
         self.attempt_counts: dict[str, int] = {}  # number of attempts, by request
         self.classes: dict[str, int] = {}
         self.keys_of: dict[str, int] = {}
-        self.answers: dict[str, int] = {}
+        self.answer_counts: dict[str, int] = {}
         self.asked = [0.0, 0.0]
         self.served = [0.0, 0.0]
-        self.arrived: dict[str, int] = {}  # second of arrival, by request
+        self.arrival_second: dict[str, int] = {}  # second of arrival, by request
         self.by_second: dict[int, list[float]] = {}  # requested and served worth, by second of arrival
         self.timed_out: dict[int, int] = {}  # attempts that timed out, by second
         self.history: deque[tuple[float, tuple[ServerInfo, ...]]] = deque()
@@ -193,7 +193,7 @@
     def now(self) -> float:
         return self.engine.now
 
-    def at(self, when: float, me: int, event: Outcome) -> None:
+    def schedule_outcome(self, when: float, me: int, event: Outcome) -> None:
         self.engine.at(when, partial(self.outcome, me, event))
 
     def carry_out(self, me: int, action: Action) -> None:
@@ -204,14 +204,16 @@
             cls = self.classes[action.request]
             if server is None:
                 self.attempts[action.request, number] = Server("gone", 1.0, 0)
-                self.at(self.now + 1, me, Outcome(action.request, number, Result.CONNECT_FAILED, 1.0, False))
+                self.schedule_outcome(
+                    self.now + 1, me, Outcome(action.request, number, Result.CONNECT_FAILED, 1.0, False)
+                )
                 return
             self.attempts[action.request, number] = server
             server.in_flight += 1
             known = self.proxies[me].servers.get(server.name)
             knew = known is not None and known.cold_until > self.now
             work_ms = WORK_MS[cls] * self.rng.lognormvariate(-0.1, 0.45)
-            done = server.take(self.now, self.keys_of[action.request], work_ms, WORK_MS[cls], knew)
+            done = server.enqueue(self.now, self.keys_of[action.request], work_ms, WORK_MS[cls], knew)
             limit = self.now + action.attempt_timeout_ms
             if server.hanging or done > limit:
                 ended, result = limit, Result.TIMEOUT
@@ -219,18 +221,20 @@
                 server.free_at = min(server.free_at, max(self.now, limit))
             else:
                 ended, result = done, Result.OK
-            self.at(ended, me, Outcome(action.request, number, result, ended - self.now, False))
+            self.schedule_outcome(ended, me, Outcome(action.request, number, result, ended - self.now, False))
         elif isinstance(action, (Fail, Refuse)):
             self.finish(action.request, False)
         elif isinstance(action, Cancel):
-            self.at(self.now, me, Outcome(action.request, action.attempt, Result.CANCELLED, 1.0, True))
+            self.schedule_outcome(
+                self.now, me, Outcome(action.request, action.attempt, Result.CANCELLED, 1.0, True)
+            )
 
     def finish(self, request: str, served: bool) -> None:
-        self.answers[request] = self.answers.get(request, 0) + 1
+        self.answer_counts[request] = self.answer_counts.get(request, 0) + 1
         self.open.pop(request, None)
         if served:
             self.served[self.classes[request]] += 1
-            self.by_second[self.arrived[request]][1] += (PURCHASE, ANSWER)[self.classes[request]].worth
+            self.by_second[self.arrival_second[request]][1] += (PURCHASE, ANSWER)[self.classes[request]].worth
 
     def outcome(self, me: int, event: Outcome) -> None:
         server = self.attempts.pop((event.request, event.attempt), None)
@@ -247,14 +251,14 @@
             finished = True
         self.step(me, [event._replace(finished=finished)])
 
-    def arrive(self) -> None:
-        me = self.rng.choices(range(len(self.proxies)), self.parts)[0]
+    def start_request(self) -> None:
+        me = self.rng.choices(range(len(self.proxies)), self.traffic_shares)[0]
         name, cls = f"r{next(self.request_ids)}", int(self.rng.random() >= PURCHASES)
-        key = self.rng.choices(range(len(self.keys)), self.keys)[0]
+        key = self.rng.choices(range(len(self.key_weights)), self.key_weights)[0]
         self.classes[name], self.open[name], self.keys_of[name] = cls, me, key
         self.asked[cls] += 1
-        self.arrived[name] = int(self.now / 1000)
-        self.by_second.setdefault(self.arrived[name], [0.0, 0.0])[0] += (PURCHASE, ANSWER)[cls].worth
+        self.arrival_second[name] = int(self.now / 1000)
+        self.by_second.setdefault(self.arrival_second[name], [0.0, 0.0])[0] += (PURCHASE, ANSWER)[cls].worth
         wait = (PURCHASE, ANSWER)[cls].deadline_ms * 0.45
         self.step(me, [Arrival(name, cls, 0, key * 7919, self.now + wait)])
 
@@ -263,7 +267,7 @@
         coming = sorted(self.now + self.rng.random() * ms for _ in range(poisson(self.rng, per_ms * ms)))
         for when in coming:
             self.engine.run(when)
-            self.arrive()
+            self.start_request()
         self.engine.run(until)
         for me in range(len(self.proxies)):
             self.step(me, [TimerFired(0)])
@@ -343,8 +347,8 @@
     for _ in range(2000 // TICK_MS):
         world.tick(TICK_MS, 0.0)
     cold = [s for s in world.servers.values() if s.started is not None]
-    worst_known = max((s.worst()[0] for s in cold), default=0.0)
-    worst_any = max((s.worst()[1] for s in cold), default=0.0)
+    worst_known = max((s.worst_load_ratio()[0] for s in cold), default=0.0)
+    worst_any = max((s.worst_load_ratio()[1] for s in cold), default=0.0)
     broken = []
     if worst_known > 1:
         broken.append(
@@ -352,7 +356,7 @@
         )
     if world.open:
         broken.append(f"{len(world.open)} requests got no answer")
-    if answered_twice := sum(n != 1 for n in world.answers.values()):
+    if answered_twice := sum(n != 1 for n in world.answer_counts.values()):
         broken.append(f"{answered_twice} requests got more than one answer")
     fault_end = at + (7000 if name == "replace" else 5000)
     recovered_after_s = recovery_s(world, at, fault_end)
--- a/bench/peers.py
+++ b/bench/peers.py
@@ -69,7 +69,7 @@
     """Publishes notes that contain their publication time and TTL, and checks how long they stay valid."""
 
     def __init__(self, fleet_rig: Fleets, seed: int) -> None:
-        self.made, self.random = fleet_rig, Random(f"{seed}/notes")
+        self.fleet_rig, self.random = fleet_rig, Random(f"{seed}/notes")
         self.worst, self.worst_line = 0.0, ""
         self.worst_from_request = (
             0.0  # the ratio from before the request to publish, so it includes the time of that request
@@ -85,7 +85,7 @@
             for_s = self.random.choice(NOTE_TTLS_S[1:])
             text = f"{clock():.4f} {for_s}"
             request = {"do": "note", "subject": f"n{self.published % 8}", "text": text, "for_s": for_s}
-            answer = await ask_one(self.made, name, request)
+            answer = await ask_one(self.fleet_rig, name, request)
             if answer and answer["ok"]:
                 self.published += 1
                 self.published_at[name + text] = clock()
@@ -94,7 +94,7 @@
     async def read(self, name: str) -> None:
         while not self.stopped:
             began = clock()
-            answer = await ask_one(self.made, name, {"do": "peers"})
+            answer = await ask_one(self.fleet_rig, name, {"do": "peers"})
             for note in (answer or {}).get("notes", ()):
                 at, for_s = map(float, note["text"].split())
                 # The note was published before the answer to the publication and was valid after this
--- a/bench/scale/page.py
+++ b/bench/scale/page.py
@@ -33,7 +33,7 @@
     ranked = []
     for row in rows:
         figure = row.current(found)
-        ranked.append((figure.value / row.allowed if figure else 0.0, row, figure))
+        ranked.append((figure.value / row.budget if figure else 0.0, row, figure))
     return sorted(ranked, key=lambda ranked_row: -ranked_row[0])
 
 
@@ -49,7 +49,7 @@
         now, provenance = (format_short(figure.value), figure.provenance) if figure else ("-", NOT_MEASURED)
         shown = format_short(ratio) if figure else "-"
         lines.append(
-            f"| {row.what} | {format_short(row.allowed)} {row.unit} | {now} "
+            f"| {row.what} | {format_short(row.budget)} {row.unit} | {now} "
             f"| {shown} | {provenance} | {row.mechanism} |"
         )
     return "\n".join(lines)
--- a/bench/scale/rows.py
+++ b/bench/scale/rows.py
@@ -69,7 +69,7 @@
 
     what: str
     unit: str
-    allowed: float
+    budget: float
     current: Callable[[SeriesByName], Figure | None]
     mechanism: str
     is_guaranteed: bool = False  # the page guarantees the budget; never set where the mechanism is missing
--- a/tests/capacity/test_delivery.py
+++ b/tests/capacity/test_delivery.py
@@ -173,7 +173,7 @@
         fleet.engine.run(fleet.engine.now + 0.05)
     fleet.engine.run(fleet.engine.now + 2.0)
     assert fleet.audit.finish(fleet.engine.now) == 0
-    assert len(fleet.audit.stale) == expected > 0
+    assert len(fleet.audit.staleness_s) == expected > 0
 
 
 def test_the_auditor_counts_changes_not_in_force() -> None:
@@ -184,7 +184,7 @@
     fleet.commit([ObjectChange(name, {"b0": b"new"})])
     fleet.engine.run(fleet.engine.now + 20.0)
     assert fleet.audit.finish(fleet.engine.now) == len(fleet.audit.followers[name])
-    assert min(fleet.audit.stale) == pytest.approx(20.0)
+    assert min(fleet.audit.staleness_s) == pytest.approx(20.0)
 
 
 def test_the_auditor_detects_content_that_the_origin_never_had() -> None:
@@ -196,7 +196,7 @@
     proxy_store = Store()
     proxy_store.commit([ObjectChange(name, {"b0": b"made up"})])
     fleet.audit.check(fleet.engine.now, "p0", proxy_store)
-    assert fleet.audit.torn == [f"p0 {name}"]
+    assert fleet.audit.unknown_content == [f"p0 {name}"]
 
 
 def test_the_auditor_counts_from_readiness_of_a_proxy() -> None:
@@ -210,8 +210,8 @@
     audit.after(10.0, ["a"], store.revision)
     audit.ready(12.0, "p")
     audit.check(15.0, "p", store)
-    assert list(audit.stale) == [3.0]
-    assert audit.loads == [12.0]
+    assert list(audit.staleness_s) == [3.0]
+    assert audit.load_times_s == [12.0]
 
 
 def test_the_worst_minute_may_begin_at_any_second() -> None:
