--- a/bench/bodies.py
+++ b/bench/bodies.py
@@ -38,9 +38,9 @@
 SLOW_CONNECTIONS = (1, 100, 500, 2000)
 SLOW_RUN_S = 6.0  # time with slow connections during which small requests are measured
 EXPORT_START_TIMEOUT_S = 30.0
-SMALL_REQUESTS = 400  # measured small requests
+SMALL_REQUESTS = 400
 UPLOAD_BUFFER_BYTES = 64 * 1024
-IDLE_TIMEOUT_S = 1.0  # idle timeout of the class of stalling transfers
+IDLE_TIMEOUT_S = 1.0  # of the class whose transfers stall
 # objects of a connection and both sockets, and memory kept by the allocator
 CONNECTION_OVERHEAD_BYTES = 64 * 1024
 MAX_PROCESS_GROWTH_MB = 20.0  # growth of the process itself during warm-up
--- a/bench/delivery_processes.py
+++ b/bench/delivery_processes.py
@@ -30,7 +30,7 @@
 from flintlatch.standin.delivery import Delivered, delivered
 from flintlatch.standin.links import Trouble, draw, written
 
-MAX_FAULT_S = 4.0  # longest fault
+MAX_FAULT_S = 4.0
 COMMIT_INTERVAL_S = 0.5
 HOP_DELAY_S = 0.35  # of a slowed link: up to 0.1 s, 0.2 s for a retransmission, and a turn of the event loop
 ZONES = ("a", "b", "c")
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -200,7 +200,7 @@
 
 
 LOAD_CORES = {6, 7}  # of eight cores: load generators and nodes
-INSTANCE_CORES = {0, 1, 2, 3, 4, 5}  # instances
+INSTANCE_CORES = {0, 1, 2, 3, 4, 5}
 
 
 def wakeups(pid: int) -> int:
--- a/bench/scale/lists.py
+++ b/bench/scale/lists.py
@@ -165,9 +165,8 @@
 async def largest_accepted() -> tuple[int, str]:
     """The most entries that the real Discovery accepts, and the failure that it reports for one more."""
     servers, size = 0, 0
-    for entry in fill(
-        Registry(), MAX_LIST // 100
-    ).entries.values():  # an estimate from the bytes of each entry
+    # an estimate from the bytes of each entry
+    for entry in fill(Registry(), MAX_LIST // 100).entries.values():
         size += len(orjson.dumps(entry)) + 1
         servers += size <= MAX_LIST
     while await rejection_reason(servers):
--- a/bench/scale/module.py
+++ b/bench/scale/module.py
@@ -34,17 +34,17 @@
 )
 from flintlatch.choice import Balancer
 
-PROXIES, ZONES, RATE = 2200, 3, 680.0  # requests a second at this proxy
+PROXIES, ZONES, RATE = 2200, 3, 680.0  # RATE in requests per second at this proxy
 ROUTES, ZIPF_EXPONENT = 52_000, 0.8  # number of keys, and the exponent of their Zipf distribution
 RESPONSE_MS = 10.0  # constant part of the response time, and the mean of its exponential part
-SERVERS_PER_SERVICE = 18  # servers of each service
+SERVERS_PER_SERVICE = 18
 SIZES = {
     "servers": ((18, 200, 2_000, 20_000, 200_000), (18, 200)),
     "tenants": ((390, 3_900, 39_000, 390_000), (39, 390)),
     "services": ((11, 110, 1_100, 11_000), (2, 11)),
 }
 WARM_UP_S, MEASURED_S = 10.0, 3.0  # virtual time of requests; the warm-up is not counted
-MAX_CPU_S = 15.0  # processor time limit of each
+MAX_CPU_S = 15.0  # processor time limit of the warm-up and of the measurement
 TICK_MS = 25.0  # interval of the module's housekeeping ticks; `measure_idle` checks it
 T = TypeVar("T")
 Rows = dict[str, list[tuple[float, float]]]
--- a/bench/scale/path.py
+++ b/bench/scale/path.py
@@ -80,12 +80,11 @@
     names: int
     p50: list[float] = field(default_factory=list)  # added latency in ms, per round
     p99: list[float] = field(default_factory=list)
-    direct: list[tuple[float, float]] = field(
-        default_factory=list
-    )  # (p50, p99) of direct requests in ms, per round
+    # (p50, p99) of direct requests in ms, per round
+    direct: list[tuple[float, float]] = field(default_factory=list)
     cpu_s: float = 0.0
     rest_core: float = 0.0
-    core: float = 0.0  # under load, as a fraction
+    core: float = 0.0  # fraction of a core under load
     memory: int = 0  # bytes
     requests: int = 0  # through the proxy
     statuses: Counter[int] = field(default_factory=Counter)
--- a/bench/scale/peers.py
+++ b/bench/scale/peers.py
@@ -27,7 +27,7 @@
 
 SIZES, SIZES_SMALL = (10, 30, 100, 300, 1000, 2200), (10, 30)
 ENTRY_COUNTS, ENTRY_COUNTS_SMALL = (1, 10, 100, 1000), (1, 10)
-INITIAL_CLOCK_S = 10_000.0  # initial clock reading; the clocks were verified before it
+INITIAL_CLOCK_S = 10_000.0  # clock reading at the start; the clocks were verified before it
 TTL_S = 60.0  # of the published entries
 # entries published at once for the propagation time, and their value
 TIMED_ENTRIES, ENTRY_VALUE = 5, b"v" * 20
--- a/bench/scale/rows.py
+++ b/bench/scale/rows.py
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """A row of the page: a quantity, its budget (`allowed`) and a function that computes its current value.
+    """A row of the page: a quantity, its budget and a function that computes its current value.
 
     `unit` applies to both figures; `mechanism` is the file that implements the behaviour, or what is missing.
     """
--- a/bench/scale/target.py
+++ b/bench/scale/target.py
@@ -18,17 +18,17 @@
 # Budgets
 MAX_ADDED_MS = 1.4  # latency added to a request, 99th percentile
 MAX_STALENESS_S = 13.0
-MAX_CONTROL_CORE_FRACTION = 0.036  # fraction of one core for the control work of a proxy
+MAX_CONTROL_CORE_FRACTION = 0.036  # for the control work of a proxy
 MAX_CONTROL_MEMORY_BYTES = 128e6  # MB read as 10^6 bytes, the stricter reading
 MAX_BYTES_PER_S = 21e3
 
 REQUESTS_PER_PROXY_PER_S = REQUESTS_PER_S / PROXIES
-BACKENDS_PER_SERVICE = BACKENDS / SERVICES  # backends per service
+BACKENDS_PER_SERVICE = BACKENDS / SERVICES
 CHANGES_PER_S = (CHANGES_PER_DAY + FAILURES_PER_DAY + RESTARTS_PER_DAY) / 86_400
 LIST_ENTRY_BYTES = 60  # of one backend; the operators' assumption
 
 # Assignment of services to proxies by shuffle sharding; the capacity page gives its cost.
-SERVICES_PER_PROXY = 200  # services followed by each proxy
-PROXIES_PER_SERVICE = SERVICES_PER_PROXY * PROXIES // SERVICES  # proxies that follow each service
+SERVICES_PER_PROXY = 200
+PROXIES_PER_SERVICE = SERVICES_PER_PROXY * PROXIES // SERVICES
 BACKENDS_PER_PROXY = SERVICES_PER_PROXY * BACKENDS_PER_SERVICE
 TENANTS_PER_PROXY = 2_000  # an assumption: rows of the tenants whose requests a proxy receives
--- a/bench/scale/verdicts.py
+++ b/bench/scale/verdicts.py
@@ -28,7 +28,7 @@
 LISTED_COUNTS, LISTED_COUNTS_SMALL = (200, 2000, 20_000, 200_000), (20, 200)
 RULES = EjectionRules()
 RENEWAL_INTERVAL_S = RULES.life_s / RENEWALS_PER_TTL
-# published entries; interval between samples, no fraction of the renewal interval
+# published entries; interval between samples, not a divisor of the renewal interval
 PUBLISHED_ENTRIES, SAMPLE_INTERVAL_S = 5, 0.37
 
 
--- a/tests/capacity/test_page.py
+++ b/tests/capacity/test_page.py
@@ -60,9 +60,8 @@
     name = "day.ordinary.staleness_999_s"
     within_budget, over_budget = ({name: series(name, (2200, value))} for value in (1.0, 26.0))
     assert page.worst_ratios(within_budget)[0] < 1 and page.worst_ratios(over_budget)[0] == pytest.approx(2.0)
-    assert (
-        page.worst_ratios(within_budget)[1] == 1 and page.worst_ratios({})[1] == 0
-    )  # a row that was not measured does not count
+    # a row that was not measured does not count
+    assert page.worst_ratios(within_budget)[1] == 1 and page.worst_ratios({})[1] == 0
     overall = page.worst_ratios(data.read())
     assert overall[0] <= 1 and overall[1] == overall[2]
 
