--- a/bench/bodies.py
+++ b/bench/bodies.py
@@ -147,9 +147,9 @@
                 ratio = median(instance_rate / relay_rate for instance_rate, relay_rate in pairs)
                 if size >= MIB:
                     lowest_ratio = min(lowest_ratio, ratio)
-                way = ("up  " if up else "down") + (" chunked" if chunked else " length ")
+                direction = ("up  " if up else "down") + (" chunked" if chunked else " length ")
                 print(
-                    f"{way} {size / MIB:8.3f} MiB: {median(p[0] for p in pairs):6.0f} MiB/s, relay "
+                    f"{direction} {size / MIB:8.3f} MiB: {median(p[0] for p in pairs):6.0f} MiB/s, relay "
                     f"{median(p[1] for p in pairs):6.0f}, ratio {ratio:.2f}, {1000 * cpu:.2f} ms CPU a MiB",
                     flush=True,
                 )
@@ -228,15 +228,15 @@
 async def measure_small_requests(address: str, count: int) -> tuple[float, float]:
     """Median and 99th percentile of the latency of consecutive small requests, in ms."""
     client = await connect(address)
-    took = []
+    latencies_ms = []
     for _ in range(count):
         began = time.perf_counter()
         if await client.ask(b"GET /small HTTP/1.1\r\nHost: x\r\n") != 200:
             raise ValueError(f"a small request got {client.status}")
-        took.append(1000 * (time.perf_counter() - began))
+        latencies_ms.append(1000 * (time.perf_counter() - began))
         await asyncio.sleep(0.005)
     client.transport.close()
-    return median(took), quantiles(took, n=100)[98]
+    return median(latencies_ms), quantiles(latencies_ms, n=100)[98]
 
 
 async def measure_slow_connections(
@@ -272,8 +272,8 @@
 
         async def move_clients() -> None:
             while True:
-                for place in range(20):  # a twentieth of the clients at a time, spread over a second
-                    for slow_client in slow_clients[place::20]:
+                for offset in range(20):  # a twentieth of the clients at a time, spread over a second
+                    for slow_client in slow_clients[offset::20]:
                         slow_client.transfer_some()
                     await asyncio.sleep(0.05)
 
@@ -323,8 +323,8 @@
 
         async def move_clients() -> None:
             while True:
-                for place in range(20):
-                    for slow_client in slow_clients[place::20]:
+                for offset in range(20):
+                    for slow_client in slow_clients[offset::20]:
                         slow_client.transfer_some()
                     await asyncio.sleep(0.05)
 
--- a/bench/delivery.py
+++ b/bench/delivery.py
@@ -82,7 +82,7 @@
     return 300.0
 
 
-def silent(fleet: Fleet, names: list[str]) -> None:
+def pause_hosts(fleet: Fleet, names: list[str]) -> None:
     for name in names:
         fleet.pause(name)
 
@@ -90,18 +90,18 @@
 def relays_dead(fleet: Fleet) -> float:
     """Three relay machines of one region fail without closing their connections."""
     probe(fleet, FAULT_START_S)
-    first = sorted(fleet.relays, key=lambda place: place.region)[:3]
-    fleet.engine.after(FAULT_START_S, lambda: silent(fleet, [place.name for place in first]))
+    first = sorted(fleet.relays, key=lambda participant: participant.region)[:3]
+    fleet.engine.after(FAULT_START_S, lambda: pause_hosts(fleet, [participant.name for participant in first]))
     return 90.0
 
 
 def relays(fleet: Fleet) -> float:
     """All relays crash within a second and restart empty after three."""
     probe(fleet, FAULT_START_S)
-    for place in fleet.relays:
+    for participant in fleet.relays:
         when = FAULT_START_S + fleet.rng.random()
-        fleet.engine.after(when, lambda name=place.name: fleet.kill(name))  # type: ignore[misc]
-        fleet.engine.after(when + RELAY_RESTART_S, lambda place=place: fleet.start_relay(place))  # type: ignore[misc]
+        fleet.engine.after(when, lambda name=participant.name: fleet.kill(name))  # type: ignore[misc]
+        fleet.engine.after(when + RELAY_RESTART_S, lambda host=participant: fleet.start_relay(host))  # type: ignore[misc]
     return 120.0
 
 
@@ -115,9 +115,9 @@
     """Half of the proxies of a zone and its relay fail silently."""
 
     def fail() -> None:
-        silent(fleet, ["relay0"])
-        for place in [p for p in fleet.places if p.zone == "z0"][::2]:
-            fleet.stop_proxy(place.name, silent=True)
+        pause_hosts(fleet, ["relay0"])
+        for participant in [p for p in fleet.proxy_participants if p.zone == "z0"][::2]:
+            fleet.stop_proxy(participant.name, silent=True)
 
     probe(fleet, FAULT_START_S)
     fleet.engine.after(FAULT_START_S, fail)
@@ -126,22 +126,22 @@
 
 def zone(fleet: Fleet) -> float:
     """A zone fails silently and restarts empty after a minute."""
-    proxies = [p for p in fleet.places if p.zone == "z0"]
+    proxies = [p for p in fleet.proxy_participants if p.zone == "z0"]
     relays_of_zone = [p for p in fleet.relays if p.zone == "z0"]
 
     def fail() -> None:
-        for place in relays_of_zone:
-            fleet.pause(place.name)
-        for place in proxies:
-            fleet.stop_proxy(place.name, silent=True)
+        for participant in relays_of_zone:
+            fleet.pause(participant.name)
+        for participant in proxies:
+            fleet.stop_proxy(participant.name, silent=True)
 
     def restart_zone() -> None:
-        for place in relays_of_zone:
-            fleet.kill(place.name)
-            fleet.start_relay(place)
-        for place in proxies:
-            fleet.stop_proxy(place.name, silent=False)
-            fleet.start_proxy(place)
+        for participant in relays_of_zone:
+            fleet.kill(participant.name)
+            fleet.start_relay(participant)
+        for participant in proxies:
+            fleet.stop_proxy(participant.name, silent=False)
+            fleet.start_proxy(participant)
 
     probe(fleet, FAULT_START_S)
     probe(fleet, FAULT_START_S + OUTAGE_S)
@@ -153,18 +153,18 @@
 def parted(fleet: Fleet) -> float:
     """Two regions without the origin are partitioned from the other three."""
     far = ("r0", "r1")
-    far_hosts = [p.name for p in (*fleet.relays, *fleet.places) if p.region in far]
+    far_hosts = [p.name for p in (*fleet.relays, *fleet.proxy_participants) if p.region in far]
     near_relays = [p.name for p in (*fleet.relays, fleet.top.place) if p.region not in far]
-    near_proxies = [p.name for p in fleet.places if p.region not in far]
+    near_proxies = [p.name for p in fleet.proxy_participants if p.region not in far]
 
     def cut() -> None:
         fleet.cut(far_hosts, near_relays)
         fleet.cut([p.name for p in fleet.relays if p.region in far], near_proxies)
 
     def heal() -> None:
-        for place in fleet.places:
-            if place.region in far:
-                fleet.audit.counted_from[place.name] = fleet.engine.now
+        for participant in fleet.proxy_participants:
+            if participant.region in far:
+                fleet.audit.counted_from[participant.name] = fleet.engine.now
         fleet.heal()
 
     probe(fleet, FAULT_START_S)
@@ -176,10 +176,10 @@
 
 def restart(fleet: Fleet) -> float:
     """All proxies restart empty one after another, within five minutes instead of an hour."""
-    for n, place in enumerate(fleet.places):
-        when = FAULT_START_S + 300.0 * n / len(fleet.places)
-        fleet.engine.after(when, lambda name=place.name: fleet.stop_proxy(name, silent=False))  # type: ignore[misc]
-        fleet.engine.after(when + 2.0, lambda place=place: fleet.start_proxy(place))  # type: ignore[misc]
+    for n, participant in enumerate(fleet.proxy_participants):
+        when = FAULT_START_S + 300.0 * n / len(fleet.proxy_participants)
+        fleet.engine.after(when, lambda name=participant.name: fleet.stop_proxy(name, silent=False))  # type: ignore[misc]
+        fleet.engine.after(when + 2.0, lambda host=participant: fleet.start_proxy(host))  # type: ignore[misc]
     return FAULT_START_S + 300.0 + 90.0
 
 
@@ -348,13 +348,15 @@
     parse.add_argument("--seed", type=int, default=1)
     parse.add_argument("--day", action="append", choices=[*DAYS, "rival"])
     parse.add_argument("--keep", type=Path, help="file of series that the figures are added to")
-    whole = Size()
+    target_size = Size()
     for field in fields(Size):
-        kind = type(getattr(whole, field.name))
-        parse.add_argument(f"--{field.name}", type=kind, help=f"of the target: {getattr(whole, field.name)}")
+        kind = type(getattr(target_size, field.name))
+        parse.add_argument(
+            f"--{field.name}", type=kind, help=f"of the target: {getattr(target_size, field.name)}"
+        )
     args = parse.parse_args()
     given = {f.name: getattr(args, f.name) for f in fields(Size) if getattr(args, f.name) is not None}
-    size = Size.of(given.pop("proxies", whole.proxies), **given)
+    size = Size.of(given.pop("proxies", target_size.proxies), **given)
     worst, worst_bytes_per_s, faults, load = 0.0, 0.0, [], data.load()
     for day in args.day or [*(d for d in DAYS if d != "minutes5"), "rival"]:
         if day == "rival":
--- a/bench/hollow.py
+++ b/bench/hollow.py
@@ -101,10 +101,10 @@
 class SimulatedOrigin(Origin):
     """An origin whose sending can be limited to `send_bytes_per_s`; events then wait while it sends."""
 
-    def __init__(self, lab: Fleet, place: Participant, rules: Rules) -> None:
+    def __init__(self, lab: Fleet, participant: Participant, rules: Rules) -> None:
         self.fleet, self.ns, self.received_messages = lab, 0, 0
         self.send_bytes_per_s, self.queued, self.is_sending = inf, deque[relay.Event](), False
-        super().__init__(lab, place, rules)
+        super().__init__(lab, participant, rules)
 
     def from_below(self, event: relay.Event) -> None:
         if self.send_bytes_per_s == inf:
@@ -134,9 +134,9 @@
 
 
 class SimulatedRelay(RelayHost):
-    def __init__(self, lab: Fleet, place: Participant, rules: Rules, rng: Random, warm: bool) -> None:
+    def __init__(self, lab: Fleet, participant: Participant, rules: Rules, rng: Random, warm: bool) -> None:
         self.fleet, self.ns, self.received_messages = lab, 0, 0
-        super().__init__(lab, place, (lab.top.place,), rules, rng)
+        super().__init__(lab, participant, (lab.top.place,), rules, rng)
         if warm:
             self.fleet.fill_store(self.node.subscriber.store, None)
 
@@ -157,10 +157,16 @@
 
 class SimulatedProxy(Proxy):
     def __init__(
-        self, lab: Fleet, place: Participant, names: tuple[str, ...], rules: Rules, rng: Random, warm: bool
+        self,
+        lab: Fleet,
+        participant: Participant,
+        names: tuple[str, ...],
+        rules: Rules,
+        rng: Random,
+        warm: bool,
     ) -> None:
         self.fleet, self.ns, self.received_messages, self.idle_until = lab, 0, 0, 0.0
-        super().__init__(lab, place, lab.relays, names, rules, rng)
+        super().__init__(lab, participant, lab.relays, names, rules, rng)
         if warm:
             self.fleet.fill_store(self.subscriber.store, names)
             self.subscriber.names = dict.fromkeys(names, True)
@@ -235,23 +241,26 @@
         self.relays = tuple(
             Participant(f"relay{n}", f"r{n % REGIONS}", f"z{n % size.zones}") for n in range(size.relays)
         )
-        self.places = [Participant(f"p{n}", f"r{n % size.zones % REGIONS}", f"z{n % size.zones}")
+        self.proxy_participants = [Participant(f"p{n}", f"r{n % size.zones % REGIONS}", f"z{n % size.zones}")
                        for n in range(size.proxies)]  # fmt: skip
-        self.names = {place.name: self.world.followed_names(n) for n, place in enumerate(self.places)}
-        for place in self.places:
-            for name in self.names[place.name]:
-                self.audit.followers[name].append(place.name)
+        self.names = {
+            participant.name: self.world.followed_names(n)
+            for n, participant in enumerate(self.proxy_participants)
+        }
+        for participant in self.proxy_participants:
+            for name in self.names[participant.name]:
+                self.audit.followers[name].append(participant.name)
         for group in range(TICK_GROUPS):
             self.engine.after(TICK_S * group / TICK_GROUPS, lambda group=group: self._tick(group))  # type: ignore[misc]
         self.engine.after(1.0, self._sample)
 
     def begin(self) -> None:
         """Starts all relays and proxies with the origin's objects, as if they had run before."""
-        for place in self.relays:
-            self.start_relay(place, warm=True)
+        for participant in self.relays:
+            self.start_relay(participant, warm=True)
         self.engine.run(self.engine.now + 1.0)
-        for place in self.places:
-            self.start_proxy(place, warm=True)
+        for participant in self.proxy_participants:
+            self.start_proxy(participant, warm=True)
         self.engine.run(self.engine.now + 4.0)
 
     def clear(self) -> None:
@@ -260,13 +269,13 @@
         self.skipped_steps = 0
         self.received_by_second = Minutes()
 
-    def start_relay(self, place: Participant, warm: bool = False) -> None:
-        self.add(SimulatedRelay(self, place, self.rules, Random(self.rng.random()), warm))
+    def start_relay(self, participant: Participant, warm: bool = False) -> None:
+        self.add(SimulatedRelay(self, participant, self.rules, Random(self.rng.random()), warm))
 
-    def start_proxy(self, place: Participant, warm: bool = False) -> None:
-        names = self.names[place.name]
-        self.audit.start(self.engine.now, place.name, warm)
-        self.add(SimulatedProxy(self, place, names, self.rules, Random(self.rng.random()), warm))
+    def start_proxy(self, participant: Participant, warm: bool = False) -> None:
+        names = self.names[participant.name]
+        self.audit.start(self.engine.now, participant.name, warm)
+        self.add(SimulatedProxy(self, participant, names, self.rules, Random(self.rng.random()), warm))
 
     def stop_proxy(self, name: str, silent: bool) -> None:
         self.audit.pending.pop(name, None)
--- a/bench/many.py
+++ b/bench/many.py
@@ -304,8 +304,8 @@
             server.key_used_at.clear()
         return
     ending: list[tuple[float, Server]] = []
-    for place, server in enumerate(affected_servers):
-        while world.now < at + 7000 * place / len(affected_servers):
+    for index, server in enumerate(affected_servers):
+        while world.now < at + 7000 * index / len(affected_servers):
             yield
         server.state = ServerState.DRAINING
         ending.append((world.now + LIST_AGE_MS + LIST_MS + DRAIN_TO_END_MS, server))
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -46,10 +46,10 @@
             {
                 "uid": node.uid,
                 "address": node.address,
-                "cell": place,
-                "state": "draining" if place == drained else "active",
+                "cell": index,
+                "state": "draining" if index == drained else "active",
             }
-            for place, node in enumerate(self.rig.nodes)
+            for index, node in enumerate(self.rig.nodes)
         ]
         # Each of 997 consecutive versions has a different size, so that a mixture of two is detected.
         more = self.nodes - REAL_NODES + self.number % 997
@@ -86,7 +86,7 @@
         draining_since = self.rig.ledger.told_draining
         before = set(draining_since)
         data = self.valid_version()
-        uids = {node.uid for place, node in enumerate(self.rig.nodes) if place == self.drained}
+        uids = {node.uid for index, node in enumerate(self.rig.nodes) if index == self.drained}
         for uid in before - uids:
             del draining_since[uid]
         self.write(data)
@@ -104,8 +104,8 @@
             self.path.write_bytes(data)
         else:
             with open(self.path, "wb", buffering=0) as file:
-                for place in range(0, len(data), 65536):
-                    file.write(data[place : place + 65536])
+                for offset in range(0, len(data), 65536):
+                    file.write(data[offset : offset + 65536])
 
 
 async def run(seed: int, nodes: int, instances: int, seconds: float, folder: Path) -> int:
@@ -129,12 +129,12 @@
     try:
         while not traffic.done():
             if writer.random.random() < 0.5:
-                place, kind = len(fleet.log), writer.random.choice(INVALID_KINDS)
+                log_position, kind = len(fleet.log), writer.random.choice(INVALID_KINDS)
                 writer.write(writer.invalid_version(kind))
                 bad_count += 1
                 try:
                     async with asyncio.timeout(10):
-                        await fleet.said("rejected", place)
+                        await fleet.said("rejected", log_position)
                 except TimeoutError:
                     unreported += 1
             writer.write_good()
--- a/bench/scale/page.py
+++ b/bench/scale/page.py
@@ -225,10 +225,10 @@
 
 
 def missing_table(found: SeriesByName) -> str:
-    def ratio(name: str, place: int) -> str:
+    def ratio(name: str, column: int) -> str:
         if not name:
             return "-"
-        figure = figure_at(found, name, TARGET_SIZES[name][place])
+        figure = figure_at(found, name, TARGET_SIZES[name][column])
         return f"{format_short(figure.value / TARGET_SIZES[name][2])} ({name})" if figure else NOT_MEASURED
 
     lines = [
@@ -258,8 +258,8 @@
 
 def page(text: str, found: SeriesByName) -> str:
     """The page with all tables regenerated. Raises KeyError for a table name that is not defined here."""
-    made = tables(found)
-    return TABLE.sub(lambda m: f"{m[1]}{made[m[2]]}\n{m[3]}", text)
+    table_by_name = tables(found)
+    return TABLE.sub(lambda m: f"{m[1]}{table_by_name[m[2]]}\n{m[3]}", text)
 
 
 def worst_ratios(found: SeriesByName) -> tuple[float, int, int, float, str]:
--- a/bench/scale/peers.py
+++ b/bench/scale/peers.py
@@ -61,9 +61,9 @@
                 return call(*args)
             self.inside, began = True, time.process_time()
             got = call(*args)
-            took = time.process_time() - began
-            self.inside, self.calls, self.spent_s = False, self.calls + 1, self.spent_s + took
-            self.longest_s = max(self.longest_s, took)
+            elapsed_s = time.process_time() - began
+            self.inside, self.calls, self.spent_s = False, self.calls + 1, self.spent_s + elapsed_s
+            self.longest_s = max(self.longest_s, elapsed_s)
             return got
 
         return timed
@@ -198,17 +198,17 @@
     death_s, entry_times = 0.0, list[float]()
     while missing_by_subject or not death_s:
         members.run(members.tick_s)
-        if (took := members.engine.now - began) > MAX_WAIT_S:
+        if (elapsed_s := members.engine.now - began) > MAX_WAIT_S:
             raise AssertionError(f"not within {MAX_WAIT_S} s: {missing_by_subject}")
         if not death_s and members.agreed(names):
-            death_s = took
+            death_s = elapsed_s
         for subject, missing in list(missing_by_subject.items()):
             missing -= {
                 n for n in missing if ("word", subject, subject) in members.member(n).entry_store.entries
             }
             if not missing:
                 del missing_by_subject[subject]
-                entry_times.append(took)
+                entry_times.append(elapsed_s)
     return death_s, entry_times
 
 
@@ -216,7 +216,7 @@
     """Bytes of resident memory for one member with its ciphers, averaged over many members."""
     count = max(1, total // n)
     rng = Random(seed)
-    kept: list[Any] = []
+    built: list[Any] = []
 
     def build() -> None:
         records = [
@@ -235,7 +235,7 @@
             receiver_seal = Seal((KEY,), record.run_id)
             seal.decrypt(receiver_seal.encrypt(1, b""))
         member.peers.queue = {}
-        kept.append((member, seal))
+        built.append((member, seal))
 
     build()  # allocates what is shared by all members
     before = resident()
@@ -261,7 +261,7 @@
     members.run(2.0)
     before = members.bytes
     members.run(10.0)
-    surviving = (members.bytes - before) / 10.0
+    rest_bytes_per_s = (members.bytes - before) / 10.0
     before, at, missing = members.bytes, members.engine.now, set(names)
     for i in range(k):
         members.say(names[i % n], "word", f"subject-{i:05d}", ENTRY_VALUE)
@@ -270,8 +270,8 @@
         if members.engine.now - at > MAX_WAIT_S:
             raise AssertionError(f"{len(missing)} of {n} lack some of {k} after {MAX_WAIT_S} s")
         missing -= {name for name in missing if len(members.member(name).entry_store.entries) >= k}
-    took, sent = members.engine.now - at, members.bytes - before
-    return took, (sent - surviving * took) / n / k, sent / n / took
+    elapsed_s, sent = members.engine.now - at, members.bytes - before
+    return elapsed_s, (sent - rest_bytes_per_s * elapsed_s) / n / k, sent / n / elapsed_s
 
 
 def run(seed: int, small: bool) -> list[Series]:
@@ -308,12 +308,12 @@
     add_series("memory_bytes", "bytes", [(n, run_in_child(memory, n, seed, records)) for n in sizes], note)
     n, entry_counts = (30, ENTRY_COUNTS_SMALL) if small else (100, ENTRY_COUNTS)
     news = [(k, measure_burst(k, n, seed)) for k in entry_counts]
-    for place, name, unit, note in (
+    for column, name, unit, note in (
         (0, "words_s", "s", "entries said at once until all members know all, one run a size"),
         (1, "words_bytes", "bytes", "that a member sends above rest for each of them until then"),
         (2, "words_bytes_per_s", "bytes/s", "that a member sends meanwhile, rest included"),
     ):
         add_series(
-            name, unit, [(k, result[place]) for k, result in news], note, "words", members=n, ttl_s=TTL_S
+            name, unit, [(k, result[column]) for k, result in news], note, "words", members=n, ttl_s=TTL_S
         )
     return found
--- a/bench/scale/verdicts.py
+++ b/bench/scale/verdicts.py
@@ -79,9 +79,9 @@
             named[(row * voices + observer_number) % observers].append(f"server-{row:06d}")
     with virtual_clock(members):
         ejector = make_ejector(members, "f0", targets)
-        for place, record in enumerate(others, 1):
-            if named[place]:
-                observer = Observer(members, record, named[place])
+        for observer_index, record in enumerate(others, 1):
+            if named[observer_index]:
+                observer = Observer(members, record, named[observer_index])
                 members.engine.after(members.rng.uniform(0, RENEWAL_INTERVAL_S), observer.start)
         ejector.on_instance_report(0, {"bad": dict.fromkeys(named[0], 3), "good": []})
         members.run(RULES.life_s)
