--- a/bench/membership.py
+++ b/bench/membership.py
@@ -38,7 +38,7 @@
         self.path, self.rig, self.nodes, self.random = path, rig, nodes, Random(seed)
         self.number = 0
         self.nodes_by_version: dict[int, int] = {}  # by valid version: its number of nodes
-        self.drained = 0  # index of the real node that the last version drains, if it is below REAL
+        self.drained = 0  # index of the real node that the last version drains, if it is below REAL_NODES
 
     def rows(self) -> list[dict[str, object]]:
         drained = self.drained = self.random.randrange(3 * REAL_NODES)
--- a/bench/operations.py
+++ b/bench/operations.py
@@ -70,7 +70,7 @@
         return text
 
     async def replace_version(self) -> None:
-        """Replaces the process as the platform does: start the second, check readiness, end the first."""
+        """Replaces the process as the platform does: starts a second, checks readiness, sends SIGTERM."""
         old, self.proxy = self.proxy, await self.start()
         await self.call("GET", "/ops/readiness")
         await asyncio.sleep(self.random.uniform(0.1, 1.0))
@@ -78,7 +78,10 @@
             self.broken.append(f"a version ended with {code}: {old.lines[-3:]}")
 
     async def drain(self) -> None:
-        """Drains the proxy, and undoes it. The clients pause, as there is no other proxy for them to use."""
+        """Drains the proxy and ends the drain.
+
+        With a single proxy a front end has no other to switch to; the pause of the clients stands for that.
+        """
         await self.call("POST", "/ops/drain/start")
         await self.call("GET", "/ops/readiness", 503)
         began = time.monotonic()
--- a/bench/peers.py
+++ b/bench/peers.py
@@ -71,9 +71,8 @@
     def __init__(self, fleet_rig: Fleets, seed: int) -> None:
         self.fleet_rig, self.random = fleet_rig, Random(f"{seed}/notes")
         self.worst, self.worst_line = 0.0, ""
-        self.worst_from_request = (
-            0.0  # the ratio from before the request to publish, so it includes the time of that request
-        )
+        # the ratio from before the request to publish, so it includes the time of that request
+        self.worst_from_request = 0.0
         self.published_at: dict[str, float] = {}  # by note: when its publication was confirmed
         self.published = self.notes_read = self.readings = 0
         # by (note, reader): age of the note when first read, in seconds
--- a/bench/scale/limits.py
+++ b/bench/scale/limits.py
@@ -39,11 +39,8 @@
 TABLE_ROW_COUNTS, TABLE_ROW_COUNTS_SMALL = (10, 100, 1000, 10_000, 100_000), (10, 100)
 FLEET_ROW_COUNTS, FLEET_ROW_COUNTS_SMALL = (1, 10, 30, 100), (1, 2)
 FLEET_SIZES, FLEET_SIZES_SMALL = (3, 10, 30, 100, 300), (3, 10)
-HOLDERS_OVER_ROWS, MEMBERS_OVER_ROWS, MEMBERS_OVER_ROWS_SMALL = (
-    20,
-    10,
-    5,
-)  # holders or members in the runs over rows
+# holders or members in the runs over rows
+HOLDERS_OVER_ROWS, MEMBERS_OVER_ROWS, MEMBERS_OVER_ROWS_SMALL = 20, 10, 5
 LEASE_TERM_S = 2.0
 RENEWAL_INTERVAL_S = LEASE_TERM_S / limiting.RENEWALS_PER_TERM
 # until the leadership term is settled; a window contains each renewal once
