--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements, one a file: `python -m bench.NAME --seed N`. The last line is the figure."""
+"""Benchmarks, one per module: `python -m bench.NAME --seed N`. The last line has the result."""
