--- a/bench/membership.py
+++ b/bench/membership.py
@@ -132,7 +132,7 @@
                 bad += 1
                 try:
                     async with asyncio.timeout(10):
-                        await fleet.said("rejected", place)
+                        await fleet.wait_for_log("rejected", place)
                 except TimeoutError:
                     untold += 1
             writer.write_good()
--- a/flintlatch/standin/delivery.py
+++ b/flintlatch/standin/delivery.py
@@ -83,7 +83,7 @@
             take(line)
             self.news.set()
 
-    async def said(self, words: str, start: int = 0) -> int:
+    async def wait_for_log(self, words: str, start: int = 0) -> int:
         """The place after the first line from `start` on that holds `words`, once it is there."""
         async with asyncio.timeout(START_S):
             while True:
@@ -144,7 +144,7 @@
         await self.taken()
         made = await asyncio.gather(*(self.start(f"r{k}") for k in range(relays)))
         await asyncio.gather(
-            *(child.said("holds revision ") for child in made)
+            *(child.wait_for_log("holds revision ") for child in made)
         )  # so each has its first choice
         await asyncio.gather(*map(self.start, self.follows))
         await self.until(lambda: all(self.holds(name) for name in self.follows), "the first state")
@@ -174,7 +174,7 @@
         command = {"o": "origin", "r": "relay", "p": "follow"}[name[0]]
         child = self.children[name] = await Child(command, self._write(name)).start()
         if command != "follow":
-            place = await child.said("listens on ")
+            place = await child.wait_for_log("listens on ")
             self.before[name].point(child.log[place - 1].split()[-1])
         return child
 
@@ -194,7 +194,7 @@
 
     async def taken(self, start: int = 0) -> None:
         """Once the origin has said so, from that line of its log on, what was put last is committed."""
-        await self.children["origin"].said("revision ", start)
+        await self.children["origin"].wait_for_log("revision ", start)
         self.audit.commits[-1].seen = clock()
 
     async def commit(self, service: str = "", items: Mapping[str, Any] | None = None) -> int:
--- a/flintlatch/standin/fleets.py
+++ b/flintlatch/standin/fleets.py
@@ -118,7 +118,7 @@
         process = FleetProcess(self.folder / name / "fleet.toml", self.env)
         self.processes[name] = process
         await process.start()
-        place = await process.said("peers at ")
+        place = await process.wait_for_log("peers at ")
         line = process.log[place - 1]
         self.relays[name].point(line.partition("peers at ")[2].partition(",")[0])
         await process.ready()
--- a/flintlatch/standin/process.py
+++ b/flintlatch/standin/process.py
@@ -80,7 +80,7 @@
         self.log.append("(end of the log)")
         self.news.set()
 
-    async def said(self, words: str, start: int = 0) -> int:
+    async def wait_for_log(self, words: str, start: int = 0) -> int:
         """The place after the first line from `start` on that holds `words`, once it is there."""
         async with asyncio.timeout(START_S):
             while True:
@@ -93,9 +93,9 @@
                 await self.news.wait()
 
     async def ready(self) -> FleetProcess:
-        place = await self.said("listens on")
+        place = await self.wait_for_log("listens on")
         self.address = self.log[place - 1].split()[-1]
-        await self.said("ready: generation")
+        await self.wait_for_log("ready: generation")
         return self
 
     async def ready_by_status(self) -> FleetProcess:
--- a/flintlatch/standin/proxy.py
+++ b/flintlatch/standin/proxy.py
@@ -94,10 +94,10 @@
             stderr=asyncio.subprocess.PIPE,
         )
         program = cls(process, env.get("LB_ADMIN", ""))
-        await program.said("listens on")
+        await program.wait_for_log("listens on")
         return program
 
-    async def said(self, words: str) -> None:
+    async def wait_for_log(self, words: str) -> None:
         """Until a line of its log holds `words`. Raises AssertionError if it ended without."""
         while not any(words in line for line in self.lines):
             assert self.process.stderr is not None
--- a/tests/delivery/test_commands.py
+++ b/tests/delivery/test_commands.py
@@ -194,7 +194,7 @@
                 child = deployment.children[name]
                 start = len(child.log)
                 child.process.send_signal(signal.SIGUSR1)
-                status = child.log[await child.said("revision ", start) - 1]
+                status = child.log[await child.wait_for_log("revision ", start) - 1]
                 assert words in status and "3 objects" in status and "0 foreign" in status
             await deployment.kill("r0")
             code, out, log = await follow_command(config, "--once")
--- a/tests/delivery/test_processes.py
+++ b/tests/delivery/test_processes.py
@@ -245,7 +245,7 @@
         await deployment.all_hold(RECONNECT_S + bound_s(1))
         await deployment.kill("origin")  # killed, and its file does not change
         origin = await deployment.start("origin")
-        await origin.said("revision ")
+        await origin.wait_for_log("revision ")
         await deployment.commit("s5")
         await deployment.all_hold(RECONNECT_S + bound_s(1))
 
--- a/tests/fleet/test_daemon.py
+++ b/tests/fleet/test_daemon.py
@@ -57,11 +57,11 @@
             call = await held_calls.calls.get()
             await harness.pids_now()
             harness.fleet.signal(signal.SIGTERM)
-            await harness.fleet.said("stopping")
+            await harness.fleet.wait_for_log("stopping")
             answer = await harness.fleet.ask("reload")
             assert (answer["ok"], answer["reason"]) == (False, "the fleet is stopping")
             harness.fleet.signal(signal.SIGHUP)
-            await harness.fleet.said("reload: the fleet is stopping")
+            await harness.fleet.wait_for_log("reload: the fleet is stopping")
             call.reply(200, b"done")
             assert await harness.fleet.ended() == 0
             await harness.clients.none_open.wait()
@@ -79,7 +79,7 @@
             await held_calls.calls.get()
             await harness.pids_now()
             harness.fleet.signal(signal.SIGTERM)
-            await harness.fleet.said("stopping")
+            await harness.fleet.wait_for_log("stopping")
             assert request.answers == 0
             harness.fleet.signal(signal.SIGTERM)
             assert await harness.fleet.ended() == 0
--- a/tests/fleet/test_delivered.py
+++ b/tests/fleet/test_delivered.py
@@ -79,7 +79,7 @@
         lines += ["[delivery.rules]", *(f"{key} = {toml(value)}" for key, value in QUICK.items())]
         path.write_text("\n".join(lines) + "\n")
         child = self.children[name] = await ChildWithBytecode(command, path).start()
-        return child.log[await child.said("listens on ") - 1].split()[-1]
+        return child.log[await child.wait_for_log("listens on ") - 1].split()[-1]
 
     def set_row(self, index: int, **fields: Any) -> None:
         node = self.rig.nodes[index]
@@ -91,13 +91,13 @@
         log_position = len(origin.log)
         temporary.write_text(json.dumps({SERVICE: self.rows}))
         temporary.rename(self.folder / "objects.json")
-        line = origin.log[await origin.said("revision ", log_position) - 1]
+        line = origin.log[await origin.wait_for_log("revision ", log_position) - 1]
         return int(line.partition("revision ")[2].partition(":")[0])
 
     async def wait_until_taken(self, revision: int, timeout_s: float) -> None:
         """Wait until the fleet and every instance use the revision, at most `timeout_s` from now."""
         async with asyncio.timeout(timeout_s):
-            await self.fleet.said(f"{SERVICE}: version {revision} taken")
+            await self.fleet.wait_for_log(f"{SERVICE}: version {revision} taken")
             await self.fleet.until(
                 lambda s: (
                     {instance["rev"] for instance in s["instances"]} == {s["generations"][-1]["nodes"]["rev"]}
@@ -225,11 +225,11 @@
             remaining_relay = source["delivery"]["relay"]
             (tmp_path / "key").write_text("5d" * 32)
             assert (await harness.fleet.ask("reload"))["ok"]
-            await harness.children[remaining_relay].said("no key of ours sealed")
+            await harness.children[remaining_relay].wait_for_log("no key of ours sealed")
             await harness.rig.add(Shape())
             harness.set_row(4)
             later_revision = await harness.commit()
-            await harness.fleet.said("no relay with news")
+            await harness.fleet.wait_for_log("no relay with news")
             assert harness.count_logged("nothing is held by this client; a list taken before stands") == 1
             source = await harness.source()
             assert source["old"] and source["version"] == revision and "s4" not in await harness.node_states()
@@ -249,7 +249,7 @@
             # No relay left: the fleet serves on, logs that once, and keeps its list over a reload.
             log_position = len(harness.fleet.log)
             await harness.children[remaining_relay].end()
-            log_position = await harness.fleet.said("no relay with news", log_position)
+            log_position = await harness.fleet.wait_for_log("no relay with news", log_position)
             assert f"serving on with revision {later_revision}" in harness.fleet.log[log_position - 1]
             harness.fleet.signal(signal.SIGHUP)
             await harness.fleet.until(lambda s: s["summary"].startswith("generation 4: 2 of 2"))
@@ -277,7 +277,9 @@
             harness.set_row(1, weight=-1)
             harness.set_row(0, state="draining")
             await harness.commit()
-            await harness.fleet.said("rejected: item['s1'].weight: found -1, expected a number from 0.01")
+            await harness.fleet.wait_for_log(
+                "rejected: item['s1'].weight: found -1, expected a number from 0.01"
+            )
             assert set((await harness.node_states()).values()) == {"active"}
             harness.rows["s1"] = valid_row
             revision = await harness.commit()
@@ -291,7 +293,7 @@
             # This removes half of the items, which the origin allows, and two of three active nodes.
             harness.rows = {"s0": harness.rows["s0"], "s3": harness.rows["s3"]}
             held_revision = await harness.commit()
-            await harness.fleet.said(
+            await harness.fleet.wait_for_log(
                 f"version {held_revision} held for 60 s: it takes away 2 of 3 active nodes"
             )
             assert (await harness.source())["held"] == held_revision and len(await harness.node_states()) == 4
@@ -300,7 +302,7 @@
             await harness.wait_for_source(lambda source: source["held"] == held_revision)
             assert (await harness.source())["version"] == revision
             await harness.command("nodes", str(harness.rig.config), "--confirm", SERVICE, str(held_revision))
-            await harness.fleet.said(f"version {held_revision} taken")
+            await harness.fleet.wait_for_log(f"version {held_revision} taken")
             async with asyncio.timeout(LOAD_MARGIN_S):
                 while f'"version":{held_revision},'.encode() not in (tmp_path / "kept.0").read_bytes():
                     await asyncio.sleep(0.01)  # saved in a thread
@@ -308,7 +310,7 @@
             # The object is deleted at the origin: that is logged, and no node is removed.
             (tmp_path / "objects.new").write_text('{"other": {"a": 1}, "$confirm": true}')
             (tmp_path / "objects.new").rename(tmp_path / "objects.json")
-            await harness.fleet.said("the origin has no such object; the list held stands")
+            await harness.fleet.wait_for_log("the origin has no such object; the list held stands")
             assert (await harness.source())["failure"] == "the origin has no such object"
 
             # After a restart without any relay the saved version is used.
@@ -318,7 +320,7 @@
             harness.clients.close()
             harness.fleet = await (await FleetProcess(harness.rig.config, harness.env).start()).ready()
             harness.clients = Clients(harness.fleet.address, CLASSES, harness.rig.ledger, 2)
-            await harness.fleet.said(
+            await harness.fleet.wait_for_log(
                 f"{SERVICE}: version {held_revision} of before, until there is a newer one"
             )
             assert await harness.node_states() == {"s0": "leaving", "s3": "active"}
--- a/tests/fleet/test_limits.py
+++ b/tests/fleet/test_limits.py
@@ -187,7 +187,7 @@
             cluster.rows["limit"][0]["per_s"] = PER_S / 10
             cluster.write(other)
             assert (await cluster.processes[other].ask("reload"))["ok"]
-            await cluster.processes[lessor].said(
+            await cluster.processes[lessor].wait_for_log(
                 f"{other} have other rows than 80 a second; the lowest holds"
             )
 
--- a/tests/fleet/test_members.py
+++ b/tests/fleet/test_members.py
@@ -82,10 +82,10 @@
                 )
                 log_position = len(harness.fleet.log)
                 write_file(path, malformed, random)
-                await harness.fleet.said("rejected", log_position)
+                await harness.fleet.wait_for_log("rejected", log_position)
                 rejected += 1
                 write_file(path, valid, random)
-                await harness.fleet.said(f"nodes.json: version {version} taken")
+                await harness.fleet.wait_for_log(f"nodes.json: version {version} taken")
             await traffic
             # Every worker reaches the fleet's current revision.
             await harness.fleet.until(
@@ -121,12 +121,12 @@
                 while not reload.done():  # one after the other for as long as the reload takes
                     version += 1
                     write_file(path, document(harness, version, draining=(version % 4,)), random)
-                    await harness.fleet.said(f"nodes.json: version {version} taken")
+                    await harness.fleet.wait_for_log(f"nodes.json: version {version} taken")
                 assert (await reload)["ok"]
             await traffic
             version += 1
             write_file(path, document(harness, version), random)
-            await harness.fleet.said(f"nodes.json: version {version} taken")
+            await harness.fleet.wait_for_log(f"nodes.json: version {version} taken")
             # Workers that started late have the fleet's current revision as well, with all nodes.
             await harness.fleet.until(
                 lambda s: (
@@ -148,10 +148,10 @@
             assert (source["source"], source["nodes"], source["failure"]) == ("registry", 3, "")
             registry.entries.clear()
             registry.down = True
-            await harness.fleet.said("the list held stands")
+            await harness.fleet.wait_for_log("the list held stands")
             registry.rev, registry.changes[:] = 1, []  # restarted, with no node registered yet
             registry.down = False
-            await harness.fleet.said("removes every node: refused")
+            await harness.fleet.wait_for_log("removes every node: refused")
             registry.down = True  # unavailable until all nodes are registered again
             for node in harness.rig.nodes:
                 registry.add(node)
@@ -180,7 +180,7 @@
         async with daemon(tmp_path, 4, fleet={"instances": 1}) as harness:
             await switch_to_file_source(harness, path)
             path.write_bytes(document(harness, 2, removed=(0, 1, 2)))
-            await harness.fleet.said("version 2 held for 60 s: it takes away 3 of 4 active nodes")
+            await harness.fleet.wait_for_log("version 2 held for 60 s: it takes away 3 of 4 active nodes")
             assert len((await harness.fleet.ask("nodes"))["list"]["targets"]) == 4
 
             async def command(*arguments: str) -> tuple[int, str]:
@@ -211,7 +211,7 @@
             )
             assert (await command("--confirm", "nodes.json", "3"))[0] == 1
             assert (await command("--confirm", "nodes.json", "2"))[0] == 0
-            await harness.fleet.said("version 2 taken")
+            await harness.fleet.wait_for_log("version 2 taken")
             await harness.fleet.until(lambda s: s["generations"][-1]["nodes"]["count"] == 1)
 
     run(test())
@@ -223,7 +223,7 @@
         async with daemon(tmp_path, 3, fleet={"instances": 1}) as harness:
             await switch_to_file_source(harness, path)
             path.write_bytes(document(harness, 2, draining=(1,)))
-            await harness.fleet.said("version 2 taken")
+            await harness.fleet.wait_for_log("version 2 taken")
             while b'"version":2' not in (tmp_path / "kept.0").read_bytes():  # saved in a thread
                 await asyncio.sleep(0.01)
             await harness.pids_now()
@@ -232,12 +232,12 @@
             path.unlink()
             # The successor uses the last valid version, with the drain in it, although the file is missing.
             successor = await (await FleetProcess(harness.rig.config, harness.env).start()).ready()
-            await successor.said("nodes.json: version 2 of before, until there is a newer one")
+            await successor.wait_for_log("nodes.json: version 2 of before, until there is a newer one")
             listed = await successor.ask("nodes")
             assert [t["state"] for t in listed["list"]["targets"]] == ["active", "leaving", "active"]
             assert listed["sources"][0]["old"] and "not there" in listed["sources"][0]["failure"]
             path.write_bytes(document(harness, 3))
-            await successor.said("version 3 taken")
+            await successor.wait_for_log("version 3 taken")
             assert not (await successor.ask("nodes"))["sources"][0]["old"]
             assert await successor.stop() == 0
 
--- a/tests/fleet/test_peers.py
+++ b/tests/fleet/test_peers.py
@@ -187,11 +187,13 @@
             log_position = len(process.log)
             cluster.pause("f2", whole=False)
             paused_at = clock()
-            await process.said("the entry on other fleets has expired: counting 1 proxies", log_position)
+            await process.wait_for_log(
+                "the entry on other fleets has expired: counting 1 proxies", log_position
+            )
             assert clock() - paused_at >= QUICK["word_s"] / 2  # not before the entry expires
             cluster.wake("f2")
             await wait_until_counted(cluster, "f2", 3)
-            await process.said("the entry on other fleets has expired")
+            await process.wait_for_log("the entry on other fleets has expired")
             assert sum("the entry on other fleets has expired" in line for line in process.log) == 1
 
     run(test())
@@ -308,7 +310,7 @@
                     assert (await cluster.processes[name].ask("reload"))["ok"]
             (tmp_path / "f0" / "key").write_text("no key")
             assert (await cluster.processes["f0"].ask("reload"))["ok"]
-            await cluster.processes["f0"].said("line 1: expected 64 hexadecimal digits; going on")
+            await cluster.processes["f0"].wait_for_log("line 1: expected 64 hexadecimal digits; going on")
             await asyncio.sleep(10 * QUICK["period_s"])
             assert await cluster.agreed()
             assert all([(await cluster.peers(name))["counts"]["died"] == 0 for name in names(cluster)])
@@ -324,7 +326,7 @@
             process = cluster.processes["f1"]
             assert await cluster.processes["f1"].ask("reload")
             process.signal(signal.SIGUSR2)
-            await process.said("has taken over")
+            await process.wait_for_log("has taken over")
             await cluster.until(cluster.agreed, "agreement with the successor")
             assert await process.process.wait() == 0  # the predecessor, once it has drained
             cluster.processes.pop("f1")
@@ -376,7 +378,7 @@
             await cluster.until(succeeds, "exit code 0")
             code, text = await command("f1", "--say", "deploy under way", "--for", "30")
             assert code == 0 and "30.303 s" in text
-            await cluster.processes["f0"].said("note of f1, for 30 s: deploy under way")
+            await cluster.processes["f0"].wait_for_log("note of f1, for 30 s: deploy under way")
             assert "note of f1" in (await command("f0"))[1]
             assert (await command("f1", "--say", "x" * 600))[0] == 1
             await cluster.kill("f1")
--- a/tests/fleet/test_start.py
+++ b/tests/fleet/test_start.py
@@ -180,7 +180,7 @@
             assert not any("STOPPING" in message for message in manager.messages)
             os.kill(answer["pid"], signal.SIGTERM)
             await manager.wait_for("STOPPING", "1", position)
-            await fleet.said("(end of the log)")
+            await fleet.wait_for_log("(end of the log)")
         finally:
             await fleet.close()
             rig.close()
--- a/tests/membership/test_consul.py
+++ b/tests/membership/test_consul.py
@@ -253,7 +253,7 @@
             await made.clients.run(100, 1, {"answer": 1})
             count = len(made.rig.nodes)
             consul.put("s0", made.rig.nodes[0].address, "critical")
-            await made.fleet.said("taken")
+            await made.fleet.wait_for_log("taken")
             await asyncio.sleep(0.3)
             seen = len([run for run in made.rig.ledger.runs if run.node == "s0"])
             await made.clients.run(100, 1, {"answer": 1})
--- a/tests/metrics/test_counts.py
+++ b/tests/metrics/test_counts.py
@@ -62,7 +62,7 @@
         tables = {"fleet": {"instances": 2, "metrics": "127.0.0.1:0", "log_format": "json"}}
         http = {"safe_class": "answer", "other_class": "grade"}
         async with daemon(tmp_path, 1, None, 1, **tables, http=http) as made:
-            place = await made.fleet.said("metrics at ")
+            place = await made.fleet.wait_for_log("metrics at ")
             address = (await made.fleet.status())["listen"][0]
             told = [json.loads(line) for line in made.fleet.log[:place]]
             assert {"event", "level", "timestamp", "fleet", "pid", "logger"} <= set(told[0])
--- a/tests/ops/test_succession.py
+++ b/tests/ops/test_succession.py
@@ -53,7 +53,7 @@
             assert (await kept.ask("/health/ready", "GET")).status == 200
             for _ in range(2):
                 successor = await ProxyProcess.start(config, LB_LISTEN=address, TMPDIR=folder)
-                await serving.said("a successor serves")
+                await serving.wait_for_log("a successor serves")
                 if signal_number == signal.SIGTERM:
                     stopping, serving = serving, successor
                     stop = asyncio.create_task(stopping.end())
@@ -68,7 +68,7 @@
                     # Its open requests get no response.
                     assert await serving.end(signal_number) == -signal_number
                     serving = successor
-                await serving.said("the predecessor is gone")
+                await serving.wait_for_log("the predecessor is gone")
             stopped.set()
             await asyncio.gather(*clients)
             assert len(statuses) > 20
