--- a/bench/limits.py
+++ b/bench/limits.py
@@ -28,7 +28,7 @@
 from flintlatch.net.clock import now_ms
 from flintlatch.standin.client import Clients
 from flintlatch.standin.fleets import Fleets, fleets
-from flintlatch.standin.links import draw, written
+from flintlatch.standin.links import draw_schedule, written
 from flintlatch.standin.rig import CLASSES
 
 PER_S, BURST, TERM_S = 150.0, 15.0, 1.0
@@ -86,7 +86,7 @@
 async def play(mode: str, seed: int, count: int, seconds: float, folder: Path) -> tuple[float, float]:
     names = [f"f{n}" for n in range(count)]
     keepers = {"voters": names[: min(count, 7)], "fleets": count, "term_s": TERM_S}
-    schedule = draw(seed, names, seconds)
+    schedule = draw_schedule(seed, names, seconds)
     async with fleets(
         folder, count, zones=("a", "b", "c"), nodes=6, seed=seed, rows={"limit": [row(mode)]}, keepers=keepers
     ) as made:
@@ -133,7 +133,8 @@
 
 async def run(seed: int, count: int, seconds: float, folder: Path) -> int:
     print(
-        f"schedule of seed {seed}:\n{written(draw(seed, [f'f{n}' for n in range(count)], seconds))}", end=""
+        f"schedule of seed {seed}:\n{written(draw_schedule(seed, [f'f{n}' for n in range(count)], seconds))}",
+        end="",
     )
     worst, used = 0.0, 1.0
     for mode in ("strict", "open", "equal parts"):
--- a/flintlatch/standin/links.py
+++ b/flintlatch/standin/links.py
@@ -294,7 +294,7 @@
 KINDS = ("cut", "cut one way", "link", "heal", "pause", "wake", "kill", "start")
 
 
-def draw(seed: int, names: list[str], seconds: float, each_s: float = 4.0) -> list[Trouble]:
+def draw_schedule(seed: int, names: list[str], seconds: float, each_s: float = 4.0) -> list[Trouble]:
     """Faults for `seconds`, each over after at most `each_s`, the last healed before the end. The same seed
     draws the same."""
     rng, at, made = Random(f"{seed}/schedule"), 0.0, list[Trouble]()
@@ -365,4 +365,4 @@
     return True
 
 
-__all__ = ["Link", "Links", "Place", "Relay", "Trouble", "apply", "draw", "read", "written"]
+__all__ = ["Link", "Links", "Place", "Relay", "Trouble", "apply", "draw_schedule", "read", "written"]
