--- a/bench/delivery_processes.py
+++ b/bench/delivery_processes.py
@@ -28,7 +28,7 @@
 from flintlatch.delivery.source import POLL_INTERVAL_S
 from flintlatch.peers.clock import clock
 from flintlatch.standin.delivery import Delivered, delivered
-from flintlatch.standin.links import Trouble, draw_schedule, written
+from flintlatch.standin.links import Trouble, draw_schedule, format_schedule
 
 EACH_S = 4.0  # the longest fault
 COMMIT_S = 0.5
@@ -113,7 +113,7 @@
     ) as made:
         relays = [name for name in made.before if name != "origin"]
         faults = schedule(args.seed, relays, list(made.follows), args.seconds)
-        print(written(faults), end="")
+        print(format_schedule(faults), end="")
         before = {f"{n} {c.process.pid}": spent(c.process.pid) for n, c in made.children.items()}
         began = clock()
         changing = asyncio.create_task(commits(made, Random(f"{args.seed}/commits"), clock() + args.seconds))
--- a/bench/limits.py
+++ b/bench/limits.py
@@ -28,7 +28,7 @@
 from flintlatch.net.clock import now_ms
 from flintlatch.standin.client import Clients
 from flintlatch.standin.fleets import Fleets, fleets
-from flintlatch.standin.links import draw_schedule, written
+from flintlatch.standin.links import draw_schedule, format_schedule
 from flintlatch.standin.rig import CLASSES
 
 PER_S, BURST, TERM_S = 150.0, 15.0, 1.0
@@ -133,7 +133,8 @@
 
 async def run(seed: int, count: int, seconds: float, folder: Path) -> int:
     print(
-        f"schedule of seed {seed}:\n{written(draw_schedule(seed, [f'f{n}' for n in range(count)], seconds))}",
+        f"schedule of seed {seed}:\n"
+        f"{format_schedule(draw_schedule(seed, [f'f{n}' for n in range(count)], seconds))}",
         end="",
     )
     worst, used = 0.0, 1.0
--- a/bench/peers.py
+++ b/bench/peers.py
@@ -33,7 +33,7 @@
 from flintlatch.peers import EntryStore, Merge, Rules, Topic
 from flintlatch.peers.clock import clock
 from flintlatch.standin.fleets import Fleets, fleets
-from flintlatch.standin.links import draw_schedule, written
+from flintlatch.standin.links import draw_schedule, format_schedule
 
 LIVES_S = (0.5, 1.0, 2.0)  # of the notes
 SAY_S, READ_S = 0.4, 0.05  # between two notes of one fleet, two readings of one
@@ -111,7 +111,7 @@
 async def real(seed: int, count: int, seconds: float, folder: Path) -> tuple[float, bool]:
     zones = ("a", "b", "c")
     schedule = draw_schedule(seed, [f"f{n}" for n in range(count)], seconds)
-    print(f"schedule of seed {seed}:\n{written(schedule)}", end="")
+    print(f"schedule of seed {seed}:\n{format_schedule(schedule)}", end="")
     async with fleets(folder, count, zones=zones, nodes=3, seed=seed) as made:
         auditor = Auditor(made, seed)
         names = sorted(made.processes)
--- a/flintlatch/standin/links.py
+++ b/flintlatch/standin/links.py
@@ -322,7 +322,7 @@
         at += lasts
 
 
-def written(schedule: list[Trouble]) -> str:
+def format_schedule(schedule: list[Trouble]) -> str:
     """As a file: a line each, times first."""
     rows = []
     for one in schedule:
@@ -365,4 +365,4 @@
     return True
 
 
-__all__ = ["Link", "Links", "Place", "Relay", "Trouble", "apply", "draw_schedule", "read", "written"]
+__all__ = ["Link", "Links", "Place", "Relay", "Trouble", "apply", "draw_schedule", "format_schedule", "read"]
