--- a/flintlatch/standin/links.py
+++ b/flintlatch/standin/links.py
@@ -331,7 +331,7 @@
     return "\n".join(rows) + "\n"
 
 
-def read(text: str) -> list[Trouble]:
+def parse_schedule(text: str) -> list[Trouble]:
     """ValueError with the line where it is none."""
     schedule = []
     for place, line in enumerate(text.splitlines(), 1):
@@ -365,4 +365,14 @@
     return True
 
 
-__all__ = ["Link", "Links", "Place", "Relay", "Trouble", "apply", "draw_schedule", "format_schedule", "read"]
+__all__ = [
+    "Link",
+    "Links",
+    "Place",
+    "Relay",
+    "Trouble",
+    "apply",
+    "draw_schedule",
+    "format_schedule",
+    "parse_schedule",
+]
--- a/tests/fleet/test_peers.py
+++ b/tests/fleet/test_peers.py
@@ -19,7 +19,7 @@
 from flintlatch.peers.clock import clock
 from flintlatch.peers.words import MAX_CLOCK_DRIFT
 from flintlatch.standin.fleets import QUICK, Fleets, fleets
-from flintlatch.standin.links import draw_schedule, format_schedule, read
+from flintlatch.standin.links import draw_schedule, format_schedule, parse_schedule
 from flintlatch.standin.process import alive
 from flintlatch.standin.rig import MIX
 from tests.fleet.support import run
@@ -398,8 +398,8 @@
         draw_schedule(7, ["f0", "f1", "f2"], 40.0) == schedule != draw_schedule(8, ["f0", "f1", "f2"], 40.0)
     )
     assert (
-        format_schedule(read(format_schedule(schedule))) == format_schedule(schedule)
+        format_schedule(parse_schedule(format_schedule(schedule))) == format_schedule(schedule)
         and schedule[-1].what == "heal"
     )
     with pytest.raises(ValueError, match="line 2: 'melt', expected one of cut"):
-        read("1|heal|||0 0 0 0\n1|melt|||0 0 0 0\n")
+        parse_schedule("1|heal|||0 0 0 0\n1|melt|||0 0 0 0\n")
