--- a/bench/delivery_processes.py
+++ b/bench/delivery_processes.py
@@ -28,7 +28,7 @@
 from flintlatch.delivery.source import POLL_INTERVAL_S
 from flintlatch.peers.clock import clock
 from flintlatch.standin.delivery import Delivered, delivered
-from flintlatch.standin.links import Trouble, draw_schedule, format_schedule
+from flintlatch.standin.links import FaultEvent, draw_schedule, format_schedule
 
 EACH_S = 4.0  # the longest fault
 COMMIT_S = 0.5
@@ -45,14 +45,14 @@
     return max(rules.staleness_bound_s(relays // 2, 0.0, HOP_S), cut) + POLL_INTERVAL_S
 
 
-def schedule(seed: int, relays: list[str], followers: list[str], seconds: float) -> list[Trouble]:
+def schedule(seed: int, relays: list[str], followers: list[str], seconds: float) -> list[FaultEvent]:
     """Of the usual schedule's cuts between relays, cuts from those that they speak to."""
     rng, made = Random(f"{seed}/sides"), []
     for one in draw_schedule(seed, relays, seconds, EACH_S):
         if one.what in ("cut", "cut one way", "link"):
             others = rng.choice((("origin",), tuple(followers), ("origin", *followers)))
             sides = (one.one, others) if rng.random() < 0.5 else (others, one.one)
-            one = Trouble(one.at_s, one.what, *sides, one.link)
+            one = FaultEvent(one.at_s, one.what, *sides, one.link)
         made.append(one)
     return made
 
--- a/flintlatch/standin/delivery.py
+++ b/flintlatch/standin/delivery.py
@@ -22,7 +22,7 @@
 
 from flintlatch.peers.clock import clock
 from flintlatch.standin.delivered import MARK, Audit, Objects
-from flintlatch.standin.links import Links, Relay, Trouble, apply
+from flintlatch.standin.links import FaultEvent, Links, Relay, apply
 from flintlatch.standin.process import START_S
 from flintlatch.standin.rig import toml
 
@@ -210,7 +210,7 @@
             self.before[name].point("")
         return await child.end(number)
 
-    async def play(self, schedule: list[Trouble]) -> None:
+    async def play(self, schedule: list[FaultEvent]) -> None:
         began = clock()
         for trouble in schedule:
             await asyncio.sleep(max(began + trouble.at_s - clock(), 0.0))
--- a/flintlatch/standin/fleets.py
+++ b/flintlatch/standin/fleets.py
@@ -20,7 +20,7 @@
 from flintlatch.fleet.control import ControlError
 from flintlatch.net.clock import now_ms
 from flintlatch.standin.client import Clients
-from flintlatch.standin.links import Links, Relay, Trouble, apply
+from flintlatch.standin.links import FaultEvent, Links, Relay, apply
 from flintlatch.standin.node import Node, Shape
 from flintlatch.standin.process import START_S, FleetProcess
 from flintlatch.standin.rig import CLASSES, Rig, Rows, configuration
@@ -156,7 +156,7 @@
         await self.processes.pop(name).ended()
         self.relays[name].point("")
 
-    async def play(self, schedule: list[Trouble]) -> None:
+    async def play(self, schedule: list[FaultEvent]) -> None:
         loop = asyncio.get_running_loop()
         began = loop.time()
         for trouble in schedule:
--- a/flintlatch/standin/links.py
+++ b/flintlatch/standin/links.py
@@ -281,7 +281,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Trouble:
+class FaultEvent:
     """One timed fault: `cut`, `cut one way`, `link`, `heal`, `pause`, `wake`, `kill` or `start`."""
 
     at_s: float
@@ -294,35 +294,35 @@
 KINDS = ("cut", "cut one way", "link", "heal", "pause", "wake", "kill", "start")
 
 
-def draw_schedule(seed: int, names: list[str], seconds: float, each_s: float = 4.0) -> list[Trouble]:
+def draw_schedule(seed: int, names: list[str], seconds: float, each_s: float = 4.0) -> list[FaultEvent]:
     """Faults for `seconds`, each over after at most `each_s`, the last healed before the end. The same seed
     draws the same."""
-    rng, at, made = Random(f"{seed}/schedule"), 0.0, list[Trouble]()
+    rng, at, made = Random(f"{seed}/schedule"), 0.0, list[FaultEvent]()
     while True:
         at += rng.uniform(0.2, 1.0) * each_s
         lasts = rng.uniform(0.3, 1.0) * each_s
         if at + lasts >= seconds:
-            return [*made, Trouble(seconds, "heal")]
+            return [*made, FaultEvent(seconds, "heal")]
         what = rng.choice(("cut", "cut", "cut one way", "flap", "link", "pause", "kill"))
         part = tuple(sorted(rng.sample(names, rng.randint(1, max(1, len(names) // 2)))))
         rest = tuple(name for name in names if name not in part)
         if what in ("cut", "cut one way"):
-            made += [Trouble(at, what, part, rest), Trouble(at + lasts, "heal")]
+            made += [FaultEvent(at, what, part, rest), FaultEvent(at + lasts, "heal")]
         elif what == "flap":
             for turn in range(4):
                 begin = at + lasts * turn / 4
-                made += [Trouble(begin, "cut", part, rest), Trouble(begin + lasts / 8, "heal")]
+                made += [FaultEvent(begin, "cut", part, rest), FaultEvent(begin + lasts / 8, "heal")]
         elif what == "link":
             link = (0.0, rng.uniform(0.01, 0.1), rng.uniform(0.05, 0.3), 0.1)
-            made += [Trouble(at, "link", part, rest, link), Trouble(at + lasts, "heal")]
+            made += [FaultEvent(at, "link", part, rest, link), FaultEvent(at + lasts, "heal")]
         else:
             one = (rng.choice(names),)
             back = "wake" if what == "pause" else "start"
-            made += [Trouble(at, what, one), Trouble(at + lasts, back, one)]
+            made += [FaultEvent(at, what, one), FaultEvent(at + lasts, back, one)]
         at += lasts
 
 
-def format_schedule(schedule: list[Trouble]) -> str:
+def format_schedule(schedule: list[FaultEvent]) -> str:
     """As a file: a line each, times first."""
     rows = []
     for one in schedule:
@@ -331,7 +331,7 @@
     return "\n".join(rows) + "\n"
 
 
-def parse_schedule(text: str) -> list[Trouble]:
+def parse_schedule(text: str) -> list[FaultEvent]:
     """ValueError with the line where it is none."""
     schedule = []
     for place, line in enumerate(text.splitlines(), 1):
@@ -343,13 +343,13 @@
             sides = [tuple(name for name in side.split(",") if name) for side in (one, other)]
             if what not in KINDS:
                 raise ValueError(f"{what!r}, expected one of {', '.join(KINDS)}")
-            schedule.append(Trouble(float(at), what, sides[0], sides[1], (least, most, loss, copies)))
+            schedule.append(FaultEvent(float(at), what, sides[0], sides[1], (least, most, loss, copies)))
         except ValueError as error:
             raise ValueError(f"line {place}: {error}") from None
     return schedule
 
 
-def apply(links: Links, trouble: Trouble) -> bool:
+def apply(links: Links, trouble: FaultEvent) -> bool:
     """Whether it was one of the links; else it is one of the processes, and the caller's."""
     if trouble.what == "cut":
         links.cut(trouble.one, trouble.other)
@@ -370,7 +370,7 @@
     "Links",
     "Place",
     "Relay",
-    "Trouble",
+    "FaultEvent",
     "apply",
     "draw_schedule",
     "format_schedule",
