--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -86,7 +86,7 @@
         clients.close()
         await fleet.close()
         rig.close()
-    counts, broken = rig.ledger.counts(), rig.ledger.broken()
+    counts, broken = rig.ledger.counts(), rig.ledger.violations()
     print(rig.ledger.table())
     for breach in broken[:20]:
         print(f"BROKEN {breach}")
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -162,7 +162,7 @@
         rig.close()
     behind = [ms for *_, ms in rig.ledger.to_draining]
     rig.ledger.to_draining = [one for one in rig.ledger.to_draining if one[2] > DRAIN_GRACE_MS + GRACE_MS]
-    counts, broken = rig.ledger.counts(), rig.ledger.broken()
+    counts, broken = rig.ledger.counts(), rig.ledger.violations()
     for breach in broken[:10]:
         print(f"BROKEN {breach}")
     rejected = sources[0]["rejected"]
--- a/bench/operations.py
+++ b/bench/operations.py
@@ -156,7 +156,7 @@
     asked = day.rig.ledger.asked.values()
     crossed = sum(one.crossed for one in asked)
     unheard = day.clients.refused_connections + crossed
-    broken = day.broken + [str(breach) for breach in day.rig.ledger.broken()]
+    broken = day.broken + [str(breach) for breach in day.rig.ledger.violations()]
     if unheard > 2 * (times + 1):  # what the operators let pass: two a version
         broken.append(f"{unheard} turned back unheard")
     for line in broken[:10]:
--- a/bench/verdicts.py
+++ b/bench/verdicts.py
@@ -98,7 +98,7 @@
                 left |= {one["server"] for one in told["servers"] if one["shunned_here"]}
             await asyncio.sleep(0.2)
         await traffic
-        return len(left), len(made.rig.ledger.broken())
+        return len(left), len(made.rig.ledger.violations())
 
 
 async def run(seed: int, sizes: list[int], count: int, nodes: int, rate: float, folder: Path) -> int:
--- a/flintlatch/standin/demo.py
+++ b/flintlatch/standin/demo.py
@@ -69,7 +69,7 @@
             clients.close()
         await fleet.close()
         rig.close()
-    broken = rig.ledger.broken()
+    broken = rig.ledger.violations()
     say("\n" + rig.ledger.table())
     say(f"{'median, 99% (ms)':<20} {clients.quantile(0.5):>8.1f} {clients.quantile(0.99):.1f}")
     for breach in broken[:20]:
@@ -115,7 +115,7 @@
         took = await made.until(made.agreed, "agreement")
         await told(f"after {took:.1f} s")
         await traffic
-        broken = made.rig.ledger.broken()
+        broken = made.rig.ledger.violations()
         for breach in broken[:20]:
             say(f"BROKEN {breach}")
         say(f"  {made.rig.ledger.counts()['served']} of {clients.count} requests served meanwhile")
--- a/flintlatch/standin/ledger.py
+++ b/flintlatch/standin/ledger.py
@@ -92,7 +92,7 @@
 
     # Verdict
 
-    def broken(self) -> list[Broken]:
+    def violations(self) -> list[Broken]:
         """Every breach, in the order of the rules."""
         found = [b for request in self.asked.values() for b in self._of_request(request)]
         found += self._repeats()
@@ -141,7 +141,7 @@
     def counts(self) -> dict[str, int]:
         """Figures for a person, by name."""
         asked = list(self.asked.values())
-        broken = Counter(b.rule for b in self.broken())
+        broken = Counter(b.rule for b in self.violations())
         return {
             "requests": len(asked),
             "served": sum(r.status == 200 for r in asked),
--- a/tests/fleet/support.py
+++ b/tests/fleet/support.py
@@ -75,7 +75,7 @@
 
     def assert_rules_kept(self) -> None:
         """Assert that the ledger of clients and nodes shows no broken rule."""
-        assert not self.rig.ledger.broken(), [str(broken) for broken in self.rig.ledger.broken()[:5]]
+        assert not self.rig.ledger.violations(), [str(broken) for broken in self.rig.ledger.violations()[:5]]
 
 
 @asynccontextmanager
--- a/tests/fleet/test_peers.py
+++ b/tests/fleet/test_peers.py
@@ -65,7 +65,9 @@
 
 
 def assert_rules_kept(cluster: Fleets) -> None:
-    assert not cluster.rig.ledger.broken(), [str(broken) for broken in cluster.rig.ledger.broken()[:5]]
+    assert not cluster.rig.ledger.violations(), [
+        str(broken) for broken in cluster.rig.ledger.violations()[:5]
+    ]
     assert not bugs(cluster)
 
 
--- a/tests/fleet/test_verdicts.py
+++ b/tests/fleet/test_verdicts.py
@@ -25,7 +25,9 @@
 
 
 def assert_rules_kept(cluster: Fleets) -> None:
-    assert not cluster.rig.ledger.broken(), [str(broken) for broken in cluster.rig.ledger.broken()[:5]]
+    assert not cluster.rig.ledger.violations(), [
+        str(broken) for broken in cluster.rig.ledger.violations()[:5]
+    ]
     lines = [line for process in cluster.processes.values() for line in process.log]
     assert not [line for line in lines if "bug" in line or "Traceback" in line]
 
--- a/tests/standin/test_ledger.py
+++ b/tests/standin/test_ledger.py
@@ -31,7 +31,7 @@
 
 
 def rules(ledger: Ledger) -> list[str]:
-    return [broken.rule for broken in ledger.broken()]
+    return [broken.rule for broken in ledger.violations()]
 
 
 @pytest.mark.parametrize("spec", [SAFE, UNSAFE, KEYED])
