--- a/bench/membership.py
+++ b/bench/membership.py
@@ -82,7 +82,7 @@
 
     def write_good(self) -> None:
         """A drain counts from the moment at which its file is whole."""
-        told = self.rig.ledger.told_draining
+        told = self.rig.ledger.drain_announced_ms
         before = set(told)
         data = self.good()
         uids = {node.uid for place, node in enumerate(self.rig.nodes) if place == self.drained}
@@ -112,7 +112,7 @@
     writer = Writer(folder / "nodes.json", rig, nodes, seed)
     rig.ledger.drain_grace_ms = -GRACE_MS  # so that each request behind a drain is noted, with its time
     writer.write_good()
-    rig.ledger.told_draining.clear()  # nobody serves yet
+    rig.ledger.drain_announced_ms.clear()  # nobody serves yet
     config = rig.write(fleet={"instances": instances}, start={"watchdog_s": WATCHDOG_S})
     text = config.read_text()
     before, after = text.index("[nodes]"), text.index("[[class]]")
--- a/flintlatch/standin/ledger.py
+++ b/flintlatch/standin/ledger.py
@@ -62,7 +62,7 @@
     asked: dict[str, Asked] = field(default_factory=dict)
     runs: list[Run] = field(default_factory=list)
     received: Counter[str] = field(default_factory=Counter)  # attempts that reached a node whole, by id
-    told_draining: dict[str, float] = field(default_factory=dict)  # node: when the registry told
+    drain_announced_ms: dict[str, float] = field(default_factory=dict)  # node: when the registry told
     to_draining: list[tuple[str, str, float]] = field(default_factory=list)  # node, id, ms after that
     fallen: list[tuple[str, float]] = field(default_factory=list)  # cold nodes pushed over, when
 
@@ -83,7 +83,7 @@
 
     def receive(self, node: str, request_id: str, first_byte_ms: float) -> None:
         self.received[request_id] += 1
-        told = self.told_draining.get(node)
+        told = self.drain_announced_ms.get(node)
         if told is not None and first_byte_ms - told > self.drain_grace_ms + GRACE_MS:
             self.to_draining.append((node, request_id, first_byte_ms - told))
 
--- a/flintlatch/standin/registry.py
+++ b/flintlatch/standin/registry.py
@@ -57,7 +57,7 @@
             self.entries[uid] = entry
         self.changes.append((self.rev, entry))
         if self.ledger is not None and state != "active":
-            self.ledger.told_draining.setdefault(uid, now_ms())
+            self.ledger.drain_announced_ms.setdefault(uid, now_ms())
         self.changed.set()
         self.changed = asyncio.Event()
 
--- a/tests/fleet/test_delivered.py
+++ b/tests/fleet/test_delivered.py
@@ -195,7 +195,7 @@
             # A drain in the origin's file: no new request may reach that node after the stated bound.
             harness.set_row(0, state="draining")
             bound_s = POLL_INTERVAL_S + RULES.staleness_bound_s(0, 0.0)
-            ledger.told_draining["s0"] = now_ms() + 1000 * bound_s
+            ledger.drain_announced_ms["s0"] = now_ms() + 1000 * bound_s
             await harness.wait_until_taken(await harness.commit(), bound_s + LOAD_MARGIN_S)
             assert await harness.node_states() == {
                 "s0": "leaving",
@@ -215,7 +215,7 @@
                 revision, POLL_INTERVAL_S + RULES.staleness_bound_s(1, 0.0) + LOAD_MARGIN_S
             )
             print(f"a change with its relay killed came after {clock() - started:.2f} s")
-            ledger.told_draining["s1"] = now_ms()
+            ledger.drain_announced_ms["s1"] = now_ms()
             source = await harness.source()
             assert source["version"] == revision and source["delivery"]["relay"] not in ("", stopped_relay)
             assert harness.clients.statuses[200] > answered_before
--- a/tests/standin/test_ledger.py
+++ b/tests/standin/test_ledger.py
@@ -86,7 +86,7 @@
 
 def test_what_goes_to_a_drained_node_after_the_grace_and_a_cold_one_that_fell() -> None:
     ledger = asked()
-    ledger.told_draining["a"] = 1000.0
+    ledger.drain_announced_ms["a"] = 1000.0
     ledger.receive("a", "r", 1549.0)
     assert rules(ledger) == []
     ledger.receive("a", "r", 1551.0)
