--- a/bench/membership.py
+++ b/bench/membership.py
@@ -160,8 +160,10 @@
         clients.close()
         await fleet.close()
         rig.close()
-    behind = [ms for *_, ms in rig.ledger.to_draining]
-    rig.ledger.to_draining = [one for one in rig.ledger.to_draining if one[2] > DRAIN_GRACE_MS + GRACE_MS]
+    behind = [ms for *_, ms in rig.ledger.sent_after_drain_grace]
+    rig.ledger.sent_after_drain_grace = [
+        one for one in rig.ledger.sent_after_drain_grace if one[2] > DRAIN_GRACE_MS + GRACE_MS
+    ]
     counts, broken = rig.ledger.counts(), rig.ledger.violations()
     for breach in broken[:10]:
         print(f"BROKEN {breach}")
--- a/flintlatch/standin/ledger.py
+++ b/flintlatch/standin/ledger.py
@@ -63,7 +63,9 @@
     runs: list[Run] = field(default_factory=list)
     received: Counter[str] = field(default_factory=Counter)  # attempts that reached a node whole, by id
     drain_announced_ms: dict[str, float] = field(default_factory=dict)  # node: when the registry told
-    to_draining: list[tuple[str, str, float]] = field(default_factory=list)  # node, id, ms after that
+    sent_after_drain_grace: list[tuple[str, str, float]] = field(
+        default_factory=list
+    )  # node, id, ms after that
     fallen: list[tuple[str, float]] = field(default_factory=list)  # cold nodes pushed over, when
 
     # Clients
@@ -85,7 +87,7 @@
         self.received[request_id] += 1
         told = self.drain_announced_ms.get(node)
         if told is not None and first_byte_ms - told > self.drain_grace_ms + GRACE_MS:
-            self.to_draining.append((node, request_id, first_byte_ms - told))
+            self.sent_after_drain_grace.append((node, request_id, first_byte_ms - told))
 
     def run(self, run: Run) -> None:
         self.runs.append(run)
@@ -98,7 +100,7 @@
         found += self._repeats()
         found += [
             Broken("drained", f"{node} got {request} {ms:.0f} ms after it was told to drain")
-            for node, request, ms in self.to_draining
+            for node, request, ms in self.sent_after_drain_grace
         ]
         found += [Broken("pushed over", f"{node} was cold and fell") for node, _ in self.fallen]
         return found
