--- a/bench/delivery_processes.py
+++ b/bench/delivery_processes.py
@@ -111,7 +111,7 @@
     async with delivered(
         folder, ZONES, args.relays, args.followers, services=40, each=6, seed=args.seed, rules={}
     ) as made:
-        relays = [name for name in made.before if name != "origin"]
+        relays = [name for name in made.fault_relays if name != "origin"]
         faults = schedule(args.seed, relays, list(made.follows), args.seconds)
         print(format_schedule(faults), end="")
         before = {f"{n} {c.process.pid}": spent(c.process.pid) for n, c in made.children.items()}
--- a/flintlatch/standin/delivery.py
+++ b/flintlatch/standin/delivery.py
@@ -120,7 +120,7 @@
         self.links = Links(seed)
         self.children: dict[str, Child] = {}
         self.ended: list[tuple[str, Child]] = []
-        self.before: dict[str, Relay] = {}  # relays of faults, by whom they stand before
+        self.fault_relays: dict[str, Relay] = {}  # relays of faults, by whom they stand before
         self.follows: dict[str, tuple[str, ...]] = {}
         self.objects: Objects = {MARK: {"n": 0}}
         self.audit = Audit()
@@ -135,7 +135,7 @@
             zone = self.zones[number % len(self.zones)]
             self.links.add(name, zone, f"127.{81 + 'orp'.index(kind)}.{number // 200}.{number % 200 + 1}")
             if kind != "p":
-                self.before[name] = await self.links.open(name)
+                self.fault_relays[name] = await self.links.open(name)
             else:
                 some = (f"s{(number * 7 + k) % services}" for k in range(min(each, services)))
                 self.follows[name] = (MARK, *some)
@@ -155,16 +155,16 @@
         keys: dict[str, Any] = {"name": name, "key_file": "key", "region": place.zone, "zone": place.zone}
         if name == "origin":
             keys |= {"bind": f"{place.host}:0", "source": "objects.json"}
-        elif name in self.before:
-            origin = self.before["origin"].address
+        elif name in self.fault_relays:
+            origin = self.fault_relays["origin"].address
             keys |= {"bind": f"{place.host}:0", "source_host": place.host, "origin": origin}
         else:
             keys |= {"source_host": place.host, "names": list(self.follows[name])}
         lines = ["[delivery]", *(f"{key} = {toml(value)}" for key, value in keys.items())]
         lines += ["[delivery.rules]", *(f"{key} = {toml(value)}" for key, value in self.rules.items())]
         if name in self.follows:
-            for relay in (r for r in self.before if r != "origin"):
-                zone, address = self.links.places[relay].zone, self.before[relay].address
+            for relay in (r for r in self.fault_relays if r != "origin"):
+                zone, address = self.links.places[relay].zone, self.fault_relays[relay].address
                 row = {"name": relay, "address": address, "region": zone, "zone": zone}
                 lines += ["[[delivery.relays]]", *(f"{key} = {toml(value)}" for key, value in row.items())]
         path.write_text("\n".join(lines) + "\n")
@@ -175,7 +175,7 @@
         child = self.children[name] = await Child(command, self._write(name)).start()
         if command != "follow":
             place = await child.wait_for_log("listens on ")
-            self.before[name].point(child.log[place - 1].split()[-1])
+            self.fault_relays[name].point(child.log[place - 1].split()[-1])
         return child
 
     # Changing
@@ -206,8 +206,8 @@
     async def kill(self, name: str, number: int = signal.SIGKILL) -> int:
         child = self.children.pop(name)
         self.ended.append((name, child))
-        if name in self.before:
-            self.before[name].point("")
+        if name in self.fault_relays:
+            self.fault_relays[name].point("")
         return await child.end(number)
 
     async def play(self, schedule: list[FaultEvent]) -> None:
