--- a/bench/delivery_processes.py
+++ b/bench/delivery_processes.py
@@ -133,7 +133,7 @@
             return [*broke, f"audit: {error}"]
         delays = [d for rows in had.values() for d in made.audit.delays(rows).values()]
         bytes_in = max(worst_minute(made.children[name].rows) for name in made.follows)
-        told = sum(made.told(name, "no relay with news") for name in made.follows)
+        told = sum(made.count_log_lines(name, "no relay with news") for name in made.follows)
         print(f"{len(made.audit.commits)} commits, {len(faults)} steps of faults, {len(delays)} arrivals")
         figures = " ".join(f"{quantile(delays, p):.2f}" for p in (0.5, 0.99, 1.0))
         print(f"staleness s, median 99% worst: {figures}; bound {most:.2f}")
--- a/flintlatch/standin/delivery.py
+++ b/flintlatch/standin/delivery.py
@@ -240,7 +240,7 @@
         rows = self.children[name].rows
         return rows[-1]["relay"] if rows else ""
 
-    def told(self, name: str, words: str) -> int:
+    def count_log_lines(self, name: str, words: str) -> int:
         return sum(words in line for line in self.children[name].log)
 
     async def until(self, good: Callable[[], bool], what: str, within_s: float = START_S) -> float:
--- a/tests/delivery/test_processes.py
+++ b/tests/delivery/test_processes.py
@@ -127,7 +127,7 @@
         lost = busiest_relay(deployment)
         affected = followers_of(deployment, lost)
         others = tuple(name for name in deployment.follows if name not in affected)
-        logged = sum(deployment.told(name, OUTAGE_LINE) for name in deployment.follows)
+        logged = sum(deployment.count_log_lines(name, OUTAGE_LINE) for name in deployment.follows)
         assert affected and others
         await deployment.kill(lost)
         await deployment.commit("s1")
@@ -145,7 +145,7 @@
         )
         await deployment.commit("s3")
         await deployment.all_hold(bound_s())
-        assert sum(deployment.told(name, OUTAGE_LINE) for name in deployment.follows) == logged
+        assert sum(deployment.count_log_lines(name, OUTAGE_LINE) for name in deployment.follows) == logged
 
     shared.run(test)
 
@@ -258,7 +258,7 @@
         outside = tuple(n for n in deployment.follows if n not in inside)
         assert inside and outside
         logged = {
-            name: (deployment.told(name, OUTAGE_LINE), deployment.told(name, "again"))
+            name: (deployment.count_log_lines(name, OUTAGE_LINE), deployment.count_log_lines(name, "again"))
             for name in deployment.follows
         }
         deployment.links.cut("zone:a", "zone:b")
@@ -267,7 +267,7 @@
             await deployment.commit(f"s{turn}")
         await deployment.all_hold(bound_s(2), outside)
         await deployment.until(
-            lambda: all(deployment.told(n, OUTAGE_LINE) > logged[n][0] for n in inside),
+            lambda: all(deployment.count_log_lines(n, OUTAGE_LINE) > logged[n][0] for n in inside),
             "the log line on the outage",
         )
         assert not any(deployment.holds(name, before + 1) for name in inside)
@@ -276,9 +276,10 @@
         await deployment.commit("s5")
         await deployment.all_hold(RECONNECT_S + bound_s(1))
         await deployment.until(
-            lambda: all(deployment.told(n, "again") > logged[n][1] for n in inside), "the log line on its end"
+            lambda: all(deployment.count_log_lines(n, "again") > logged[n][1] for n in inside),
+            "the log line on its end",
         )
-        assert all(deployment.told(name, OUTAGE_LINE) == logged[name][0] + 1 for name in inside)
-        assert all(deployment.told(name, OUTAGE_LINE) == logged[name][0] for name in outside)
+        assert all(deployment.count_log_lines(name, OUTAGE_LINE) == logged[name][0] + 1 for name in inside)
+        assert all(deployment.count_log_lines(name, OUTAGE_LINE) == logged[name][0] for name in outside)
 
     shared.run(test)
