--- a/flintlatch/standin/delivery.py
+++ b/flintlatch/standin/delivery.py
@@ -141,7 +141,7 @@
                 self.follows[name] = (MARK, *some)
         self.put()
         await self.start("origin")
-        await self.taken()
+        await self.wait_for_commit()
         made = await asyncio.gather(*(self.start(f"r{k}") for k in range(relays)))
         await asyncio.gather(
             *(child.wait_for_log("holds revision ") for child in made)
@@ -192,7 +192,7 @@
         fresh.rename(self.folder / "objects.json")
         return number
 
-    async def taken(self, start: int = 0) -> None:
+    async def wait_for_commit(self, start: int = 0) -> None:
         """Once the origin has said so, from that line of its log on, what was put last is committed."""
         await self.children["origin"].wait_for_log("revision ", start)
         self.audit.commits[-1].seen = clock()
@@ -200,7 +200,7 @@
     async def commit(self, service: str = "", items: Mapping[str, Any] | None = None) -> int:
         start = len(self.children["origin"].log)
         number = self.put(service, items)
-        await self.taken(start)
+        await self.wait_for_commit(start)
         return number
 
     async def kill(self, name: str, number: int = signal.SIGKILL) -> int:
--- a/tests/delivery/test_processes.py
+++ b/tests/delivery/test_processes.py
@@ -239,7 +239,7 @@
         del deployment.objects["s3"]  # deleted while the origin is down
         deployment.put("s2", {"while": "away"})
         await deployment.start("origin")
-        await deployment.taken()
+        await deployment.wait_for_commit()
         await deployment.all_hold(RECONNECT_S + bound_s(1))
         await deployment.commit("s4")
         await deployment.all_hold(RECONNECT_S + bound_s(1))
