--- a/bench/peers.py
+++ b/bench/peers.py
@@ -125,7 +125,7 @@
         rate = [(after[n]["bytes_out"] - before[n]["bytes_out"]) / took for n in names]
         tasks = [asyncio.create_task(task(name)) for name in names for task in (auditor.say, auditor.read)]
         await made.play(schedule)
-        healed = await made.until(made.agreed, "agreement after the last fault")
+        healed = await made.until(made.views_agree, "agreement after the last fault")
         await asyncio.sleep(1.0)
         auditor.over = True
         await asyncio.gather(*tasks)
@@ -156,11 +156,11 @@
         began = clock()
         await asyncio.gather(*map(made.start, more))
         started = clock() - began
-        up = await made.until(made.agreed, f"agreement of {most}")
+        up = await made.until(made.views_agree, f"agreement of {most}")
         for name in more:
             made.processes[name].signal(signal.SIGTERM)
         await asyncio.gather(*(made.processes.pop(name).ended() for name in more))
-        down = await made.until(made.agreed, f"agreement of {count}")
+        down = await made.until(made.views_agree, f"agreement of {count}")
         died = int((await made.peers("f0"))["counts"]["died"])
         print(
             f"real: {count} fleets become {most}, started within {started:.1f} s, agreed {up:.1f} s after"
--- a/flintlatch/standin/demo.py
+++ b/flintlatch/standin/demo.py
@@ -101,7 +101,7 @@
             say(f"  {when}: " + "; ".join(rows))
 
         async def alone() -> bool:
-            return await made.agreed("f0") and await made.agreed("f1", "f2")
+            return await made.views_agree("f0") and await made.views_agree("f1", "f2")
 
         clients = made.ask_all()
         traffic = asyncio.create_task(clients.run(RATE / 3, PARTED_S, MIX))
@@ -112,7 +112,7 @@
         await told(f"after {took:.1f} s")
         say("-- healed")
         made.links.heal()
-        took = await made.until(made.agreed, "agreement")
+        took = await made.until(made.views_agree, "agreement")
         await told(f"after {took:.1f} s")
         await traffic
         broken = made.rig.ledger.violations()
--- a/flintlatch/standin/fleets.py
+++ b/flintlatch/standin/fleets.py
@@ -183,7 +183,7 @@
         told = await self.peers(name)
         return {row["name"] for row in told.get("members", ()) if row["state"] in ("alive", "suspect")}
 
-    async def agreed(self, *names: str) -> bool:
+    async def views_agree(self, *names: str) -> bool:
         """Whether these hold each other to be there and nobody else; all that run, if none is named."""
         wanted = set(names or self.processes)
         return all(await asyncio.gather(*(self._holds(name, wanted) for name in wanted)))
@@ -237,7 +237,7 @@
     made.rows = rows or {}
     try:
         await made.open(count, nodes, shape, tables)
-        await made.until(made.agreed, "agreement at the start")
+        await made.until(made.views_agree, "agreement at the start")
         yield made
     finally:
         await made.close()
--- a/tests/fleet/test_peers.py
+++ b/tests/fleet/test_peers.py
@@ -85,18 +85,18 @@
             cut_at = clock()
 
             async def partitioned() -> bool:
-                return all([await cluster.agreed(*group) for group in groups])
+                return all([await cluster.views_agree(*group) for group in groups])
 
             while not await partitioned():
                 # The count must not fall, which would raise a fleet's share, while a member is suspected or
                 # was recently.
-                looked_at, agreed = clock(), await cluster.agreed(*groups[0])
+                looked_at, agreed = clock(), await cluster.views_agree(*groups[0])
                 counted = await proxies(cluster, "f0")
                 assert counted == {4} or agreed or clock() - looked_at > QUICK["hold_s"]
             assert clock() - cut_at < (await cluster.peers("f0"))["bounds"]["found_dead_s"] + 10
             await wait_until_counted(cluster, "f0", len(groups[0]))
             cluster.links.heal()
-            await cluster.until(cluster.agreed, "agreement")
+            await cluster.until(cluster.views_agree, "agreement")
             await wait_until_counted(cluster, "f0", 4)
             await traffic
             assert_rules_kept(cluster)
@@ -109,13 +109,13 @@
         async with fleets(tmp_path, 4) as cluster:
             cluster.links.cut("f1", "f2", both=False)
             await asyncio.sleep(20 * QUICK["period_s"])
-            assert await cluster.agreed()
+            assert await cluster.views_agree()
             cluster.links.cut(("f1", "f2", "f3"), ("f1", "f2", "f3"))  # only f0 reaches all others
             await asyncio.sleep(20 * QUICK["period_s"])
             assert await cluster.alive("f0") == set(names(cluster))
             assert (await cluster.peers("f0"))["counts"]["died"] == 0
             cluster.links.heal()
-            await cluster.until(cluster.agreed, "agreement")
+            await cluster.until(cluster.views_agree, "agreement")
             assert_rules_kept(cluster)
 
     run(test())
@@ -136,7 +136,7 @@
                 await asyncio.sleep(0.5)
                 cluster.links.heal()
                 await asyncio.sleep(0.5)
-            await cluster.until(cluster.agreed, "agreement")
+            await cluster.until(cluster.views_agree, "agreement")
             cluster.links.usual = Link(0.0, 0.0, copies=0.5)
 
             async def copies_dropped() -> bool:
@@ -168,7 +168,7 @@
 
             async def agreed_again() -> bool:
                 received.update(await notes(cluster, "f1"))
-                return await cluster.agreed()
+                return await cluster.views_agree()
 
             await cluster.until(agreed_again, "its return")
             assert not received
@@ -209,14 +209,14 @@
                 await cluster.place(name)
                 cluster.write(name)
             await asyncio.gather(*map(cluster.start, joining))
-            await cluster.until(cluster.agreed, "ten")
+            await cluster.until(cluster.views_agree, "ten")
             await wait_until_counted(cluster, "f0", 10)
             cluster.write("f1", fleet={"instances": 3})
             assert (await cluster.processes["f1"].ask("reload"))["ok"]
             await wait_until_counted(cluster, "f0", 12)
             for name in joining:  # a fleet that is stopped announces that it leaves
                 assert await cluster.processes.pop(name).stop() == 0
-            await cluster.until(cluster.agreed, "four")
+            await cluster.until(cluster.views_agree, "four")
             assert (await cluster.peers("f0"))["counts"]["died"] == 0
             await wait_until_counted(cluster, "f0", 6)
             assert_rules_kept(cluster)
@@ -232,10 +232,10 @@
             await cluster.start("f3")  # its three seeds are not running
             assert (await cluster.peers("f3"))["joined"] is False
             await asyncio.gather(*(cluster.start(name) for name in ("f0", "f1", "f2")))
-            await cluster.until(cluster.agreed, "agreement of those that came back")
+            await cluster.until(cluster.views_agree, "agreement of those that came back")
             await cluster.kill("f2")
             await cluster.start("f2")
-            await cluster.until(cluster.agreed, "its return under the same name")
+            await cluster.until(cluster.views_agree, "its return under the same name")
             assert len((await cluster.peers("f0"))["members"]) == 4
             assert_rules_kept(cluster)
 
@@ -277,7 +277,7 @@
                 return all(counts[name] > 0 for name in ("replays", "foreign"))
 
             await cluster.until(all_dropped, "drops")
-            assert await cluster.agreed()
+            assert await cluster.views_agree()
             members_after = (await cluster.peers("f0"))["members"]
             assert [(member["name"], member["incarnation"]) for member in members_after] == [
                 (member["name"], member["incarnation"]) for member in members_before
@@ -291,7 +291,7 @@
             host, _, port = relay.target.rpartition(":")
             for datagram in replayed:
                 sock.sendto(datagram, (host, int(port)))
-            await cluster.until(cluster.agreed, "f0 and f2 alone")
+            await cluster.until(cluster.views_agree, "f0 and f2 alone")
             assert await cluster.alive("f0") == {"f0", "f2"}
             sock.close()
             assert_rules_kept(cluster)
@@ -314,7 +314,7 @@
             assert (await cluster.processes["f0"].ask("reload"))["ok"]
             await cluster.processes["f0"].wait_for_log("line 1: expected 64 hexadecimal digits; going on")
             await asyncio.sleep(10 * QUICK["period_s"])
-            assert await cluster.agreed()
+            assert await cluster.views_agree()
             assert all([(await cluster.peers(name))["counts"]["died"] == 0 for name in names(cluster)])
 
     run(test())
@@ -329,7 +329,7 @@
             assert await cluster.processes["f1"].ask("reload")
             process.signal(signal.SIGUSR2)
             await process.wait_for_log("has taken over")
-            await cluster.until(cluster.agreed, "agreement with the successor")
+            await cluster.until(cluster.views_agree, "agreement with the successor")
             assert await process.process.wait() == 0  # the predecessor, once it has drained
             cluster.processes.pop("f1")
             successor = (await process.status())["pid"]
