--- a/bench/verdicts.py
+++ b/bench/verdicts.py
@@ -87,7 +87,7 @@
 ) -> tuple[int, int]:
     """One fleet loses half of the nodes; how many of those others shunned at any reading."""
     async with fleets(folder, count, zones=("a", "b"), nodes=nodes, seed=seed, **tables) as made:
-        clients = made.ask_all(seed)
+        clients = made.create_clients(seed)
         traffic = asyncio.create_task(clients.run(rate, WARM_S + ILL_S, MIX))
         await asyncio.sleep(WARM_S)
         made.links.cut("f0", [f"s{n}" for n in range(nodes // 2 + 1)])
--- a/flintlatch/standin/demo.py
+++ b/flintlatch/standin/demo.py
@@ -103,7 +103,7 @@
         async def alone() -> bool:
             return await made.views_agree("f0") and await made.views_agree("f1", "f2")
 
-        clients = made.ask_all()
+        clients = made.create_clients()
         traffic = asyncio.create_task(clients.run(RATE / 3, PARTED_S, MIX))
         await told("whole")
         say("-- every link between f0 and the others is cut")
--- a/flintlatch/standin/fleets.py
+++ b/flintlatch/standin/fleets.py
@@ -124,7 +124,7 @@
         await process.ready()
         return process
 
-    def ask_all(self, seed: int | None = None) -> Clients:
+    def create_clients(self, seed: int | None = None) -> Clients:
         """Clients of all fleets that run, noted in the ledger."""
         addresses = [process.address for process in self.processes.values()]
         self.clients = Clients(addresses, CLASSES, self.rig.ledger, seed or self.seed)
--- a/tests/fleet/test_peers.py
+++ b/tests/fleet/test_peers.py
@@ -77,7 +77,7 @@
 ) -> None:
     async def test() -> None:
         async with fleets(tmp_path, 4, nodes=3) as cluster:
-            clients = cluster.ask_all()
+            clients = cluster.create_clients()
             traffic = asyncio.create_task(clients.run(60, 4.0, MIX))
             await wait_until_counted(cluster, "f0", 4)
             for group in groups:
--- a/tests/fleet/test_verdicts.py
+++ b/tests/fleet/test_verdicts.py
@@ -37,7 +37,7 @@
 ) -> None:
     async def test() -> None:
         async with fleets(tmp_path, 6, nodes=6, **VERDICT_TABLES) as cluster:
-            clients = cluster.ask_all()
+            clients = cluster.create_clients()
             traffic = asyncio.create_task(clients.run(240, 12.0, MIX))
             await asyncio.sleep(1.0)
             cluster.links.cut(sorted(cluster.processes), "s0")
@@ -78,7 +78,7 @@
 def test_fleet_with_bad_links_ejects_no_node_for_the_others(tmp_path: Path) -> None:
     async def test() -> None:
         async with fleets(tmp_path, 4, zones=("a", "b"), nodes=6, **VERDICT_TABLES) as cluster:
-            clients = cluster.ask_all()
+            clients = cluster.create_clients()
             traffic = asyncio.create_task(clients.run(200, 6.0, MIX))
             await asyncio.sleep(1.0)
             cluster.links.cut("f1", ["s0", "s1", "s2", "s3"])
@@ -95,7 +95,7 @@
 def test_fleet_cut_off_from_its_peers_stops_ejecting_on_their_observations(tmp_path: Path) -> None:
     async def test() -> None:
         async with fleets(tmp_path, 6, nodes=6, **VERDICT_TABLES) as cluster:
-            clients = cluster.ask_all()
+            clients = cluster.create_clients()
             traffic = asyncio.create_task(clients.run(240, 9.0, MIX))
             names = sorted(cluster.processes)
             cluster.links.cut(names, "s0")
--- a/tests/fleet/test_whole.py
+++ b/tests/fleet/test_whole.py
@@ -29,7 +29,7 @@
 def test_silent_zone_is_left_and_used_again_after_its_return(tmp_path: Path) -> None:
     async def test() -> None:
         async with fleets(tmp_path, 3, zones=("a", "b"), nodes=6) as cluster:
-            clients = cluster.ask_all()
+            clients = cluster.create_clients()
             names, silent_nodes = sorted(cluster.processes), ["s1", "s3", "s5"]
             traffic = asyncio.create_task(clients.run(120, 12.0, MIX))
             await asyncio.sleep(1.5)
@@ -63,7 +63,7 @@
     async def test() -> None:
         async with fleets(tmp_path, 1, nodes=3) as cluster:
             cluster.rig.nodes[0].shape = replace(cluster.rig.nodes[0].shape, faults={fault: 0.5})
-            clients = cluster.ask_all()
+            clients = cluster.create_clients()
             await clients.run(80, 2.5, {"answer": 0.4, "purchase": 0.3, "grade": 0.3})
             assert clients.statuses[200] > 100
             assert_rules_kept(cluster)
@@ -77,7 +77,7 @@
         async with fleets(tmp_path, 1, nodes=2) as cluster:
             ends = ("f0", ["s0", "s1"]) if direction == "request" else (["s0", "s1"], "f0")
             cluster.links.reset_at(ends[0], ends[1], list(range(1, 130)) * 2)
-            clients = cluster.ask_all()
+            clients = cluster.create_clients()
             await clients.run(100, 5.0, {"answer": 0.4, "purchase": 0.3, "grade": 0.3})
             pending = [len(offsets) for offsets in cluster.links.resets.values()]
             assert sum(pending) < 2 * 258 - 60, pending  # most resets took place
@@ -89,7 +89,7 @@
 def test_unknown_zone_kind_and_state_in_the_list_are_harmless(tmp_path: Path) -> None:
     async def test() -> None:
         async with fleets(tmp_path, 2, nodes=3) as cluster:
-            clients = cluster.ask_all()
+            clients = cluster.create_clients()
             traffic = asyncio.create_task(clients.run(60, 3.0, MIX))
             await asyncio.sleep(0.5)
             node = await cluster.add_node(0, Shape(work_ms=5.0))
@@ -108,7 +108,7 @@
 ) -> None:
     async def test() -> None:
         async with fleets(tmp_path, 2, nodes=3) as cluster:
-            clients = cluster.ask_all()
+            clients = cluster.create_clients()
             names = sorted(cluster.processes)
             traffic = asyncio.create_task(clients.run(60, 6.0, MIX))
             cluster.links.cut(names, "registry")
