--- a/bench/scale/path.py
+++ b/bench/scale/path.py
@@ -53,7 +53,7 @@
         loop.call_later(ANSWER_S, call.reply, 200, b"answered")
         return True
 
-    nodes = [await Node(f"s{number}", Shape(), ledger, hold=answer).open() for number in range(NODES)]
+    nodes = [await Node(f"s{number}", Shape(), ledger, intercept=answer).open() for number in range(NODES)]
     told = {}
     for size in sizes:
         registry = await Registry().open()
--- a/flintlatch/standin/node.py
+++ b/flintlatch/standin/node.py
@@ -129,13 +129,13 @@
         ledger: Ledger,
         seed: int = 1,
         keys: dict[bytes, float] | None = None,
-        hold: Callable[[Call], bool] | None = None,
+        intercept: Callable[[Call], bool] | None = None,
     ) -> None:
-        """`hold` may take a call out of the node's hands: it returns true, and answers it by itself."""
+        """`intercept` may take a call out of the node's hands: it returns true, and answers it by itself."""
         self.uid, self.shape, self.ledger = uid, shape, ledger
         self.random = Random(f"{seed}/{uid}")
         self.keys: dict[bytes, float] = {} if keys is None else keys
-        self.hold = hold
+        self.intercept = intercept
         self.address = ""
         self.server: asyncio.Server | None = None
         self.connections: set[_Connection] = set()
@@ -181,7 +181,7 @@
         if not call.id:
             call.reply(404)
             return
-        if self.hold is not None and self.hold(call):
+        if self.intercept is not None and self.intercept(call):
             self._note(call, True)
             return
         fault = self._draw()
--- a/tests/fleet/support.py
+++ b/tests/fleet/support.py
@@ -44,7 +44,7 @@
     def __init__(self, *nodes: Node) -> None:
         self.calls: asyncio.Queue[Call] = asyncio.Queue()
         for node in nodes:
-            node.hold = self.take
+            node.intercept = self.take
 
     def take(self, call: Call) -> bool:
         if call.url.startswith(b"/exam"):
