--- a/bench/operations.py
+++ b/bench/operations.py
@@ -153,7 +153,7 @@
         if day.proxy.process.returncode is None:
             day.proxy.process.kill()
         day.rig.close()
-    asked = day.rig.ledger.asked.values()
+    asked = day.rig.ledger.requests.values()
     crossed = sum(one.crossed for one in asked)
     unheard = day.clients.refused_connections + crossed
     broken = day.broken + [str(breach) for breach in day.rig.ledger.violations()]
--- a/flintlatch/standin/ledger.py
+++ b/flintlatch/standin/ledger.py
@@ -59,7 +59,7 @@
 @dataclass
 class Ledger:
     drain_grace_ms: float
-    asked: dict[str, Asked] = field(default_factory=dict)
+    requests: dict[str, Asked] = field(default_factory=dict)
     runs: list[Run] = field(default_factory=list)
     received: Counter[str] = field(default_factory=Counter)  # attempts that reached a node whole, by id
     drain_announced_ms: dict[str, float] = field(default_factory=dict)  # node: when the registry told
@@ -71,12 +71,12 @@
     # Clients
 
     def ask(self, request: Asked) -> None:
-        if request.id in self.asked:
+        if request.id in self.requests:
             raise ValueError(f"id asked twice: {request.id}")
-        self.asked[request.id] = request
+        self.requests[request.id] = request
 
     def answer(self, request_id: str, status: int, now_ms: float) -> None:
-        request = self.asked[request_id]
+        request = self.requests[request_id]
         request.answers += 1
         if request.answers == 1:
             request.status, request.answered_ms = status, now_ms
@@ -96,7 +96,7 @@
 
     def violations(self) -> list[Broken]:
         """Every breach, in the order of the rules."""
-        found = [b for request in self.asked.values() for b in self._of_request(request)]
+        found = [b for request in self.requests.values() for b in self._of_request(request)]
         found += self._repeats()
         found += [
             Broken("drained", f"{node} got {request} {ms:.0f} ms after it was told to drain")
@@ -126,7 +126,7 @@
         for run in sorted(self.runs, key=lambda run: run.at_ms):
             by_id[run.id].append(run)
         for request_id, runs in by_id.items():
-            request = self.asked.get(request_id)
+            request = self.requests.get(request_id)
             if request is None:
                 found.append(Broken("invented", f"{request_id}: run, and no client has asked it"))
                 continue
@@ -142,7 +142,7 @@
 
     def counts(self) -> dict[str, int]:
         """Figures for a person, by name."""
-        asked = list(self.asked.values())
+        asked = list(self.requests.values())
         broken = Counter(b.rule for b in self.violations())
         return {
             "requests": len(asked),
--- a/tests/fleet/test_daemon.py
+++ b/tests/fleet/test_daemon.py
@@ -311,7 +311,9 @@
             assert longest_gap_ms < 5000
             for client in idle + half_read:
                 client.close()
-            harness.rig.ledger.runs = [r for r in harness.rig.ledger.runs if r.id in harness.rig.ledger.asked]
+            harness.rig.ledger.runs = [
+                r for r in harness.rig.ledger.runs if r.id in harness.rig.ledger.requests
+            ]
             harness.assert_rules_kept()
 
     run(test())
--- a/tests/standin/test_ledger.py
+++ b/tests/standin/test_ledger.py
@@ -48,13 +48,13 @@
     ledger.answer("r", 200, 60.0)
     assert rules(ledger) == ["doubled"]
     ledger = asked()
-    ledger.asked["r"].followed = 3
+    ledger.requests["r"].followed = 3
     assert rules(ledger) == ["followed"]
 
 
 def test_what_a_killed_process_held_is_excused_and_counted() -> None:
     ledger = asked(answer_ms=None)
-    ledger.asked["r"].excused = "process 1 was killed"
+    ledger.requests["r"].excused = "process 1 was killed"
     assert rules(ledger) == [] and ledger.counts()["excused by a kill"] == 1
 
 
