--- a/bench/operations.py
+++ b/bench/operations.py
@@ -154,7 +154,7 @@
             day.proxy.process.kill()
         day.rig.close()
     asked = day.rig.ledger.requests.values()
-    crossed = sum(one.crossed for one in asked)
+    crossed = sum(one.close_races for one in asked)
     unheard = day.clients.refused_connections + crossed
     broken = day.broken + [str(breach) for breach in day.rig.ledger.violations()]
     if unheard > 2 * (times + 1):  # what the operators let pass: two a version
--- a/flintlatch/standin/client.py
+++ b/flintlatch/standin/client.py
@@ -105,8 +105,8 @@
         if self.excused:
             request.excused = self.excused
             owner.ended(request)
-        elif self.used > 1 and not self.heard and not request.crossed and not seen and not request.broken:
-            request.crossed += 1
+        elif self.used > 1 and not self.heard and not request.close_races and not seen and not request.broken:
+            request.close_races += 1
             owner.again(request, self.message)
         else:
             where = "after a node had it" if seen else f"on its {self.used}. request"
--- a/flintlatch/standin/ledger.py
+++ b/flintlatch/standin/ledger.py
@@ -29,7 +29,7 @@
     answered_ms: float = 0.0
     answers: int = 0
     followed: int = 0  # bytes behind its answer that belong to nothing
-    crossed: int = 0  # times that a kept connection closed before anything of it was read
+    close_races: int = 0  # times that a kept connection closed before anything of it was read
     broken: str = ""  # how its connection ended without an answer
     excused: str = ""  # the process that held it was killed outright
 
@@ -150,7 +150,7 @@
             "refused": sum(r.status in (429, 503) for r in asked),
             "failed": sum(r.status not in (None, 200, 429, 503) for r in asked),
             "excused by a kill": sum(not r.answers and bool(r.excused) for r in asked),
-            "crossed a close": sum(r.crossed > 0 for r in asked),
+            "crossed a close": sum(r.close_races > 0 for r in asked),
             "attempts at nodes": sum(self.received.values()),
             "lost": broken["lost"],
             "doubled": broken["doubled"] + broken["followed"] + broken["invented"],
