--- a/flintlatch/standin/client.py
+++ b/flintlatch/standin/client.py
@@ -16,7 +16,7 @@
 
 from flintlatch.api import Effect, RequestClass
 from flintlatch.net.clock import now_ms
-from flintlatch.standin.ledger import Asked, Ledger
+from flintlatch.standin.ledger import Ledger, RequestRecord
 
 WAIT_ON_MS = 500.0  # ms past its deadline that an answer is still waited for, to tell late from lost
 CONNECT_S = 5.0
@@ -27,8 +27,8 @@
         self.owner = owner
         self.transport: asyncio.Transport
         self.parser: httptools.HttpResponseParser | None = None
-        self.open: Asked | None = None  # the request without an answer
-        self.last: Asked | None = None
+        self.open: RequestRecord | None = None  # the request without an answer
+        self.last: RequestRecord | None = None
         self.message = b""
         self.heard = 0  # bytes of the answer
         self.used = 0
@@ -42,7 +42,7 @@
         self.port = int(transport.get_extra_info("sockname")[1])
         self.owner.connections.add(self)
 
-    def ask(self, request: Asked, message: bytes) -> None:
+    def ask(self, request: RequestRecord, message: bytes) -> None:
         self.parser = httptools.HttpResponseParser(self)
         self.open, self.message, self.heard = request, message, 0
         self.used += 1
@@ -52,13 +52,13 @@
 
     def _too_late(self) -> None:
         if self.open is not None:
-            self.open.broken = "no answer by its deadline"
+            self.open.failure = "no answer by its deadline"
         self.transport.abort()
 
     def data_received(self, data: bytes) -> None:
         if self.open is None:
             if self.last is not None:
-                self.last.followed += len(data)
+                self.last.trailing_bytes += len(data)
             self.transport.abort()
             return
         self.heard += len(data)
@@ -67,9 +67,9 @@
             self.parser.feed_data(data)
         except httptools.HttpParserError as error:
             if self.open is not None:
-                self.open.broken = f"answer that can't be read: {error}"
+                self.open.failure = f"answer that can't be read: {error}"
             elif self.last is not None:
-                self.last.followed += len(data)
+                self.last.trailing_bytes += len(data)
             self.transport.abort()
 
     def on_message_complete(self) -> None:
@@ -105,12 +105,14 @@
         if self.excused:
             request.excused = self.excused
             owner.ended(request)
-        elif self.used > 1 and not self.heard and not request.close_races and not seen and not request.broken:
+        elif (
+            self.used > 1 and not self.heard and not request.close_races and not seen and not request.failure
+        ):
             request.close_races += 1
             owner.again(request, self.message)
         else:
             where = "after a node had it" if seen else f"on its {self.used}. request"
-            request.broken = request.broken or f"connection ended {where}, {self.heard} bytes of an answer"
+            request.failure = request.failure or f"connection ended {where}, {self.heard} bytes of an answer"
             owner.ended(request)
 
 
@@ -134,7 +136,7 @@
         self.connections: set[_Connection] = set()
         self.idle: list[_Connection] = []
         self.opening = 0
-        self.queue: list[tuple[Asked, bytes]] = []
+        self.queue: list[tuple[RequestRecord, bytes]] = []
         self.count = 0
         self.open = 0
         self.none_open = asyncio.Event()
@@ -147,7 +149,7 @@
 
     # Asking
 
-    def ask(self, name: str, key: str | None = None) -> Asked:
+    def ask(self, name: str, key: str | None = None) -> RequestRecord:
         """Send one request of the class now; the result fills itself in."""
         spec = self.classes[name]
         self.count += 1
@@ -155,7 +157,7 @@
         if spec.effect is Effect.KEYED and key is None:
             key = f"{self.random.getrandbits(64):016x}"
         now = now_ms()
-        request = Asked(request_id, spec, key, now, now + spec.deadline_ms)
+        request = RequestRecord(request_id, spec, key, now, now + spec.deadline_ms)
         self.ledger.ask(request)
         self.names[request_id] = name
         method, body = ("GET", b"") if spec.effect is Effect.SAFE else ("POST", b"x" * 100)
@@ -172,7 +174,7 @@
         self._send(request, lines.encode() + b"\r\n" + body)
         return request
 
-    def _send(self, request: Asked, message: bytes, fresh: bool = False) -> None:
+    def _send(self, request: RequestRecord, message: bytes, fresh: bool = False) -> None:
         while self.idle and not fresh:
             connection = self.idle.pop()
             if connection.transport.is_closing():
@@ -192,7 +194,7 @@
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _open(self, request: Asked, message: bytes) -> None:
+    async def _open(self, request: RequestRecord, message: bytes) -> None:
         host, _, port = self.random.choice(self.addresses).rpartition(":")
         self.opening += 1
         try:
@@ -202,19 +204,19 @@
                 )
         except OSError as error:
             self.refused_connections += 1
-            request.broken = f"could not connect: {error}"
+            request.failure = f"could not connect: {error}"
             self.ended(request)
             return
         finally:
             self.opening -= 1
         connection.ask(request, message)
 
-    def again(self, request: Asked, message: bytes) -> None:
+    def again(self, request: RequestRecord, message: bytes) -> None:
         self._send(request, message, fresh=True)
 
     # Answers
 
-    def answered(self, request: Asked, status: int) -> None:
+    def answered(self, request: RequestRecord, status: int) -> None:
         now = now_ms()
         self.statuses[status] += 1
         self.ledger.answer(request.id, status, now)
@@ -222,7 +224,7 @@
             self.latencies[self.names[request.id]].append(now - request.sent_ms)
         self.ended(request)
 
-    def ended(self, request: Asked) -> None:
+    def ended(self, request: RequestRecord) -> None:
         self.names.pop(request.id, None)
         self.open -= 1
         if not self.open:
--- a/flintlatch/standin/links.py
+++ b/flintlatch/standin/links.py
@@ -366,11 +366,11 @@
 
 
 __all__ = [
+    "FaultEvent",
     "Link",
     "Links",
     "Place",
     "Relay",
-    "FaultEvent",
     "apply",
     "draw_schedule",
     "format_schedule",
--- a/flintlatch/standin/node.py
+++ b/flintlatch/standin/node.py
@@ -19,7 +19,7 @@
 import httptools
 
 from flintlatch.net.clock import now_ms
-from flintlatch.standin.ledger import Ledger, Run
+from flintlatch.standin.ledger import Execution, Ledger
 
 MOST_BODY = 1024 * 1024
 DOWN_MS = 1000.0  # ms that a node which fell over is away
@@ -215,7 +215,7 @@
         if sum(work for _, work in self.sent) <= budget:
             return False
         self.falls += 1
-        self.ledger.fallen.append((self.uid, now))
+        self.ledger.overload_crashes.append((self.uid, now))
         address = self.address
         self.die()
         loop = asyncio.get_running_loop()
@@ -241,7 +241,7 @@
 
     def _note(self, call: Call, effect: bool) -> None:
         key = call.key.decode("latin-1") if call.key is not None else None
-        self.ledger.run(Run(call.id, key, self.uid, self.shape.zone, self.shape.cell, now_ms(), effect))
+        self.ledger.run(Execution(call.id, key, self.uid, self.shape.zone, self.shape.cell, now_ms(), effect))
 
     def _end(self, call: Call, fault: Fault) -> None:
         self.busy -= 1
