--- a/flintlatch/standin/process.py
+++ b/flintlatch/standin/process.py
@@ -1,4 +1,4 @@
-"""A real fleet as a process of its own, started and hurt by tests, benches and the demo."""
+"""Runs a real fleet as a child process for tests, benches and the demo, which inject faults into it."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from flintlatch.fleet.control import ControlError, send_control_request
 from flintlatch.standin.client import Clients
 
-START_S = 60.0  # generous: a loaded machine starts thirty interpreters at once
+START_S = 60.0  # timeout of each wait; a loaded machine starts thirty interpreters at once
 
 
 def ports_of(pid: int) -> set[int]:
-    """Remote ports of all IPv4 TCP connections that a process holds, as proc(5) tells them."""
+    """Return the remote ports of all IPv4 TCP connections of a process, read from proc(5)."""
     inodes = set()
     for name in os.listdir(f"/proc/{pid}/fd"):
         try:
@@ -37,7 +37,7 @@
 
 
 def alive(pid: int) -> bool:
-    """Whether a process runs; one that is dead and not yet reaped does not."""
+    """Return whether a process runs; a zombie (dead and not yet reaped) does not."""
     try:
         with open(f"/proc/{pid}/stat") as file:
             return file.read().rpartition(")")[2].split()[0] != "Z"
@@ -46,18 +46,21 @@
 
 
 class FleetProcess:
-    """`log` holds the lines of its standard error; it closes the fleet outright if left while it runs."""
+    """A fleet that runs as a child process. `log` contains the lines of its standard error.
+
+    `close` kills the supervisor if it still runs.
+    """
 
     def __init__(self, config: Path, env: Mapping[str, str] | None = None, **popen: Any) -> None:
         self.config, self.env, self.popen = config, dict(env or {}), popen
         self.process: asyncio.subprocess.Process
         self.log: list[str] = []
-        self.news = asyncio.Event()
-        self.reader: asyncio.Task[None] | None = None
+        self.log_changed = asyncio.Event()
+        self.log_reader: asyncio.Task[None] | None = None
         self.address = ""
 
     async def start(self) -> FleetProcess:
-        """Start it; returns at once."""
+        """Start the process, and return without waiting until it is ready."""
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -69,37 +72,42 @@
             env=dict(os.environ) | self.env,
             **self.popen,
         )
-        self.reader = asyncio.get_running_loop().create_task(self._read())
+        self.log_reader = asyncio.get_running_loop().create_task(self._read())
         return self
 
     async def _read(self) -> None:
         assert self.process.stderr is not None
         while line := await self.process.stderr.readline():
             self.log.append(line.decode().rstrip())
-            self.news.set()
+            self.log_changed.set()
         self.log.append("(end of the log)")
-        self.news.set()
+        self.log_changed.set()
+
+    async def wait_for_log(self, text: str, start: int = 0) -> int:
+        """Wait for a log line that contains `text`; return the position after the first from `start` on.
 
-    async def wait_for_log(self, words: str, start: int = 0) -> int:
-        """The place after the first line from `start` on that holds `words`, once it is there."""
+        Raises AssertionError if the process ends without it, TimeoutError after START_S.
+        """
         async with asyncio.timeout(START_S):
             while True:
-                for place in range(start, len(self.log)):
-                    if words in self.log[place]:
-                        return place + 1
+                for position in range(start, len(self.log)):
+                    if text in self.log[position]:
+                        return position + 1
                 if self.log and self.log[-1] == "(end of the log)":
-                    raise AssertionError(f"never said {words!r}:\n" + "\n".join(self.log))
-                self.news.clear()
-                await self.news.wait()
+                    raise AssertionError(
+                        f"the process ended without logging {text!r}:\n" + "\n".join(self.log)
+                    )
+                self.log_changed.clear()
+                await self.log_changed.wait()
 
     async def ready(self) -> FleetProcess:
-        place = await self.wait_for_log("listens on")
-        self.address = self.log[place - 1].split()[-1]
+        position = await self.wait_for_log("listens on")
+        self.address = self.log[position - 1].split()[-1]
         await self.wait_for_log("ready: generation")
         return self
 
     async def ready_by_status(self) -> FleetProcess:
-        """The same where the log is too quiet to tell."""
+        """Wait like `ready`, but poll the status: for log levels that omit the lines of the start."""
         self.address = (await self.until(lambda status: status["phase"] == "serving"))["listen"][0]
         return self
 
@@ -110,23 +118,32 @@
     async def status(self) -> dict[str, Any]:
         return await self.ask("status")
 
-    async def until(self, good: Callable[[dict[str, Any]], bool]) -> dict[str, Any]:
-        """The first status that is good."""
+    async def until(self, condition: Callable[[dict[str, Any]], bool]) -> dict[str, Any]:
+        """Poll the status until it meets the condition, and return it.
+
+        Raises AssertionError if the fleet ends, TimeoutError after START_S.
+        """
         async with asyncio.timeout(START_S):
             while True:
                 try:
                     status = await self.status()
                 except ControlError:
                     if self.log and self.log[-1] == "(end of the log)":
-                        raise AssertionError("it ended:\n" + "\n".join(self.log)) from None
+                        raise AssertionError(
+                            "the fleet ended while its status was awaited:\n" + "\n".join(self.log)
+                        ) from None
                     await asyncio.sleep(0.02)
                     continue
-                if good(status):
+                if condition(status):
                     return status
                 await asyncio.sleep(0.02)
 
     async def kill_worker(self, pid: int, clients: Clients | None = None) -> None:
-        """Kill one outright. What it holds at that moment is excused in the clients' ledger, and no more."""
+        """Kill an instance with SIGKILL.
+
+        It is stopped first, so that exactly the requests on its connections at that moment are excused in the
+        clients' ledger.
+        """
         os.kill(pid, signal.SIGSTOP)
         if clients is not None:
             clients.excuse(ports_of(pid), f"process {pid} was killed")
@@ -138,8 +155,8 @@
     async def ended(self) -> int:
         async with asyncio.timeout(START_S):
             code = await self.process.wait()
-            if self.reader is not None:
-                await self.reader
+            if self.log_reader is not None:
+                await self.log_reader
         return code
 
     async def stop(self) -> int:
@@ -150,5 +167,5 @@
         if self.process.returncode is None:
             self.process.kill()
             await self.process.wait()
-        if self.reader is not None:
-            self.reader.cancel()
+        if self.log_reader is not None:
+            self.log_reader.cancel()
