--- a/flintlatch/standin/fleets.py
+++ b/flintlatch/standin/fleets.py
@@ -1,10 +1,11 @@
-"""Several real fleets that know of each other, every link between them and to nodes and registry a relay.
+"""Runs several real fleets as peers, with a fault-injecting relay on every link to peers, nodes and registry.
 
-    async with fleets(folder, 3, zones=("a", "b")) as made:
-        made.links.cut("f0", ("f1", "f2"))
+    async with fleets(folder, 3, zones=("a", "b")) as cluster:
+        cluster.links.cut("f0", ("f1", "f2"))
 
-Fleet `fK` sends from a host of its own and lives in zone K modulo the zones; node `sK` and `registry` are
-places too. Times are short, so that a test sees in seconds what takes minutes in earnest.
+Fleet `fK` sends from its own host address and is in zone K modulo the number of zones. Nodes `sK` and
+`registry` are places too. The intervals of the peers are short, so that a test observes within seconds what
+takes minutes in production.
 """
 
 from __future__ import annotations
@@ -52,15 +53,15 @@
         self.env = {"PYTHONPATH": str(Path(__file__).parent.parent.parent)}
         self.registry_address = ""
 
-    # Making
+    # Set-up
 
     async def open(self, fleets: int, nodes: int, shape: Shape | None, tables: Mapping[str, Any]) -> None:
         await self.rig.registry.open()
         self.links.add("registry", "", "127.0.0.1")
         self.registry_address = (await self.links.open("registry", self.rig.registry.address)).address
-        for place in range(nodes):
-            await self.add_node(place % len(self.zones), shape or Shape(work_ms=5.0))
-        names = [f"f{place}" for place in range(fleets)]
+        for index in range(nodes):
+            await self.add_node(index % len(self.zones), shape or Shape(work_ms=5.0))
+        names = [f"f{index}" for index in range(fleets)]
         for name in names:
             await self.place(name)
         self.seeds = [self.relays[name].address for name in names[:3]]
@@ -69,7 +70,7 @@
         await asyncio.gather(*map(self.start, names))
 
     async def add_node(self, zone: int, shape: Shape) -> Node:
-        """One more, behind a relay that the registry names."""
+        """Start a node behind a relay, and add it to the registry under the relay's address."""
         shape = Rig.own(shape)
         shape.zone = zone
         rig = self.rig
@@ -88,11 +89,11 @@
         self.relays[name] = await self.links.open(name, datagrams=True)
 
     def write(self, name: str, **tables: Any) -> Path:
-        """A fleet's configuration, whole; `tables` replaces keys of those it has."""
+        """Write the complete configuration of a fleet; `tables` adds or replaces keys of its tables."""
         for table, keys in tables.items():
             self.tables.setdefault(name, {})
             self.tables[name][table] = self.tables[name].get(table, {}) | keys
-        mine = self.tables.get(name, {})
+        own_tables = self.tables.get(name, {})
         place = self.links.places[name]
         folder = self.folder / name
         folder.mkdir(exist_ok=True)
@@ -108,38 +109,38 @@
                 **QUICK,
             },
         }
-        for table, keys in mine.items():
+        for table, keys in own_tables.items():
             content[table] = content.get(table, {}) | keys
-        fresh = folder / "fleet.toml.new"
-        fresh.write_text(configuration(self.registry_address, self.rows, **content))
-        return fresh.rename(folder / "fleet.toml")
+        temporary = folder / "fleet.toml.new"
+        temporary.write_text(configuration(self.registry_address, self.rows, **content))
+        return temporary.rename(folder / "fleet.toml")
 
     async def start(self, name: str) -> FleetProcess:
         process = FleetProcess(self.folder / name / "fleet.toml", self.env)
         self.processes[name] = process
         await process.start()
-        place = await process.wait_for_log("peers at ")
-        line = process.log[place - 1]
+        position = await process.wait_for_log("peers at ")
+        line = process.log[position - 1]
         self.relays[name].point(line.partition("peers at ")[2].partition(",")[0])
         await process.ready()
         return process
 
     def create_clients(self, seed: int | None = None) -> Clients:
-        """Clients of all fleets that run, noted in the ledger."""
+        """Create clients that send to all running fleets and record in the ledger."""
         addresses = [process.address for process in self.processes.values()]
         self.clients = Clients(addresses, CLASSES, self.rig.ledger, seed or self.seed)
         return self.clients
 
-    # Hurting
+    # Faults
 
     def pids(self, name: str) -> list[int]:
-        """Its supervisor's, and those of its instances as the kernel tells them."""
+        """Return the pid of the fleet's supervisor, then those of its instances as procfs lists them."""
         pid = self.processes[name].process.pid
         with open(f"/proc/{pid}/task/{pid}/children") as file:
             return [pid, *map(int, file.read().split())]
 
     def pause(self, name: str, whole: bool = True) -> None:
-        """Its supervisor, and its instances too unless `whole` is false."""
+        """Stop the supervisor with SIGSTOP, and the instances too unless `whole` is false."""
         self.paused.add(name)
         for pid in self.pids(name)[: None if whole else 1]:
             os.kill(pid, signal.SIGSTOP)
@@ -150,7 +151,7 @@
             os.kill(pid, signal.SIGCONT)
 
     async def kill(self, name: str) -> None:
-        """As a machine that loses power: supervisor and instances at once."""
+        """Kill supervisor and instances at once, like a machine that loses power."""
         for pid in self.pids(name):
             os.kill(pid, signal.SIGKILL)
         await self.processes.pop(name).ended()
@@ -158,51 +159,54 @@
 
     async def play(self, schedule: list[FaultEvent]) -> None:
         loop = asyncio.get_running_loop()
-        began = loop.time()
-        for trouble in schedule:
-            await asyncio.sleep(max(began + trouble.at_s - loop.time(), 0.0))
-            if apply(self.links, trouble):
+        started = loop.time()
+        for event in schedule:
+            await asyncio.sleep(max(started + event.at_s - loop.time(), 0.0))
+            if apply(self.links, event):
                 continue
-            for name in trouble.one:
-                if trouble.what == "pause":
+            for name in event.one:
+                if event.what == "pause":
                     self.pause(name)
-                elif trouble.what == "wake":
+                elif event.what == "wake":
                     self.wake(name)
-                elif trouble.what == "kill":
+                elif event.what == "kill":
                     await self.kill(name)
                 else:
                     await self.start(name)
 
-    # Looking
+    # Observation
 
     async def peers(self, name: str) -> dict[str, Any]:
         return await self.processes[name].ask("peers")
 
     async def alive(self, name: str) -> set[str]:
-        """Whom it holds to be there."""
-        told = await self.peers(name)
-        return {row["name"] for row in told.get("members", ()) if row["state"] in ("alive", "suspect")}
+        """Return the names of the members that this fleet regards as alive or suspect."""
+        status = await self.peers(name)
+        return {row["name"] for row in status.get("members", ()) if row["state"] in ("alive", "suspect")}
 
     async def views_agree(self, *names: str) -> bool:
-        """Whether these hold each other to be there and nobody else; all that run, if none is named."""
-        wanted = set(names or self.processes)
-        return all(await asyncio.gather(*(self._holds(name, wanted) for name in wanted)))
+        """Return whether each named fleet (default: each running one) sees exactly these as its members."""
+        expected = set(names or self.processes)
+        return all(await asyncio.gather(*(self._view_is(name, expected) for name in expected)))
 
-    async def _holds(self, name: str, wanted: set[str]) -> bool:
-        return await self.alive(name) == wanted
+    async def _view_is(self, name: str, expected: set[str]) -> bool:
+        return await self.alive(name) == expected
 
-    async def until(self, good: Callable[[], Any], what: str = "it") -> float:
-        """Seconds until `good()`, awaited, is true. AssertionError past START_S."""
+    async def until(self, condition: Callable[[], Any], description: str = "the condition") -> float:
+        """Poll `condition` until it returns true, and return the seconds that this took.
+
+        Raises AssertionError after START_S.
+        """
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started = loop.time()
         while True:
             try:
-                if await good():
-                    return loop.time() - began
-            except ControlError:  # one that is just starting or ending
+                if await condition():
+                    return loop.time() - started
+            except ControlError:  # a fleet that is just starting or stopping
                 pass
-            if loop.time() - began > START_S:
-                raise AssertionError(f"{what} did not come about: " + self.logs())
+            if loop.time() - started > START_S:
+                raise AssertionError(f"{description} was not met within {START_S:g} s: " + self.logs())
             await asyncio.sleep(0.05)
 
     def logs(self) -> str:
@@ -232,12 +236,12 @@
     rows: Rows | None = None,
     **tables: Any,
 ) -> AsyncIterator[Fleets]:
-    """`count` fleets that know of each other; ended at the end. `tables` are those of each configuration."""
-    made = Fleets(folder, zones, instances, seed)
-    made.rows = rows or {}
+    """Run `count` fleets as peers, and stop them at the end. `tables` are added to each configuration."""
+    cluster = Fleets(folder, zones, instances, seed)
+    cluster.rows = rows or {}
     try:
-        await made.open(count, nodes, shape, tables)
-        await made.until(made.views_agree, "agreement at the start")
-        yield made
+        await cluster.open(count, nodes, shape, tables)
+        await cluster.until(cluster.views_agree, "agreement of all members at the start")
+        yield cluster
     finally:
-        await made.close()
+        await cluster.close()
