--- a/flintlatch/standin/fleets.py
+++ b/flintlatch/standin/fleets.py
@@ -206,7 +206,7 @@
             except ControlError:  # a fleet that is just starting or stopping
                 pass
             if loop.time() - started > START_S:
-                raise AssertionError(f"{description} was not met within {START_S:g} s: " + self.logs())
+                raise AssertionError(f"{description}: not reached within {START_S:g} s: " + self.logs())
             await asyncio.sleep(0.05)
 
     def logs(self) -> str:
