--- a/bench/delivery_processes.py
+++ b/bench/delivery_processes.py
@@ -49,10 +49,10 @@
     """Of the usual schedule's cuts between relays, cuts from those that they speak to."""
     rng, made = Random(f"{seed}/sides"), []
     for one in draw_schedule(seed, relays, seconds, EACH_S):
-        if one.what in ("cut", "cut one way", "link"):
+        if one.action in ("cut", "cut one way", "link"):
             others = rng.choice((("origin",), tuple(followers), ("origin", *followers)))
             sides = (one.one, others) if rng.random() < 0.5 else (others, one.one)
-            one = FaultEvent(one.at_s, one.what, *sides, one.link)
+            one = FaultEvent(one.at_s, one.action, *sides, one.link)
         made.append(one)
     return made
 
--- a/flintlatch/standin/delivery.py
+++ b/flintlatch/standin/delivery.py
@@ -217,12 +217,12 @@
             if apply(self.links, trouble):
                 continue
             for name in trouble.one:
-                if trouble.what == "kill":
+                if trouble.action == "kill":
                     await self.kill(name)
-                elif trouble.what == "start":
+                elif trouble.action == "start":
                     await self.start(name)
                 else:
-                    getattr(self.children[name], trouble.what)()
+                    getattr(self.children[name], trouble.action)()
 
     # Looking
 
--- a/flintlatch/standin/fleets.py
+++ b/flintlatch/standin/fleets.py
@@ -165,11 +165,11 @@
             if apply(self.links, event):
                 continue
             for name in event.one:
-                if event.what == "pause":
+                if event.action == "pause":
                     self.pause(name)
-                elif event.what == "wake":
+                elif event.action == "wake":
                     self.wake(name)
-                elif event.what == "kill":
+                elif event.action == "kill":
                     await self.kill(name)
                 else:
                     await self.start(name)
--- a/tests/fleet/test_peers.py
+++ b/tests/fleet/test_peers.py
@@ -401,7 +401,7 @@
     )
     assert (
         format_schedule(parse_schedule(format_schedule(schedule))) == format_schedule(schedule)
-        and schedule[-1].what == "heal"
+        and schedule[-1].action == "heal"
     )
     with pytest.raises(ValueError, match="line 2: 'melt', expected one of cut"):
         parse_schedule("1|heal|||0 0 0 0\n1|melt|||0 0 0 0\n")
