--- a/bench/delivery_processes.py
+++ b/bench/delivery_processes.py
@@ -51,7 +51,7 @@
     for one in draw_schedule(seed, relays, seconds, EACH_S):
         if one.action in ("cut", "cut one way", "link"):
             others = rng.choice((("origin",), tuple(followers), ("origin", *followers)))
-            sides = (one.one, others) if rng.random() < 0.5 else (others, one.one)
+            sides = (one.side, others) if rng.random() < 0.5 else (others, one.side)
             one = FaultEvent(one.at_s, one.action, *sides, one.link)
         made.append(one)
     return made
--- a/flintlatch/standin/delivery.py
+++ b/flintlatch/standin/delivery.py
@@ -216,7 +216,7 @@
             await asyncio.sleep(max(began + trouble.at_s - clock(), 0.0))
             if apply(self.links, trouble):
                 continue
-            for name in trouble.one:
+            for name in trouble.side:
                 if trouble.action == "kill":
                     await self.kill(name)
                 elif trouble.action == "start":
--- a/flintlatch/standin/fleets.py
+++ b/flintlatch/standin/fleets.py
@@ -164,7 +164,7 @@
             await asyncio.sleep(max(started + event.at_s - loop.time(), 0.0))
             if apply(self.links, event):
                 continue
-            for name in event.one:
+            for name in event.side:
                 if event.action == "pause":
                     self.pause(name)
                 elif event.action == "wake":
--- a/flintlatch/standin/links.py
+++ b/flintlatch/standin/links.py
@@ -286,7 +286,7 @@
 
     at_s: float
     action: str
-    one: tuple[str, ...] = ()
+    side: tuple[str, ...] = ()
     other: tuple[str, ...] = ()
     link: tuple[float, float, float, float] = (0.0, 0.0, 0.0, 0.0)  # least_s, most_s, loss, copies
 
@@ -327,7 +327,7 @@
     rows = []
     for one in schedule:
         link = " ".join(f"{value:g}" for value in one.link)
-        rows.append(f"{one.at_s:.3f}|{one.action}|{','.join(one.one)}|{','.join(one.other)}|{link}")
+        rows.append(f"{one.at_s:.3f}|{one.action}|{','.join(one.side)}|{','.join(one.other)}|{link}")
     return "\n".join(rows) + "\n"
 
 
@@ -352,12 +352,12 @@
 def apply(links: Links, trouble: FaultEvent) -> bool:
     """Whether it was one of the links; else it is one of the processes, and the caller's."""
     if trouble.action == "cut":
-        links.cut(trouble.one, trouble.other)
+        links.cut(trouble.side, trouble.other)
     elif trouble.action == "cut one way":
-        links.cut(trouble.one, trouble.other, both=False)
+        links.cut(trouble.side, trouble.other, both=False)
     elif trouble.action == "link":
-        links.set(trouble.one, trouble.other, Link(*trouble.link))
-        links.set(trouble.other, trouble.one, Link(*trouble.link))
+        links.set(trouble.side, trouble.other, Link(*trouble.link))
+        links.set(trouble.other, trouble.side, Link(*trouble.link))
     elif trouble.action == "heal":
         links.heal()
     else:
