--- a/flintlatch/standin/links.py
+++ b/flintlatch/standin/links.py
@@ -287,7 +287,7 @@
     at_s: float
     action: str
     side: tuple[str, ...] = ()
-    other: tuple[str, ...] = ()
+    other_side: tuple[str, ...] = ()
     link: tuple[float, float, float, float] = (0.0, 0.0, 0.0, 0.0)  # least_s, most_s, loss, copies
 
 
@@ -327,7 +327,7 @@
     rows = []
     for one in schedule:
         link = " ".join(f"{value:g}" for value in one.link)
-        rows.append(f"{one.at_s:.3f}|{one.action}|{','.join(one.side)}|{','.join(one.other)}|{link}")
+        rows.append(f"{one.at_s:.3f}|{one.action}|{','.join(one.side)}|{','.join(one.other_side)}|{link}")
     return "\n".join(rows) + "\n"
 
 
@@ -352,12 +352,12 @@
 def apply(links: Links, trouble: FaultEvent) -> bool:
     """Whether it was one of the links; else it is one of the processes, and the caller's."""
     if trouble.action == "cut":
-        links.cut(trouble.side, trouble.other)
+        links.cut(trouble.side, trouble.other_side)
     elif trouble.action == "cut one way":
-        links.cut(trouble.side, trouble.other, both=False)
+        links.cut(trouble.side, trouble.other_side, both=False)
     elif trouble.action == "link":
-        links.set(trouble.side, trouble.other, Link(*trouble.link))
-        links.set(trouble.other, trouble.side, Link(*trouble.link))
+        links.set(trouble.side, trouble.other_side, Link(*trouble.link))
+        links.set(trouble.other_side, trouble.side, Link(*trouble.link))
     elif trouble.action == "heal":
         links.heal()
     else:
