--- a/flintlatch/standin/links.py
+++ b/flintlatch/standin/links.py
@@ -36,7 +36,7 @@
 class Links:
     seed: int
     places: dict[str, Place] = field(default_factory=dict)
-    usual: Link = OPEN
+    default_link: Link = OPEN
     faults: dict[tuple[str, str], Link] = field(default_factory=dict)
     streams: set[_Way] = field(default_factory=set)
     relays: list[Relay] = field(default_factory=list)
@@ -86,11 +86,11 @@
     def heal(self) -> None:
         self.faults.clear()
         self.resets.clear()
-        self.usual = OPEN
+        self.default_link = OPEN
         self._changed()
 
     def between(self, source: str, target: str) -> Link:
-        return self.faults.get((source, target), self.usual)
+        return self.faults.get((source, target), self.default_link)
 
     def _changed(self) -> None:
         for way in list(self.streams):
--- a/tests/fleet/test_peers.py
+++ b/tests/fleet/test_peers.py
@@ -124,7 +124,7 @@
 def test_lossy_and_flapping_links_deliver_entries_and_end_in_agreement(tmp_path: Path) -> None:
     async def test() -> None:
         async with fleets(tmp_path, 4) as cluster:
-            cluster.links.usual = Link(0.0, 0.03, 0.2, copies=0.2)
+            cluster.links.default_link = Link(0.0, 0.03, 0.2, copies=0.2)
             await publish_note(cluster, "f3", "through loss", 30.0)
 
             async def received() -> bool:
@@ -137,7 +137,7 @@
                 cluster.links.heal()
                 await asyncio.sleep(0.5)
             await cluster.until(cluster.views_agree, "agreement")
-            cluster.links.usual = Link(0.0, 0.0, copies=0.5)
+            cluster.links.default_link = Link(0.0, 0.0, copies=0.5)
 
             async def copies_dropped() -> bool:
                 return int((await cluster.peers("f0"))["counts"]["replays"]) > 0
