--- a/flintlatch/standin/links.py
+++ b/flintlatch/standin/links.py
@@ -1,11 +1,11 @@
-"""Links between real processes, with faults: a relay before each place, which tells the sender by its
-address.
-
-Each process sends from a host of its own in 127.0.0.0/8. For each ordered pair of places a `Link` says delay,
-loss, copies and whether it is cut. Datagrams are dropped, doubled and overtake each other. A stream keeps its
-order: what is lost comes RESEND_S late, a cut way holds everything back, closing included, so that both
-sides keep a half-open connection until it is healed. A kernel accepts a connection before any relay can
-refuse it: through a cut way connecting succeeds, and then nothing comes.
+"""Injects faults into the network between real processes, with a relay in front of each place.
+
+A place is a process with its own host address in 127.0.0.0/8; a relay recognises the sender by this address.
+For each ordered pair of places a `Link` defines delay, loss, duplication and whether the link is cut.
+Datagrams are dropped, duplicated and reordered. A TCP stream keeps its order: a lost segment arrives
+RESEND_S late, and a cut direction buffers everything, the close included, so that both sides keep a half-open
+connection until the cut heals. The kernel accepts a connection before the relay can refuse it: across a cut
+link connecting succeeds, and then no data arrives.
 """
 
 from __future__ import annotations
@@ -20,27 +20,27 @@
 from flintlatch.lab.network import Link
 from flintlatch.peers.shell import bind_pair, split_address
 
-RESEND_S = 0.2  # that a lost part of a stream comes later, as the kernel's least time to send again
-HELD_BYTES = 256 * 1024  # that a way holds back before its sender is not read any more: a socket's buffer
-OPEN = Link(0.0, 0.0)
+RESEND_S = 0.2  # delay of a lost segment: the kernel's minimum retransmission timeout
+BUFFER_BYTES = 256 * 1024  # queue at which a direction stops reading its sender, like a full socket buffer
+NO_FAULT = Link(0.0, 0.0)
 
 
 @dataclass(frozen=True, slots=True)
 class Place:
     name: str
     zone: str
-    host: str  # that it sends from
+    host: str  # the address that it sends from
 
 
 @dataclass(slots=True)
 class Links:
     seed: int
     places: dict[str, Place] = field(default_factory=dict)
-    default_link: Link = OPEN
+    default_link: Link = NO_FAULT
     faults: dict[tuple[str, str], Link] = field(default_factory=dict)
-    streams: set[_Way] = field(default_factory=set)
+    directions: set[_Direction] = field(default_factory=set)
     relays: list[Relay] = field(default_factory=list)
-    passed: int = 0  # datagrams and parts of streams
+    forwarded: int = 0  # datagrams and pieces of streams
     dropped: int = 0
     resets: dict[tuple[str, str], deque[int]] = field(default_factory=dict)
     random: Random = field(default_factory=Random)
@@ -52,10 +52,13 @@
         place = self.places[name] = Place(name, zone, host)
         return place
 
-    def of(self, side: str | Iterable[str]) -> list[str]:
-        """Names: of one place, of a list, of a zone ("zone:a"), or "*"."""
+    def resolve(self, side: str | Iterable[str]) -> list[str]:
+        """Return the place names of `side`: a name, a zone ("zone:a"), "*" for all, or a list of these.
+
+        Raises ValueError for an unknown name.
+        """
         if not isinstance(side, str):
-            return [name for one in side for name in self.of(one)]
+            return [name for name_or_zone in side for name in self.resolve(name_or_zone)]
         if side == "*":
             return list(self.places)
         if side.startswith("zone:"):
@@ -64,44 +67,49 @@
             raise ValueError(f"no place {side!r}; there are {', '.join(self.places)}")
         return [side]
 
-    def set(self, one: str | Iterable[str], other: str | Iterable[str], link: Link) -> None:
-        """From every place of one side to every place of the other, and not back."""
-        for a in self.of(one):
-            for b in self.of(other):
+    def set(self, side: str | Iterable[str], other_side: str | Iterable[str], link: Link) -> None:
+        """Set the link from every place of `side` to every place of `other_side`, but not the way back."""
+        for a in self.resolve(side):
+            for b in self.resolve(other_side):
                 if a != b:
                     self.faults[a, b] = link
-        self._changed()
+        self._pump_all()
 
-    def cut(self, one: str | Iterable[str], other: str | Iterable[str], both: bool = True) -> None:
-        self.set(one, other, Link(cut=True))
+    def cut(self, side: str | Iterable[str], other_side: str | Iterable[str], both: bool = True) -> None:
+        self.set(side, other_side, Link(cut=True))
         if both:
-            self.set(other, one, Link(cut=True))
+            self.set(other_side, side, Link(cut=True))
+
+    def reset_at(
+        self, side: str | Iterable[str], other_side: str | Iterable[str], offsets: Iterable[int]
+    ) -> None:
+        """Reset the next streams from each place of `side` to each of `other_side`.
 
-    def reset_at(self, one: str | Iterable[str], other: str | Iterable[str], places: Iterable[int]) -> None:
-        """Of each ordered pair the next streams are reset, each once so many bytes went that way."""
-        for a in self.of(one):
-            for b in self.of(other):
-                self.resets[a, b] = deque(places)
+        The n-th stream of each ordered pair is reset once it has forwarded `offsets[n]` bytes this way.
+        """
+        for a in self.resolve(side):
+            for b in self.resolve(other_side):
+                self.resets[a, b] = deque(offsets)
 
     def heal(self) -> None:
         self.faults.clear()
         self.resets.clear()
-        self.default_link = OPEN
-        self._changed()
+        self.default_link = NO_FAULT
+        self._pump_all()
 
     def between(self, source: str, target: str) -> Link:
         return self.faults.get((source, target), self.default_link)
 
-    def _changed(self) -> None:
-        for way in list(self.streams):
-            way.pump()
+    def _pump_all(self) -> None:
+        for direction in list(self.directions):
+            direction.pump()
 
-    def at(self, host: str) -> str:
-        """Who sends from there; "" where nobody is known."""
+    def name_of_host(self, host: str) -> str:
+        """Return the name of the place that sends from `host`, or "" if there is none."""
         return next((p.name for p in self.places.values() if p.host == host), "")
 
     async def open(self, name: str, target: str = "", datagrams: bool = False) -> Relay:
-        """A relay before `name`, which is at `target` (host:port; see `Relay.point`)."""
+        """Start a relay in front of place `name`, which is at `target` (host:port, see `Relay.point`)."""
         relay = Relay(self, name, target)
         await relay.open(datagrams)
         self.relays.append(relay)
@@ -110,11 +118,13 @@
     def close(self) -> None:
         for relay in self.relays:
             relay.close()
-        for way in list(self.streams):
-            way.drop()
+        for direction in list(self.directions):
+            direction.drop()
 
 
 class Relay(asyncio.DatagramProtocol):
+    """Forwards datagrams and streams to a place. While `target` is empty the place is down."""
+
     def __init__(self, links: Links, name: str, target: str) -> None:
         self.links, self.name, self.target = links, name, target
         self.address = ""
@@ -129,7 +139,7 @@
             await self.loop.create_datagram_endpoint(lambda: self, sock=datagram)
         else:
             datagram.close()
-        self.server = await self.loop.create_server(lambda: _Way(self), sock=stream, backlog=512)
+        self.server = await self.loop.create_server(lambda: _Direction(self), sock=stream, backlog=512)
 
     def point(self, target: str) -> None:
         self.target = target
@@ -144,11 +154,11 @@
         self.transport = transport  # type: ignore[assignment]
 
     def error_received(self, exc: Exception) -> None:
-        pass  # the place is not there: its datagrams are lost
+        pass  # the place is down: its datagrams are lost
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
         links = self.links
-        link = links.between(links.at(addr[0]), self.name)
+        link = links.between(links.name_of_host(addr[0]), self.name)
         if link.cut or not self.target or links.random.random() < link.loss:
             links.dropped += 1
             return
@@ -161,43 +171,45 @@
 
     def _deliver(self, data: bytes) -> None:
         if self.transport is not None and not self.transport.is_closing():
-            self.links.passed += 1
+            self.links.forwarded += 1
             self.transport.sendto(data, split_address(self.target))
 
 
-class _Way(asyncio.Protocol):
-    """One way of a stream: from the side whose protocol this is to the other side."""
+class _Direction(asyncio.Protocol):
+    """One direction of a relayed stream: from the connection of this protocol to the other connection."""
 
-    def __init__(self, relay: Relay, other: _Way | None = None, source: str = "", target: str = "") -> None:
-        self.relay, self.links, self.other = relay, relay.links, other
+    def __init__(
+        self, relay: Relay, reverse: _Direction | None = None, source: str = "", target: str = ""
+    ) -> None:
+        self.relay, self.links, self.reverse = relay, relay.links, reverse
         self.source, self.target = source, target
         self.transport: asyncio.Transport | None = None
-        self.held: deque[tuple[float, bytes | None]] = deque()  # when it is due; None: the end
-        self.bytes = 0
+        self.queue: deque[tuple[float, bytes | None]] = deque()  # due time, data; None is the close
+        self.queued_bytes = 0
         self.timer: asyncio.TimerHandle | None = None
-        self.ended = False
-        self.left: int | None = None  # bytes until it is reset
+        self.closed = False
+        self.bytes_until_reset: int | None = None  # None: no reset is planned
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.links.streams.add(self)
-        if self.other is None:
-            self.source = self.links.at(transport.get_extra_info("peername")[0])
+        self.links.directions.add(self)
+        if self.reverse is None:
+            self.source = self.links.name_of_host(transport.get_extra_info("peername")[0])
             self.target = self.relay.name
-        if due := self.links.resets.get((self.source, self.target)):
-            self.left = due.popleft()
-        if self.other is not None:  # ours to the place
-            self.other.pump()
+        if offsets := self.links.resets.get((self.source, self.target)):
+            self.bytes_until_reset = offsets.popleft()
+        if self.reverse is not None:  # this is the relay's connection to the place
+            self.reverse.pump()
             return
-        self.other = _Way(self.relay, self, self.target, self.source)
-        self.relay.loop.create_task(self._connect(self.other))
+        self.reverse = _Direction(self.relay, self, self.target, self.source)
+        self.relay.loop.create_task(self._connect(self.reverse))
 
-    async def _connect(self, other: _Way) -> None:
+    async def _connect(self, reverse: _Direction) -> None:
         host, port = split_address(self.relay.target or "127.0.0.1:1")
         try:
-            await self.relay.loop.create_connection(lambda: other, host, port)
+            await self.relay.loop.create_connection(lambda: reverse, host, port)
         except OSError:
-            other.ended = True
+            reverse.closed = True
             if not self.links.between(self.target, self.source).cut:
                 self.drop()
 
@@ -207,70 +219,78 @@
         if link.loss and self.links.random.random() < link.loss:
             delay += RESEND_S
         now = self.relay.loop.time()
-        due = max(now + delay, self.held[-1][0] if self.held else 0.0)  # order stays
-        self._hold(due, data)
-
-    def _hold(self, due: float, data: bytes | None) -> None:
-        self.held.append((due, data))
-        self.bytes += len(data or b"")
-        if self.bytes > HELD_BYTES and self.transport is not None and not self.transport.is_closing():
+        due = max(now + delay, self.queue[-1][0] if self.queue else 0.0)  # keeps the order of the stream
+        self._enqueue(due, data)
+
+    def _enqueue(self, due: float, data: bytes | None) -> None:
+        self.queue.append((due, data))
+        self.queued_bytes += len(data or b"")
+        if (
+            self.queued_bytes > BUFFER_BYTES
+            and self.transport is not None
+            and not self.transport.is_closing()
+        ):
             self.transport.pause_reading()
         self.pump()
 
     def pump(self) -> None:
-        """Pass on what is due, unless the way is cut."""
+        """Forward all data that is due, unless the direction is cut."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        other = self.other.transport if self.other is not None else None
-        if other is None or self.links.between(self.source, self.target).cut:
+        output = self.reverse.transport if self.reverse is not None else None
+        if output is None or self.links.between(self.source, self.target).cut:
             return
         now = self.relay.loop.time()
-        while self.held:
-            due, data = self.held[0]
+        while self.queue:
+            due, data = self.queue[0]
             if due > now:
                 self.timer = self.relay.loop.call_later(due - now, self.pump)
                 break
-            self.held.popleft()
-            if other.is_closing():
+            self.queue.popleft()
+            if output.is_closing():
                 continue
             if data is None:
-                other.abort()
+                output.abort()
             else:
-                self.links.passed += 1
-                self.bytes -= len(data)
-                if self.left is not None and len(data) >= self.left:
-                    other.write(data[: self.left])
+                self.links.forwarded += 1
+                self.queued_bytes -= len(data)
+                if self.bytes_until_reset is not None and len(data) >= self.bytes_until_reset:
+                    output.write(data[: self.bytes_until_reset])
                     self._reset()
                     return
-                if self.left is not None:
-                    self.left -= len(data)
-                other.write(data)
-        if self.bytes <= HELD_BYTES and self.transport is not None and not self.transport.is_closing():
+                if self.bytes_until_reset is not None:
+                    self.bytes_until_reset -= len(data)
+                output.write(data)
+        if (
+            self.queued_bytes <= BUFFER_BYTES
+            and self.transport is not None
+            and not self.transport.is_closing()
+        ):
             self.transport.resume_reading()
-        if self.ended and not self.held:
-            self.links.streams.discard(self)
+        if self.closed and not self.queue:
+            self.links.directions.discard(self)
 
     def _reset(self) -> None:
-        """Both ends, once what was written before is out."""
-        for way in (self, self.other):
-            if way is not None and way.transport is not None:
-                way.ended = True
-                self.links.streams.discard(way)
-                self.relay.loop.call_later(0.01, way.transport.abort)
+        """Reset both connections, after a delay that lets the data written before leave."""
+        for direction in (self, self.reverse):
+            if direction is not None and direction.transport is not None:
+                direction.closed = True
+                self.links.directions.discard(direction)
+                self.relay.loop.call_later(0.01, direction.transport.abort)
 
     def eof_received(self) -> bool:
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        if not self.ended:
-            self.ended = True
-            last = self.held[-1][0] if self.held else 0.0
-            self._hold(max(last, self.relay.loop.time()), None)
+        if not self.closed:
+            self.closed = True
+            last = self.queue[-1][0] if self.queue else 0.0
+            self._enqueue(max(last, self.relay.loop.time()), None)
 
     def drop(self) -> None:
-        self.ended = True
-        self.links.streams.discard(self)
+        self.closed = True
+        self.links.directions.discard(self)
         if self.timer is not None:
             self.timer.cancel()
         if self.transport is not None:
@@ -282,7 +302,11 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultEvent:
-    """One timed fault: `cut`, `cut one way`, `link`, `heal`, `pause`, `wake`, `kill` or `start`."""
+    """A timed fault or its end. `action` is one of ACTIONS.
+
+    `cut`, `cut one way` and `link` act on the links between `side` and `other_side`, and `heal` on all links.
+    `pause`, `wake`, `kill` and `start` act on the processes in `side`.
+    """
 
     at_s: float
     action: str
@@ -291,74 +315,86 @@
     link: tuple[float, float, float, float] = (0.0, 0.0, 0.0, 0.0)  # least_s, most_s, loss, copies
 
 
-KINDS = ("cut", "cut one way", "link", "heal", "pause", "wake", "kill", "start")
+ACTIONS = ("cut", "cut one way", "link", "heal", "pause", "wake", "kill", "start")
 
 
 def draw_schedule(seed: int, names: list[str], seconds: float, each_s: float = 4.0) -> list[FaultEvent]:
-    """Faults for `seconds`, each over after at most `each_s`, the last healed before the end. The same seed
-    draws the same."""
-    rng, at, made = Random(f"{seed}/schedule"), 0.0, list[FaultEvent]()
+    """Draw random faults over `seconds`; each lasts at most `each_s`, and the last has healed before the end.
+
+    The same seed draws the same schedule.
+    """
+    rng, at_s, events = Random(f"{seed}/schedule"), 0.0, list[FaultEvent]()
     while True:
-        at += rng.uniform(0.2, 1.0) * each_s
-        lasts = rng.uniform(0.3, 1.0) * each_s
-        if at + lasts >= seconds:
-            return [*made, FaultEvent(seconds, "heal")]
-        what = rng.choice(("cut", "cut", "cut one way", "flap", "link", "pause", "kill"))
-        part = tuple(sorted(rng.sample(names, rng.randint(1, max(1, len(names) // 2)))))
-        rest = tuple(name for name in names if name not in part)
-        if what in ("cut", "cut one way"):
-            made += [FaultEvent(at, what, part, rest), FaultEvent(at + lasts, "heal")]
-        elif what == "flap":
-            for turn in range(4):
-                begin = at + lasts * turn / 4
-                made += [FaultEvent(begin, "cut", part, rest), FaultEvent(begin + lasts / 8, "heal")]
-        elif what == "link":
+        at_s += rng.uniform(0.2, 1.0) * each_s
+        duration_s = rng.uniform(0.3, 1.0) * each_s
+        if at_s + duration_s >= seconds:
+            return [*events, FaultEvent(seconds, "heal")]
+        action = rng.choice(("cut", "cut", "cut one way", "flap", "link", "pause", "kill"))
+        side = tuple(sorted(rng.sample(names, rng.randint(1, max(1, len(names) // 2)))))
+        other_side = tuple(name for name in names if name not in side)
+        if action in ("cut", "cut one way"):
+            events += [FaultEvent(at_s, action, side, other_side), FaultEvent(at_s + duration_s, "heal")]
+        elif action == "flap":
+            for cycle in range(4):
+                begin_s = at_s + duration_s * cycle / 4
+                events += [
+                    FaultEvent(begin_s, "cut", side, other_side),
+                    FaultEvent(begin_s + duration_s / 8, "heal"),
+                ]
+        elif action == "link":
             link = (0.0, rng.uniform(0.01, 0.1), rng.uniform(0.05, 0.3), 0.1)
-            made += [FaultEvent(at, "link", part, rest, link), FaultEvent(at + lasts, "heal")]
+            events += [
+                FaultEvent(at_s, "link", side, other_side, link),
+                FaultEvent(at_s + duration_s, "heal"),
+            ]
         else:
-            one = (rng.choice(names),)
-            back = "wake" if what == "pause" else "start"
-            made += [FaultEvent(at, what, one), FaultEvent(at + lasts, back, one)]
-        at += lasts
+            process = (rng.choice(names),)
+            end_action = "wake" if action == "pause" else "start"
+            events += [FaultEvent(at_s, action, process), FaultEvent(at_s + duration_s, end_action, process)]
+        at_s += duration_s
 
 
 def format_schedule(schedule: list[FaultEvent]) -> str:
-    """As a file: a line each, times first."""
+    """Return the schedule as text: one line for each event, with its time first."""
     rows = []
-    for one in schedule:
-        link = " ".join(f"{value:g}" for value in one.link)
-        rows.append(f"{one.at_s:.3f}|{one.action}|{','.join(one.side)}|{','.join(one.other_side)}|{link}")
+    for event in schedule:
+        link = " ".join(f"{value:g}" for value in event.link)
+        rows.append(
+            f"{event.at_s:.3f}|{event.action}|{','.join(event.side)}|{','.join(event.other_side)}|{link}"
+        )
     return "\n".join(rows) + "\n"
 
 
 def parse_schedule(text: str) -> list[FaultEvent]:
-    """ValueError with the line where it is none."""
+    """Parse the text of `format_schedule`. Raises ValueError with the number of the first invalid line."""
     schedule = []
-    for place, line in enumerate(text.splitlines(), 1):
+    for line_number, line in enumerate(text.splitlines(), 1):
         if not line.strip():
             continue
         try:
-            at, what, one, other, link = line.split("|")
-            least, most, loss, copies = map(float, link.split())
-            sides = [tuple(name for name in side.split(",") if name) for side in (one, other)]
-            if what not in KINDS:
-                raise ValueError(f"{what!r}, expected one of {', '.join(KINDS)}")
-            schedule.append(FaultEvent(float(at), what, sides[0], sides[1], (least, most, loss, copies)))
+            at_s, action, side_names, other_names, link = line.split("|")
+            least_s, most_s, loss, copies = map(float, link.split())
+            sides = [tuple(name for name in side.split(",") if name) for side in (side_names, other_names)]
+            if action not in ACTIONS:
+                raise ValueError(f"{action!r}, expected one of {', '.join(ACTIONS)}")
+            schedule.append(
+                FaultEvent(float(at_s), action, sides[0], sides[1], (least_s, most_s, loss, copies))
+            )
         except ValueError as error:
-            raise ValueError(f"line {place}: {error}") from None
+            raise ValueError(f"line {line_number}: {error}") from None
     return schedule
 
 
-def apply(links: Links, trouble: FaultEvent) -> bool:
-    """Whether it was one of the links; else it is one of the processes, and the caller's."""
-    if trouble.action == "cut":
-        links.cut(trouble.side, trouble.other_side)
-    elif trouble.action == "cut one way":
-        links.cut(trouble.side, trouble.other_side, both=False)
-    elif trouble.action == "link":
-        links.set(trouble.side, trouble.other_side, Link(*trouble.link))
-        links.set(trouble.other_side, trouble.side, Link(*trouble.link))
-    elif trouble.action == "heal":
+def apply(links: Links, event: FaultEvent) -> bool:
+    """Apply an event of the links. Returns False for an event of processes, which the caller has to apply."""
+    if event.action == "cut":
+        links.cut(event.side, event.other_side)
+    elif event.action == "cut one way":
+        links.cut(event.side, event.other_side, both=False)
+    elif event.action == "link":
+        links.set(event.side, event.other_side, Link(*event.link))
+        links.set(event.other_side, event.side, Link(*event.link))
+    elif event.action == "heal":
         links.heal()
     else:
         return False
