--- a/flintlatch/standin/rig.py
+++ b/flintlatch/standin/rig.py
@@ -1,4 +1,4 @@
-"""Everything at once for a rig: stand-in nodes, a registry, a ledger, and the configuration of a fleet."""
+"""Sets up a test rig: stand-in nodes, a registry, a ledger, and the configuration of a fleet."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 from flintlatch.standin.registry import Registry
 
 Rows = dict[str, list[dict[str, Any]]]
-DRAIN_GRACE_MS = 500.0  # from the registry's word to the last new request at a node
+DRAIN_GRACE_MS = 500.0  # from the registry's announcement of a drain to the last new request at the node
 CLASSES = {
     "answer": RequestClass(300, 900, Effect.SAFE, worth=1),
     "purchase": RequestClass(800, 2400, Effect.KEYED, Scope.ALL, 10_000, worth=12),
     "grade": RequestClass(500, 1500, Effect.UNSAFE, worth=3),
-    "exam": RequestClass(20_000, 30_000, Effect.UNSAFE, worth=3),  # long enough to be held through anything
+    "exam": RequestClass(20_000, 30_000, Effect.UNSAFE, worth=3),  # stays open through any reload or drain
 }
 MIX = {"answer": 0.7, "purchase": 0.2, "grade": 0.1}
 
 
 def toml(value: object) -> str:
-    """A value as TOML; text, numbers, flags and lists of them."""
+    """Return a string, number, boolean or list of these as TOML."""
     if isinstance(value, bool):
         return "true" if value else "false"
     if isinstance(value, list):
@@ -35,8 +35,10 @@
 
 
 def configuration(registry: str, rows: Rows | None = None, /, **tables: dict[str, Any]) -> str:
-    """A fleet's configuration on a free port; `tables` replaces or adds keys, a table each; `rows` are arrays
-    of tables by their name."""
+    """Return the configuration of a fleet that listens on a free port.
+
+    `tables`: by table name, the keys that are added or replaced. `rows`: by name, the arrays of tables.
+    """
     content: dict[str, dict[str, Any]] = {
         "fleet": {"name": "rig", "instances": 4, "listen": ["127.0.0.1:0"], "control": "c.sock"},
         "limits": {"sockets": 512, "memory_mb": 512},
@@ -54,14 +56,14 @@
         lines += [f"deadline_ms = {spec.deadline_ms}", f'effect = "{spec.effect.value}"']
         if spec.effect is Effect.KEYED:
             lines += [f'scope = "{spec.scope.value}"', f"window_ms = {spec.window_ms}"]
-    for name, several in (rows or {}).items():
-        for row in several:
+    for name, table_rows in (rows or {}).items():
+        for row in table_rows:
             lines += ["", f"[[{name}]]", *(f"{key} = {toml(value)}" for key, value in row.items())]
     return "\n".join(lines) + "\n"
 
 
 class Rig:
-    """Nodes that share their keys, a registry that lists them, and the ledger that all write to."""
+    """Nodes that share their idempotency keys, a registry that lists them, and a common ledger."""
 
     def __init__(self, folder: Path, seed: int) -> None:
         self.folder, self.seed = folder, seed
@@ -79,11 +81,11 @@
 
     @staticmethod
     def own(shape: Shape) -> Shape:
-        """A copy: a fault set on one node is that node's alone."""
+        """Return a copy of the shape, so that a fault set on one node leaves the others unchanged."""
         return replace(shape, faults=dict(shape.faults))
 
     async def add(self, shape: Shape) -> Node:
-        """One more node, just started, named by the registry at once."""
+        """Start a node, and add it to the registry at once."""
         node = Node(f"s{len(self.nodes)}", self.own(shape), self.ledger, self.seed, self.keys)
         await node.open()
         self.nodes.append(node)
@@ -91,10 +93,10 @@
         return node
 
     def write(self, **tables: dict[str, Any]) -> Path:
-        """Write the fleet's configuration whole, in place of the one before."""
-        fresh = self.config.with_suffix(".new")
-        fresh.write_text(configuration(self.registry.address, **tables))
-        fresh.rename(self.config)
+        """Write the complete configuration of the fleet, and replace the previous file atomically."""
+        temporary = self.config.with_suffix(".new")
+        temporary.write_text(configuration(self.registry.address, **tables))
+        temporary.rename(self.config)
         return self.config
 
     def close(self) -> None:
--- a/tests/standin/test_ledger.py
+++ b/tests/standin/test_ledger.py
@@ -103,7 +103,7 @@
         (Fault.RESET_AFTER, False),
         (Fault.RESET_BEFORE, True),
         (Fault.RESET_DURING, True),
-        (Fault.SPOILT, True),
+        (Fault.GARBLED, True),
         (Fault.SILENT, True),
     ],
 )
