--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -73,7 +73,7 @@
     begun = now_ms()
     await (await fleet.start()).ready_by_status()
     ready_s = (now_ms() - begun) / 1000
-    clients = Clients(fleet.address, CLASSES, rig.ledger, seed, most_connections=128, keep_requests=20)
+    clients = Clients(fleet.address, CLASSES, rig.ledger, seed, max_connections=128, keep_requests=20)
     prober = Prober(fleet.address, 0.01)
     prober.start()
     try:
--- a/flintlatch/standin/client.py
+++ b/flintlatch/standin/client.py
@@ -125,14 +125,14 @@
         classes: Mapping[str, RequestClass],
         ledger: Ledger,
         seed: int,
-        most_connections: int = 64,
+        max_connections: int = 64,
         keep_requests: int = 50,
     ) -> None:
         """A connection is closed by its client after about `keep_requests`, so new ones keep coming."""
         self.addresses = [address] if isinstance(address, str) else list(address)
         self.classes, self.ledger = dict(classes), ledger
         self.random, self.seed = Random(f"{seed}/clients"), seed
-        self.most, self.keep_requests = most_connections, keep_requests
+        self.most, self.keep_requests = max_connections, keep_requests
         self.connections: set[_Connection] = set()
         self.idle: list[_Connection] = []
         self.opening = 0
