--- a/bench/operations.py
+++ b/bench/operations.py
@@ -125,20 +125,20 @@
             await self.new_version()
             await self.silent_callers()
             await load
-        await self.clients.none_open.wait()
+        await self.clients.all_answered.wait()
         before = dict(self.clients.statuses)
         self.proxy, old = await self.start(), self.proxy
         await old.end()
         load = asyncio.create_task(self.clients.run(rate, 3.0, MIX))
         await load
-        await self.clients.none_open.wait()
+        await self.clients.all_answered.wait()
         await self.check_figures(before)
         await self.drain()
         load = asyncio.create_task(self.clients.run(rate, 4.0, MIX))
         await asyncio.sleep(0.5)
         await self.drain()
         await load
-        await self.clients.none_open.wait()
+        await self.clients.all_answered.wait()
         if (code := await self.proxy.end()) != 0:
             self.broken.append(f"the last process ended with {code}")
         if left := [name for name in os.listdir(self.folder) if "+" in name]:
--- a/flintlatch/standin/client.py
+++ b/flintlatch/standin/client.py
@@ -139,8 +139,8 @@
         self.queue: list[tuple[RequestRecord, bytes]] = []
         self.count = 0
         self.open = 0
-        self.none_open = asyncio.Event()
-        self.none_open.set()
+        self.all_answered = asyncio.Event()
+        self.all_answered.set()
         self.latencies: dict[str, list[float]] = {name: [] for name in self.classes}
         self.names: dict[str, str] = {}
         self.tasks: set[asyncio.Task[None]] = set()
@@ -170,7 +170,7 @@
         if body:
             lines += f"Content-Length: {len(body)}\r\n"
         self.open += 1
-        self.none_open.clear()
+        self.all_answered.clear()
         self._send(request, lines.encode() + b"\r\n" + body)
         return request
 
@@ -228,7 +228,7 @@
         self.names.pop(request.id, None)
         self.open -= 1
         if not self.open:
-            self.none_open.set()
+            self.all_answered.set()
         if self.queue:
             waiting = self.queue.pop(0)
             asyncio.get_running_loop().call_soon(self._send, *waiting)
@@ -250,7 +250,7 @@
             if (wait := at - loop.time()) > 0:
                 await asyncio.sleep(wait)
             self.ask(self.random.choices(names, shares)[0])
-        await self.none_open.wait()
+        await self.all_answered.wait()
 
     def close(self) -> None:
         for connection in list(self.connections):
--- a/tests/fleet/support.py
+++ b/tests/fleet/support.py
@@ -90,7 +90,7 @@
         await (await harness.fleet.start()).ready()
         harness.clients = Clients(harness.fleet.address, CLASSES, rig.ledger, seed)
         yield harness
-        await harness.clients.none_open.wait()
+        await harness.clients.all_answered.wait()
         if harness.fleet.process.returncode is None:
             await harness.pids_now()
             assert await harness.fleet.stop() == 0, harness.fleet.log
--- a/tests/fleet/test_daemon.py
+++ b/tests/fleet/test_daemon.py
@@ -41,7 +41,7 @@
             while not later_request.answers:
                 await asyncio.sleep(0.01)
             call.reply(200, b"done")
-            await harness.clients.none_open.wait()
+            await harness.clients.all_answered.wait()
             assert request.status == 200
             await none_left(set(old_pids))
             harness.assert_rules_kept()
@@ -64,7 +64,7 @@
             await harness.fleet.wait_for_log("reload: the fleet is stopping")
             call.reply(200, b"done")
             assert await harness.fleet.ended() == 0
-            await harness.clients.none_open.wait()
+            await harness.clients.all_answered.wait()
             assert request.status == 200
             harness.assert_rules_kept()
 
@@ -83,7 +83,7 @@
             assert request.answers == 0
             harness.fleet.signal(signal.SIGTERM)
             assert await harness.fleet.ended() == 0
-            await harness.clients.none_open.wait()
+            await harness.clients.all_answered.wait()
             assert request.status == 504  # the node may have run it, so the outcome is unknown to the client
             harness.assert_rules_kept()
 
@@ -156,7 +156,7 @@
             answer = await harness.fleet.ask("reload")
             assert answer["reason"] == "0 of 2 instances ready within 1 s" and answer["took_s"] < 10
             harness.clients.ask("answer")
-            await harness.clients.none_open.wait()
+            await harness.clients.all_answered.wait()
             status = await harness.fleet.until(lambda s: len(s["instances"]) == 2)
             assert [instance["pid"] for instance in status["instances"]] == pids
             harness.assert_rules_kept()
@@ -179,7 +179,7 @@
             assert status["generations"][0]["slots"][0]["last_crash"] == "signal 9"
             for call in calls:
                 call.reply(200, b"done")
-            await harness.clients.none_open.wait()
+            await harness.clients.all_answered.wait()
             assert sum(bool(request.excused) for request in requests) == lost_count
             assert sum(request.status == 200 for request in requests) == len(requests) - lost_count
             await harness.fleet.until(
@@ -204,7 +204,7 @@
             assert (slot["state"], slot["last_crash"]) == ("given up", "exit code 7")
             assert any("given up after 3 crashes" in line for line in status["news"])
             harness.clients.ask("answer")
-            await harness.clients.none_open.wait()
+            await harness.clients.all_answered.wait()
             harness.fault.unlink()
             assert (await harness.fleet.ask("reload"))["ok"]
             status = await harness.fleet.status()
@@ -249,11 +249,11 @@
             await (await successor.start()).ready()
             assert request.answers == 0
             call.reply(200, b"done")
-            await harness.clients.none_open.wait()
+            await harness.clients.all_answered.wait()
             assert request.status == 200
             await none_left(pids)
             harness.clients.ask("grade")
-            await harness.clients.none_open.wait()
+            await harness.clients.all_answered.wait()
             assert await successor.stop() == 0
             harness.assert_rules_kept()
 
--- a/tests/fleet/test_delivered.py
+++ b/tests/fleet/test_delivered.py
@@ -153,7 +153,7 @@
         await (await harness.fleet.start()).ready()
         harness.clients = Clients(harness.fleet.address, CLASSES, rig.ledger, 1)
         yield harness
-        await harness.clients.none_open.wait()
+        await harness.clients.all_answered.wait()
         await harness.pids_now()
         assert await harness.fleet.stop() == 0, harness.fleet.log
         await none_left(harness.pids)
--- a/tests/standin/test_ledger.py
+++ b/tests/standin/test_ledger.py
@@ -116,7 +116,7 @@
         clients = Clients(node.address, {"grade": CLASSES["grade"]}, ledger, 1)
         for _ in range(3):
             clients.ask("grade")
-        await clients.none_open.wait()
+        await clients.all_answered.wait()
         assert set(rules(ledger)) == ({"lost"} if lost else set())
         node.die()
         clients.close()
