--- a/flintlatch/standin/client.py
+++ b/flintlatch/standin/client.py
@@ -1,7 +1,8 @@
-"""Stand-in clients, after the protocol page: mixed requests on kept connections, each noted in the ledger.
+"""Simulates the clients of the protocol page: mixed requests on keep-alive connections, recorded in a ledger.
 
-A kept connection that closes before a byte of the answer may have crossed the request: it is sent once
-more on a new one, as the page has it. But one that a node had already was taken, and so it is lost.
+The close of an idle keep-alive connection can race with the next request. If the connection closes before a
+byte of the answer, the client retries once on a new connection, as the page specifies. If a node has already
+received the request, it was accepted, and so the missing answer counts as lost.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 from flintlatch.net.clock import now_ms
 from flintlatch.standin.ledger import Ledger, RequestRecord
 
-WAIT_ON_MS = 500.0  # ms past its deadline that an answer is still waited for, to tell late from lost
+LATE_ANSWER_MS = 500.0  # wait beyond the deadline, which distinguishes a late answer from a lost one
 CONNECT_S = 5.0
 
 
@@ -27,14 +28,14 @@
         self.owner = owner
         self.transport: asyncio.Transport
         self.parser: httptools.HttpResponseParser | None = None
-        self.open: RequestRecord | None = None  # the request without an answer
-        self.last: RequestRecord | None = None
+        self.pending: RequestRecord | None = None  # the request that awaits its answer
+        self.previous: RequestRecord | None = None
         self.message = b""
-        self.heard = 0  # bytes of the answer
-        self.used = 0
-        self.keep = False
+        self.received_bytes = 0  # bytes of the answer
+        self.request_count = 0
+        self.keep_alive = False
         self.port = 0
-        self.excused = ""
+        self.excuse = ""
         self.timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -44,45 +45,45 @@
 
     def ask(self, request: RequestRecord, message: bytes) -> None:
         self.parser = httptools.HttpResponseParser(self)
-        self.open, self.message, self.heard = request, message, 0
-        self.used += 1
-        wait = (request.deadline_ms + WAIT_ON_MS - now_ms()) / 1000
-        self.timer = asyncio.get_running_loop().call_later(max(wait, 0.0), self._too_late)
+        self.pending, self.message, self.received_bytes = request, message, 0
+        self.request_count += 1
+        timeout_s = (request.deadline_ms + LATE_ANSWER_MS - now_ms()) / 1000
+        self.timer = asyncio.get_running_loop().call_later(max(timeout_s, 0.0), self._time_out)
         self.transport.write(message)
 
-    def _too_late(self) -> None:
-        if self.open is not None:
-            self.open.failure = "no answer by its deadline"
+    def _time_out(self) -> None:
+        if self.pending is not None:
+            self.pending.failure = "no answer by its deadline"
         self.transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        if self.open is None:
-            if self.last is not None:
-                self.last.trailing_bytes += len(data)
+        if self.pending is None:
+            if self.previous is not None:
+                self.previous.trailing_bytes += len(data)
             self.transport.abort()
             return
-        self.heard += len(data)
+        self.received_bytes += len(data)
         assert self.parser is not None
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError as error:
-            if self.open is not None:
-                self.open.failure = f"answer that can't be read: {error}"
-            elif self.last is not None:
-                self.last.trailing_bytes += len(data)
+            if self.pending is not None:
+                self.pending.failure = f"answer that can't be read: {error}"
+            elif self.previous is not None:
+                self.previous.trailing_bytes += len(data)
             self.transport.abort()
 
     def on_message_complete(self) -> None:
-        request, self.open = self.open, None
+        request, self.pending = self.pending, None
         assert self.parser is not None
         if request is None:
-            if self.last is not None:
-                self.last.answers += 1
+            if self.previous is not None:
+                self.previous.answers += 1
             return
-        self.last, self.keep = request, self.parser.should_keep_alive()
+        self.previous, self.keep_alive = request, self.parser.should_keep_alive()
         self._stop_timer()
-        self.owner.answered(request, self.parser.get_status_code())
-        if self.keep:
+        self.owner.on_answer(request, self.parser.get_status_code())
+        if self.keep_alive:
             self.owner.idle.append(self)
         else:
             self.transport.close()
@@ -98,26 +99,32 @@
         if self in owner.idle:
             owner.idle.remove(self)
         self._stop_timer()
-        request, self.open, self.parser = self.open, None, None
+        request, self.pending, self.parser = self.pending, None, None
         if request is None:
             return
-        seen = owner.ledger.received[request.id] > 0
-        if self.excused:
-            request.excused = self.excused
-            owner.ended(request)
+        reached_node = owner.ledger.received[request.id] > 0
+        if self.excuse:
+            request.excused = self.excuse
+            owner.on_done(request)
         elif (
-            self.used > 1 and not self.heard and not request.close_races and not seen and not request.failure
+            self.request_count > 1
+            and not self.received_bytes
+            and not request.close_races
+            and not reached_node
+            and not request.failure
         ):
             request.close_races += 1
-            owner.again(request, self.message)
+            owner.retry(request, self.message)
         else:
-            where = "after a node had it" if seen else f"on its {self.used}. request"
-            request.failure = request.failure or f"connection ended {where}, {self.heard} bytes of an answer"
-            owner.ended(request)
+            where = "after a node had it" if reached_node else f"on its {self.request_count}. request"
+            request.failure = (
+                request.failure or f"connection ended {where}, {self.received_bytes} bytes of an answer"
+            )
+            owner.on_done(request)
 
 
 class Clients:
-    """Traffic for one fleet. `classes`: name (first part of the path) to class; `mix`: share of each."""
+    """Clients of one or more fleets. `classes`: by name, which is the first segment of the path."""
 
     def __init__(
         self,
@@ -128,29 +135,29 @@
         max_connections: int = 64,
         keep_requests: int = 50,
     ) -> None:
-        """A connection is closed by its client after about `keep_requests`, so new ones keep coming."""
+        """Clients close a connection after about `keep_requests` requests, so that new ones keep arriving."""
         self.addresses = [address] if isinstance(address, str) else list(address)
         self.classes, self.ledger = dict(classes), ledger
         self.random, self.seed = Random(f"{seed}/clients"), seed
-        self.most, self.keep_requests = max_connections, keep_requests
+        self.max_connections, self.keep_requests = max_connections, keep_requests
         self.connections: set[_Connection] = set()
         self.idle: list[_Connection] = []
         self.opening = 0
         self.queue: list[tuple[RequestRecord, bytes]] = []
         self.count = 0
-        self.open = 0
+        self.in_flight = 0
         self.all_answered = asyncio.Event()
         self.all_answered.set()
         self.latencies: dict[str, list[float]] = {name: [] for name in self.classes}
-        self.names: dict[str, str] = {}
+        self.class_names: dict[str, str] = {}
         self.tasks: set[asyncio.Task[None]] = set()
         self.refused_connections = 0
         self.statuses: Counter[int] = Counter()
 
-    # Asking
+    # Requests
 
     def ask(self, name: str, key: str | None = None) -> RequestRecord:
-        """Send one request of the class now; the result fills itself in."""
+        """Send a request of the class, and return its record, which is updated when the answer arrives."""
         spec = self.classes[name]
         self.count += 1
         request_id = f"{self.seed:x}-{self.count:x}-{self.random.getrandbits(32):08x}"
@@ -159,32 +166,30 @@
         now = now_ms()
         request = RequestRecord(request_id, spec, key, now, now + spec.deadline_ms)
         self.ledger.ask(request)
-        self.names[request_id] = name
+        self.class_names[request_id] = name
         method, body = ("GET", b"") if spec.effect is Effect.SAFE else ("POST", b"x" * 100)
-        lines = (
-            f"{method} /{name}/{self.count} HTTP/1.1\r\nHost: backend.local\r\nX-Call-Id: {request_id}\r\n"
-        )
-        lines += f"X-Budget-Ms: {spec.deadline_ms:.0f}\r\n"
+        head = f"{method} /{name}/{self.count} HTTP/1.1\r\nHost: backend.local\r\nX-Call-Id: {request_id}\r\n"
+        head += f"X-Budget-Ms: {spec.deadline_ms:.0f}\r\n"
         if key is not None:
-            lines += f"Idempotency-Key: {key}\r\n"
+            head += f"Idempotency-Key: {key}\r\n"
         if body:
-            lines += f"Content-Length: {len(body)}\r\n"
-        self.open += 1
+            head += f"Content-Length: {len(body)}\r\n"
+        self.in_flight += 1
         self.all_answered.clear()
-        self._send(request, lines.encode() + b"\r\n" + body)
+        self._send(request, head.encode() + b"\r\n" + body)
         return request
 
-    def _send(self, request: RequestRecord, message: bytes, fresh: bool = False) -> None:
-        while self.idle and not fresh:
+    def _send(self, request: RequestRecord, message: bytes, new_connection: bool = False) -> None:
+        while self.idle and not new_connection:
             connection = self.idle.pop()
             if connection.transport.is_closing():
                 continue
-            if connection.used >= self.keep_requests:
+            if connection.request_count >= self.keep_requests:
                 connection.transport.close()
                 continue
             connection.ask(request, message)
             return
-        if len(self.connections) + self.opening < self.most or fresh:
+        if len(self.connections) + self.opening < self.max_connections or new_connection:
             self._task(self._open(request, message))
         else:
             self.queue.append((request, message))
@@ -205,51 +210,54 @@
         except OSError as error:
             self.refused_connections += 1
             request.failure = f"could not connect: {error}"
-            self.ended(request)
+            self.on_done(request)
             return
         finally:
             self.opening -= 1
         connection.ask(request, message)
 
-    def again(self, request: RequestRecord, message: bytes) -> None:
-        self._send(request, message, fresh=True)
+    def retry(self, request: RequestRecord, message: bytes) -> None:
+        self._send(request, message, new_connection=True)
 
     # Answers
 
-    def answered(self, request: RequestRecord, status: int) -> None:
+    def on_answer(self, request: RequestRecord, status: int) -> None:
         now = now_ms()
         self.statuses[status] += 1
         self.ledger.answer(request.id, status, now)
         if status == 200:
-            self.latencies[self.names[request.id]].append(now - request.sent_ms)
-        self.ended(request)
+            self.latencies[self.class_names[request.id]].append(now - request.sent_ms)
+        self.on_done(request)
 
-    def ended(self, request: RequestRecord) -> None:
-        self.names.pop(request.id, None)
-        self.open -= 1
-        if not self.open:
+    def on_done(self, request: RequestRecord) -> None:
+        self.class_names.pop(request.id, None)
+        self.in_flight -= 1
+        if not self.in_flight:
             self.all_answered.set()
         if self.queue:
-            waiting = self.queue.pop(0)
-            asyncio.get_running_loop().call_soon(self._send, *waiting)
+            queued = self.queue.pop(0)
+            asyncio.get_running_loop().call_soon(self._send, *queued)
 
-    def excuse(self, ports: set[int], why: str) -> None:
-        """The process that holds the other ends of these local ports is about to be killed."""
+    def excuse(self, ports: set[int], reason: str) -> None:
+        """Excuse missing answers on connections from these local ports: the server will be killed."""
         for connection in self.connections:
             if connection.port in ports:
-                connection.excused = why
+                connection.excuse = reason
 
-    # Runs
+    # Traffic
 
     async def run(self, rate: float, seconds: float, mix: Mapping[str, float]) -> None:
-        """Poisson arrivals at `rate` a second in all; returns when the last is answered."""
+        """Send Poisson traffic at `rate` requests a second in total, and wait until all have ended.
+
+        `mix`: by class name, the fraction of the requests.
+        """
         loop = asyncio.get_running_loop()
-        names, shares = list(mix), list(mix.values())
-        at, until = loop.time(), loop.time() + seconds
-        while (at := at + self.random.expovariate(rate)) < until:
-            if (wait := at - loop.time()) > 0:
-                await asyncio.sleep(wait)
-            self.ask(self.random.choices(names, shares)[0])
+        names, weights = list(mix), list(mix.values())
+        next_at, end_at = loop.time(), loop.time() + seconds
+        while (next_at := next_at + self.random.expovariate(rate)) < end_at:
+            if (wait_s := next_at - loop.time()) > 0:
+                await asyncio.sleep(wait_s)
+            self.ask(self.random.choices(names, weights)[0])
         await self.all_answered.wait()
 
     def close(self) -> None:
@@ -258,14 +266,14 @@
         for task in self.tasks:
             task.cancel()
 
-    def quantile(self, part: float) -> float:
-        """Of all answers served, ms; 0 if there are none."""
+    def quantile(self, fraction: float) -> float:
+        """Return the quantile of the latencies of all served requests in ms, or 0 if there are none."""
         values = sorted(value for values in self.latencies.values() for value in values)
-        return values[min(int(part * len(values)), len(values) - 1)] if values else 0.0
+        return values[min(int(fraction * len(values)), len(values) - 1)] if values else 0.0
 
 
 class Prober:
-    """Opens a new connection every `every_s` and asks whether the fleet is ready there."""
+    """Requests the readiness of a fleet on a new connection, `every_s` after the last probe ended."""
 
     def __init__(self, address: str, every_s: float = 0.02) -> None:
         self.address, self.every_s = address, every_s
@@ -298,7 +306,7 @@
             self.failures.append(line.decode("latin-1").strip() or "closed with no answer")
 
     def stop(self) -> float:
-        """The longest time between two good answers, ms."""
+        """Stop probing, and return the longest time between two successful probes in ms."""
         if self.task is not None:
             self.task.cancel()
         return max((b - a for a, b in zip(self.done_ms, self.done_ms[1:], strict=False)), default=0.0)
--- a/flintlatch/standin/demo.py
+++ b/flintlatch/standin/demo.py
@@ -33,7 +33,7 @@
         other = clients.statuses.total() - served
         say(
             f"  {loop.time() - begun:4.0f} s  asked {clients.count:6}  served {served:6} (+{served - before})"
-            f"  refused or failed {other:4}  open {clients.open:3}"
+            f"  refused or failed {other:4}  open {clients.in_flight:3}"
         )
         before = served
 
