--- a/flintlatch/standin/proxy.py
+++ b/flintlatch/standin/proxy.py
@@ -1,4 +1,4 @@
-"""The platform's program as a process of its own, and calls to its second address."""
+"""Runs the platform's program as a child process, and sends requests to its admin address."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
     Effect.KEYED: "idempotency_key",
     Effect.UNSAFE: "non_idempotent",
 }
-CALL_S = 10.0  # s that a call to the second address is waited for
+CALL_TIMEOUT_S = 10.0  # timeout of a request to the admin address
 
 
 def free_address() -> str:
-    """An address on loopback that nobody listens at now."""
+    """Return a loopback address that is free now."""
     with socket.create_server(("127.0.0.1", 0)) as sock:
         return "{}:{}".format(*sock.getsockname())
 
@@ -32,8 +32,8 @@
 def configuration(
     listen: str, discovery: str, classes: Mapping[str, RequestClass], nodes: list[Node]
 ) -> dict[str, Any]:
-    """What the platform tells a proxy, after the deployment page."""
-    known = [
+    """Return the configuration that the platform passes to a proxy, in the form of the deployment page."""
+    targets = [
         {"uid": node.uid, "endpoint": node.address, "az": 0, "model": "default", "state": "active",
          "pod_group": node.shape.cell, "capacity_hint": 1.0, "boot_ms": 0}
         for node in nodes
@@ -48,14 +48,17 @@
     return {
         "name": "n0", "listen": listen, "discovery": discovery, "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-        "known": {"rev": 1, "all": True, "targets": known},
+        "known": {"rev": 1, "all": True, "targets": targets},
         "settings": settings,
     }  # fmt: skip
 
 
 async def call(address: str, method: str, path: str) -> tuple[int, str]:
-    """One call to a second address: status and text. Raises OSError or TimeoutError."""
-    async with asyncio.timeout(CALL_S):
+    """Send a request to an admin address, and return the status and the body.
+
+    Raises OSError or TimeoutError.
+    """
+    async with asyncio.timeout(CALL_TIMEOUT_S):
         host, _, port = address.rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         try:
@@ -69,14 +72,14 @@
 
 
 def read_figures(text: str) -> dict[str, int]:
-    """Lines of StatsD as name to value."""
+    """Parse StatsD lines into values by name."""
     return {
         line.rpartition(":")[0]: int(line.rpartition(":")[2].partition("|")[0]) for line in text.splitlines()
     }
 
 
 class ProxyProcess:
-    """`lines` holds what it wrote to standard error, as far as it was read."""
+    """A proxy that runs as a child process. `lines` contains its standard error as far as it was read."""
 
     def __init__(self, process: asyncio.subprocess.Process, admin: str) -> None:
         self.process, self.admin = process, admin
@@ -84,30 +87,30 @@
 
     @classmethod
     async def start(cls, config: Path, **env: str) -> ProxyProcess:
-        """Returns once it listens. `env`: the platform's variables, beside LB_CONFIG."""
-        own = {name: value for name, value in os.environ.items() if not name.startswith("LB_")}
+        """Start a proxy, and return once it listens. `env`: the platform's variables other than LB_CONFIG."""
+        inherited = {name: value for name, value in os.environ.items() if not name.startswith("LB_")}
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
             "flintlatch",
-            env=own | {"LB_CONFIG": str(config)} | env,
+            env=inherited | {"LB_CONFIG": str(config)} | env,
             stderr=asyncio.subprocess.PIPE,
         )
         program = cls(process, env.get("LB_ADMIN", ""))
         await program.wait_for_log("listens on")
         return program
 
-    async def wait_for_log(self, words: str) -> None:
-        """Until a line of its log holds `words`. Raises AssertionError if it ended without."""
-        while not any(words in line for line in self.lines):
+    async def wait_for_log(self, text: str) -> None:
+        """Wait for a log line that contains `text`. Raises AssertionError if the process ends without it."""
+        while not any(text in line for line in self.lines):
             assert self.process.stderr is not None
             line = (await self.process.stderr.readline()).decode()
             if not line:
-                raise AssertionError(f"never said {words!r}: {self.lines}")
+                raise AssertionError(f"the process ended without logging {text!r}: {self.lines}")
             self.lines.append(line)
 
     async def end(self, number: int = signal.SIGTERM) -> int:
-        """Send it the signal and read its log to the end; its exit code."""
+        """Send the signal, read the log to its end, and return the exit code."""
         self.process.send_signal(number)
         assert self.process.stderr is not None
         self.lines += (await self.process.stderr.read()).decode().splitlines()
--- a/flintlatch/standin/registry.py
+++ b/flintlatch/standin/registry.py
@@ -1,4 +1,4 @@
-"""A stand-in registry, after the protocol page: the whole list, and a watch that waits for what is newer."""
+"""Simulates the registry of the protocol page: snapshots of the list, and long polls that return deltas."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from flintlatch.standin.ledger import Ledger
 from flintlatch.standin.node import Node
 
-MOST_WAIT_MS = 60_000
+MAX_WAIT_MS = 60_000
 
 
 class Registry:
@@ -22,7 +22,7 @@
         self.entries: dict[str, dict[str, Any]] = {}
         self.changes: list[tuple[int, dict[str, Any]]] = []
         self.changed = asyncio.Event()
-        self.calls: list[float] = []  # when each call came, ms
+        self.calls: list[float] = []  # arrival time of each request, ms
         self.down = False  # answers 503
         self.silent = False  # never answers
         self.address = ""
@@ -47,7 +47,7 @@
     def put(
         self, uid: str, address: str, state: str, zone: int = 0, cell: int = 0, boot_ms: float = 0.0
     ) -> None:
-        """Name a node, or tell its new state: "active", "leaving" or "left"."""
+        """Add a node or change its state, which is "active", "leaving" or "left"."""
         self.rev += 1
         entry = {"uid": uid, "endpoint": address, "az": zone, "model": "default", "pod_group": cell,
                  "state": state, "capacity_hint": 1.0, "boot_ms": boot_ms}  # fmt: skip
@@ -84,19 +84,19 @@
             self.tasks.discard(task)
             writer.close()
 
-    async def _answer(self, target: str) -> tuple[int, bytes]:
+    async def _answer(self, request_target: str) -> tuple[int, bytes]:
         if self.silent:
             await asyncio.Event().wait()
         if self.down:
             return 503, b""
-        parts = urlsplit(target)
+        parts = urlsplit(request_target)
         if parts.path != "/registry/instances":
             return 404, b""
         query = parse_qs(parts.query)
         if "since" not in query:
-            return 200, self._whole()
+            return 200, self._snapshot()
         since = int(query["since"][0])
-        wait_ms = min(int(query.get("timeout_ms", ["0"])[0]), MOST_WAIT_MS)
+        wait_ms = min(int(query.get("timeout_ms", ["0"])[0]), MAX_WAIT_MS)
         if since == self.rev:
             changed = self.changed
             try:
@@ -105,9 +105,9 @@
             except TimeoutError:
                 pass
         if since > self.rev:
-            return 200, self._whole()
-        news = [entry for rev, entry in self.changes if rev > since]
-        return 200, orjson.dumps({"rev": self.rev, "all": False, "targets": news})
+            return 200, self._snapshot()
+        delta = [entry for rev, entry in self.changes if rev > since]
+        return 200, orjson.dumps({"rev": self.rev, "all": False, "targets": delta})
 
-    def _whole(self) -> bytes:
+    def _snapshot(self) -> bytes:
         return orjson.dumps({"rev": self.rev, "all": True, "targets": list(self.entries.values())})
