--- a/bench/delivery_processes.py
+++ b/bench/delivery_processes.py
@@ -27,7 +27,7 @@
 from flintlatch.delivery.model import Rules
 from flintlatch.delivery.source import POLL_INTERVAL_S
 from flintlatch.peers.clock import clock
-from flintlatch.standin.delivery import Delivered, delivered
+from flintlatch.standin.delivery import DeliveryDeployment, delivered
 from flintlatch.standin.links import FaultEvent, draw_schedule, format_schedule
 
 EACH_S = 4.0  # the longest fault
@@ -78,7 +78,7 @@
     return worst
 
 
-async def commits(made: Delivered, rng: Random, end: float) -> None:
+async def commits(made: DeliveryDeployment, rng: Random, end: float) -> None:
     services = [name for name in made.objects if name != "mark"]
     number = 0
     while clock() < end:
@@ -96,7 +96,7 @@
         await asyncio.sleep(max(0.0, COMMIT_S - (clock() - began)))
 
 
-def shares(made: Delivered, kind: str, before: dict[str, float], seconds: float) -> list[float]:
+def shares(made: DeliveryDeployment, kind: str, before: dict[str, float], seconds: float) -> list[float]:
     """Of those that ran all the time."""
     alive: Iterable[tuple[str, Any]] = made.children.items()
     now = {n: (c.process.pid, spent(c.process.pid)) for n, c in alive if n[0] == kind}
--- a/flintlatch/standin/delivery.py
+++ b/flintlatch/standin/delivery.py
@@ -114,7 +114,7 @@
         return code
 
 
-class Delivered:
+class DeliveryDeployment:
     def __init__(self, folder: Path, zones: tuple[str, ...], seed: int, rules: Mapping[str, float]) -> None:
         self.folder, self.zones, self.rules = folder, zones, dict(rules)
         self.links = Links(seed)
@@ -285,9 +285,9 @@
     each: int = 3,
     seed: int = 1,
     rules: Mapping[str, float] = QUICK,
-) -> AsyncIterator[Delivered]:
+) -> AsyncIterator[DeliveryDeployment]:
     """All of it, once every follower holds the first commit; ended at the end."""
-    made = Delivered(folder, zones, seed, rules)
+    made = DeliveryDeployment(folder, zones, seed, rules)
     try:
         await made.open(relays, followers, services, each)
         yield made
--- a/tests/delivery/test_processes.py
+++ b/tests/delivery/test_processes.py
@@ -20,7 +20,7 @@
 from flintlatch.config.reader import Reader
 from flintlatch.delivery.model import Participant, rank_relays
 from flintlatch.delivery.source import POLL_INTERVAL_S
-from flintlatch.standin.delivery import QUICK, Delivered, delivered
+from flintlatch.standin.delivery import QUICK, DeliveryDeployment, delivered
 
 TEST_TIMEOUT_S = 90.0  # reached only if a test hangs
 LOADED_S = 4.0
@@ -38,16 +38,16 @@
     return RULES.staleness_bound_s(lost_relays, 0.0) + POLL_INTERVAL_S + LOADED_S
 
 
-def followers_of(deployment: Delivered, relay: str) -> tuple[str, ...]:
+def followers_of(deployment: DeliveryDeployment, relay: str) -> tuple[str, ...]:
     return tuple(name for name in deployment.follows if deployment.relay_of(name) == relay)
 
 
-def busiest_relay(deployment: Delivered) -> str:
+def busiest_relay(deployment: DeliveryDeployment) -> str:
     """The relay with the most followers."""
     return max(RELAYS, key=lambda relay: len(followers_of(deployment, relay)))
 
 
-async def wait_until_settled(deployment: Delivered) -> None:
+async def wait_until_settled(deployment: DeliveryDeployment) -> None:
     """Waits until every follower is at its best-ranked relay."""
     participants = {n: Participant(n, p.zone, p.zone) for n, p in deployment.links.places.items()}
     relays = tuple(participants[name] for name in RELAYS)
@@ -57,7 +57,7 @@
     )
 
 
-async def repair(deployment: Delivered) -> None:
+async def repair(deployment: DeliveryDeployment) -> None:
     """Restores the initial situation except for the revision: no cuts, all processes and services present."""
     deployment.links.heal()
     for child in deployment.children.values():
@@ -73,7 +73,7 @@
     await wait_until_settled(deployment)
 
 
-Test = Callable[[Delivered], Coroutine[Any, Any, None]]
+Test = Callable[[DeliveryDeployment], Coroutine[Any, Any, None]]
 
 
 class SharedDeployment:
@@ -82,8 +82,8 @@
     def __init__(self, folder: Path) -> None:
         self.folder, self.start_count = folder, 0
         self.runner = asyncio.Runner(loop_factory=uvloop.new_event_loop)
-        self.context: AbstractAsyncContextManager[Delivered] | None = None
-        self.deployment: Delivered | None = None
+        self.context: AbstractAsyncContextManager[DeliveryDeployment] | None = None
+        self.deployment: DeliveryDeployment | None = None
 
     def run(self, test: Test) -> None:
         self.runner.run(asyncio.wait_for(self._run(test), TEST_TIMEOUT_S))
@@ -120,7 +120,7 @@
 
 
 def test_a_killed_relay_affects_only_its_own_followers(shared: SharedDeployment) -> None:
-    async def test(deployment: Delivered) -> None:
+    async def test(deployment: DeliveryDeployment) -> None:
         for turn in range(3):
             await deployment.commit(f"s{turn}")
             await deployment.all_hold(bound_s())
@@ -153,7 +153,7 @@
 def test_deltas_buffered_in_a_paused_relay_or_follower_take_no_follower_back(
     shared: SharedDeployment,
 ) -> None:
-    async def test(deployment: Delivered) -> None:
+    async def test(deployment: DeliveryDeployment) -> None:
         stopped = busiest_relay(deployment)
         affected = followers_of(deployment, stopped)
         assert affected
@@ -179,7 +179,7 @@
 def test_followers_leave_relays_that_are_cut_off_from_them_or_from_the_origin(
     shared: SharedDeployment,
 ) -> None:
-    async def test(deployment: Delivered) -> None:
+    async def test(deployment: DeliveryDeployment) -> None:
         first = busiest_relay(deployment)
         affected = followers_of(deployment, first)
         deployment.links.cut(first, affected, both=False)  # relay to followers only
@@ -206,7 +206,7 @@
 
 
 def test_a_relay_that_lags_behind_is_not_used_when_the_others_are_lost(shared: SharedDeployment) -> None:
-    async def test(deployment: Delivered) -> None:
+    async def test(deployment: DeliveryDeployment) -> None:
         deployment.links.cut("origin", "r1")
         last = await deployment.commit("s0")
         await deployment.all_hold(STALE_SWITCH_S + bound_s(1))
@@ -229,7 +229,7 @@
 
 
 def test_restarts_of_all_relays_and_then_of_the_origin_lose_no_state(shared: SharedDeployment) -> None:
-    async def test(deployment: Delivered) -> None:
+    async def test(deployment: DeliveryDeployment) -> None:
         exit_codes = await asyncio.gather(*(deployment.kill(relay, signal.SIGTERM) for relay in RELAYS))
         assert exit_codes == [0, 0, 0]
         await deployment.commit("s1")  # committed while no relay runs
@@ -253,7 +253,7 @@
 
 
 def test_a_partitioned_zone_catches_up_and_logs_the_outage_once(shared: SharedDeployment) -> None:
-    async def test(deployment: Delivered) -> None:
+    async def test(deployment: DeliveryDeployment) -> None:
         inside = tuple(n for n in deployment.follows if deployment.links.places[n].zone == "a")
         outside = tuple(n for n in deployment.follows if n not in inside)
         assert inside and outside
