--- a/bench/delivery_processes.py
+++ b/bench/delivery_processes.py
@@ -27,7 +27,7 @@
 from flintlatch.delivery.model import Rules
 from flintlatch.delivery.source import POLL_INTERVAL_S
 from flintlatch.peers.clock import clock
-from flintlatch.standin.delivery import DeliveryDeployment, delivered
+from flintlatch.standin.delivery import DeliveryDeployment, delivery_deployment
 from flintlatch.standin.links import FaultEvent, draw_schedule, format_schedule
 
 EACH_S = 4.0  # the longest fault
@@ -108,7 +108,7 @@
     rules, broke = Rules(), list[str]()
     most = bound(rules, args.relays)
     print(f"load {os.getloadavg()[0]:.1f} on {os.cpu_count()} processors at the start")
-    async with delivered(
+    async with delivery_deployment(
         folder, ZONES, args.relays, args.followers, services=40, each=6, seed=args.seed, rules={}
     ) as made:
         relays = [name for name in made.fault_relays if name != "origin"]
--- a/flintlatch/standin/delivery.py
+++ b/flintlatch/standin/delivery.py
@@ -1,6 +1,6 @@
 """Delivery as real processes, every link between them a relay of faults.
 
-    async with delivered(folder, zones=("a", "b"), relays=3, followers=6) as made:
+    async with delivery_deployment(folder, zones=("a", "b"), relays=3, followers=6) as made:
         made.links.cut("zone:a", "zone:b")
 
 Origin `origin` is in the last zone; relay `rK` and follower `pK` in zone K modulo the zones. Each process
@@ -276,7 +276,7 @@
 
 
 @asynccontextmanager
-async def delivered(
+async def delivery_deployment(
     folder: Path,
     zones: tuple[str, ...] = ("a", "b"),
     relays: int = 3,
--- a/tests/delivery/test_commands.py
+++ b/tests/delivery/test_commands.py
@@ -18,7 +18,7 @@
 from flintlatch.config import Unusable
 from flintlatch.config.delivery import load_follow, load_origin, load_relay
 from flintlatch.delivery.model import RELAY_RULES, Participant, Rules
-from flintlatch.standin.delivery import delivered
+from flintlatch.standin.delivery import delivery_deployment
 
 KEY = "ab" * 32
 ORIGIN = '[delivery]\nname = "o"\nbind = "127.0.0.1:0"\nkey_file = "key"\nsource = "objects.json"\n'
@@ -164,7 +164,9 @@
 
 def test_follow_prints_the_state_its_age_and_the_bounds(tmp_path: Path) -> None:
     async def test() -> None:
-        async with delivered(tmp_path, zones=("a",), relays=1, followers=1, services=2) as deployment:
+        async with delivery_deployment(
+            tmp_path, zones=("a",), relays=1, followers=1, services=2
+        ) as deployment:
             config = tmp_path / "p0.toml"
             code, out, log = await follow_command(config, "s1", "none", "--once")
             assert (code, log) == (0, "")
--- a/tests/delivery/test_processes.py
+++ b/tests/delivery/test_processes.py
@@ -20,7 +20,7 @@
 from flintlatch.config.reader import Reader
 from flintlatch.delivery.model import Participant, rank_relays
 from flintlatch.delivery.source import POLL_INTERVAL_S
-from flintlatch.standin.delivery import QUICK, DeliveryDeployment, delivered
+from flintlatch.standin.delivery import QUICK, DeliveryDeployment, delivery_deployment
 
 TEST_TIMEOUT_S = 90.0  # reached only if a test hangs
 LOADED_S = 4.0
@@ -94,7 +94,7 @@
                 self.start_count += 1
                 folder = self.folder / str(self.start_count)
                 folder.mkdir()
-                self.context = delivered(folder)
+                self.context = delivery_deployment(folder)
                 self.deployment = await self.context.__aenter__()
                 await wait_until_settled(self.deployment)
             else:
