--- a/bench/delivery_processes.py
+++ b/bench/delivery_processes.py
@@ -112,7 +112,7 @@
         folder, ZONES, args.relays, args.followers, services=40, each=6, seed=args.seed, rules={}
     ) as made:
         relays = [name for name in made.fault_relays if name != "origin"]
-        faults = schedule(args.seed, relays, list(made.follows), args.seconds)
+        faults = schedule(args.seed, relays, list(made.followed_names), args.seconds)
         print(format_schedule(faults), end="")
         before = {f"{n} {c.process.pid}": spent(c.process.pid) for n, c in made.children.items()}
         began = clock()
@@ -125,15 +125,15 @@
         try:
             await made.all_hold(most)
         except AssertionError:
-            late = [name for name in made.follows if not made.holds(name)]
+            late = [name for name in made.followed_names if not made.holds(name)]
             broke.append(f"{', '.join(late)} did not have the last commit {most:.1f} s after it")
         try:
             had = made.check()
         except AssertionError as error:
             return [*broke, f"audit: {error}"]
         delays = [d for rows in had.values() for d in made.audit.delays(rows).values()]
-        bytes_in = max(worst_minute(made.children[name].rows) for name in made.follows)
-        told = sum(made.count_log_lines(name, "no relay with news") for name in made.follows)
+        bytes_in = max(worst_minute(made.children[name].rows) for name in made.followed_names)
+        told = sum(made.count_log_lines(name, "no relay with news") for name in made.followed_names)
         print(f"{len(made.audit.commits)} commits, {len(faults)} steps of faults, {len(delays)} arrivals")
         figures = " ".join(f"{quantile(delays, p):.2f}" for p in (0.5, 0.99, 1.0))
         print(f"staleness s, median 99% worst: {figures}; bound {most:.2f}")
--- a/flintlatch/standin/delivery.py
+++ b/flintlatch/standin/delivery.py
@@ -121,7 +121,7 @@
         self.children: dict[str, Child] = {}
         self.ended: list[tuple[str, Child]] = []
         self.fault_relays: dict[str, Relay] = {}  # relays of faults, by whom they stand before
-        self.follows: dict[str, tuple[str, ...]] = {}
+        self.followed_names: dict[str, tuple[str, ...]] = {}
         self.objects: Objects = {MARK: {"n": 0}}
         self.audit = Audit()
 
@@ -138,7 +138,7 @@
                 self.fault_relays[name] = await self.links.open(name)
             else:
                 some = (f"s{(number * 7 + k) % services}" for k in range(min(each, services)))
-                self.follows[name] = (MARK, *some)
+                self.followed_names[name] = (MARK, *some)
         self.put()
         await self.start("origin")
         await self.wait_for_commit()
@@ -146,8 +146,8 @@
         await asyncio.gather(
             *(child.wait_for_log("holds revision ") for child in made)
         )  # so each has its first choice
-        await asyncio.gather(*map(self.start, self.follows))
-        await self.until(lambda: all(self.holds(name) for name in self.follows), "the first state")
+        await asyncio.gather(*map(self.start, self.followed_names))
+        await self.until(lambda: all(self.holds(name) for name in self.followed_names), "the first state")
 
     def _write(self, name: str) -> Path:
         place, path = self.links.places[name], self.folder / f"{name}.toml"
@@ -159,10 +159,10 @@
             origin = self.fault_relays["origin"].address
             keys |= {"bind": f"{place.host}:0", "source_host": place.host, "origin": origin}
         else:
-            keys |= {"source_host": place.host, "names": list(self.follows[name])}
+            keys |= {"source_host": place.host, "names": list(self.followed_names[name])}
         lines = ["[delivery]", *(f"{key} = {toml(value)}" for key, value in keys.items())]
         lines += ["[delivery.rules]", *(f"{key} = {toml(value)}" for key, value in self.rules.items())]
-        if name in self.follows:
+        if name in self.followed_names:
             for relay in (r for r in self.fault_relays if r != "origin"):
                 zone, address = self.links.places[relay].zone, self.fault_relays[relay].address
                 row = {"name": relay, "address": address, "region": zone, "zone": zone}
@@ -252,7 +252,7 @@
         return clock() - began
 
     async def all_hold(self, within_s: float = START_S, names: tuple[str, ...] = ()) -> float:
-        some = names or tuple(self.follows)
+        some = names or tuple(self.followed_names)
         return await self.until(lambda: all(self.holds(name) for name in some), "the last commit", within_s)
 
     def check(self) -> dict[str, list[tuple[float, int]]]:
@@ -263,8 +263,8 @@
             assert not any("Traceback" in line or "Error" in line for line in child.log), self.logs()
         found = {}
         for name, child in reversed(ran):
-            if name in self.follows:
-                found[name] = self.audit.check(name, self.follows[name], child.rows)
+            if name in self.followed_names:
+                found[name] = self.audit.check(name, self.followed_names[name], child.rows)
         return found
 
     def logs(self) -> str:
--- a/tests/delivery/test_processes.py
+++ b/tests/delivery/test_processes.py
@@ -39,7 +39,7 @@
 
 
 def followers_of(deployment: DeliveryDeployment, relay: str) -> tuple[str, ...]:
-    return tuple(name for name in deployment.follows if deployment.relay_of(name) == relay)
+    return tuple(name for name in deployment.followed_names if deployment.relay_of(name) == relay)
 
 
 def busiest_relay(deployment: DeliveryDeployment) -> str:
@@ -51,7 +51,7 @@
     """Waits until every follower is at its best-ranked relay."""
     participants = {n: Participant(n, p.zone, p.zone) for n, p in deployment.links.places.items()}
     relays = tuple(participants[name] for name in RELAYS)
-    best = {name: rank_relays(participants[name], relays)[0].name for name in deployment.follows}
+    best = {name: rank_relays(participants[name], relays)[0].name for name in deployment.followed_names}
     await deployment.until(
         lambda: all(deployment.relay_of(name) == best[name] for name in best), "the best relay for each"
     )
@@ -126,8 +126,8 @@
             await deployment.all_hold(bound_s())
         lost = busiest_relay(deployment)
         affected = followers_of(deployment, lost)
-        others = tuple(name for name in deployment.follows if name not in affected)
-        logged = sum(deployment.count_log_lines(name, OUTAGE_LINE) for name in deployment.follows)
+        others = tuple(name for name in deployment.followed_names if name not in affected)
+        logged = sum(deployment.count_log_lines(name, OUTAGE_LINE) for name in deployment.followed_names)
         assert affected and others
         await deployment.kill(lost)
         await deployment.commit("s1")
@@ -145,7 +145,9 @@
         )
         await deployment.commit("s3")
         await deployment.all_hold(bound_s())
-        assert sum(deployment.count_log_lines(name, OUTAGE_LINE) for name in deployment.follows) == logged
+        assert (
+            sum(deployment.count_log_lines(name, OUTAGE_LINE) for name in deployment.followed_names) == logged
+        )
 
     shared.run(test)
 
@@ -159,12 +161,12 @@
         assert affected
         await deployment.commit("s0")  # in flight when the relay stops
         deployment.children[stopped].pause()
-        slow = next(name for name in deployment.follows if name not in affected)
+        slow = next(name for name in deployment.followed_names if name not in affected)
         for turn in range(4):
             await deployment.commit(f"s{turn}")
             if turn == 1:
                 deployment.children[slow].pause()
-        awake = tuple(name for name in deployment.follows if name != slow)
+        awake = tuple(name for name in deployment.followed_names if name != slow)
         await deployment.all_hold(bound_s(2), awake)
         deployment.children[stopped].wake()
         deployment.children[slow].wake()
@@ -211,19 +213,19 @@
         last = await deployment.commit("s0")
         await deployment.all_hold(STALE_SWITCH_S + bound_s(1))
         await asyncio.gather(deployment.kill("r0"), deployment.kill("r2"))  # only the lagging relay is left
-        rows_before = {name: len(deployment.children[name].rows) for name in deployment.follows}
+        rows_before = {name: len(deployment.children[name].rows) for name in deployment.followed_names}
         new_rows = RULES.failure_detection_s() + 3 * RULES.retry_s[1]  # one row per second
         await deployment.until(
             lambda: all(len(deployment.children[n].rows) > rows_before[n] + new_rows for n in rows_before),
             "attempts",
         )
         # In addition, `SharedDeployment` checks at the end that no follower went back.
-        assert all(deployment.holds(name, last) for name in deployment.follows)
-        assert not any(deployment.relay_of(name) for name in deployment.follows)
+        assert all(deployment.holds(name, last) for name in deployment.followed_names)
+        assert not any(deployment.relay_of(name) for name in deployment.followed_names)
         deployment.links.heal()
         await deployment.commit("s1")
         await deployment.all_hold(RECONNECT_S + bound_s(2))
-        assert len(followers_of(deployment, "r1")) == len(deployment.follows)
+        assert len(followers_of(deployment, "r1")) == len(deployment.followed_names)
 
     shared.run(test)
 
@@ -254,12 +256,12 @@
 
 def test_a_partitioned_zone_catches_up_and_logs_the_outage_once(shared: SharedDeployment) -> None:
     async def test(deployment: DeliveryDeployment) -> None:
-        inside = tuple(n for n in deployment.follows if deployment.links.places[n].zone == "a")
-        outside = tuple(n for n in deployment.follows if n not in inside)
+        inside = tuple(n for n in deployment.followed_names if deployment.links.places[n].zone == "a")
+        outside = tuple(n for n in deployment.followed_names if n not in inside)
         assert inside and outside
         logged = {
             name: (deployment.count_log_lines(name, OUTAGE_LINE), deployment.count_log_lines(name, "again"))
-            for name in deployment.follows
+            for name in deployment.followed_names
         }
         deployment.links.cut("zone:a", "zone:b")
         before = len(deployment.audit.commits) - 1
