--- a/flintlatch/standin/delivery.py
+++ b/flintlatch/standin/delivery.py
@@ -1,11 +1,12 @@
-"""Delivery as real processes, every link between them a relay of faults.
+"""Runs origin, relays and followers as real processes, with a fault-injecting relay on every link.
 
-    async with delivery_deployment(folder, zones=("a", "b"), relays=3, followers=6) as made:
-        made.links.cut("zone:a", "zone:b")
+    async with delivery_deployment(folder, zones=("a", "b"), relays=3, followers=6) as deployment:
+        deployment.links.cut("zone:a", "zone:b")
 
-Origin `origin` is in the last zone; relay `rK` and follower `pK` in zone K modulo the zones. Each process
-binds to and sends from a host of its own. Every commit changes the object `mark`, which all follow, and one
-of the services, of which each follows some: so what a follower holds is of one commit, or it is torn.
+The process `origin` is in the last zone; relay `rK` and follower `pK` in zone K modulo the number of zones.
+Each process has its own host address. Every commit changes the object `mark`, which all followers follow, and
+one of the services, of which each follower follows some. The audit uses `mark` to check that the state of a
+follower belongs to a single commit.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 from flintlatch.standin.rig import toml
 
 KEY = "5c" * 32
-LINE_MOST = 16 * 1024 * 1024  # bytes: a row with every object
+MAX_LINE_BYTES = 16 * 1024 * 1024  # a row of output can contain every object
 QUICK: dict[str, float] = {
     "gather_s": 0.05,
     "ping_s": 0.2,
@@ -42,14 +43,14 @@
 
 
 class Child:
-    """One process: the lines of its log, the rows of its output."""
+    """A child process, with the lines of its log and the JSON rows of its output."""
 
     def __init__(self, command: str, config: Path) -> None:
         self.command, self.config = command, config
         self.process: asyncio.subprocess.Process
         self.log: list[str] = []
         self.rows: list[dict[str, Any]] = []
-        self.news = asyncio.Event()
+        self.output_changed = asyncio.Event()
         self.tasks: list[asyncio.Task[None]] = []
         self.paused = False
 
@@ -58,7 +59,7 @@
             sys.executable, "-m", "flintlatch", self.command, str(self.config),
             *(["--json"] if self.command == "follow" else []),
             stdin=asyncio.subprocess.DEVNULL, stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE,
-            env=self._env(), limit=LINE_MOST,
+            env=self._env(), limit=MAX_LINE_BYTES,
         )  # fmt: skip
         assert self.process.stdout is not None and self.process.stderr is not None
         out, err = self.process.stdout, self.process.stderr
@@ -70,30 +71,35 @@
         return self
 
     def _env(self) -> dict[str, str]:
-        """Modules compiled by the first process are there for the others, beside the configuration."""
-        mine = {
+        """Return the environment. Processes share compiled modules in a folder beside the configuration."""
+        variables = {
             "PYTHONPATH": str(Path(__file__).parent.parent.parent),
             "PYTHONPYCACHEPREFIX": str(self.config.parent / "compiled"),
             "PYTHONDONTWRITEBYTECODE": "",
         }
-        return dict(os.environ) | mine
+        return dict(os.environ) | variables
 
-    async def _read(self, stream: asyncio.StreamReader, take: Callable[[bytes], None]) -> None:
+    async def _read(self, stream: asyncio.StreamReader, append: Callable[[bytes], None]) -> None:
         while line := await stream.readline():
-            take(line)
-            self.news.set()
+            append(line)
+            self.output_changed.set()
 
-    async def wait_for_log(self, words: str, start: int = 0) -> int:
-        """The place after the first line from `start` on that holds `words`, once it is there."""
+    async def wait_for_log(self, text: str, start: int = 0) -> int:
+        """Wait for a log line that contains `text`; return the position after the first from `start` on.
+
+        Raises AssertionError if the process has ended without it, TimeoutError after START_S.
+        """
         async with asyncio.timeout(START_S):
             while True:
-                for place in range(start, len(self.log)):
-                    if words in self.log[place]:
-                        return place + 1
+                for position in range(start, len(self.log)):
+                    if text in self.log[position]:
+                        return position + 1
                 if self.process.returncode is not None:
-                    raise AssertionError(f"never said {words!r}:\n" + "\n".join(self.log))
-                self.news.clear()
-                await self.news.wait()
+                    raise AssertionError(
+                        f"the process ended without logging {text!r}:\n" + "\n".join(self.log)
+                    )
+                self.output_changed.clear()
+                await self.output_changed.wait()
 
     def pause(self) -> None:
         self.paused = True
@@ -119,13 +125,13 @@
         self.folder, self.zones, self.rules = folder, zones, dict(rules)
         self.links = Links(seed)
         self.children: dict[str, Child] = {}
-        self.ended: list[tuple[str, Child]] = []
-        self.fault_relays: dict[str, Relay] = {}  # relays of faults, by whom they stand before
+        self.stopped: list[tuple[str, Child]] = []
+        self.fault_relays: dict[str, Relay] = {}  # by the place that they stand in front of
         self.followed_names: dict[str, tuple[str, ...]] = {}
         self.objects: Objects = {MARK: {"n": 0}}
         self.audit = Audit()
 
-    # Making
+    # Set-up
 
     async def open(self, relays: int, followers: int, services: int, each: int) -> None:
         for number in range(services):
@@ -137,15 +143,15 @@
             if kind != "p":
                 self.fault_relays[name] = await self.links.open(name)
             else:
-                some = (f"s{(number * 7 + k) % services}" for k in range(min(each, services)))
-                self.followed_names[name] = (MARK, *some)
+                services_followed = (f"s{(number * 7 + k) % services}" for k in range(min(each, services)))
+                self.followed_names[name] = (MARK, *services_followed)
         self.put()
         await self.start("origin")
         await self.wait_for_commit()
-        made = await asyncio.gather(*(self.start(f"r{k}") for k in range(relays)))
+        relay_processes = await asyncio.gather(*(self.start(f"r{k}") for k in range(relays)))
         await asyncio.gather(
-            *(child.wait_for_log("holds revision ") for child in made)
-        )  # so each has its first choice
+            *(child.wait_for_log("holds revision ") for child in relay_processes)
+        )  # so that each follower reaches its preferred relay
         await asyncio.gather(*map(self.start, self.followed_names))
         await self.until(lambda: all(self.holds(name) for name in self.followed_names), "the first state")
 
@@ -174,26 +180,26 @@
         command = {"o": "origin", "r": "relay", "p": "follow"}[name[0]]
         child = self.children[name] = await Child(command, self._write(name)).start()
         if command != "follow":
-            place = await child.wait_for_log("listens on ")
-            self.fault_relays[name].point(child.log[place - 1].split()[-1])
+            position = await child.wait_for_log("listens on ")
+            self.fault_relays[name].point(child.log[position - 1].split()[-1])
         return child
 
-    # Changing
+    # Changes and faults
 
     def put(self, service: str = "", items: Mapping[str, Any] | None = None) -> int:
-        """A new file that changes this service and the mark, for the origin to find; the commit's number."""
+        """Replace the origin's file: change the service and `mark`, and return the number of the commit."""
         number = len(self.audit.commits)
         self.objects[MARK] = {"n": number}
         if service:
             self.objects[service] = dict(items or self.objects[service] | {"n": number})
         self.audit.commit(clock(), self.objects)
-        fresh = self.folder / "objects.new"
-        fresh.write_text(json.dumps(self.objects))
-        fresh.rename(self.folder / "objects.json")
+        temporary = self.folder / "objects.new"
+        temporary.write_text(json.dumps(self.objects))
+        temporary.rename(self.folder / "objects.json")
         return number
 
     async def wait_for_commit(self, start: int = 0) -> None:
-        """Once the origin has said so, from that line of its log on, what was put last is committed."""
+        """Wait until the origin logs a revision from line `start` on; record the time in the last commit."""
         await self.children["origin"].wait_for_log("revision ", start)
         self.audit.commits[-1].seen = clock()
 
@@ -205,67 +211,78 @@
 
     async def kill(self, name: str, number: int = signal.SIGKILL) -> int:
         child = self.children.pop(name)
-        self.ended.append((name, child))
+        self.stopped.append((name, child))
         if name in self.fault_relays:
             self.fault_relays[name].point("")
         return await child.end(number)
 
     async def play(self, schedule: list[FaultEvent]) -> None:
-        began = clock()
-        for trouble in schedule:
-            await asyncio.sleep(max(began + trouble.at_s - clock(), 0.0))
-            if apply(self.links, trouble):
+        started = clock()
+        for event in schedule:
+            await asyncio.sleep(max(started + event.at_s - clock(), 0.0))
+            if apply(self.links, event):
                 continue
-            for name in trouble.side:
-                if trouble.action == "kill":
+            for name in event.side:
+                if event.action == "kill":
                     await self.kill(name)
-                elif trouble.action == "start":
+                elif event.action == "start":
                     await self.start(name)
                 else:
-                    getattr(self.children[name], trouble.action)()
+                    getattr(self.children[name], event.action)()
 
-    # Looking
+    # Observation
 
     def holds(self, name: str, number: int = -1) -> bool:
-        """Whether the follower has this commit, the last if none is named, or a later one."""
+        """Return whether the follower holds commit `number` (default: the last) or a later one."""
         number = number if number >= 0 else len(self.audit.commits) - 1
-        wanted = {n: d for n, d in self.audit.commits[number].digests.items() if n == MARK}
+        expected = {n: d for n, d in self.audit.commits[number].digests.items() if n == MARK}
         for row in reversed(self.children[name].rows):
             if row["what"] == "changed" and MARK in row["objects"]:
-                held = self.audit.marks.get(row["objects"][MARK], -1)
-                return held >= number or row["objects"][MARK] == wanted[MARK]
+                commit = self.audit.marks.get(row["objects"][MARK], -1)
+                return commit >= number or row["objects"][MARK] == expected[MARK]
         return False
 
     def relay_of(self, name: str) -> str:
         rows = self.children[name].rows
         return rows[-1]["relay"] if rows else ""
 
-    def count_log_lines(self, name: str, words: str) -> int:
-        return sum(words in line for line in self.children[name].log)
-
-    async def until(self, good: Callable[[], bool], what: str, within_s: float = START_S) -> float:
-        """Seconds until it is so. AssertionError past `within_s`."""
-        began = clock()
-        while not good():
-            assert clock() - began < within_s, f"{what}: not within {within_s:.1f} s\n" + self.logs()
+    def count_log_lines(self, name: str, text: str) -> int:
+        return sum(text in line for line in self.children[name].log)
+
+    async def until(
+        self, condition: Callable[[], bool], description: str, within_s: float = START_S
+    ) -> float:
+        """Poll `condition` until it returns true, and return the seconds that this took.
+
+        Raises AssertionError after `within_s`.
+        """
+        started = clock()
+        while not condition():
+            assert clock() - started < within_s, (
+                f"{description}: not reached within {within_s:.1f} s\n" + self.logs()
+            )
             await asyncio.sleep(0.01)
-        return clock() - began
+        return clock() - started
 
     async def all_hold(self, within_s: float = START_S, names: tuple[str, ...] = ()) -> float:
-        some = names or tuple(self.followed_names)
-        return await self.until(lambda: all(self.holds(name) for name in some), "the last commit", within_s)
+        followers = names or tuple(self.followed_names)
+        return await self.until(
+            lambda: all(self.holds(name) for name in followers), "the last commit", within_s
+        )
 
     def check(self) -> dict[str, list[tuple[float, int]]]:
-        """When each follower that runs had which commit. AssertionError of the audit of all that ran, or for
-        a bug that a process tells."""
-        ran = [*self.children.items(), *self.ended]
-        for _, child in ran:
+        """Return, by running follower, the times at which it received each commit.
+
+        Raises AssertionError if the audit of a follower that ran at any time fails, or if a log has an error.
+        """
+        all_children = [*self.children.items(), *self.stopped]
+        for _, child in all_children:
             assert not any("Traceback" in line or "Error" in line for line in child.log), self.logs()
-        found = {}
-        for name, child in reversed(ran):
+        commits_by_follower = {}
+        for name, child in reversed(all_children):
             if name in self.followed_names:
-                found[name] = self.audit.check(name, self.followed_names[name], child.rows)
-        return found
+                commits_by_follower[name] = self.audit.check(name, self.followed_names[name], child.rows)
+        return commits_by_follower
 
     def logs(self) -> str:
         return "\n".join(f"{n}: {line}" for n, c in self.children.items() for line in c.log[-8:])
@@ -286,10 +303,10 @@
     seed: int = 1,
     rules: Mapping[str, float] = QUICK,
 ) -> AsyncIterator[DeliveryDeployment]:
-    """All of it, once every follower holds the first commit; ended at the end."""
-    made = DeliveryDeployment(folder, zones, seed, rules)
+    """Run a deployment: it is yielded once every follower holds the first commit, and stopped at the end."""
+    deployment = DeliveryDeployment(folder, zones, seed, rules)
     try:
-        await made.open(relays, followers, services, each)
-        yield made
+        await deployment.open(relays, followers, services, each)
+        yield deployment
     finally:
-        await made.close()
+        await deployment.close()
