--- a/flintlatch/standin/delivered.py
+++ b/flintlatch/standin/delivered.py
@@ -1,4 +1,4 @@
-"""An audit of delivery: what followers wrote against what was committed, by no count of theirs."""
+"""Audits a delivery: compares the output of followers with the commits, without relying on their counters."""
 
 from __future__ import annotations
 
@@ -10,65 +10,79 @@
 from math import inf
 from typing import Any
 
-MARK = "mark"  # an object that every commit changes and all follow
-ROUNDED_S = 0.002  # of an age as it is written
+MARK = "mark"  # an object that every commit changes and every follower follows
+ROUNDING_S = 0.002  # rounding of an age in the output
 Objects = dict[str, dict[str, Any]]
 
 
 def digest(items: Mapping[str, Any]) -> str:
-    """As a follower writes it, by other means."""
+    """Return the digest that a follower writes, by an independent implementation."""
     text = json.dumps(items, sort_keys=True, separators=(",", ":"), ensure_ascii=False)
     return hashlib.sha256(text.encode()).hexdigest()[:16]
 
 
 @dataclass(slots=True)
 class Commit:
-    at: float  # the file is put in place
+    published_at: float  # when the file was replaced
     digests: dict[str, str]
-    seen: float = inf  # the origin had said so
+    committed_at: float = inf  # when the origin's log reported it
 
 
 @dataclass
 class Audit:
-    """Holds what followers wrote against what was committed. It reads no count of theirs."""
+    """Compares the output of followers with the commits. It doesn't read their counters."""
 
     commits: list[Commit] = field(default_factory=list)
-    marks: dict[str, int] = field(default_factory=dict)  # commit by the mark's digest
+    commit_by_mark: dict[str, int] = field(default_factory=dict)  # commit number by the digest of its `mark`
 
-    def commit(self, at: float, objects: Objects) -> None:
+    def commit(self, published_at: float, objects: Objects) -> None:
         digests = {name: digest(items) for name, items in objects.items()}
-        self.marks[digests[MARK]] = len(self.commits)
-        self.commits.append(Commit(at, digests))
+        self.commit_by_mark[digests[MARK]] = len(self.commits)
+        self.commits.append(Commit(published_at, digests))
 
-    def check(self, name: str, names: tuple[str, ...], rows: list[dict[str, Any]]) -> list[tuple[float, int]]:
-        """When it had which commit. AssertionError where what it held was of no commit or of two, where it
-        went back, or was older than the age that it told."""
+    def check(
+        self, name: str, followed_names: tuple[str, ...], rows: list[dict[str, Any]]
+    ) -> list[tuple[float, int]]:
+        """Return the time at which follower `name` received each commit, from its rows of output.
+
+        Raises AssertionError if its state mixed commits or matched none, if it went back to an older commit,
+        or if it was older than the age that it reported.
+        """
         state: dict[str, str] = {}
-        had: list[tuple[float, int]] = []
+        received: list[tuple[float, int]] = []
         revision = -1
         for row in rows:
             assert row["revision"] >= revision, f"{name} went back to revision {row['revision']}: {row}"
             revision = row["revision"]
             if row["what"] == "changed":
                 state.update({n: d for n, d in row["objects"].items() if d is not None})
-                for gone in (n for n, d in row["objects"].items() if d is None):
-                    state.pop(gone, None)
-                assert state.get(MARK) in self.marks, f"{name} holds a mark of no commit: {row}"
-                held = self.marks[state[MARK]]
-                wanted = {n: d for n, d in self.commits[held].digests.items() if n in names}
-                assert state == wanted, f"{name} holds what commit {held} was not: {row}"
-                assert not had or held >= had[-1][1], f"{name} went back to commit {held}: {row}"
-                had.append((row["at"], held))
-            if row["ready"] and had and had[-1][1] + 1 < len(self.commits):
-                older = row["at"] - self.commits[had[-1][1] + 1].seen
-                assert row["age_s"] + ROUNDED_S >= older, f"{name} is {older:.2f} s behind and says {row}"
-        return had
+                for removed in (n for n, d in row["objects"].items() if d is None):
+                    state.pop(removed, None)
+                assert state.get(MARK) in self.commit_by_mark, (
+                    f"{name} holds a mark of no known commit: {row}"
+                )
+                commit = self.commit_by_mark[state[MARK]]
+                expected = {n: d for n, d in self.commits[commit].digests.items() if n in followed_names}
+                assert state == expected, f"{name} differs from commit {commit}: {row}"
+                assert not received or commit >= received[-1][1], (
+                    f"{name} went back to commit {commit}: {row}"
+                )
+                received.append((row["at"], commit))
+            if row["ready"] and received and received[-1][1] + 1 < len(self.commits):
+                behind_s = row["at"] - self.commits[received[-1][1] + 1].committed_at
+                assert row["age_s"] + ROUNDING_S >= behind_s, (
+                    f"{name} is {behind_s:.2f} s behind and reports {row}"
+                )
+        return received
+
+    def delays(self, received: list[tuple[float, int]]) -> dict[int, float]:
+        """Return, by commit number, the seconds until the follower had it or a later one.
 
-    def delays(self, had: list[tuple[float, int]]) -> dict[int, float]:
-        """By commit, seconds until it or a later one was in force; those that have come."""
-        found, held = {}, [number for _, number in had]
+        Commits that it has not reached, and those from before its start, are left out.
+        """
+        delays, numbers = {}, [number for _, number in received]
         for number, commit in enumerate(self.commits):
-            place = bisect_left(held, number)
-            if place < len(had) and had[0][0] <= commit.at:
-                found[number] = had[place][0] - commit.at
-        return found
+            index = bisect_left(numbers, number)
+            if index < len(received) and received[0][0] <= commit.published_at:
+                delays[number] = received[index][0] - commit.published_at
+        return delays
--- a/flintlatch/standin/delivery.py
+++ b/flintlatch/standin/delivery.py
@@ -201,7 +201,7 @@
     async def wait_for_commit(self, start: int = 0) -> None:
         """Wait until the origin logs a revision from line `start` on; record the time in the last commit."""
         await self.children["origin"].wait_for_log("revision ", start)
-        self.audit.commits[-1].seen = clock()
+        self.audit.commits[-1].committed_at = clock()
 
     async def commit(self, service: str = "", items: Mapping[str, Any] | None = None) -> int:
         start = len(self.children["origin"].log)
@@ -238,7 +238,7 @@
         expected = {n: d for n, d in self.audit.commits[number].digests.items() if n == MARK}
         for row in reversed(self.children[name].rows):
             if row["what"] == "changed" and MARK in row["objects"]:
-                commit = self.audit.marks.get(row["objects"][MARK], -1)
+                commit = self.audit.commit_by_mark.get(row["objects"][MARK], -1)
                 return commit >= number or row["objects"][MARK] == expected[MARK]
         return False
 
