--- a/bench/bodies.py
+++ b/bench/bodies.py
@@ -120,9 +120,9 @@
         else:
             path = b"%d/chunked" % size if chunked else b"%d" % size
             status = await client.ask(b"GET /export/%b HTTP/1.1\r\nHost: x\r\n" % path)
-            right = status == 200 and client.count == size
+            right = status == 200 and client.body_size == size
         if not right:
-            raise ValueError(f"{size} bytes, up {up}, chunked {chunked}: {status}, {client.count} bytes")
+            raise ValueError(f"{size} bytes, up {up}, chunked {chunked}: {status}, {client.body_size} bytes")
     taken = time.perf_counter() - begun
     client.transport.close()
     return size * times / MIB / taken
--- a/flintlatch/standin/bulk.py
+++ b/flintlatch/standin/bulk.py
@@ -70,7 +70,7 @@
         self.transport: asyncio.Transport
         self.parser = httptools.HttpRequestParser(self)
         self.url = b""
-        self.count = 0
+        self.body_size = 0
         self.sha: hashlib._Hash | None = None
         self.sender: Sender | None = None
 
@@ -94,7 +94,7 @@
             self.sender.go_on()
 
     def on_message_begin(self) -> None:
-        self.url, self.count = b"", 0
+        self.url, self.body_size = b"", 0
 
     def on_url(self, url: bytes) -> None:
         self.url += url
@@ -103,7 +103,7 @@
         self.sha = hashlib.sha256() if self.url.endswith(b"/digest") else None
 
     def on_body(self, body: bytes) -> None:
-        self.count += len(body)
+        self.body_size += len(body)
         if self.sha is not None:
             self.sha.update(body)
 
@@ -118,7 +118,7 @@
         elif parts[0] == "hang":
             self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf.")
         elif parts[0] != "mute":
-            told = {"bytes": self.count, "sha256": self.sha.hexdigest() if self.sha else ""}
+            told = {"bytes": self.body_size, "sha256": self.sha.hexdigest() if self.sha else ""}
             body = b"ok" if parts[0] == "small" else json.dumps(told).encode()
             self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
 
@@ -184,7 +184,7 @@
         self.sender: Sender | None = None
         self.sha: hashlib._Hash | None = None
         self.body = b""  # of short answers
-        self.count = self.status = 0
+        self.body_size = self.status = 0
         self.done: asyncio.Future[None]
         self.parser: httptools.HttpResponseParser | None = None
 
@@ -214,10 +214,10 @@
         self.status = self.parser.get_status_code()
 
     def on_body(self, body: bytes) -> None:
-        self.count += len(body)
+        self.body_size += len(body)
         if self.sha is not None:
             self.sha.update(body)
-        if self.count <= 4096:
+        if self.body_size <= 4096:
             self.body += body
 
     def on_message_complete(self) -> None:
@@ -228,7 +228,7 @@
         """The status. `head`: request line and fields, without framing and the empty line."""
         self.parser = httptools.HttpResponseParser(self)
         self.done = asyncio.get_running_loop().create_future()
-        self.count, self.body = 0, b""
+        self.body_size, self.body = 0, b""
         self.sha = hashlib.sha256() if digest else None
         framing = b""
         if upload:
