--- a/flintlatch/standin/__init__.py
+++ b/flintlatch/standin/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-ins for what lies outside: nodes, a registry, clients, a service manager, and a ledger that checks.
+"""Provides stand-ins for the environment: nodes, a registry, clients, a service manager, and the ledger.
 
-For tests, benches and the demo alone; nothing that serves imports it. Everything listens on loopback.
+Only tests, benches and the demo use them; no code that serves requests imports them. All listen on loopback.
 """
--- a/flintlatch/standin/alone.py
+++ b/flintlatch/standin/alone.py
@@ -1,4 +1,4 @@
-"""`flintlatch standin PART`: one stand-in by itself, until it is interrupted."""
+"""Implements `flintlatch standin PART`: runs a single stand-in until it is interrupted."""
 
 from __future__ import annotations
 
@@ -15,36 +15,36 @@
 from flintlatch.standin.rig import CLASSES, DRAIN_GRACE_MS, MIX
 
 
-async def until_stopped() -> None:
-    stop = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        asyncio.get_running_loop().add_signal_handler(number, stop.set)
-    await stop.wait()
+async def wait_for_signal() -> None:
+    stop_requested = asyncio.Event()
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        asyncio.get_running_loop().add_signal_handler(signal_number, stop_requested.set)
+    await stop_requested.wait()
 
 
 async def node(args: argparse.Namespace) -> int:
     ledger = Ledger(DRAIN_GRACE_MS)
     shape = Shape(slots=args.slots, work_ms=args.work_ms)
-    alone = await Node(args.uid, shape, ledger, args.seed).open(args.listen)
-    print(f"node {alone.uid} listens on {alone.address}", flush=True)
-    await until_stopped()
-    print(f"{alone.served} requests answered")
-    alone.die()
+    stand_in = await Node(args.uid, shape, ledger, args.seed).open(args.listen)
+    print(f"node {stand_in.uid} listens on {stand_in.address}", flush=True)
+    await wait_for_signal()
+    print(f"{stand_in.served} requests answered")
+    stand_in.die()
     return 0
 
 
 async def registry(args: argparse.Namespace) -> int:
-    alone = Registry()
-    for place, text in enumerate(args.nodes):
+    stand_in = Registry()
+    for cell, text in enumerate(args.nodes):
         uid, equals, address = text.partition("=")
         if not equals or not uid or not address.rpartition(":")[2].isdigit():
             print(f"{text!r}: expected UID=HOST:PORT")
             return 2
-        alone.put(uid, address, "active", cell=place)
-    await alone.open(args.listen)
-    print(f"registry of {len(alone.entries)} nodes listens on {alone.address}", flush=True)
-    await until_stopped()
-    alone.close()
+        stand_in.put(uid, address, "active", cell=cell)
+    await stand_in.open(args.listen)
+    print(f"registry of {len(stand_in.entries)} nodes listens on {stand_in.address}", flush=True)
+    await wait_for_signal()
+    stand_in.close()
     return 0
 
 
@@ -60,5 +60,5 @@
 
 
 def run(args: argparse.Namespace) -> int:
-    part = {"node": node, "registry": registry, "client": client}[args.part]
-    return uvloop.run(part(args))
+    run_part = {"node": node, "registry": registry, "client": client}[args.part]
+    return uvloop.run(run_part(args))
--- a/flintlatch/standin/bulk.py
+++ b/flintlatch/standin/bulk.py
@@ -1,12 +1,12 @@
-"""Long bodies for measurements: a node that sends and takes them, a relay that only passes bytes, a client.
+"""Provides a node, a plain TCP relay and a client for measurements with long bodies.
 
-The body of every export and upload is a stretch of one endless pattern, so that a digest can be told
-without the other side. The node's paths:
+The body of every export and upload is a prefix of one repeating pattern, so that each side can compute the
+expected digest by itself. The node's paths:
 
-    GET  /export/BYTES[/chunked]     so many bytes of the pattern
-    PUT  /upload[/digest]            JSON: how many bytes came, and their SHA-256 where asked for
-    GET  /hang                       a head and half of its body, and then nothing
-    GET  /mute                       nothing
+    GET  /export/BYTES[/chunked]     the first BYTES bytes of the pattern
+    PUT  /upload[/digest]            JSON: the size of the received body, and its SHA-256 with /digest
+    GET  /hang                       the head and half of the body, and then no more data
+    GET  /mute                       no answer
     GET  /small                      two bytes
 """
 
@@ -20,51 +20,51 @@
 
 import httptools
 
-BLOCK_BYTES = 65_521  # a prime: a stretch that is shifted by any buffer's size does not fit
+BLOCK_BYTES = 65_521  # a prime, so that data shifted by the size of a buffer doesn't match the pattern
 PATTERN = Random(20).randbytes(BLOCK_BYTES)
-TWICE = PATTERN + PATTERN
-HIGH_BYTES = 256 * 1024
+REPEATED_PATTERN = PATTERN + PATTERN
+WRITE_BUFFER_BYTES = 256 * 1024
 
 
-def stretch(place: int, size: int) -> bytes:
-    """`size` bytes of the pattern, at most BLOCK_BYTES, from `place` on."""
-    start = place % BLOCK_BYTES
-    return TWICE[start : start + size]
+def pattern_slice(offset: int, size: int) -> bytes:
+    """Return `size` bytes of the pattern from `offset` on; `size` is at most BLOCK_BYTES."""
+    start = offset % BLOCK_BYTES
+    return REPEATED_PATTERN[start : start + size]
 
 
 def digest(size: int) -> str:
-    """SHA-256 of the pattern's first `size` bytes."""
-    found = hashlib.sha256()
+    """Return the SHA-256 of the first `size` bytes of the pattern, in hexadecimal."""
+    sha = hashlib.sha256()
     for _ in range(size // BLOCK_BYTES):
-        found.update(PATTERN)
-    found.update(PATTERN[: size % BLOCK_BYTES])
-    return found.hexdigest()
+        sha.update(PATTERN)
+    sha.update(PATTERN[: size % BLOCK_BYTES])
+    return sha.hexdigest()
 
 
 class Sender:
-    """Writes a stretch of the pattern as fast as the other side takes it."""
+    """Writes the first `size` bytes of the pattern as fast as flow control allows."""
 
     def __init__(self, transport: asyncio.Transport, size: int, chunked: bool) -> None:
         self.transport, self.size, self.chunked = transport, size, chunked
-        self.place, self.paused = 0, False
+        self.offset, self.paused = 0, False
         self.done = False
 
-    def go_on(self) -> None:
-        while not self.paused and self.place < self.size and not self.transport.is_closing():
-            piece = stretch(self.place, min(BLOCK_BYTES, self.size - self.place))
-            self.place += len(piece)
+    def resume(self) -> None:
+        while not self.paused and self.offset < self.size and not self.transport.is_closing():
+            chunk = pattern_slice(self.offset, min(BLOCK_BYTES, self.size - self.offset))
+            self.offset += len(chunk)
             if self.chunked:
-                self.transport.writelines((b"%x\r\n" % len(piece), piece, b"\r\n"))
+                self.transport.writelines((b"%x\r\n" % len(chunk), chunk, b"\r\n"))
             else:
-                self.transport.write(piece)
-        if self.place >= self.size and not self.done:
+                self.transport.write(chunk)
+        if self.offset >= self.size and not self.done:
             self.done = True
             if self.chunked:
                 self.transport.write(b"0\r\n\r\n")
 
 
 class BulkNode(asyncio.Protocol):
-    """One connection."""
+    """A connection of the node."""
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport
@@ -76,7 +76,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.transport.set_write_buffer_limits(high=HIGH_BYTES)
+        self.transport.set_write_buffer_limits(high=WRITE_BUFFER_BYTES)
 
     def data_received(self, data: bytes) -> None:
         try:
@@ -91,7 +91,7 @@
     def resume_writing(self) -> None:
         if self.sender is not None:
             self.sender.paused = False
-            self.sender.go_on()
+            self.sender.resume()
 
     def on_message_begin(self) -> None:
         self.url, self.body_size = b"", 0
@@ -114,87 +114,90 @@
             framing = b"Transfer-Encoding: chunked" if chunked else b"Content-Length: %d" % size
             self.transport.write(b"HTTP/1.1 200 OK\r\n%b\r\n\r\n" % framing)
             self.sender = Sender(self.transport, size, chunked)
-            self.sender.go_on()
+            self.sender.resume()
         elif parts[0] == "hang":
             self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf.")
         elif parts[0] != "mute":
-            told = {"bytes": self.body_size, "sha256": self.sha.hexdigest() if self.sha else ""}
-            body = b"ok" if parts[0] == "small" else json.dumps(told).encode()
+            received = {"bytes": self.body_size, "sha256": self.sha.hexdigest() if self.sha else ""}
+            body = b"ok" if parts[0] == "small" else json.dumps(received).encode()
             self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
 
 
 class _End(asyncio.Protocol):
-    """One end of a relayed connection."""
+    """One side of a relayed connection; `peer` is the other."""
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None
-        self.other: _End | None = None
-        self.early: list[bytes] = []
+        self.peer: _End | None = None
+        self.early_data: list[bytes] = []
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        if self.other is None or self.other.transport is None:
-            self.early.append(data)
+        if self.peer is None or self.peer.transport is None:
+            self.early_data.append(data)
         else:
-            self.other.transport.write(data)
+            self.peer.transport.write(data)
 
     def pause_writing(self) -> None:
-        if self.other is not None and self.other.transport is not None:
-            self.other.transport.pause_reading()
+        if self.peer is not None and self.peer.transport is not None:
+            self.peer.transport.pause_reading()
 
     def resume_writing(self) -> None:
-        if self.other is not None and self.other.transport is not None:
-            self.other.transport.resume_reading()
+        if self.peer is not None and self.peer.transport is not None:
+            self.peer.transport.resume_reading()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        if self.other is not None and self.other.transport is not None:
-            self.other.transport.close()
+        if self.peer is not None and self.peer.transport is not None:
+            self.peer.transport.close()
 
 
 class Relay(_End):
-    """A client's end; the node's is opened with it. What a process costs that only passes bytes on."""
+    """The client's side of a relayed connection, which opens the node's side.
+
+    It forwards bytes unchanged: the baseline for the cost of a proxy.
+    """
 
     def __init__(self, host: str, port: int) -> None:
         super().__init__()
         self.host, self.port = host, port
-        self.opener: asyncio.Task[None] | None = None
+        self.connect_task: asyncio.Task[None] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
-        self.opener = asyncio.get_running_loop().create_task(self._open())
+        self.connect_task = asyncio.get_running_loop().create_task(self._open())
 
     async def _open(self) -> None:
         end = _End()
-        end.other = self
+        end.peer = self
         await asyncio.get_running_loop().create_connection(lambda: end, self.host, self.port)
-        self.other = end
+        self.peer = end
         assert end.transport is not None
-        for data in self.early:
+        for data in self.early_data:
             end.transport.write(data)
-        self.early.clear()
+        self.early_data.clear()
 
 
 class BulkClient(asyncio.Protocol):
-    """One request at a time on a kept connection; bodies are made and dropped here."""
+    """Sends one request at a time on a keep-alive connection; generates bodies, discards answers."""
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport
         self.sender: Sender | None = None
         self.sha: hashlib._Hash | None = None
-        self.body = b""  # of short answers
+        self.body = b""  # at most the first 4096 bytes of the answer
         self.body_size = self.status = 0
         self.done: asyncio.Future[None]
         self.parser: httptools.HttpResponseParser | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.transport.set_write_buffer_limits(high=HIGH_BYTES)
+        self.transport.set_write_buffer_limits(high=WRITE_BUFFER_BYTES)
 
     def connection_lost(self, exc: Exception | None) -> None:
         if self.parser is not None and not self.done.done():
-            self.done.set_exception(exc or ConnectionResetError("closed within the answer"))
+            self.done.set_exception(exc or ConnectionResetError("closed before the end of the answer"))
 
     def data_received(self, data: bytes) -> None:
         if self.parser is not None:
@@ -207,7 +210,7 @@
     def resume_writing(self) -> None:
         if self.sender is not None:
             self.sender.paused = False
-            self.sender.go_on()
+            self.sender.resume()
 
     def on_headers_complete(self) -> None:
         assert self.parser is not None
@@ -225,7 +228,10 @@
             self.done.set_result(None)
 
     async def ask(self, head: bytes, upload: int = 0, chunked: bool = False, digest: bool = False) -> int:
-        """The status. `head`: request line and fields, without framing and the empty line."""
+        """Send a request, and return the status of the answer.
+
+        `head`: request line and header fields, without framing fields and the empty line.
+        """
         self.parser = httptools.HttpResponseParser(self)
         self.done = asyncio.get_running_loop().create_future()
         self.body_size, self.body = 0, b""
@@ -236,7 +242,7 @@
         self.transport.write(head + framing + b"\r\n")
         self.sender = Sender(self.transport, upload, chunked) if upload else None
         if self.sender is not None:
-            self.sender.go_on()
+            self.sender.resume()
         await self.done
         return self.status
 
--- a/flintlatch/standin/consul.py
+++ b/flintlatch/standin/consul.py
@@ -1,4 +1,4 @@
-"""A stand-in catalogue, after Consul's HTTP API: one service with blocking queries, and faults."""
+"""Simulates Consul's HTTP catalogue API: one service with blocking queries, and injected faults."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 
 import orjson
 
-WAIT = re.compile(r"([0-9]+)(s|ms|m)")
-SECONDS = {"ms": 0.001, "s": 1.0, "m": 60.0}
+WAIT_PATTERN = re.compile(r"([0-9]+)(s|ms|m)")
+UNIT_SECONDS = {"ms": 0.001, "s": 1.0, "m": 60.0}
 
 
 class Consul:
-    """`put` and `drop` change it; the fields below are the faults that a test sets."""
+    """A catalogue of one service. `put` and `drop` change it; a test injects faults by setting attributes."""
 
     def __init__(self) -> None:
         self.index = 7
         self.instances: dict[str, dict[str, Any]] = {}
         self.changed = asyncio.Event()
-        self.asked: list[str] = []  # targets, in order
+        self.asked: list[str] = []  # request targets, in order of arrival
         self.tokens: list[str] = []
         self.hang = False  # never answers
         self.status = 200
-        self.body: bytes | None = None  # in place of the list
+        self.body: bytes | None = None  # sent in place of the list
         self.leader, self.last_contact_ms = True, 0
-        self.tell_index: str | None = None  # in place of the true one
+        self.tell_index: str | None = None  # sent in place of `index`
         self.address = ""
         self.server: asyncio.Server | None = None
         self.tasks: set[asyncio.Task[None]] = set()
@@ -57,7 +57,7 @@
         self.touch()
 
     def touch(self, index: int | None = None) -> None:
-        """Something has changed; `index`: to there, also back."""
+        """Wake the blocking queries with the next index, or with `index`, which may be lower."""
         self.index = self.index + 1 if index is None else index
         self.changed.set()
         self.changed = asyncio.Event()
@@ -95,11 +95,11 @@
         if self.hang:
             await asyncio.Event().wait()
         index = int(query.get("index", ["0"])[0])
-        found = WAIT.fullmatch(query.get("wait", ["300s"])[0])
-        assert found is not None
+        match = WAIT_PATTERN.fullmatch(query.get("wait", ["300s"])[0])
+        assert match is not None
         if index and index == self.index:
             try:
-                async with asyncio.timeout(int(found[1]) * SECONDS[found[2]]):
+                async with asyncio.timeout(int(match[1]) * UNIT_SECONDS[match[2]]):
                     await self.changed.wait()
             except TimeoutError:
                 pass
--- a/flintlatch/standin/notify.py
+++ b/flintlatch/standin/notify.py
@@ -1,4 +1,4 @@
-"""A stand-in service manager: a notify socket, as sd_notify(3) describes its datagrams."""
+"""Simulates the notify socket of a service manager; sd_notify(3) describes the datagrams."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class NotifySocket:
-    """Each datagram as a dictionary, in the order of coming."""
+    """A notify socket. `messages` contains each datagram as a dictionary, in order of arrival."""
 
     def __init__(self, path: str) -> None:
         self.path = path
@@ -16,7 +16,7 @@
         self.sock.bind(path)
         self.sock.setblocking(False)
         self.messages: list[dict[str, str]] = []
-        self.news = asyncio.Event()
+        self.message_received = asyncio.Event()
         asyncio.get_running_loop().add_reader(self.sock.fileno(), self._read)
 
     def _read(self) -> None:
@@ -27,17 +27,20 @@
                 break
             pairs = [line.partition("=") for line in data.decode().split("\n") if line]
             self.messages.append({name: value for name, _, value in pairs})
-        self.news.set()
+        self.message_received.set()
 
     async def wait_for(self, name: str, value: str | None = None, start: int = 0) -> int:
-        """The place after the first message from `start` on that has it, once it has come."""
+        """Wait for a message with the variable `name`, and `value` if set.
+
+        Returns the position after the first such message from `start` on.
+        """
         while True:
-            for place in range(start, len(self.messages)):
-                message = self.messages[place]
+            for position in range(start, len(self.messages)):
+                message = self.messages[position]
                 if name in message and (value is None or message[name] == value):
-                    return place + 1
-            self.news.clear()
-            await self.news.wait()
+                    return position + 1
+            self.message_received.clear()
+            await self.message_received.wait()
 
     def close(self) -> None:
         asyncio.get_running_loop().remove_reader(self.sock.fileno())
