--- a/flintlatch/standin/consul.py
+++ b/flintlatch/standin/consul.py
@@ -20,7 +20,7 @@
         self.index = 7
         self.instances: dict[str, dict[str, Any]] = {}
         self.changed = asyncio.Event()
-        self.asked: list[str] = []  # request targets, in order of arrival
+        self.request_targets: list[str] = []  # request targets, in order of arrival
         self.tokens: list[str] = []
         self.hang = False  # never answers
         self.status = 200
@@ -70,7 +70,7 @@
             while True:
                 head = (await reader.readuntil(b"\r\n\r\n")).decode()
                 target = head.split(" ", 2)[1]
-                self.asked.append(target)
+                self.request_targets.append(target)
                 self.tokens += re.findall(r"(?i)^x-consul-token: (.*)\r$", head, re.MULTILINE)
                 await self._wait(parse_qs(urlsplit(target).query))
                 body = self.body
--- a/tests/membership/test_consul.py
+++ b/tests/membership/test_consul.py
@@ -181,8 +181,8 @@
                 "review",
             )
             assert core.nodes["m1/a"].zone == "dc1"
-            await until(lambda: len(consul.asked) == 2)
-            assert consul.asked[1].endswith(f"?index={consul.index}&wait=30s")
+            await until(lambda: len(consul.request_targets) == 2)
+            assert consul.request_targets[1].endswith(f"?index={consul.index}&wait=30s")
             assert set(consul.tokens) == {"secret"}
             consul.put("c", "127.0.0.1:9003")
             await until(lambda: len(core.nodes) == 3)
@@ -205,7 +205,7 @@
         async with watched(wait_s=0.2) as (consul, _, core):
             await until(lambda: len(core.nodes) == 2)
             before = dict(core.nodes)
-            asked = len(consul.asked)
+            asked = len(consul.request_targets)
             if fault == "hang":
                 consul.hang = True
             elif fault == "reset":
@@ -223,7 +223,7 @@
             else:
                 consul.tell_index = "0"
             consul.put("x", "127.0.0.1:9099")  # a good instance: taken, if the fault were not seen
-            await until(lambda: len(consul.asked) >= asked + 3)
+            await until(lambda: len(consul.request_targets) >= asked + 3)
             if fault == "back":  # begun anew, its word counts from the next answer on
                 await until(lambda: "m1/x" in core.nodes)
             else:
