--- a/flintlatch/standin/consul.py
+++ b/flintlatch/standin/consul.py
@@ -26,7 +26,7 @@
         self.status = 200
         self.body: bytes | None = None  # sent in place of the list
         self.leader, self.last_contact_ms = True, 0
-        self.tell_index: str | None = None  # sent in place of `index`
+        self.fake_index: str | None = None  # sent in place of `index`
         self.address = ""
         self.server: asyncio.Server | None = None
         self.tasks: set[asyncio.Task[None]] = set()
@@ -77,7 +77,7 @@
                 if body is None:
                     body = orjson.dumps(list(self.instances.values()))
                 lines = (
-                    f"X-Consul-Index: {self.index if self.tell_index is None else self.tell_index}\r\n"
+                    f"X-Consul-Index: {self.index if self.fake_index is None else self.fake_index}\r\n"
                     f"X-Consul-KnownLeader: {'true' if self.leader else 'false'}\r\n"
                     f"X-Consul-LastContact: {self.last_contact_ms}\r\n"
                 )
--- a/tests/membership/test_consul.py
+++ b/tests/membership/test_consul.py
@@ -219,9 +219,9 @@
             elif fault == "stale":
                 consul.leader = False
             elif fault == "back":
-                consul.tell_index = "1"
+                consul.fake_index = "1"
             else:
-                consul.tell_index = "0"
+                consul.fake_index = "0"
             consul.put("x", "127.0.0.1:9099")  # a good instance: taken, if the fault were not seen
             await until(lambda: len(consul.request_targets) >= asked + 3)
             if fault == "back":  # begun anew, its word counts from the next answer on
@@ -230,7 +230,7 @@
                 assert core.nodes == before
             del consul.instances["x"]
             consul.hang, consul.status, consul.body = False, 200, None
-            consul.leader, consul.tell_index = True, None
+            consul.leader, consul.fake_index = True, None
             consul.put("d", "127.0.0.1:9004")
             await until(lambda: "m1/d" in core.nodes)
 
