--- a/flintlatch/standin/alone.py
+++ b/flintlatch/standin/alone.py
@@ -29,7 +29,7 @@
     print(f"node {stand_in.uid} listens on {stand_in.address}", flush=True)
     await wait_for_signal()
     print(f"{stand_in.served} requests answered")
-    stand_in.die()
+    stand_in.crash()
     return 0
 
 
--- a/flintlatch/standin/demo.py
+++ b/flintlatch/standin/demo.py
@@ -57,7 +57,7 @@
         say(f"-- reload: generation {answer['generation']} serves, after {answer['took_s']} s")
         await asyncio.sleep(seconds * 0.2)
         say(f"-- node {rig.nodes[0].uid} dies, with {rig.nodes[0].busy} requests at work")
-        rig.nodes[0].die()
+        rig.nodes[0].crash()
         await asyncio.sleep(seconds * 0.1)
         say(f"-- node {rig.nodes[1].uid} is told to drain")
         rig.registry.drain(rig.nodes[1])
--- a/flintlatch/standin/node.py
+++ b/flintlatch/standin/node.py
@@ -157,7 +157,7 @@
         self.started_ms = now_ms()
         return self
 
-    def die(self) -> None:
+    def crash(self) -> None:
         """Behave like a killed process: reset all connections, and refuse new ones."""
         if self.server is not None:
             self.server.close()
@@ -219,7 +219,7 @@
         self.falls += 1
         self.ledger.overload_crashes.append((self.uid, now))
         address = self.address
-        self.die()
+        self.crash()
         loop = asyncio.get_running_loop()
         loop.call_later(CRASH_DOWNTIME_MS / 1000, lambda: loop.create_task(self.open(address)))
         self.recent_work.clear()
--- a/flintlatch/standin/rig.py
+++ b/flintlatch/standin/rig.py
@@ -101,5 +101,5 @@
 
     def close(self) -> None:
         for node in self.nodes:
-            node.die()
+            node.crash()
         self.registry.close()
--- a/tests/standin/test_ledger.py
+++ b/tests/standin/test_ledger.py
@@ -118,7 +118,7 @@
             clients.ask("grade")
         await clients.all_answered.wait()
         assert set(rules(ledger)) == ({"lost"} if lost else set())
-        node.die()
+        node.crash()
         clients.close()
 
     run(test())
@@ -139,7 +139,7 @@
         while node.server is None:
             await asyncio.sleep(0.01)
         assert node.address == address
-        node.die()
+        node.crash()
 
     run(test())
 
@@ -159,6 +159,6 @@
             client.close()
         assert statuses == [(200, None), (200, None), (503, "1")]
         assert now_ms() - started_ms > 50  # the second request was queued until the first was done
-        node.die()
+        node.crash()
 
     run(test())
