--- a/flintlatch/standin/node.py
+++ b/flintlatch/standin/node.py
@@ -140,7 +140,7 @@
         self.server: asyncio.Server | None = None
         self.connections: set[_Connection] = set()
         self.queue: deque[Call] = deque()
-        self.busy = self.accepted = self.served = self.falls = 0
+        self.busy = self.accepted = self.served = self.crashes = 0
         self.started_ms = now_ms()
         self.draining = False
         self.recent_work: deque[tuple[float, float]] = (
@@ -216,7 +216,7 @@
         budget = shape.fall_multiple * self.capacity() * shape.slots * shape.fall_ms * OVERLOAD_TOLERANCE
         if sum(work for _, work in self.recent_work) <= budget:
             return False
-        self.falls += 1
+        self.crashes += 1
         self.ledger.overload_crashes.append((self.uid, now))
         address = self.address
         self.crash()
--- a/tests/fleet/test_daemon.py
+++ b/tests/fleet/test_daemon.py
@@ -329,7 +329,7 @@
             # One client of the registry for all thirty: the first list, a check for changes, the watch.
             assert len(call_times_ms) <= 4
             await harness.clients.run(150, 4, MIX)
-            assert sum(node.falls for node in harness.rig.nodes) == 0
+            assert sum(node.crashes for node in harness.rig.nodes) == 0
             assert harness.clients.statuses[200] > 0
             harness.assert_rules_kept()
 
--- a/tests/standin/test_ledger.py
+++ b/tests/standin/test_ledger.py
@@ -135,7 +135,7 @@
         for client in clients:
             assert await client.ended() is True
             client.close()
-        assert rules(ledger)[-1] == "pushed over" and node.falls == 1
+        assert rules(ledger)[-1] == "pushed over" and node.crashes == 1
         while node.server is None:
             await asyncio.sleep(0.01)
         assert node.address == address
