--- a/bench/peers.py
+++ b/bench/peers.py
@@ -151,7 +151,7 @@
     async with fleets(folder, count, nodes=3, seed=seed) as made:
         more = [f"f{n}" for n in range(count, most)]
         for name in more:
-            await made.place(name)
+            await made.add_fleet_relay(name)
             made.write(name)
         began = clock()
         await asyncio.gather(*map(made.start, more))
--- a/flintlatch/standin/fleets.py
+++ b/flintlatch/standin/fleets.py
@@ -63,7 +63,7 @@
             await self.add_node(index % len(self.zones), shape or Shape(work_ms=5.0))
         names = [f"f{index}" for index in range(fleets)]
         for name in names:
-            await self.place(name)
+            await self.add_fleet_relay(name)
         self.seeds = [self.relays[name].address for name in names[:3]]
         for name in names:
             self.write(name, **tables)
@@ -82,7 +82,7 @@
         rig.registry.put(node.uid, relay.address, "active", zone, 0, now_ms() if shape.cold_ms else 0.0)
         return node
 
-    async def place(self, name: str) -> None:
+    async def add_fleet_relay(self, name: str) -> None:
         number = int(name[1:])
         zone = self.zones[number % len(self.zones)]
         self.links.add(name, zone, f"127.77.{number // 200}.{number % 200 + 1}")
--- a/tests/fleet/test_peers.py
+++ b/tests/fleet/test_peers.py
@@ -206,7 +206,7 @@
         async with fleets(tmp_path, 4) as cluster:
             joining = [f"f{n}" for n in range(4, 10)]
             for name in joining:
-                await cluster.place(name)
+                await cluster.add_fleet_relay(name)
                 cluster.write(name)
             await asyncio.gather(*map(cluster.start, joining))
             await cluster.until(cluster.views_agree, "ten")
