--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -91,7 +91,7 @@
     for breach in broken[:20]:
         print(f"BROKEN {breach}")
     # A probe can meet a kill like any other client; more of them than that would be refusals.
-    print(f"probes {len(prober.done_ms)}, of these not answered {Counter(prober.failures)}")
+    print(f"probes {len(prober.success_times_ms)}, of these not answered {Counter(prober.failures)}")
     print(f"latency median {clients.quantile(0.5):.1f} ms, 99% {clients.quantile(0.99):.1f} ms")
     held = not broken and not code and not failed and len(prober.failures) <= kills
     print(
--- a/flintlatch/standin/client.py
+++ b/flintlatch/standin/client.py
@@ -277,7 +277,7 @@
 
     def __init__(self, address: str, every_s: float = 0.02) -> None:
         self.address, self.every_s = address, every_s
-        self.done_ms: list[float] = []
+        self.success_times_ms: list[float] = []
         self.failures: list[str] = []
         self.task: asyncio.Task[None] | None = None
 
@@ -301,7 +301,7 @@
             self.failures.append(str(error) or type(error).__name__)
             return
         if b" 200 " in line:
-            self.done_ms.append(now_ms())
+            self.success_times_ms.append(now_ms())
         else:
             self.failures.append(line.decode("latin-1").strip() or "closed with no answer")
 
@@ -309,4 +309,7 @@
         """Stop probing, and return the longest time between two successful probes in ms."""
         if self.task is not None:
             self.task.cancel()
-        return max((b - a for a, b in zip(self.done_ms, self.done_ms[1:], strict=False)), default=0.0)
+        return max(
+            (b - a for a, b in zip(self.success_times_ms, self.success_times_ms[1:], strict=False)),
+            default=0.0,
+        )
