--- a/bench/operations.py
+++ b/bench/operations.py
@@ -23,7 +23,7 @@
 from flintlatch.api import Effect, RequestClass, Scope
 from flintlatch.standin.client import Clients
 from flintlatch.standin.node import Shape
-from flintlatch.standin.process import ports_of
+from flintlatch.standin.process import remote_ports
 from flintlatch.standin.proxy import ProxyProcess, call, configuration, free_address, read_figures, write
 from flintlatch.standin.rig import Rig
 
@@ -81,7 +81,7 @@
         await self.call("POST", "/ops/drain/start")
         await self.call("GET", "/ops/readiness", 503)
         begun = time.monotonic()
-        while ports_of(self.proxy.process.pid) & {one.port for one in self.clients.connections}:
+        while remote_ports(self.proxy.process.pid) & {one.port for one in self.clients.connections}:
             if time.monotonic() - begun > DRAINED_S:
                 self.broken.append(f"a client was still held {DRAINED_S:g} s after the drain began")
                 break
--- a/flintlatch/standin/process.py
+++ b/flintlatch/standin/process.py
@@ -17,7 +17,7 @@
 START_S = 60.0  # timeout of each wait; a loaded machine starts thirty interpreters at once
 
 
-def ports_of(pid: int) -> set[int]:
+def remote_ports(pid: int) -> set[int]:
     """Return the remote ports of all IPv4 TCP connections of a process, read from proc(5)."""
     inodes = set()
     for name in os.listdir(f"/proc/{pid}/fd"):
@@ -146,7 +146,7 @@
         """
         os.kill(pid, signal.SIGSTOP)
         if clients is not None:
-            clients.excuse(ports_of(pid), f"process {pid} was killed")
+            clients.excuse(remote_ports(pid), f"process {pid} was killed")
         os.kill(pid, signal.SIGKILL)
 
     def signal(self, number: int) -> None:
--- a/tests/fleet/test_daemon.py
+++ b/tests/fleet/test_daemon.py
@@ -16,7 +16,7 @@
 from flintlatch.net.frontend import REQUEST_READ_TIMEOUT_S
 from flintlatch.standin.client import Prober
 from flintlatch.standin.node import Shape
-from flintlatch.standin.process import FleetProcess, alive, ports_of
+from flintlatch.standin.process import FleetProcess, alive, remote_ports
 from flintlatch.standin.rig import MIX
 from tests.fleet.support import HeldCalls, daemon, none_left, run
 from tests.loopback import Client
@@ -172,7 +172,7 @@
             calls = [await held_calls.calls.get() for _ in requests]
             victim, other = await harness.pids_now()
             lost_count = len(
-                ports_of(victim) & {connection.port for connection in harness.clients.connections}
+                remote_ports(victim) & {connection.port for connection in harness.clients.connections}
             )
             await harness.fleet.kill_worker(victim, harness.clients)
             status = await harness.fleet.until(lambda s: s["generations"][0]["slots"][0]["restarts"] == 1)
