--- a/bench/peers.py
+++ b/bench/peers.py
@@ -159,7 +159,7 @@
         up = await made.until(made.views_agree, f"agreement of {most}")
         for name in more:
             made.processes[name].signal(signal.SIGTERM)
-        await asyncio.gather(*(made.processes.pop(name).ended() for name in more))
+        await asyncio.gather(*(made.processes.pop(name).wait_until_ended() for name in more))
         down = await made.until(made.views_agree, f"agreement of {count}")
         died = int((await made.peers("f0"))["counts"]["died"])
         print(
--- a/flintlatch/standin/fleets.py
+++ b/flintlatch/standin/fleets.py
@@ -154,7 +154,7 @@
         """Kill supervisor and instances at once, like a machine that loses power."""
         for pid in self.pids(name):
             os.kill(pid, signal.SIGKILL)
-        await self.processes.pop(name).ended()
+        await self.processes.pop(name).wait_until_ended()
         self.relays[name].point("")
 
     async def play(self, schedule: list[FaultEvent]) -> None:
--- a/flintlatch/standin/process.py
+++ b/flintlatch/standin/process.py
@@ -152,7 +152,7 @@
     def signal(self, number: int) -> None:
         self.process.send_signal(number)
 
-    async def ended(self) -> int:
+    async def wait_until_ended(self) -> int:
         async with asyncio.timeout(START_S):
             code = await self.process.wait()
             if self.log_reader is not None:
@@ -161,7 +161,7 @@
 
     async def stop(self) -> int:
         self.signal(signal.SIGTERM)
-        return await self.ended()
+        return await self.wait_until_ended()
 
     async def close(self) -> None:
         if self.process.returncode is None:
--- a/tests/fleet/test_daemon.py
+++ b/tests/fleet/test_daemon.py
@@ -63,7 +63,7 @@
             harness.fleet.signal(signal.SIGHUP)
             await harness.fleet.wait_for_log("reload: the fleet is stopping")
             call.reply(200, b"done")
-            assert await harness.fleet.ended() == 0
+            assert await harness.fleet.wait_until_ended() == 0
             await harness.clients.all_answered.wait()
             assert request.status == 200
             harness.assert_rules_kept()
@@ -82,7 +82,7 @@
             await harness.fleet.wait_for_log("stopping")
             assert request.answers == 0
             harness.fleet.signal(signal.SIGTERM)
-            assert await harness.fleet.ended() == 0
+            assert await harness.fleet.wait_until_ended() == 0
             await harness.clients.all_answered.wait()
             assert request.status == 504  # the node may have run it, so the outcome is unknown to the client
             harness.assert_rules_kept()
