--- a/flintlatch/standin/delivery.py
+++ b/flintlatch/standin/delivery.py
@@ -24,12 +24,12 @@
 from flintlatch.peers.clock import clock
 from flintlatch.standin.delivered import MARK, Audit, Objects
 from flintlatch.standin.links import FaultEvent, Links, Relay, apply
-from flintlatch.standin.process import START_S
+from flintlatch.standin.process import WAIT_TIMEOUT_S
 from flintlatch.standin.rig import toml
 
 KEY = "5c" * 32
 MAX_LINE_BYTES = 16 * 1024 * 1024  # a row of output can contain every object
-QUICK: dict[str, float] = {
+QUICK: dict[str, float] = {  # short intervals, so that tests finish within seconds
     "gather_s": 0.05,
     "ping_s": 0.2,
     "silence_s": 0.8,
@@ -87,9 +87,9 @@
     async def wait_for_log(self, text: str, start: int = 0) -> int:
         """Wait for a log line that contains `text`; return the position after the first from `start` on.
 
-        Raises AssertionError if the process has ended without it, TimeoutError after START_S.
+        Raises AssertionError if the process has ended without it, TimeoutError after WAIT_TIMEOUT_S.
         """
-        async with asyncio.timeout(START_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while True:
                 for position in range(start, len(self.log)):
                     if text in self.log[position]:
@@ -114,13 +114,15 @@
             if self.paused:
                 self.wake()
             self.process.send_signal(number)
-        async with asyncio.timeout(START_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             code = await self.process.wait()
             await asyncio.gather(*self.tasks)
         return code
 
 
 class DeliveryDeployment:
+    """The processes of a delivery, the relays between them, and the audit. Use `delivery_deployment`."""
+
     def __init__(self, folder: Path, zones: tuple[str, ...], seed: int, rules: Mapping[str, float]) -> None:
         self.folder, self.zones, self.rules = folder, zones, dict(rules)
         self.links = Links(seed)
@@ -181,7 +183,7 @@
         child = self.children[name] = await Child(command, self._write(name)).start()
         if command != "follow":
             position = await child.wait_for_log("listens on ")
-            self.fault_relays[name].point(child.log[position - 1].split()[-1])
+            self.fault_relays[name].set_target(child.log[position - 1].split()[-1])
         return child
 
     # Changes and faults
@@ -213,7 +215,7 @@
         child = self.children.pop(name)
         self.stopped.append((name, child))
         if name in self.fault_relays:
-            self.fault_relays[name].point("")
+            self.fault_relays[name].set_target("")
         return await child.end(number)
 
     async def play(self, schedule: list[FaultEvent]) -> None:
@@ -250,7 +252,7 @@
         return sum(text in line for line in self.children[name].log)
 
     async def until(
-        self, condition: Callable[[], bool], description: str, within_s: float = START_S
+        self, condition: Callable[[], bool], description: str, within_s: float = WAIT_TIMEOUT_S
     ) -> float:
         """Poll `condition` until it returns true, and return the seconds that this took.
 
@@ -264,7 +266,7 @@
             await asyncio.sleep(0.01)
         return clock() - started
 
-    async def all_hold(self, within_s: float = START_S, names: tuple[str, ...] = ()) -> float:
+    async def all_hold(self, within_s: float = WAIT_TIMEOUT_S, names: tuple[str, ...] = ()) -> float:
         followers = names or tuple(self.followed_names)
         return await self.until(
             lambda: all(self.holds(name) for name in followers), "the last commit", within_s
--- a/flintlatch/standin/fleets.py
+++ b/flintlatch/standin/fleets.py
@@ -23,11 +23,11 @@
 from flintlatch.standin.client import Clients
 from flintlatch.standin.links import FaultEvent, Links, Relay, apply
 from flintlatch.standin.node import Node, Shape
-from flintlatch.standin.process import START_S, FleetProcess
+from flintlatch.standin.process import WAIT_TIMEOUT_S, FleetProcess
 from flintlatch.standin.rig import CLASSES, Rig, Rows, configuration
 
 KEY = "4b" * 32
-QUICK: dict[str, Any] = {
+QUICK: dict[str, Any] = {  # short intervals, so that tests finish within seconds
     "period_s": 0.25,
     "ack_s": 0.1,
     "suspicion": 3.0,
@@ -39,6 +39,8 @@
 
 
 class Fleets:
+    """Peer fleets with their nodes, registry and relays. Use `fleets` to start and stop them."""
+
     def __init__(self, folder: Path, zones: tuple[str, ...], instances: int, seed: int) -> None:
         self.folder, self.zones, self.instances, self.seed = folder, zones, instances, seed
         self.rig = Rig(folder, seed)
@@ -70,8 +72,8 @@
         await asyncio.gather(*map(self.start, names))
 
     async def add_node(self, zone: int, shape: Shape) -> Node:
-        """Start a node behind a relay, and add it to the registry under the relay's address."""
-        shape = Rig.own(shape)
+        """Start a node behind a relay, and register it under the relay's address."""
+        shape = Rig.copy_shape(shape)
         shape.zone = zone
         rig = self.rig
         node = Node(f"s{len(rig.nodes)}", shape, rig.ledger, self.seed, rig.keys)
@@ -121,7 +123,7 @@
         await process.start()
         position = await process.wait_for_log("peers at ")
         line = process.log[position - 1]
-        self.relays[name].point(line.partition("peers at ")[2].partition(",")[0])
+        self.relays[name].set_target(line.partition("peers at ")[2].partition(",")[0])
         await process.ready()
         return process
 
@@ -155,7 +157,7 @@
         for pid in self.pids(name):
             os.kill(pid, signal.SIGKILL)
         await self.processes.pop(name).wait_until_ended()
-        self.relays[name].point("")
+        self.relays[name].set_target("")
 
     async def play(self, schedule: list[FaultEvent]) -> None:
         loop = asyncio.get_running_loop()
@@ -195,7 +197,7 @@
     async def until(self, condition: Callable[[], Any], description: str = "the condition") -> float:
         """Poll `condition` until it returns true, and return the seconds that this took.
 
-        Raises AssertionError after START_S.
+        Raises AssertionError after WAIT_TIMEOUT_S.
         """
         loop = asyncio.get_running_loop()
         started = loop.time()
@@ -205,8 +207,10 @@
                     return loop.time() - started
             except ControlError:  # a fleet that is just starting or stopping
                 pass
-            if loop.time() - started > START_S:
-                raise AssertionError(f"{description}: not reached within {START_S:g} s: " + self.logs())
+            if loop.time() - started > WAIT_TIMEOUT_S:
+                raise AssertionError(
+                    f"{description}: not reached within {WAIT_TIMEOUT_S:g} s: " + self.logs()
+                )
             await asyncio.sleep(0.05)
 
     def logs(self) -> str:
--- a/flintlatch/standin/links.py
+++ b/flintlatch/standin/links.py
@@ -34,6 +34,8 @@
 
 @dataclass(slots=True)
 class Links:
+    """The places and the state of the link between each ordered pair of them."""
+
     seed: int
     places: dict[str, Place] = field(default_factory=dict)
     default_link: Link = NO_FAULT
@@ -73,7 +75,7 @@
             for b in self.resolve(other_side):
                 if a != b:
                     self.faults[a, b] = link
-        self._pump_all()
+        self._forward_all_due()
 
     def cut(self, side: str | Iterable[str], other_side: str | Iterable[str], both: bool = True) -> None:
         self.set(side, other_side, Link(cut=True))
@@ -95,21 +97,21 @@
         self.faults.clear()
         self.resets.clear()
         self.default_link = NO_FAULT
-        self._pump_all()
+        self._forward_all_due()
 
     def between(self, source: str, target: str) -> Link:
         return self.faults.get((source, target), self.default_link)
 
-    def _pump_all(self) -> None:
+    def _forward_all_due(self) -> None:
         for direction in list(self.directions):
-            direction.pump()
+            direction.forward_due()
 
     def name_of_host(self, host: str) -> str:
         """Return the name of the place that sends from `host`, or "" if there is none."""
         return next((p.name for p in self.places.values() if p.host == host), "")
 
     async def open(self, name: str, target: str = "", datagrams: bool = False) -> Relay:
-        """Start a relay in front of place `name`, which is at `target` (host:port, see `Relay.point`)."""
+        """Start a relay in front of place `name`, which is at `target` (host:port; see `set_target`)."""
         relay = Relay(self, name, target)
         await relay.open(datagrams)
         self.relays.append(relay)
@@ -141,7 +143,7 @@
             datagram.close()
         self.server = await self.loop.create_server(lambda: _Direction(self), sock=stream, backlog=512)
 
-    def point(self, target: str) -> None:
+    def set_target(self, target: str) -> None:
         self.target = target
 
     def close(self) -> None:
@@ -199,7 +201,7 @@
         if offsets := self.links.resets.get((self.source, self.target)):
             self.bytes_until_reset = offsets.popleft()
         if self.reverse is not None:  # this is the relay's connection to the place
-            self.reverse.pump()
+            self.reverse.forward_due()
             return
         self.reverse = _Direction(self.relay, self, self.target, self.source)
         self.relay.loop.create_task(self._connect(self.reverse))
@@ -231,9 +233,9 @@
             and not self.transport.is_closing()
         ):
             self.transport.pause_reading()
-        self.pump()
+        self.forward_due()
 
-    def pump(self) -> None:
+    def forward_due(self) -> None:
         """Forward all data that is due, unless the direction is cut."""
         if self.timer is not None:
             self.timer.cancel()
@@ -245,7 +247,7 @@
         while self.queue:
             due, data = self.queue[0]
             if due > now:
-                self.timer = self.relay.loop.call_later(due - now, self.pump)
+                self.timer = self.relay.loop.call_later(due - now, self.forward_due)
                 break
             self.queue.popleft()
             if output.is_closing():
--- a/flintlatch/standin/node.py
+++ b/flintlatch/standin/node.py
@@ -143,9 +143,7 @@
         self.busy = self.accepted = self.served = self.crashes = 0
         self.started_ms = now_ms()
         self.draining = False
-        self.recent_work: deque[tuple[float, float]] = (
-            deque()
-        )  # work received in slow start: time, ms of work
+        self.recent_work: deque[tuple[float, float]] = deque()  # in slow start: time of arrival, ms of work
         self.timers: set[asyncio.TimerHandle] = set()
 
     async def open(self, address: str = "127.0.0.1:0") -> Node:
@@ -199,8 +197,8 @@
 
     def _draw_fault(self) -> Fault:
         sample = self.random.random()
-        for fault, chance in self.shape.faults.items():
-            sample -= chance
+        for fault, probability in self.shape.faults.items():
+            sample -= probability
             if sample < 0:
                 return fault
         return Fault.NONE
--- a/flintlatch/standin/process.py
+++ b/flintlatch/standin/process.py
@@ -14,7 +14,7 @@
 from flintlatch.fleet.control import ControlError, send_control_request
 from flintlatch.standin.client import Clients
 
-START_S = 60.0  # timeout of each wait; a loaded machine starts thirty interpreters at once
+WAIT_TIMEOUT_S = 60.0  # timeout of each wait; a loaded machine starts thirty interpreters at once
 
 
 def remote_ports(pid: int) -> set[int]:
@@ -86,9 +86,9 @@
     async def wait_for_log(self, text: str, start: int = 0) -> int:
         """Wait for a log line that contains `text`; return the position after the first from `start` on.
 
-        Raises AssertionError if the process ends without it, TimeoutError after START_S.
+        Raises AssertionError if the process ends without it, TimeoutError after WAIT_TIMEOUT_S.
         """
-        async with asyncio.timeout(START_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while True:
                 for position in range(start, len(self.log)):
                     if text in self.log[position]:
@@ -111,7 +111,7 @@
         self.address = (await self.until(lambda status: status["phase"] == "serving"))["listen"][0]
         return self
 
-    async def ask(self, do: str, timeout_s: float = START_S) -> dict[str, Any]:
+    async def ask(self, do: str, timeout_s: float = WAIT_TIMEOUT_S) -> dict[str, Any]:
         path = find_control(str(self.config))
         return await asyncio.to_thread(send_control_request, path, {"do": do}, timeout_s)
 
@@ -121,9 +121,9 @@
     async def until(self, condition: Callable[[dict[str, Any]], bool]) -> dict[str, Any]:
         """Poll the status until it meets the condition, and return it.
 
-        Raises AssertionError if the fleet ends, TimeoutError after START_S.
+        Raises AssertionError if the fleet ends, TimeoutError after WAIT_TIMEOUT_S.
         """
-        async with asyncio.timeout(START_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while True:
                 try:
                     status = await self.status()
@@ -153,7 +153,7 @@
         self.process.send_signal(number)
 
     async def wait_until_ended(self) -> int:
-        async with asyncio.timeout(START_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             code = await self.process.wait()
             if self.log_reader is not None:
                 await self.log_reader
--- a/flintlatch/standin/rig.py
+++ b/flintlatch/standin/rig.py
@@ -80,13 +80,13 @@
         return self
 
     @staticmethod
-    def own(shape: Shape) -> Shape:
+    def copy_shape(shape: Shape) -> Shape:
         """Return a copy of the shape, so that a fault set on one node leaves the others unchanged."""
         return replace(shape, faults=dict(shape.faults))
 
     async def add(self, shape: Shape) -> Node:
         """Start a node, and add it to the registry at once."""
-        node = Node(f"s{len(self.nodes)}", self.own(shape), self.ledger, self.seed, self.keys)
+        node = Node(f"s{len(self.nodes)}", self.copy_shape(shape), self.ledger, self.seed, self.keys)
         await node.open()
         self.nodes.append(node)
         self.registry.add(node, now_ms() if shape.cold_ms else 0.0)
