--- a/bench/delivery_processes.py
+++ b/bench/delivery_processes.py
@@ -109,7 +109,14 @@
     most = bound(rules, args.relays)
     print(f"load {os.getloadavg()[0]:.1f} on {os.cpu_count()} processors at the start")
     async with delivery_deployment(
-        folder, ZONES, args.relays, args.followers, services=40, each=6, seed=args.seed, rules={}
+        folder,
+        ZONES,
+        args.relays,
+        args.followers,
+        services=40,
+        services_per_follower=6,
+        seed=args.seed,
+        rules={},
     ) as made:
         relays = [name for name in made.fault_relays if name != "origin"]
         faults = schedule(args.seed, relays, list(made.followed_names), args.seconds)
--- a/flintlatch/standin/delivery.py
+++ b/flintlatch/standin/delivery.py
@@ -135,7 +135,7 @@
 
     # Set-up
 
-    async def open(self, relays: int, followers: int, services: int, each: int) -> None:
+    async def open(self, relays: int, followers: int, services: int, services_per_follower: int) -> None:
         for number in range(services):
             self.objects[f"s{number}"] = {f"i{k}": {"weight": k} for k in range(20)}
         for name in ("origin", *(f"r{k}" for k in range(relays)), *(f"p{k}" for k in range(followers))):
@@ -145,7 +145,9 @@
             if kind != "p":
                 self.fault_relays[name] = await self.links.open(name)
             else:
-                services_followed = (f"s{(number * 7 + k) % services}" for k in range(min(each, services)))
+                services_followed = (
+                    f"s{(number * 7 + k) % services}" for k in range(min(services_per_follower, services))
+                )
                 self.followed_names[name] = (MARK, *services_followed)
         self.put()
         await self.start("origin")
@@ -301,14 +303,14 @@
     relays: int = 3,
     followers: int = 6,
     services: int = 8,
-    each: int = 3,
+    services_per_follower: int = 3,
     seed: int = 1,
     rules: Mapping[str, float] = QUICK,
 ) -> AsyncIterator[DeliveryDeployment]:
     """Run a deployment: it is yielded once every follower holds the first commit, and stopped at the end."""
     deployment = DeliveryDeployment(folder, zones, seed, rules)
     try:
-        await deployment.open(relays, followers, services, each)
+        await deployment.open(relays, followers, services, services_per_follower)
         yield deployment
     finally:
         await deployment.close()
