--- a/flintlatch/standin/links.py
+++ b/flintlatch/standin/links.py
@@ -22,6 +22,7 @@
 
 RESEND_S = 0.2  # delay of a lost segment: the kernel's minimum retransmission timeout
 BUFFER_BYTES = 256 * 1024  # queue at which a direction stops reading its sender, like a full socket buffer
+RESET_DELAY_S = 0.01  # lets the data written before a reset leave
 NO_FAULT = Link(0.0, 0.0)
 
 
@@ -274,12 +275,12 @@
             self.links.directions.discard(self)
 
     def _reset(self) -> None:
-        """Reset both connections, after a delay that lets the data written before leave."""
+        """Reset both connections after RESET_DELAY_S."""
         for direction in (self, self.reverse):
             if direction is not None and direction.transport is not None:
                 direction.closed = True
                 self.links.directions.discard(direction)
-                self.relay.loop.call_later(0.01, direction.transport.abort)
+                self.relay.loop.call_later(RESET_DELAY_S, direction.transport.abort)
 
     def eof_received(self) -> bool:
         return False
