--- a/bench/bodies.py
+++ b/bench/bodies.py
@@ -122,9 +122,9 @@
         else:
             path = b"%d/chunked" % size if chunked else b"%d" % size
             status = await client.ask(b"GET /export/%b HTTP/1.1\r\nHost: x\r\n" % path)
-            is_right = status == 200 and client.count == size
+            is_right = status == 200 and client.body_size == size
         if not is_right:
-            raise ValueError(f"{size} bytes, up {up}, chunked {chunked}: {status}, {client.count} bytes")
+            raise ValueError(f"{size} bytes, up {up}, chunked {chunked}: {status}, {client.body_size} bytes")
     elapsed_s = time.perf_counter() - began
     client.transport.close()
     return size * times / MIB / elapsed_s
--- a/bench/delivery_processes.py
+++ b/bench/delivery_processes.py
@@ -27,8 +27,8 @@
 from flintlatch.delivery.model import Rules
 from flintlatch.delivery.source import POLL_INTERVAL_S
 from flintlatch.peers.clock import clock
-from flintlatch.standin.delivery import Delivered, delivered
-from flintlatch.standin.links import Trouble, draw, written
+from flintlatch.standin.delivery import DeliveryDeployment, delivery_deployment
+from flintlatch.standin.links import FaultEvent, draw_schedule, format_schedule
 
 MAX_FAULT_S = 4.0
 COMMIT_INTERVAL_S = 0.5
@@ -48,14 +48,14 @@
     return max(rules.staleness_bound_s(relays // 2, 0.0, HOP_DELAY_S), cut) + POLL_INTERVAL_S
 
 
-def schedule(seed: int, relays: list[str], followers: list[str], seconds: float) -> list[Trouble]:
+def schedule(seed: int, relays: list[str], followers: list[str], seconds: float) -> list[FaultEvent]:
     """The usual schedule, with partitions between relays replaced by partitions from origin or followers."""
     rng, troubles = Random(f"{seed}/sides"), []
-    for trouble in draw(seed, relays, seconds, MAX_FAULT_S):
-        if trouble.what in ("cut", "cut one way", "link"):
+    for trouble in draw_schedule(seed, relays, seconds, MAX_FAULT_S):
+        if trouble.action in ("cut", "cut one way", "link"):
             others = rng.choice((("origin",), tuple(followers), ("origin", *followers)))
-            sides = (trouble.one, others) if rng.random() < 0.5 else (others, trouble.one)
-            trouble = Trouble(trouble.at_s, trouble.what, *sides, trouble.link)
+            sides = (trouble.side, others) if rng.random() < 0.5 else (others, trouble.side)
+            trouble = FaultEvent(trouble.at_s, trouble.action, *sides, trouble.link)
         troubles.append(trouble)
     return troubles
 
@@ -81,7 +81,7 @@
     return worst
 
 
-async def commit_changes(fleet: Delivered, rng: Random, end: float) -> None:
+async def commit_changes(fleet: DeliveryDeployment, rng: Random, end: float) -> None:
     services = [name for name in fleet.objects if name != "mark"]
     number = 0
     while clock() < end:
@@ -99,7 +99,9 @@
         await asyncio.sleep(max(0.0, COMMIT_INTERVAL_S - (clock() - began)))
 
 
-def cpu_fractions(fleet: Delivered, kind: str, before: dict[str, float], seconds: float) -> list[float]:
+def cpu_fractions(
+    fleet: DeliveryDeployment, kind: str, before: dict[str, float], seconds: float
+) -> list[float]:
     """Processor fractions of the processes of a kind that were running all the time."""
     alive: Iterable[tuple[str, Any]] = fleet.children.items()
     now = {n: (c.process.pid, cpu_s(c.process.pid)) for n, c in alive if n[0] == kind}
@@ -111,12 +113,19 @@
     rules, violations = Rules(), list[str]()
     bound_s = staleness_bound_s(rules, args.relays)
     print(f"load {os.getloadavg()[0]:.1f} on {os.cpu_count()} processors at the start")
-    async with delivered(
-        folder, ZONES, args.relays, args.followers, services=40, each=6, seed=args.seed, rules={}
+    async with delivery_deployment(
+        folder,
+        ZONES,
+        args.relays,
+        args.followers,
+        services=40,
+        services_per_follower=6,
+        seed=args.seed,
+        rules={},
     ) as fleet:
-        relays = [name for name in fleet.before if name != "origin"]
-        faults = schedule(args.seed, relays, list(fleet.follows), args.seconds)
-        print(written(faults), end="")
+        relays = [name for name in fleet.fault_relays if name != "origin"]
+        faults = schedule(args.seed, relays, list(fleet.followed_names), args.seconds)
+        print(format_schedule(faults), end="")
         before = {f"{n} {c.process.pid}": cpu_s(c.process.pid) for n, c in fleet.children.items()}
         began = clock()
         changing = asyncio.create_task(
@@ -130,15 +139,17 @@
         try:
             await fleet.all_hold(bound_s)
         except AssertionError:
-            late = [name for name in fleet.follows if not fleet.holds(name)]
+            late = [name for name in fleet.followed_names if not fleet.holds(name)]
             violations.append(f"{', '.join(late)} did not have the last commit {bound_s:.1f} s after it")
         try:
             rows_by_follower = fleet.check()
         except AssertionError as error:
             return [*violations, f"audit: {error}"]
         delays = [d for rows in rows_by_follower.values() for d in fleet.audit.delays(rows).values()]
-        bytes_in = max(worst_minute(fleet.children[name].rows) for name in fleet.follows)
-        unavailable_reports = sum(fleet.told(name, "no relay with news") for name in fleet.follows)
+        bytes_in = max(worst_minute(fleet.children[name].rows) for name in fleet.followed_names)
+        unavailable_reports = sum(
+            fleet.count_log_lines(name, "no relay with news") for name in fleet.followed_names
+        )
         print(f"{len(fleet.audit.commits)} commits, {len(faults)} steps of faults, {len(delays)} arrivals")
         figures = " ".join(f"{quantile(delays, p):.2f}" for p in (0.5, 0.99, 1.0))
         print(f"staleness s, median 99% worst: {figures}; bound {bound_s:.2f}")
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -75,7 +75,7 @@
     began_ms = now_ms()
     await (await fleet.start()).ready_by_status()
     ready_s = (now_ms() - began_ms) / 1000
-    clients = Clients(fleet.address, CLASSES, rig.ledger, seed, most_connections=128, keep_requests=20)
+    clients = Clients(fleet.address, CLASSES, rig.ledger, seed, max_connections=128, keep_requests=20)
     prober = Prober(fleet.address, 0.01)
     prober.start()
     try:
@@ -88,12 +88,12 @@
         clients.close()
         await fleet.close()
         rig.close()
-    counts, broken = rig.ledger.counts(), rig.ledger.broken()
+    counts, broken = rig.ledger.counts(), rig.ledger.violations()
     print(rig.ledger.table())
     for breach in broken[:20]:
         print(f"BROKEN {breach}")
     # A probe can be hit by a kill like any other client; more failures than kills mean refused connections.
-    print(f"probes {len(prober.done_ms)}, of these not answered {Counter(prober.failures)}")
+    print(f"probes {len(prober.success_times_ms)}, of these not answered {Counter(prober.failures)}")
     print(f"latency median {clients.quantile(0.5):.1f} ms, 99% {clients.quantile(0.99):.1f} ms")
     held = not broken and not code and not failed and len(prober.failures) <= kills
     print(
--- a/bench/limits.py
+++ b/bench/limits.py
@@ -28,7 +28,7 @@
 from flintlatch.net.clock import now_ms
 from flintlatch.standin.client import Clients
 from flintlatch.standin.fleets import Fleets, fleets
-from flintlatch.standin.links import draw, written
+from flintlatch.standin.links import draw_schedule, format_schedule
 from flintlatch.standin.rig import CLASSES
 
 LIMIT_PER_S, BURST, LEASE_TERM_S = 150.0, 15.0, 1.0
@@ -90,7 +90,7 @@
 async def play(mode: str, seed: int, count: int, seconds: float, folder: Path) -> tuple[float, float]:
     names = [f"f{n}" for n in range(count)]
     keepers = {"voters": names[: min(count, 7)], "fleets": count, "term_s": LEASE_TERM_S}
-    schedule = draw(seed, names, seconds)
+    schedule = draw_schedule(seed, names, seconds)
     async with fleets(
         folder,
         count,
@@ -149,7 +149,8 @@
 
 async def run(seed: int, count: int, seconds: float, folder: Path) -> int:
     print(
-        f"schedule of seed {seed}:\n{written(draw(seed, [f'f{n}' for n in range(count)], seconds))}", end=""
+        f"schedule of seed {seed}:\n{format_schedule(draw_schedule(seed, [f'f{n}' for n in range(count)], seconds))}",
+        end="",
     )
     worst, used = 0.0, 1.0
     for mode in ("strict", "open", "equal parts"):
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -83,7 +83,7 @@
 
     def write_good(self) -> None:
         """Writes a valid version. A drain counts from the moment at which the file is complete."""
-        draining_since = self.rig.ledger.told_draining
+        draining_since = self.rig.ledger.drain_announced_ms
         before = set(draining_since)
         data = self.valid_version()
         uids = {node.uid for index, node in enumerate(self.rig.nodes) if index == self.drained}
@@ -114,7 +114,7 @@
     # so that the ledger records each request after a drain, with its time
     rig.ledger.drain_grace_ms = -GRACE_MS
     writer.write_good()
-    rig.ledger.told_draining.clear()  # no process serves yet
+    rig.ledger.drain_announced_ms.clear()  # no process serves yet
     config = rig.write(fleet={"instances": instances}, start={"watchdog_s": WATCHDOG_S})
     text = config.read_text()
     before, after = text.index("[nodes]"), text.index("[[class]]")
@@ -134,7 +134,7 @@
                 bad_count += 1
                 try:
                     async with asyncio.timeout(10):
-                        await fleet.said("rejected", log_position)
+                        await fleet.wait_for_log("rejected", log_position)
                 except TimeoutError:
                     unreported += 1
             writer.write_good()
@@ -162,9 +162,11 @@
         clients.close()
         await fleet.close()
         rig.close()
-    after_drain_ms = [ms for *_, ms in rig.ledger.to_draining]
-    rig.ledger.to_draining = [row for row in rig.ledger.to_draining if row[2] > DRAIN_GRACE_MS + GRACE_MS]
-    counts, broken = rig.ledger.counts(), rig.ledger.broken()
+    after_drain_ms = [ms for *_, ms in rig.ledger.sent_after_drain_grace]
+    rig.ledger.sent_after_drain_grace = [
+        row for row in rig.ledger.sent_after_drain_grace if row[2] > DRAIN_GRACE_MS + GRACE_MS
+    ]
+    counts, broken = rig.ledger.counts(), rig.ledger.violations()
     for breach in broken[:10]:
         print(f"BROKEN {breach}")
     rejected = sources[0]["rejected"]
--- a/bench/operations.py
+++ b/bench/operations.py
@@ -23,7 +23,7 @@
 from flintlatch.api import Effect, RequestClass, Scope
 from flintlatch.standin.client import Clients
 from flintlatch.standin.node import Shape
-from flintlatch.standin.process import ports_of
+from flintlatch.standin.process import remote_ports
 from flintlatch.standin.proxy import ProxyProcess, call, configuration, free_address, read_figures, write
 from flintlatch.standin.rig import Rig
 
@@ -85,7 +85,9 @@
         await self.call("POST", "/ops/drain/start")
         await self.call("GET", "/ops/readiness", 503)
         began = time.monotonic()
-        while ports_of(self.proxy.process.pid) & {connection.port for connection in self.clients.connections}:
+        while remote_ports(self.proxy.process.pid) & {
+            connection.port for connection in self.clients.connections
+        }:
             if time.monotonic() - began > MAX_DRAIN_S:
                 self.broken.append(f"a client was still held {MAX_DRAIN_S:g} s after the drain began")
                 break
@@ -132,20 +134,20 @@
             await self.replace_version()
             await self.open_idle_callers()
             await load
-        await self.clients.none_open.wait()
+        await self.clients.all_answered.wait()
         before = dict(self.clients.statuses)
         self.proxy, old = await self.start(), self.proxy
         await old.end()
         load = asyncio.create_task(self.clients.run(rate, 3.0, MIX))
         await load
-        await self.clients.none_open.wait()
+        await self.clients.all_answered.wait()
         await self.check_figures(before)
         await self.drain()
         load = asyncio.create_task(self.clients.run(rate, 4.0, MIX))
         await asyncio.sleep(0.5)
         await self.drain()
         await load
-        await self.clients.none_open.wait()
+        await self.clients.all_answered.wait()
         if (code := await self.proxy.end()) != 0:
             self.broken.append(f"the last process ended with {code}")
         if left := [name for name in os.listdir(self.folder) if "+" in name]:
@@ -160,10 +162,10 @@
         if day.proxy.process.returncode is None:
             day.proxy.process.kill()
         day.rig.close()
-    requests = day.rig.ledger.asked.values()
-    crossed = sum(request.crossed for request in requests)
+    requests = day.rig.ledger.requests.values()
+    crossed = sum(request.close_races for request in requests)
     refused_unread = day.clients.refused_connections + crossed
-    broken = day.broken + [str(breach) for breach in day.rig.ledger.broken()]
+    broken = day.broken + [str(breach) for breach in day.rig.ledger.violations()]
     if refused_unread > 2 * (times + 1):  # the operators accept two per version
         broken.append(f"{refused_unread} turned back unheard")
     for line in broken[:10]:
--- a/bench/peers.py
+++ b/bench/peers.py
@@ -34,7 +34,7 @@
 from flintlatch.peers import EntryStore, Merge, Rules, Topic
 from flintlatch.peers.clock import clock
 from flintlatch.standin.fleets import Fleets, fleets
-from flintlatch.standin.links import draw, written
+from flintlatch.standin.links import draw_schedule, format_schedule
 
 NOTE_TTLS_S = (0.5, 1.0, 2.0)
 # intervals between notes published at a fleet, and between readings of it
@@ -118,8 +118,8 @@
 
 async def run_real_fleets(seed: int, count: int, seconds: float, folder: Path) -> tuple[float, bool]:
     zones = ("a", "b", "c")
-    schedule = draw(seed, [f"f{n}" for n in range(count)], seconds)
-    print(f"schedule of seed {seed}:\n{written(schedule)}", end="")
+    schedule = draw_schedule(seed, [f"f{n}" for n in range(count)], seconds)
+    print(f"schedule of seed {seed}:\n{format_schedule(schedule)}", end="")
     async with fleets(folder, count, zones=zones, nodes=3, seed=seed) as fleet_rig:
         auditor = Auditor(fleet_rig, seed)
         names = sorted(fleet_rig.processes)
@@ -133,7 +133,7 @@
         rate = [(after[n]["bytes_out"] - before[n]["bytes_out"]) / elapsed_s for n in names]
         tasks = [asyncio.create_task(task(name)) for name in names for task in (auditor.say, auditor.read)]
         await fleet_rig.play(schedule)
-        healed = await fleet_rig.until(fleet_rig.agreed, "agreement after the last fault")
+        healed = await fleet_rig.until(fleet_rig.views_agree, "agreement after the last fault")
         await asyncio.sleep(1.0)
         auditor.stopped = True
         await asyncio.gather(*tasks)
@@ -165,16 +165,16 @@
     async with fleets(folder, count, nodes=3, seed=seed) as fleet_rig:
         new_names = [f"f{n}" for n in range(count, most)]
         for name in new_names:
-            await fleet_rig.place(name)
+            await fleet_rig.add_fleet_relay(name)
             fleet_rig.write(name)
         began = clock()
         await asyncio.gather(*map(fleet_rig.start, new_names))
         started = clock() - began
-        agreed_up_s = await fleet_rig.until(fleet_rig.agreed, f"agreement of {most}")
+        agreed_up_s = await fleet_rig.until(fleet_rig.views_agree, f"agreement of {most}")
         for name in new_names:
             fleet_rig.processes[name].signal(signal.SIGTERM)
-        await asyncio.gather(*(fleet_rig.processes.pop(name).ended() for name in new_names))
-        agreed_down_s = await fleet_rig.until(fleet_rig.agreed, f"agreement of {count}")
+        await asyncio.gather(*(fleet_rig.processes.pop(name).wait_until_ended() for name in new_names))
+        agreed_down_s = await fleet_rig.until(fleet_rig.views_agree, f"agreement of {count}")
         died = int((await fleet_rig.peers("f0"))["counts"]["died"])
         print(
             f"real: {count} fleets become {most}, started within {started:.1f} s, agreed {agreed_up_s:.1f} "
--- a/bench/verdicts.py
+++ b/bench/verdicts.py
@@ -97,7 +97,7 @@
     Returns the number of these that other fleets ejected at any time, and of broken rules of the ledger.
     """
     async with fleets(folder, count, zones=("a", "b"), nodes=nodes, seed=seed, **tables) as fleet_rig:
-        clients = fleet_rig.ask_all(seed)
+        clients = fleet_rig.create_clients(seed)
         traffic = asyncio.create_task(clients.run(rate, WARM_UP_S + FAULT_S, MIX))
         await asyncio.sleep(WARM_UP_S)
         fleet_rig.links.cut("f0", [f"s{n}" for n in range(nodes // 2 + 1)])
@@ -108,7 +108,7 @@
                 ejected_healthy |= {row["server"] for row in reports["servers"] if row["shunned_here"]}
             await asyncio.sleep(0.2)
         await traffic
-        return len(ejected_healthy), len(fleet_rig.rig.ledger.broken())
+        return len(ejected_healthy), len(fleet_rig.rig.ledger.violations())
 
 
 async def run(seed: int, sizes: list[int], count: int, nodes: int, rate: float, folder: Path) -> int:
--- a/tests/delivery/test_processes.py
+++ b/tests/delivery/test_processes.py
@@ -20,7 +20,7 @@
 from flintlatch.config.reader import Reader
 from flintlatch.delivery.model import Participant, rank_relays
 from flintlatch.delivery.source import POLL_INTERVAL_S
-from flintlatch.standin.delivery import QUICK, Delivered, delivered
+from flintlatch.standin.delivery import QUICK, DeliveryDeployment, delivery_deployment
 
 TEST_TIMEOUT_S = 90.0  # reached only if a test hangs
 LOADED_S = 4.0
@@ -38,26 +38,26 @@
     return RULES.staleness_bound_s(lost_relays, 0.0) + POLL_INTERVAL_S + LOADED_S
 
 
-def followers_of(deployment: Delivered, relay: str) -> tuple[str, ...]:
-    return tuple(name for name in deployment.follows if deployment.relay_of(name) == relay)
+def followers_of(deployment: DeliveryDeployment, relay: str) -> tuple[str, ...]:
+    return tuple(name for name in deployment.followed_names if deployment.relay_of(name) == relay)
 
 
-def busiest_relay(deployment: Delivered) -> str:
+def busiest_relay(deployment: DeliveryDeployment) -> str:
     """The relay with the most followers."""
     return max(RELAYS, key=lambda relay: len(followers_of(deployment, relay)))
 
 
-async def wait_until_settled(deployment: Delivered) -> None:
+async def wait_until_settled(deployment: DeliveryDeployment) -> None:
     """Waits until every follower is at its best-ranked relay."""
     participants = {n: Participant(n, p.zone, p.zone) for n, p in deployment.links.places.items()}
     relays = tuple(participants[name] for name in RELAYS)
-    best = {name: rank_relays(participants[name], relays)[0].name for name in deployment.follows}
+    best = {name: rank_relays(participants[name], relays)[0].name for name in deployment.followed_names}
     await deployment.until(
         lambda: all(deployment.relay_of(name) == best[name] for name in best), "the best relay for each"
     )
 
 
-async def repair(deployment: Delivered) -> None:
+async def repair(deployment: DeliveryDeployment) -> None:
     """Restores the initial situation except for the revision: no cuts, all processes and services present."""
     deployment.links.heal()
     for child in deployment.children.values():
@@ -73,7 +73,7 @@
     await wait_until_settled(deployment)
 
 
-Test = Callable[[Delivered], Coroutine[Any, Any, None]]
+Test = Callable[[DeliveryDeployment], Coroutine[Any, Any, None]]
 
 
 class SharedDeployment:
@@ -82,8 +82,8 @@
     def __init__(self, folder: Path) -> None:
         self.folder, self.start_count = folder, 0
         self.runner = asyncio.Runner(loop_factory=uvloop.new_event_loop)
-        self.context: AbstractAsyncContextManager[Delivered] | None = None
-        self.deployment: Delivered | None = None
+        self.context: AbstractAsyncContextManager[DeliveryDeployment] | None = None
+        self.deployment: DeliveryDeployment | None = None
 
     def run(self, test: Test) -> None:
         self.runner.run(asyncio.wait_for(self._run(test), TEST_TIMEOUT_S))
@@ -94,7 +94,7 @@
                 self.start_count += 1
                 folder = self.folder / str(self.start_count)
                 folder.mkdir()
-                self.context = delivered(folder)
+                self.context = delivery_deployment(folder)
                 self.deployment = await self.context.__aenter__()
                 await wait_until_settled(self.deployment)
             else:
@@ -120,14 +120,14 @@
 
 
 def test_a_killed_relay_affects_only_its_own_followers(shared: SharedDeployment) -> None:
-    async def test(deployment: Delivered) -> None:
+    async def test(deployment: DeliveryDeployment) -> None:
         for turn in range(3):
             await deployment.commit(f"s{turn}")
             await deployment.all_hold(bound_s())
         lost = busiest_relay(deployment)
         affected = followers_of(deployment, lost)
-        others = tuple(name for name in deployment.follows if name not in affected)
-        logged = sum(deployment.told(name, OUTAGE_LINE) for name in deployment.follows)
+        others = tuple(name for name in deployment.followed_names if name not in affected)
+        logged = sum(deployment.count_log_lines(name, OUTAGE_LINE) for name in deployment.followed_names)
         assert affected and others
         await deployment.kill(lost)
         await deployment.commit("s1")
@@ -145,7 +145,9 @@
         )
         await deployment.commit("s3")
         await deployment.all_hold(bound_s())
-        assert sum(deployment.told(name, OUTAGE_LINE) for name in deployment.follows) == logged
+        assert (
+            sum(deployment.count_log_lines(name, OUTAGE_LINE) for name in deployment.followed_names) == logged
+        )
 
     shared.run(test)
 
@@ -153,18 +155,18 @@
 def test_deltas_buffered_in_a_paused_relay_or_follower_take_no_follower_back(
     shared: SharedDeployment,
 ) -> None:
-    async def test(deployment: Delivered) -> None:
+    async def test(deployment: DeliveryDeployment) -> None:
         stopped = busiest_relay(deployment)
         affected = followers_of(deployment, stopped)
         assert affected
         await deployment.commit("s0")  # in flight when the relay stops
         deployment.children[stopped].pause()
-        slow = next(name for name in deployment.follows if name not in affected)
+        slow = next(name for name in deployment.followed_names if name not in affected)
         for turn in range(4):
             await deployment.commit(f"s{turn}")
             if turn == 1:
                 deployment.children[slow].pause()
-        awake = tuple(name for name in deployment.follows if name != slow)
+        awake = tuple(name for name in deployment.followed_names if name != slow)
         await deployment.all_hold(bound_s(2), awake)
         deployment.children[stopped].wake()
         deployment.children[slow].wake()
@@ -179,7 +181,7 @@
 def test_followers_leave_relays_that_are_cut_off_from_them_or_from_the_origin(
     shared: SharedDeployment,
 ) -> None:
-    async def test(deployment: Delivered) -> None:
+    async def test(deployment: DeliveryDeployment) -> None:
         first = busiest_relay(deployment)
         affected = followers_of(deployment, first)
         deployment.links.cut(first, affected, both=False)  # relay to followers only
@@ -206,30 +208,30 @@
 
 
 def test_a_relay_that_lags_behind_is_not_used_when_the_others_are_lost(shared: SharedDeployment) -> None:
-    async def test(deployment: Delivered) -> None:
+    async def test(deployment: DeliveryDeployment) -> None:
         deployment.links.cut("origin", "r1")
         last = await deployment.commit("s0")
         await deployment.all_hold(STALE_SWITCH_S + bound_s(1))
         await asyncio.gather(deployment.kill("r0"), deployment.kill("r2"))  # only the lagging relay is left
-        rows_before = {name: len(deployment.children[name].rows) for name in deployment.follows}
+        rows_before = {name: len(deployment.children[name].rows) for name in deployment.followed_names}
         new_rows = RULES.failure_detection_s() + 3 * RULES.retry_s[1]  # one row per second
         await deployment.until(
             lambda: all(len(deployment.children[n].rows) > rows_before[n] + new_rows for n in rows_before),
             "attempts",
         )
         # In addition, `SharedDeployment` checks at the end that no follower went back.
-        assert all(deployment.holds(name, last) for name in deployment.follows)
-        assert not any(deployment.relay_of(name) for name in deployment.follows)
+        assert all(deployment.holds(name, last) for name in deployment.followed_names)
+        assert not any(deployment.relay_of(name) for name in deployment.followed_names)
         deployment.links.heal()
         await deployment.commit("s1")
         await deployment.all_hold(RECONNECT_S + bound_s(2))
-        assert len(followers_of(deployment, "r1")) == len(deployment.follows)
+        assert len(followers_of(deployment, "r1")) == len(deployment.followed_names)
 
     shared.run(test)
 
 
 def test_restarts_of_all_relays_and_then_of_the_origin_lose_no_state(shared: SharedDeployment) -> None:
-    async def test(deployment: Delivered) -> None:
+    async def test(deployment: DeliveryDeployment) -> None:
         exit_codes = await asyncio.gather(*(deployment.kill(relay, signal.SIGTERM) for relay in RELAYS))
         assert exit_codes == [0, 0, 0]
         await deployment.commit("s1")  # committed while no relay runs
@@ -239,13 +241,13 @@
         del deployment.objects["s3"]  # deleted while the origin is down
         deployment.put("s2", {"while": "away"})
         await deployment.start("origin")
-        await deployment.taken()
+        await deployment.wait_for_commit()
         await deployment.all_hold(RECONNECT_S + bound_s(1))
         await deployment.commit("s4")
         await deployment.all_hold(RECONNECT_S + bound_s(1))
         await deployment.kill("origin")  # killed, and its file does not change
         origin = await deployment.start("origin")
-        await origin.said("revision ")
+        await origin.wait_for_log("revision ")
         await deployment.commit("s5")
         await deployment.all_hold(RECONNECT_S + bound_s(1))
 
@@ -253,13 +255,13 @@
 
 
 def test_a_partitioned_zone_catches_up_and_logs_the_outage_once(shared: SharedDeployment) -> None:
-    async def test(deployment: Delivered) -> None:
-        inside = tuple(n for n in deployment.follows if deployment.links.places[n].zone == "a")
-        outside = tuple(n for n in deployment.follows if n not in inside)
+    async def test(deployment: DeliveryDeployment) -> None:
+        inside = tuple(n for n in deployment.followed_names if deployment.links.places[n].zone == "a")
+        outside = tuple(n for n in deployment.followed_names if n not in inside)
         assert inside and outside
         logged = {
-            name: (deployment.told(name, OUTAGE_LINE), deployment.told(name, "again"))
-            for name in deployment.follows
+            name: (deployment.count_log_lines(name, OUTAGE_LINE), deployment.count_log_lines(name, "again"))
+            for name in deployment.followed_names
         }
         deployment.links.cut("zone:a", "zone:b")
         before = len(deployment.audit.commits) - 1
@@ -267,7 +269,7 @@
             await deployment.commit(f"s{turn}")
         await deployment.all_hold(bound_s(2), outside)
         await deployment.until(
-            lambda: all(deployment.told(n, OUTAGE_LINE) > logged[n][0] for n in inside),
+            lambda: all(deployment.count_log_lines(n, OUTAGE_LINE) > logged[n][0] for n in inside),
             "the log line on the outage",
         )
         assert not any(deployment.holds(name, before + 1) for name in inside)
@@ -276,9 +278,10 @@
         await deployment.commit("s5")
         await deployment.all_hold(RECONNECT_S + bound_s(1))
         await deployment.until(
-            lambda: all(deployment.told(n, "again") > logged[n][1] for n in inside), "the log line on its end"
+            lambda: all(deployment.count_log_lines(n, "again") > logged[n][1] for n in inside),
+            "the log line on its end",
         )
-        assert all(deployment.told(name, OUTAGE_LINE) == logged[name][0] + 1 for name in inside)
-        assert all(deployment.told(name, OUTAGE_LINE) == logged[name][0] for name in outside)
+        assert all(deployment.count_log_lines(name, OUTAGE_LINE) == logged[name][0] + 1 for name in inside)
+        assert all(deployment.count_log_lines(name, OUTAGE_LINE) == logged[name][0] for name in outside)
 
     shared.run(test)
--- a/tests/fleet/support.py
+++ b/tests/fleet/support.py
@@ -44,7 +44,7 @@
     def __init__(self, *nodes: Node) -> None:
         self.calls: asyncio.Queue[Call] = asyncio.Queue()
         for node in nodes:
-            node.hold = self.take
+            node.intercept = self.take
 
     def take(self, call: Call) -> bool:
         if call.url.startswith(b"/exam"):
@@ -75,7 +75,7 @@
 
     def assert_rules_kept(self) -> None:
         """Assert that the ledger of clients and nodes shows no broken rule."""
-        assert not self.rig.ledger.broken(), [str(broken) for broken in self.rig.ledger.broken()[:5]]
+        assert not self.rig.ledger.violations(), [str(broken) for broken in self.rig.ledger.violations()[:5]]
 
 
 @asynccontextmanager
@@ -90,7 +90,7 @@
         await (await harness.fleet.start()).ready()
         harness.clients = Clients(harness.fleet.address, CLASSES, rig.ledger, seed)
         yield harness
-        await harness.clients.none_open.wait()
+        await harness.clients.all_answered.wait()
         if harness.fleet.process.returncode is None:
             await harness.pids_now()
             assert await harness.fleet.stop() == 0, harness.fleet.log
--- a/tests/fleet/test_daemon.py
+++ b/tests/fleet/test_daemon.py
@@ -16,7 +16,7 @@
 from flintlatch.net.frontend import REQUEST_READ_TIMEOUT_S
 from flintlatch.standin.client import Prober
 from flintlatch.standin.node import Shape
-from flintlatch.standin.process import FleetProcess, alive, ports_of
+from flintlatch.standin.process import FleetProcess, alive, remote_ports
 from flintlatch.standin.rig import MIX
 from tests.fleet.support import HeldCalls, daemon, none_left, run
 from tests.loopback import Client
@@ -41,7 +41,7 @@
             while not later_request.answers:
                 await asyncio.sleep(0.01)
             call.reply(200, b"done")
-            await harness.clients.none_open.wait()
+            await harness.clients.all_answered.wait()
             assert request.status == 200
             await none_left(set(old_pids))
             harness.assert_rules_kept()
@@ -57,14 +57,14 @@
             call = await held_calls.calls.get()
             await harness.pids_now()
             harness.fleet.signal(signal.SIGTERM)
-            await harness.fleet.said("stopping")
+            await harness.fleet.wait_for_log("stopping")
             answer = await harness.fleet.ask("reload")
             assert (answer["ok"], answer["reason"]) == (False, "the fleet is stopping")
             harness.fleet.signal(signal.SIGHUP)
-            await harness.fleet.said("reload: the fleet is stopping")
+            await harness.fleet.wait_for_log("reload: the fleet is stopping")
             call.reply(200, b"done")
-            assert await harness.fleet.ended() == 0
-            await harness.clients.none_open.wait()
+            assert await harness.fleet.wait_until_ended() == 0
+            await harness.clients.all_answered.wait()
             assert request.status == 200
             harness.assert_rules_kept()
 
@@ -79,11 +79,11 @@
             await held_calls.calls.get()
             await harness.pids_now()
             harness.fleet.signal(signal.SIGTERM)
-            await harness.fleet.said("stopping")
+            await harness.fleet.wait_for_log("stopping")
             assert request.answers == 0
             harness.fleet.signal(signal.SIGTERM)
-            assert await harness.fleet.ended() == 0
-            await harness.clients.none_open.wait()
+            assert await harness.fleet.wait_until_ended() == 0
+            await harness.clients.all_answered.wait()
             assert request.status == 504  # the node may have run it, so the outcome is unknown to the client
             harness.assert_rules_kept()
 
@@ -156,7 +156,7 @@
             answer = await harness.fleet.ask("reload")
             assert answer["reason"] == "0 of 2 instances ready within 1 s" and answer["took_s"] < 10
             harness.clients.ask("answer")
-            await harness.clients.none_open.wait()
+            await harness.clients.all_answered.wait()
             status = await harness.fleet.until(lambda s: len(s["instances"]) == 2)
             assert [instance["pid"] for instance in status["instances"]] == pids
             harness.assert_rules_kept()
@@ -172,14 +172,14 @@
             calls = [await held_calls.calls.get() for _ in requests]
             victim, other = await harness.pids_now()
             lost_count = len(
-                ports_of(victim) & {connection.port for connection in harness.clients.connections}
+                remote_ports(victim) & {connection.port for connection in harness.clients.connections}
             )
             await harness.fleet.kill_worker(victim, harness.clients)
             status = await harness.fleet.until(lambda s: s["generations"][0]["slots"][0]["restarts"] == 1)
             assert status["generations"][0]["slots"][0]["last_crash"] == "signal 9"
             for call in calls:
                 call.reply(200, b"done")
-            await harness.clients.none_open.wait()
+            await harness.clients.all_answered.wait()
             assert sum(bool(request.excused) for request in requests) == lost_count
             assert sum(request.status == 200 for request in requests) == len(requests) - lost_count
             await harness.fleet.until(
@@ -204,7 +204,7 @@
             assert (slot["state"], slot["last_crash"]) == ("given up", "exit code 7")
             assert any("given up after 3 crashes" in line for line in status["news"])
             harness.clients.ask("answer")
-            await harness.clients.none_open.wait()
+            await harness.clients.all_answered.wait()
             harness.fault.unlink()
             assert (await harness.fleet.ask("reload"))["ok"]
             status = await harness.fleet.status()
@@ -249,11 +249,11 @@
             await (await successor.start()).ready()
             assert request.answers == 0
             call.reply(200, b"done")
-            await harness.clients.none_open.wait()
+            await harness.clients.all_answered.wait()
             assert request.status == 200
             await none_left(pids)
             harness.clients.ask("grade")
-            await harness.clients.none_open.wait()
+            await harness.clients.all_answered.wait()
             assert await successor.stop() == 0
             harness.assert_rules_kept()
 
@@ -311,7 +311,9 @@
             assert longest_gap_ms < 5000
             for client in idle + half_read:
                 client.close()
-            harness.rig.ledger.runs = [r for r in harness.rig.ledger.runs if r.id in harness.rig.ledger.asked]
+            harness.rig.ledger.runs = [
+                r for r in harness.rig.ledger.runs if r.id in harness.rig.ledger.requests
+            ]
             harness.assert_rules_kept()
 
     run(test())
@@ -327,7 +329,7 @@
             # One client of the registry for all thirty: the first list, a check for changes, the watch.
             assert len(call_times_ms) <= 4
             await harness.clients.run(150, 4, MIX)
-            assert sum(node.falls for node in harness.rig.nodes) == 0
+            assert sum(node.crashes for node in harness.rig.nodes) == 0
             assert harness.clients.statuses[200] > 0
             harness.assert_rules_kept()
 
--- a/tests/fleet/test_peers.py
+++ b/tests/fleet/test_peers.py
@@ -19,7 +19,7 @@
 from flintlatch.peers.clock import clock
 from flintlatch.peers.words import MAX_CLOCK_DRIFT
 from flintlatch.standin.fleets import QUICK, Fleets, fleets
-from flintlatch.standin.links import draw, read, written
+from flintlatch.standin.links import draw_schedule, format_schedule, parse_schedule
 from flintlatch.standin.process import alive
 from flintlatch.standin.rig import MIX
 from tests.fleet.support import run
@@ -65,7 +65,9 @@
 
 
 def assert_rules_kept(cluster: Fleets) -> None:
-    assert not cluster.rig.ledger.broken(), [str(broken) for broken in cluster.rig.ledger.broken()[:5]]
+    assert not cluster.rig.ledger.violations(), [
+        str(broken) for broken in cluster.rig.ledger.violations()[:5]
+    ]
     assert not bugs(cluster)
 
 
@@ -75,7 +77,7 @@
 ) -> None:
     async def test() -> None:
         async with fleets(tmp_path, 4, nodes=3) as cluster:
-            clients = cluster.ask_all()
+            clients = cluster.create_clients()
             traffic = asyncio.create_task(clients.run(60, 4.0, MIX))
             await wait_until_counted(cluster, "f0", 4)
             for group in groups:
@@ -83,18 +85,18 @@
             cut_at = clock()
 
             async def partitioned() -> bool:
-                return all([await cluster.agreed(*group) for group in groups])
+                return all([await cluster.views_agree(*group) for group in groups])
 
             while not await partitioned():
                 # The count must not fall, which would raise a fleet's share, while a member is suspected or
                 # was recently.
-                looked_at, agreed = clock(), await cluster.agreed(*groups[0])
+                looked_at, agreed = clock(), await cluster.views_agree(*groups[0])
                 counted = await proxies(cluster, "f0")
                 assert counted == {4} or agreed or clock() - looked_at > QUICK["hold_s"]
             assert clock() - cut_at < (await cluster.peers("f0"))["bounds"]["found_dead_s"] + 10
             await wait_until_counted(cluster, "f0", len(groups[0]))
             cluster.links.heal()
-            await cluster.until(cluster.agreed, "agreement")
+            await cluster.until(cluster.views_agree, "agreement")
             await wait_until_counted(cluster, "f0", 4)
             await traffic
             assert_rules_kept(cluster)
@@ -107,13 +109,13 @@
         async with fleets(tmp_path, 4) as cluster:
             cluster.links.cut("f1", "f2", both=False)
             await asyncio.sleep(20 * QUICK["period_s"])
-            assert await cluster.agreed()
+            assert await cluster.views_agree()
             cluster.links.cut(("f1", "f2", "f3"), ("f1", "f2", "f3"))  # only f0 reaches all others
             await asyncio.sleep(20 * QUICK["period_s"])
             assert await cluster.alive("f0") == set(names(cluster))
             assert (await cluster.peers("f0"))["counts"]["died"] == 0
             cluster.links.heal()
-            await cluster.until(cluster.agreed, "agreement")
+            await cluster.until(cluster.views_agree, "agreement")
             assert_rules_kept(cluster)
 
     run(test())
@@ -122,7 +124,7 @@
 def test_lossy_and_flapping_links_deliver_entries_and_end_in_agreement(tmp_path: Path) -> None:
     async def test() -> None:
         async with fleets(tmp_path, 4) as cluster:
-            cluster.links.usual = Link(0.0, 0.03, 0.2, duplication=0.2)
+            cluster.links.default_link = Link(0.0, 0.03, 0.2, duplication=0.2)
             await publish_note(cluster, "f3", "through loss", 30.0)
 
             async def received() -> bool:
@@ -134,8 +136,8 @@
                 await asyncio.sleep(0.5)
                 cluster.links.heal()
                 await asyncio.sleep(0.5)
-            await cluster.until(cluster.agreed, "agreement")
-            cluster.links.usual = Link(0.0, 0.0, duplication=0.5)
+            await cluster.until(cluster.views_agree, "agreement")
+            cluster.links.default_link = Link(0.0, 0.0, duplication=0.5)
 
             async def copies_dropped() -> bool:
                 return int((await cluster.peers("f0"))["counts"]["replays"]) > 0
@@ -166,7 +168,7 @@
 
             async def agreed_again() -> bool:
                 received.update(await notes(cluster, "f1"))
-                return await cluster.agreed()
+                return await cluster.views_agree()
 
             await cluster.until(agreed_again, "its return")
             assert not received
@@ -187,11 +189,13 @@
             log_position = len(process.log)
             cluster.pause("f2", whole=False)
             paused_at = clock()
-            await process.said("the entry on other fleets has expired: counting 1 proxies", log_position)
+            await process.wait_for_log(
+                "the entry on other fleets has expired: counting 1 proxies", log_position
+            )
             assert clock() - paused_at >= QUICK["word_s"] / 2  # not before the entry expires
             cluster.wake("f2")
             await wait_until_counted(cluster, "f2", 3)
-            await process.said("the entry on other fleets has expired")
+            await process.wait_for_log("the entry on other fleets has expired")
             assert sum("the entry on other fleets has expired" in line for line in process.log) == 1
 
     run(test())
@@ -202,17 +206,17 @@
         async with fleets(tmp_path, 4) as cluster:
             joining = [f"f{n}" for n in range(4, 10)]
             for name in joining:
-                await cluster.place(name)
+                await cluster.add_fleet_relay(name)
                 cluster.write(name)
             await asyncio.gather(*map(cluster.start, joining))
-            await cluster.until(cluster.agreed, "ten")
+            await cluster.until(cluster.views_agree, "ten")
             await wait_until_counted(cluster, "f0", 10)
             cluster.write("f1", fleet={"instances": 3})
             assert (await cluster.processes["f1"].ask("reload"))["ok"]
             await wait_until_counted(cluster, "f0", 12)
             for name in joining:  # a fleet that is stopped announces that it leaves
                 assert await cluster.processes.pop(name).stop() == 0
-            await cluster.until(cluster.agreed, "four")
+            await cluster.until(cluster.views_agree, "four")
             assert (await cluster.peers("f0"))["counts"]["died"] == 0
             await wait_until_counted(cluster, "f0", 6)
             assert_rules_kept(cluster)
@@ -228,10 +232,10 @@
             await cluster.start("f3")  # its three seeds are not running
             assert (await cluster.peers("f3"))["joined"] is False
             await asyncio.gather(*(cluster.start(name) for name in ("f0", "f1", "f2")))
-            await cluster.until(cluster.agreed, "agreement of those that came back")
+            await cluster.until(cluster.views_agree, "agreement of those that came back")
             await cluster.kill("f2")
             await cluster.start("f2")
-            await cluster.until(cluster.agreed, "its return under the same name")
+            await cluster.until(cluster.views_agree, "its return under the same name")
             assert len((await cluster.peers("f0"))["members"]) == 4
             assert_rules_kept(cluster)
 
@@ -273,7 +277,7 @@
                 return all(counts[name] > 0 for name in ("replays", "foreign"))
 
             await cluster.until(all_dropped, "drops")
-            assert await cluster.agreed()
+            assert await cluster.views_agree()
             members_after = (await cluster.peers("f0"))["members"]
             assert [(member["name"], member["incarnation"]) for member in members_after] == [
                 (member["name"], member["incarnation"]) for member in members_before
@@ -287,7 +291,7 @@
             host, _, port = relay.target.rpartition(":")
             for datagram in replayed:
                 sock.sendto(datagram, (host, int(port)))
-            await cluster.until(cluster.agreed, "f0 and f2 alone")
+            await cluster.until(cluster.views_agree, "f0 and f2 alone")
             assert await cluster.alive("f0") == {"f0", "f2"}
             sock.close()
             assert_rules_kept(cluster)
@@ -308,9 +312,9 @@
                     assert (await cluster.processes[name].ask("reload"))["ok"]
             (tmp_path / "f0" / "key").write_text("no key")
             assert (await cluster.processes["f0"].ask("reload"))["ok"]
-            await cluster.processes["f0"].said("line 1: expected 64 hexadecimal digits; going on")
+            await cluster.processes["f0"].wait_for_log("line 1: expected 64 hexadecimal digits; going on")
             await asyncio.sleep(10 * QUICK["period_s"])
-            assert await cluster.agreed()
+            assert await cluster.views_agree()
             assert all([(await cluster.peers(name))["counts"]["died"] == 0 for name in names(cluster)])
 
     run(test())
@@ -324,8 +328,8 @@
             process = cluster.processes["f1"]
             assert await cluster.processes["f1"].ask("reload")
             process.signal(signal.SIGUSR2)
-            await process.said("has taken over")
-            await cluster.until(cluster.agreed, "agreement with the successor")
+            await process.wait_for_log("has taken over")
+            await cluster.until(cluster.views_agree, "agreement with the successor")
             assert await process.process.wait() == 0  # the predecessor, once it has drained
             cluster.processes.pop("f1")
             successor = (await process.status())["pid"]
@@ -376,7 +380,7 @@
             await cluster.until(succeeds, "exit code 0")
             code, text = await command("f1", "--say", "deploy under way", "--for", "30")
             assert code == 0 and "30.303 s" in text
-            await cluster.processes["f0"].said("note of f1, for 30 s: deploy under way")
+            await cluster.processes["f0"].wait_for_log("note of f1, for 30 s: deploy under way")
             assert "note of f1" in (await command("f0"))[1]
             assert (await command("f1", "--say", "x" * 600))[0] == 1
             await cluster.kill("f1")
@@ -391,8 +395,13 @@
 
 
 def test_fault_schedule_is_determined_by_its_seed_and_survives_a_round_trip() -> None:
-    schedule = draw(7, ["f0", "f1", "f2"], 40.0)
-    assert draw(7, ["f0", "f1", "f2"], 40.0) == schedule != draw(8, ["f0", "f1", "f2"], 40.0)
-    assert written(read(written(schedule))) == written(schedule) and schedule[-1].what == "heal"
+    schedule = draw_schedule(7, ["f0", "f1", "f2"], 40.0)
+    assert (
+        draw_schedule(7, ["f0", "f1", "f2"], 40.0) == schedule != draw_schedule(8, ["f0", "f1", "f2"], 40.0)
+    )
+    assert (
+        format_schedule(parse_schedule(format_schedule(schedule))) == format_schedule(schedule)
+        and schedule[-1].action == "heal"
+    )
     with pytest.raises(ValueError, match="line 2: 'melt', expected one of cut"):
-        read("1|heal|||0 0 0 0\n1|melt|||0 0 0 0\n")
+        parse_schedule("1|heal|||0 0 0 0\n1|melt|||0 0 0 0\n")
--- a/tests/fleet/test_verdicts.py
+++ b/tests/fleet/test_verdicts.py
@@ -25,7 +25,9 @@
 
 
 def assert_rules_kept(cluster: Fleets) -> None:
-    assert not cluster.rig.ledger.broken(), [str(broken) for broken in cluster.rig.ledger.broken()[:5]]
+    assert not cluster.rig.ledger.violations(), [
+        str(broken) for broken in cluster.rig.ledger.violations()[:5]
+    ]
     lines = [line for process in cluster.processes.values() for line in process.log]
     assert not [line for line in lines if "bug" in line or "Traceback" in line]
 
@@ -35,7 +37,7 @@
 ) -> None:
     async def test() -> None:
         async with fleets(tmp_path, 6, nodes=6, **VERDICT_TABLES) as cluster:
-            clients = cluster.ask_all()
+            clients = cluster.create_clients()
             traffic = asyncio.create_task(clients.run(240, 12.0, MIX))
             await asyncio.sleep(1.0)
             cluster.links.cut(sorted(cluster.processes), "s0")
@@ -76,7 +78,7 @@
 def test_fleet_with_bad_links_ejects_no_node_for_the_others(tmp_path: Path) -> None:
     async def test() -> None:
         async with fleets(tmp_path, 4, zones=("a", "b"), nodes=6, **VERDICT_TABLES) as cluster:
-            clients = cluster.ask_all()
+            clients = cluster.create_clients()
             traffic = asyncio.create_task(clients.run(200, 6.0, MIX))
             await asyncio.sleep(1.0)
             cluster.links.cut("f1", ["s0", "s1", "s2", "s3"])
@@ -93,7 +95,7 @@
 def test_fleet_cut_off_from_its_peers_stops_ejecting_on_their_observations(tmp_path: Path) -> None:
     async def test() -> None:
         async with fleets(tmp_path, 6, nodes=6, **VERDICT_TABLES) as cluster:
-            clients = cluster.ask_all()
+            clients = cluster.create_clients()
             traffic = asyncio.create_task(clients.run(240, 9.0, MIX))
             names = sorted(cluster.processes)
             cluster.links.cut(names, "s0")
--- a/tests/membership/test_consul.py
+++ b/tests/membership/test_consul.py
@@ -199,8 +199,8 @@
                 "review",
             )
             assert core.nodes["m1/a"].zone == "dc1"
-            await until(lambda: len(consul.asked) == 2)
-            assert consul.asked[1].endswith(f"?index={consul.index}&wait=30s")
+            await until(lambda: len(consul.request_targets) == 2)
+            assert consul.request_targets[1].endswith(f"?index={consul.index}&wait=30s")
             assert set(consul.tokens) == {"secret"}
             consul.put("c", "127.0.0.1:9003")
             await until(lambda: len(core.nodes) == 3)
@@ -223,7 +223,7 @@
         async with watched(wait_s=0.2) as (consul, _, core):
             await until(lambda: len(core.nodes) == 2)
             before = dict(core.nodes)
-            query_count = len(consul.asked)
+            query_count = len(consul.request_targets)
             if fault == "hang":
                 consul.hang = True
             elif fault == "reset":
@@ -237,18 +237,18 @@
             elif fault == "stale":
                 consul.leader = False
             elif fault == "back":
-                consul.tell_index = "1"
+                consul.fake_index = "1"
             else:
-                consul.tell_index = "0"
+                consul.fake_index = "0"
             consul.put("x", "127.0.0.1:9099")  # a valid instance, which must not appear while the fault lasts
-            await until(lambda: len(consul.asked) >= query_count + 3)
+            await until(lambda: len(consul.request_targets) >= query_count + 3)
             if fault == "back":  # the index is reset, so the next response is used
                 await until(lambda: "m1/x" in core.nodes)
             else:
                 assert core.nodes == before
             del consul.instances["x"]
             consul.hang, consul.status, consul.body = False, 200, None
-            consul.leader, consul.tell_index = True, None
+            consul.leader, consul.fake_index = True, None
             consul.put("d", "127.0.0.1:9004")
             await until(lambda: "m1/d" in core.nodes)
 
@@ -271,7 +271,7 @@
             await made.clients.run(100, 1, {"answer": 1})
             count = len(made.rig.nodes)
             consul.put("s0", made.rig.nodes[0].address, "critical")
-            await made.fleet.said("taken")
+            await made.fleet.wait_for_log("taken")
             await asyncio.sleep(0.3)
             seen = len([run for run in made.rig.ledger.runs if run.node == "s0"])
             await made.clients.run(100, 1, {"answer": 1})
--- a/tests/metrics/test_counts.py
+++ b/tests/metrics/test_counts.py
@@ -64,7 +64,7 @@
         tables = {"fleet": {"instances": 2, "metrics": "127.0.0.1:0", "log_format": "json"}}
         http = {"safe_class": "answer", "other_class": "grade"}
         async with daemon(tmp_path, 1, None, 1, **tables, http=http) as made:
-            line_count = await made.fleet.said("metrics at ")
+            line_count = await made.fleet.wait_for_log("metrics at ")
             address = (await made.fleet.status())["listen"][0]
             log_lines = [json.loads(line) for line in made.fleet.log[:line_count]]
             assert {"event", "level", "timestamp", "fleet", "pid", "logger"} <= set(log_lines[0])
