--- a/bench/limits.py
+++ b/bench/limits.py
@@ -149,7 +149,8 @@
 
 async def run(seed: int, count: int, seconds: float, folder: Path) -> int:
     print(
-        f"schedule of seed {seed}:\n{format_schedule(draw_schedule(seed, [f'f{n}' for n in range(count)], seconds))}",
+        f"schedule of seed {seed}:\n"
+        f"{format_schedule(draw_schedule(seed, [f'f{n}' for n in range(count)], seconds))}",
         end="",
     )
     worst, used = 0.0, 1.0
