--- a/flintlatch/adapter.py
+++ b/flintlatch/adapter.py
@@ -64,19 +64,19 @@
 RETRY_BIT = 2  # of `Bitmap`: the client marks the request as a retry
 
 
-def read_arrival(raw: Message, classes: int) -> Event:
+def read_arrival(raw: Message, class_count: int) -> Event:
     cls, key = raw["Lane"], raw.get("Subject")
-    if type(cls) is not int or not 0 <= cls < classes:
-        raise Malformed(f"Lane is not the number of a class: {cls!r}, expected 0 to {classes - 1}")
+    if type(cls) is not int or not 0 <= cls < class_count:
+        raise Malformed(f"Lane is not the number of a class: {cls!r}, expected 0 to {class_count - 1}")
     if key is not None:
         key = require_integer(key, "Subject")
     tenant = require_integer(raw.get("Tenant") or 0, "Tenant")
-    client_deadline, bits = (
+    client_deadline, flags = (
         require_number(raw["GiveUpAtMs"], "GiveUpAtMs"),
         require_integer(raw.get("Bitmap") or 0, "Bitmap"),
     )
     return Arrival(
-        require_string(raw["Call"], "Call"), cls, tenant, key, client_deadline, bool(bits & RETRY_BIT)
+        require_string(raw["Call"], "Call"), cls, tenant, key, client_deadline, bool(flags & RETRY_BIT)
     )
 
 
@@ -100,7 +100,7 @@
 
 
 def read_entry(raw: Message) -> ServerInfo:
-    started = raw.get("LastStartMs")
+    started = raw.get("LastStartMs")  # 0, like no value: long ago
     return ServerInfo(
         require_string(raw["Backend"], "Backend"),
         require_choice(STATES, raw["State"], "State"),
@@ -108,7 +108,7 @@
         require_integer(raw.get("Shape") or 0, "Shape"),
         require_integer(raw.get("Cohort") or 0, "Cohort"),
         require_number(started, "LastStartMs") if started else None,
-        require_number(raw.get("Rating") or 1, "Rating"),
+        require_number(raw.get("Rating") or 1, "Rating"),  # 0, like no value: no weight given
     )
 
 
@@ -130,6 +130,7 @@
     return TimerFired(require_integer(raw["Ref"], "Ref"))
 
 
+# All readers take the number of classes; only `read_arrival` uses it.
 READERS: dict[str, Callable[[Message, int], Event] | None] = {
     "Incoming": read_arrival,
     "Reply": read_outcome,
@@ -138,7 +139,7 @@
     "PeersKnown": read_list,
     "ProbeDone": read_probe_result,
     "Ring": read_timer,
-    "FromPeer": None,  # ignored: instances of the simulator don't exchange messages
+    "FromPeer": None,  # ignored: the instances of this adapter exchange no messages
 }
 WRITERS: dict[type[Any], Callable[[Any], Message]] = {
     Send: lambda a: {
@@ -174,15 +175,15 @@
             if member not in message:
                 raise Malformed(f"batch: {member} is missing")
         now = require_number(message["TsMs"], "TsMs")
-        events: dict[int, list[Event]] = {}  # by instance
+        events: dict[int, list[Event]] = {}  # by instance (`ProxyId`)
         replies: list[Message] = []
         for raw in require_array(message["news"], "news"):
-            self.read_event(now, require_object(raw, "news entry"), events, replies)
+            self.handle_event(now, require_object(raw, "news entry"), events, replies)
         for proxy in list(events):
             self.run_step(now, proxy, events, replies)
         return orjson.dumps({"cmds": replies})
 
-    def read_event(
+    def handle_event(
         self, now: float, raw: Message, events: dict[int, list[Event]], replies: list[Message]
     ) -> None:
         """Adds an event to its instance's events, or starts or ends the instance."""
@@ -194,7 +195,7 @@
                 raise Malformed(f"ProxyId is not a whole number: {proxy!r}")
             if what == "Provision":
                 seed, info = require_integer(raw["Entropy"], "Entropy"), require_object(raw["Info"], "Info")
-                # A new start discards the instance's earlier state, including events not handled yet.
+                # A new start discards the instance's earlier state and its earlier events of this batch.
                 events[proxy] = []
                 settings = read_settings(info)
                 self.instances[proxy] = (Balancer(settings, seed), len(settings.classes))
@@ -221,7 +222,9 @@
         """Passes the instance's events to its Balancer and appends its actions to the replies."""
         try:
             actions: list[Action] = self.instances[proxy][0].step(now, events.pop(proxy))
-        except Exception as error:  # any fault of the module is reported to the simulator, which then stops
+        except (
+            Exception
+        ) as error:  # any fault of the decision module is reported to the simulator, which then stops
             text = f"{type(error).__name__}: {error}"
             replies.append({"what": "GiveIn", "ProxyId": proxy, "Msg": text})
             return
