--- a/flintlatch/settings.py
+++ b/flintlatch/settings.py
@@ -102,7 +102,7 @@
 class SocketSettings:
     """Settings that only a proxy on sockets needs: names that clients and discovery use, and timeouts.
 
-    The mappings lead from a name to the number that the decision module uses.
+    Each mapping gives the index that the decision module uses for a name.
     """
 
     classes: dict[str, int]
