--- a/flintlatch/api.py
+++ b/flintlatch/api.py
@@ -12,10 +12,10 @@
 
 
 class Effect(Enum):
-    """Whether a request may be retried after it may have run.
+    """Whether a request may be retried after it may have run, by the effect of its execution.
 
-    SAFE: at any server. KEYED: only at servers of the same idempotency scope and within the window. UNSAFE:
-    never.
+    SAFE: it may be retried at any server. KEYED: it may be retried within its window, at servers of the same
+    idempotency scope. UNSAFE: it may not be retried.
     """
 
     SAFE = "safe"
@@ -57,7 +57,8 @@
 
 
 class ListKind(Enum):
-    """The content of a server list event: a delta, a snapshot, a saved snapshot, or a failed call."""
+    """The content of a server list event: a delta, a snapshot, a saved snapshot, or none after a failed
+    call of the discovery service."""
 
     DELTA = "changes"
     SNAPSHOT = "full"
@@ -74,7 +75,7 @@
     window_ms: float = 0.0  # of keyed requests: how long servers remember a key to drop duplicates
     worth: float = 1.0
     late_worth: float = 0.0  # fraction of the worth that a response after the latency target has
-    stream: bool = False  # responses are long: the limits on transfers apply from the send on
+    stream: bool = False  # responses are long: the limits on transfers are checked at each send
 
 
 @dataclass(frozen=True, slots=True)
@@ -83,7 +84,7 @@
     proxies: int = 1  # instances in this tier, including this one
     me: int = 0  # index of this instance in the tier
     zone: int = 0
-    zones: int = 1  # clients connect to the proxies of their own zone
+    zones: int = 1  # number of zones; clients connect to the proxies of their own zone
     quotas: tuple[float, ...] = ()  # requests per second by tenant, for all proxies together
     over_share_worth: float = 1.0  # factor on the worth of a request over its tenant's quota
     tick_ms: float = 1.0  # shortest time between two calls of `step`
@@ -95,18 +96,21 @@
     retry_after: bool = False
     max_retry_after_ms: float = 0.0
     refuse_unsent: bool = False  # a request that never ran and has expired is refused instead of failed
+    # A transfer is an attempt whose request body is still arriving or whose response body is being sent, in
+    # contrast to one that the server is executing. The defaults below are no limit in practice.
     node_transfers: int = 1 << 30  # transfers between this proxy and one server
     node_transfer_bytes: int = 1 << 60  # buffer space in this proxy for the transfers of one server
     all_transfers: int = 1 << 30  # transfers with all servers together
     all_transfer_bytes: int = 1 << 60  # buffer space in this proxy for all transfers
     max_attempts: int = 1
     key_affinity: bool = False  # servers do less work for a key that they have received recently
-    # A server's weight is its size / (1 + requests per core), as of some time ago.
+    # True: a server's weight in the list is its size / (1 + requests per core), reported with a delay.
     weights_report_load: bool = False
     start_capacity: float = 1.0  # least fraction of its capacity that a server starts with
     cold_ms: float = 0.0  # slow start: a server is warm at the latest this long after its start
-    fall_multiple: float = 2.0  # a cold server fails under more than this multiple of its capacity...
-    fall_ms: float = 1000.0  # ...for this long
+    # A cold server fails if its load exceeds `fall_multiple` times its capacity for `fall_ms`.
+    fall_multiple: float = 2.0
+    fall_ms: float = 1000.0
 
     def check(self) -> None:
         """Raises ValueError if a setting is out of its range."""
@@ -150,13 +154,13 @@
     server: str
     state: ServerState = ServerState.ACTIVE
     zone: int = 0
-    kind: int = 0
+    kind: int = 0  # servers of the same kind have similar latencies and response rates
     cell: int = 0
     started: float | None = None  # clock time of the latest start; None: long ago
     weight: float = 1.0  # relative to other servers; 1 if the list has no weights
 
 
-# Events
+# Events. In events and actions, `request` and `server` are identifiers.
 
 
 class Arrival(NamedTuple):
@@ -179,7 +183,7 @@
     attempt: int
     result: Result
     latency_ms: float
-    finished: bool  # the request is finished, by this outcome or before it
+    finished: bool  # the request was answered, by this attempt or earlier, or its client disconnected
 
 
 class ResponseStarted(NamedTuple):
@@ -198,7 +202,7 @@
 
 
 class BodyForwarded(NamedTuple):
-    """The server of this attempt has the whole request; its body was still arriving at the send."""
+    """The server of this attempt has the whole request, whose body was still arriving when it was sent."""
 
     request: str
     attempt: int
@@ -241,7 +245,7 @@
 
 
 class Ejection(NamedTuple):
-    """Ejects a server that other proxies have found to be an outlier; some of them go on probing it.
+    """Ejects a server that other proxies have found to be an outlier; some of them keep sending it requests.
 
     The ejection has no effect on a proxy that the server has responded to recently.
     """
@@ -257,7 +261,7 @@
 
 
 class TimerFired(NamedTuple):
-    token: int
+    token: int  # of `SetTimer`; the decision module has one timer, with token 0
 
 
 Event = (
