--- a/flintlatch/verdicts/core.py
+++ b/flintlatch/verdicts/core.py
@@ -1,9 +1,9 @@
 """Decides from the observations of all fleets which servers are ejected everywhere. No I/O, no clock.
 
-Observations are soft-state entries of the topic `seen`, one for each pair of a fleet and a server that failed
-it. They expire, and so does every ejection that is based on them. Each fleet applies the same rule to the
-entries that it holds. There is no leader and no request to other fleets, and a fleet that receives nothing
-behaves as if it were alone.
+Observations are soft-state entries of the topic `seen`: one for each pair of a fleet and a server whose
+responses to that fleet failed. They expire, and so does every ejection that is based on them. Each fleet
+applies the same rule to the entries that it holds. There is no leader and no request to other fleets, and a
+fleet that receives nothing behaves as if it were alone.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from flintlatch.verdicts.rows import EjectionRules
 
 MAX_OBSERVATIONS = 256  # servers that one fleet may report at the same time
-MAX_COUNTED_FAILURES = 3  # per observer: after three it ejects the server locally and sends it no more
+MAX_COUNTED_FAILURES = 3  # per observer; it ejects the server itself after choice.EJECTION_FAILURES = 3
 MIN_SERVERS = 3  # with fewer servers, a reported fraction does not show that the observer is at fault
 
 
@@ -27,8 +27,8 @@
         Merge.PER_MEMBER,
         ttl_s,
         max_per_member=MAX_OBSERVATIONS,
-        max_entries=32 * MAX_OBSERVATIONS,
-        weight=2.0,
+        max_entries=32 * MAX_OBSERVATIONS,  # enough for 32 fleets that each report the maximum
+        weight=2.0,  # twice the share of a datagram that a topic has by default
     )
 
 
@@ -37,7 +37,7 @@
     server: str
     reporters: tuple[str, ...]  # fleets whose reports count
     zone: str  # empty: for all fleets; otherwise only for this zone, whose path to the server fails
-    probers: tuple[str, ...]  # fleets that keep sending to the server; the others rely on their observations
+    probers: tuple[str, ...]  # fleets that keep sending to the server; their observations decide when it ends
 
 
 @dataclass(frozen=True, slots=True)
@@ -65,8 +65,8 @@
     """Applies the rules to all current observations.
 
     `failures`: consecutive failures by server and reporting fleet. `successes`: by reported server, the
-    fleets that got a response from it recently; a fleet in neither does not use the server. `fleets`: the
-    live fleets with their zones. `servers`: the number of all servers."""
+    fleets that got a response from it recently. A fleet in neither has no recent evidence on the server.
+    `fleets`: the live fleets with their zones. `servers`: the number of all servers."""
     reported: dict[str, int] = dict.fromkeys(fleets, 0)
     for reports in failures.values():
         for fleet in reports.keys() & fleets.keys():
@@ -79,19 +79,22 @@
         ejection = _ejection(server, counted, successes.get(server, set()) & reliable.keys(), reliable, rules)
         if ejection is not None:
             ejected[server] = ejection
-    most = int(rules.most_out * servers)
-    if len(ejected) > most:
+    max_ejected = int(rules.most_out * servers)
+    if len(ejected) > max_ejected:
         # That many failing servers indicate overload or a shared cause, not faults of single servers.
         return EjectionDecision({}, unreliable, len(ejected))
     return EjectionDecision(ejected, unreliable, 0)
 
 
 def _unreliable_fleets(reported: Mapping[str, int], servers: int, rules: EjectionRules) -> list[str]:
-    """The fleets that report most servers while most fleets do not: their own network path is at fault."""
+    """The fleets that report more than the fraction `itself` of the servers, if fewer than half of the fleets
+    do.
+
+    Their own network path is then at fault rather than the servers."""
     if servers < MIN_SERVERS:
         return []
-    most = rules.itself * servers
-    found = [fleet for fleet, count in reported.items() if count > most]
+    max_reported = rules.itself * servers
+    found = [fleet for fleet, count in reported.items() if count > max_reported]
     return found if 2 * len(found) < len(reported) else []
 
 
@@ -102,9 +105,11 @@
     reliable: Mapping[str, str],
     rules: EjectionRules,
 ) -> Ejection | None:
-    """Ejects the server for all fleets if more than twice as many fleets report failures as successes.
+    """Ejects the server for all fleets if the quorum of them reports it, the reported failures reach the
+    required weight, and more than twice as many fleets report failures as successes.
 
-    Otherwise ejects it for the first zone, by name, of which that is true: the path from that zone fails."""
+    Otherwise ejects it for the first zone, by name, whose fleets meet these conditions: the path from that
+    zone fails. The required weight counts all reliable fleets, also for a single zone."""
     for zone in ("", *sorted({reliable[fleet] for fleet in failures})):
         zone_failures = {fleet: n for fleet, n in failures.items() if zone in ("", reliable[fleet])}
         zone_successes = {fleet for fleet in successes if zone in ("", reliable[fleet])}
@@ -120,21 +125,22 @@
                 server,
                 tuple(zone_failures),
                 zone,
+                # One more than the quorum, so that one prober may fail.
                 choose_probers(server, list(zone_failures), candidates, rules.quorum + 1),
             )
     return None
 
 
-def choose_probers(server: str, users: list[str], candidates: list[str], count: int) -> tuple[str, ...]:
+def choose_probers(server: str, reporters: list[str], candidates: list[str], count: int) -> tuple[str, ...]:
     """The fleets that keep sending requests to an ejected server.
 
-    They are one more than the quorum, so that one may fail: first fleets that use the server, then other
-    candidates. Rendezvous hashing gives the same result in every fleet with the same observations, and few
+    They are `count` fleets: first those that report failures of the server, then other candidates. Rendezvous
+    hashing gives the same result in every fleet with the same observations, and few
     probers change when fleets join or leave."""
 
     def rank(fleet: str) -> tuple[int, str]:
         return crc32(f"{server} {fleet}".encode()), fleet
 
-    ranked = sorted(users, key=rank, reverse=True)
-    ranked += sorted(set(candidates) - set(users), key=rank, reverse=True)
+    ranked = sorted(reporters, key=rank, reverse=True)
+    ranked += sorted(set(candidates) - set(reporters), key=rank, reverse=True)
     return tuple(sorted(ranked[:count]))
