--- a/flintlatch/peers/census.py
+++ b/flintlatch/peers/census.py
@@ -1,7 +1,7 @@
 """Counts the instances of all fleets and the position of this fleet's instances among them. No I/O, no clock.
 
-Each instance derives its allocation of shared capacity from the count. If the count is too small, the
-allocations add up to more than the whole. The count therefore rises at once and falls late: while the
+Each instance takes the fraction 1 / count of a shared capacity. If the count is too small, the allocations
+add up to more than the capacity. The count therefore rises at once and falls late: while the
 membership is uncertain it is the largest count of the last `hold_s`, and after that it falls gradually. After
 a start the configured number counts until other members have been met and `hold_s` has passed, since this
 member may belong to a group whose members have not discovered each other yet.
@@ -26,21 +26,22 @@
     """What the membership view says at one moment."""
 
     instances: int  # of all active members, this one included
-    before: int  # of the members whose names sort before this one's
+    before: int  # instances of the members whose names sort before this one's
     uncertain: bool  # a member is suspected, or no other member has been met yet
 
 
 class Census:
-    """Times are in seconds. `configured`: instances of all fleets according to the configuration."""
+    """Times are in seconds. `own`: instances of this fleet. `configured`: instances of all fleets according
+    to the configuration. `hold_s`: how long the count does not fall while or after the membership is
+    uncertain."""
 
     def __init__(self, own: int, configured: int, hold_s: float, now: float) -> None:
         self.own, self.hold_s = own, hold_s
         self.estimate = float(max(configured, own))
         self.hold_until = now + hold_s
         self.updated_at = now
-        self.history: deque[tuple[float, int]] = (
-            deque()
-        )  # (time, count), falling: gives the maximum over hold_s
+        # (time, count) with decreasing counts: the first is the maximum of the last hold_s.
+        self.history: deque[tuple[float, int]] = deque()
         self.view = CensusView(own, 0, True)
 
     def update(self, now: float, view: CensusView) -> None:
@@ -54,6 +55,7 @@
         self.estimate = max(self.estimate, float(view.instances))
 
     def read(self, now: float) -> FleetPosition:
+        """Advances the estimate to `now` and returns the position."""
         while len(self.history) > 1 and self.history[1][0] <= now - self.hold_s:
             self.history.popleft()
         target = max([self.view.instances, self.own, *(instances for _, instances in self.history)])
@@ -66,7 +68,8 @@
 
     @staticmethod
     def overcount_bound_s(death_bound_s: float, hold_s: float) -> float:
-        """The stated bound on how long a count that is too large stands before it begins to fall: the time to
-        detect a death, then the hold time. A count that is too small stands only until an existing member is
-        discovered."""
+        """Upper bound on the time for which a count that is too large stands before it begins to fall: the
+        time to detect a dead member, then the hold time.
+
+        It does not bound a count that is too small, which stands until the missing members are discovered."""
         return death_bound_s + hold_s
