--- a/flintlatch/peers/words.py
+++ b/flintlatch/peers/words.py
@@ -29,7 +29,7 @@
 RENEWALS_PER_TTL = 3  # publications of a renewed entry: two in a row may be lost
 MAX_EPOCH = 2**53  # exclusive: a publisher could not replace an entry with a higher epoch
 MAX_TOPIC_CHARS, MAX_SUBJECT_CHARS, MAX_VALUE_BYTES = 16, 96, 512
-ENTRY_OVERHEAD_BYTES = 24  # of an encoded entry without its texts and value, at most
+ENTRY_OVERHEAD_BYTES = 24  # at most, of an encoded entry without its texts and value
 SWEEP_INTERVAL_S = 1.0  # between two removals of long expired entries
 QUANTUM_BYTES = 256  # added to a topic's deficit each turn, times its weight
 
@@ -43,8 +43,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Topic:
-    """`ttl_s`: the longest time that its entries may be valid. To merge values as in a lattice, fold the
-    entries of a PER_MEMBER topic when they are read."""
+    """`ttl_s`: the longest time that its entries may be valid. A reader that needs a merge
+    by value, for example the maximum or the union, computes it from the entries of a PER_MEMBER topic."""
 
     name: str
     merge: Merge
@@ -66,6 +66,7 @@
 # Entries of unknown topics are passed on within these bounds: a newer version may know the topic.
 UNKNOWN_TOPIC_TTL_S, UNKNOWN_TOPIC_MAX_PER_MEMBER, UNKNOWN_TOPIC_MAX_ENTRIES = 60.0, 4, 256
 UNKNOWN_TOPIC_WEIGHT = 0.5
+MAX_UNKNOWN_TOPICS = 256
 
 
 class Entry(NamedTuple):
@@ -103,7 +104,7 @@
 class StoredEntry:
     entry: Entry
     expires_at: float
-    sent: int = 0
+    sent_count: int = 0
     queued: bool = False
 
 
@@ -139,15 +140,15 @@
 
 
 class EntryStore:
-    def __init__(self, me: str, topics: Iterable[Topic], retransmit: int) -> None:
-        self.me, self.retransmit = me, retransmit
+    def __init__(self, me: str, topics: Iterable[Topic], retransmit_factor: int) -> None:
+        self.me, self.retransmit_factor = me, retransmit_factor
         self.topics = {topic.name: topic for topic in topics}
         self.entries: dict[Key, StoredEntry] = {}
         self.by_topic: dict[str, dict[Key, StoredEntry]] = {}
         self.entry_counts: dict[tuple[str, str], int] = {}  # stored entries by topic and member
         self.published: dict[tuple[str, str], OwnEntry] = {}
         self.queues: dict[str, TopicQueue] = {}
-        self.rotation: deque[str] = deque()
+        self.topic_rotation: deque[str] = deque()
         self.last_sweep_at = 0.0
         self.counts = Counts()
         self.members = 1
@@ -160,7 +161,7 @@
         """Upper bound on the true time after its publication for which any member can read an entry.
 
         It holds while the rate of every clock is within MAX_CLOCK_DRIFT. The publisher's clock may be slow by
-        that much; each hop takes off more than its two clocks can add."""
+        that much; HOP_TTL_FACTOR covers the drift of both clocks of each hop."""
         return ttl_s / (1 - MAX_CLOCK_DRIFT)
 
     # Subsystems
@@ -171,19 +172,19 @@
         """Publishes an entry from now on. With `renew` it is renewed until `withdraw`; otherwise it expires.
 
         Raises ValueError for an entry that no member would accept."""
-        rules = self.topics[topic]
-        ttl_s = ttl_s or rules.ttl_s
-        if not 0 < ttl_s <= rules.ttl_s:
-            raise ValueError(f"{topic}: a TTL of {ttl_s} s, expected above 0 and at most {rules.ttl_s:g}")
+        spec = self.topics[topic]
+        ttl_s = ttl_s or spec.ttl_s
+        if not 0 < ttl_s <= spec.ttl_s:
+            raise ValueError(f"{topic}: a TTL of {ttl_s} s, expected above 0 and at most {spec.ttl_s:g}")
         if len(subject) > MAX_SUBJECT_CHARS or len(value) > MAX_VALUE_BYTES:
             raise ValueError(
                 f"{topic}: subject of {len(subject)} characters and value of {len(value)} bytes, "
                 f"expected at most {MAX_SUBJECT_CHARS} and {MAX_VALUE_BYTES}"
             )
         previous = self.published.get((topic, subject))
-        if previous is None and sum(key[0] == topic for key in self.published) >= rules.max_per_member:
-            raise ValueError(f"{topic}: more than {rules.max_per_member} subjects of one member")
-        stored = self.entries.get(self._key(rules.merge, topic, self.me, subject))
+        if previous is None and sum(key[0] == topic for key in self.published) >= spec.max_per_member:
+            raise ValueError(f"{topic}: more than {spec.max_per_member} subjects of one member")
+        stored = self.entries.get(self._key(spec.merge, topic, self.me, subject))
         epoch = 1 + max(
             stored.entry.epoch if stored is not None else 0,
             previous.epoch if previous is not None else 0,
@@ -192,7 +193,7 @@
         self._store(now, Entry(topic, self.me, subject, epoch, value, ttl_s), now + ttl_s)
 
     def withdraw(self, now: float, topic: str, subject: str) -> None:
-        """Replaces the entry by one with an empty value, which outlasts it."""
+        """Replaces the entry by one with an empty value and a new full TTL, which expires later."""
         if (own := self.published.get((topic, subject))) is not None:
             self.publish(now, topic, subject, b"", own.ttl_s, renew=False)
             del self.published[topic, subject]
@@ -221,8 +222,8 @@
         self.members = members
         for own in list(self.published.values()):
             if now >= own.published_at + own.ttl_s:
-                # Paused for longer than the TTL, or not renewed: the subsystem decides whether to publish
-                # it again.
+                # This process was paused for longer than the TTL, or the entry is not renewed. It is not
+                # published again unless the subsystem calls `publish`.
                 del self.published[own.topic, own.subject]
             elif own.renew and now >= own.published_at + own.ttl_s / RENEWALS_PER_TTL:
                 self.publish(now, own.topic, own.subject, own.value, own.ttl_s)
@@ -249,9 +250,9 @@
             if entry.origin == self.me:
                 self._receive_own(now, entry)
                 continue
-            rules = self.topics.get(entry.topic)
+            spec = self.topics.get(entry.topic)
             key = self._key(
-                rules.merge if rules else Merge.PER_MEMBER, entry.topic, entry.origin, entry.subject
+                spec.merge if spec else Merge.PER_MEMBER, entry.topic, entry.origin, entry.subject
             )
             stored = self.entries.get(key)
             if stored is not None and self._order(entry) <= self._order(stored.entry):
@@ -259,7 +260,7 @@
                     # Both are lower bounds on the true expiry; the later one is closer.
                     stored.expires_at = max(stored.expires_at, expires_at)
                 continue
-            if stored is None and not self._has_capacity(now, entry, rules):
+            if stored is None and not self._has_capacity(now, entry, spec):
                 self.counts.refused += 1
                 continue
             self._store(now, entry, expires_at)
@@ -269,15 +270,15 @@
 
     def take_for_datagram(self, now: float, room: int) -> list[Entry]:
         """Entries for a datagram with `room` bytes left; each counts as sent once more."""
-        max_sent = self.retransmit * ceil(log_scale(self.members))
+        max_sent = self.retransmit_factor * ceil(log_scale(self.members))
         entries: list[Entry] = []
         taken: set[Key] = set()
         idle_turns = 0
-        while self.rotation and idle_turns < len(self.rotation) and room > ENTRY_OVERHEAD_BYTES:
-            name = self.rotation[0]
+        while self.topic_rotation and idle_turns < len(self.topic_rotation) and room > ENTRY_OVERHEAD_BYTES:
+            name = self.topic_rotation[0]
             queue = self.queues[name]
-            rules = self.topics.get(name)
-            queue.deficit += QUANTUM_BYTES * (rules.weight if rules else UNKNOWN_TOPIC_WEIGHT)
+            spec = self.topics.get(name)
+            queue.deficit += QUANTUM_BYTES * (spec.weight if spec else UNKNOWN_TOPIC_WEIGHT)
             taken_before = len(entries)
             for _ in range(len(queue.keys)):
                 if queue.keys[0] in taken:
@@ -295,23 +296,23 @@
                 taken.add(key)
                 entries.append(stored.entry._replace(remaining_s=stored.expires_at - now))
                 queue.deficit, room = queue.deficit - size, room - size
-                stored.sent += 1
-                if stored.sent < max_sent:
+                stored.sent_count += 1
+                if stored.sent_count < max_sent:
                     queue.keys.append(key)
                 else:
                     stored.queued = False
-                if stored.sent > 1:
+                if stored.sent_count > 1:
                     break  # entries that were never sent go first, in every topic
             idle_turns = 0 if len(entries) > taken_before else idle_turns + 1
             if queue.keys:
-                self.rotation.rotate(-1)
+                self.topic_rotation.rotate(-1)
                 # Unused deficit is not saved up beyond what the next entry needs.
                 first = self.entries.get(queue.keys[0])
                 queue.deficit = min(
                     queue.deficit, float(first.entry.encoded_bytes() if first is not None else 0)
                 )
             else:
-                self.rotation.popleft()
+                self.topic_rotation.popleft()
                 queue.deficit = 0.0
         return entries
 
@@ -321,12 +322,13 @@
             queue.keys
             and (stored := self.entries.get(queue.keys[0])) is not None
             and stored.queued
-            and not stored.sent
+            and not stored.sent_count
             for queue in self.queues.values()
         )
 
     def snapshot(self, now: float, most: int | None = None) -> list[Entry]:
-        """The valid entries, for a member that may have missed some; with `most`, other ones in each call."""
+        """The valid entries, for a member that may have missed some; at most `most`, the next ones in each
+        call."""
         valid = [stored for stored in self.entries.values() if stored.expires_at > now]
         if most is not None and len(valid) > most:
             self.sync_offset %= len(valid)
@@ -348,6 +350,7 @@
         return self.topics[topic].ttl_s if topic in self.topics else UNKNOWN_TOPIC_TTL_S
 
     def _defect(self, entry: Entry) -> str:
+        """The invalid part of a received entry; empty if it is valid."""
         if not (1 <= len(entry.topic) <= MAX_TOPIC_CHARS and 1 <= len(entry.origin) <= MAX_NAME_CHARS):
             return "topic or origin"
         if len(entry.subject) > MAX_SUBJECT_CHARS or len(entry.value) > MAX_VALUE_BYTES:
@@ -359,32 +362,35 @@
         return ""
 
     def _receive_own(self, now: float, entry: Entry) -> None:
-        """Replaces an entry that this member published before a restart, which would otherwise stand until
-        its expiry."""
-        rules = self.topics.get(entry.topic)
-        if rules is None:
+        """Handles an entry that names this member as its publisher.
+
+        An entry from before a restart that is no longer published is withdrawn; it would otherwise stand
+        until its expiry. If it is published now, with a lower epoch, it is published again with a higher
+        one."""
+        spec = self.topics.get(entry.topic)
+        if spec is None:
             return
         own = self.published.get((entry.topic, entry.subject))
-        stored = self.entries.get(self._key(rules.merge, entry.topic, self.me, entry.subject))
+        stored = self.entries.get(self._key(spec.merge, entry.topic, self.me, entry.subject))
         if own is None:
-            if stored is None and entry.value and self._has_capacity(now, entry, rules):
+            if stored is None and entry.value and self._has_capacity(now, entry, spec):
                 self._store(now, entry._replace(epoch=entry.epoch + 1, value=b""), now + entry.remaining_s)
         elif (entry.epoch, entry.value) > (own.epoch, own.value):
             own.epoch = entry.epoch
             self.publish(now, own.topic, own.subject, own.value, own.ttl_s, own.renew)
 
-    def _has_capacity(self, now: float, entry: Entry, rules: Topic | None) -> bool:
+    def _has_capacity(self, now: float, entry: Entry, spec: Topic | None) -> bool:
         max_per_member, max_entries = (
-            (rules.max_per_member, rules.max_entries)
-            if rules
+            (spec.max_per_member, spec.max_entries)
+            if spec
             else (UNKNOWN_TOPIC_MAX_PER_MEMBER, UNKNOWN_TOPIC_MAX_ENTRIES)
         )
         if self.entry_counts.get((entry.topic, entry.origin), 0) >= max_per_member:
             return False
         same_topic = self.by_topic.get(entry.topic, {})
-        if rules is None and entry.topic not in self.by_topic:
+        if spec is None and entry.topic not in self.by_topic:
             unknown_topics = [name for name in self.by_topic if name not in self.topics]
-            if len(unknown_topics) >= UNKNOWN_TOPIC_MAX_ENTRIES:
+            if len(unknown_topics) >= MAX_UNKNOWN_TOPICS:
                 return False
         if len(same_topic) < max_entries:
             return True
@@ -394,8 +400,8 @@
         return expired is not None
 
     def _store(self, now: float, entry: Entry, expires_at: float) -> None:
-        rules = self.topics.get(entry.topic)
-        key = self._key(rules.merge if rules else Merge.PER_MEMBER, entry.topic, entry.origin, entry.subject)
+        spec = self.topics.get(entry.topic)
+        key = self._key(spec.merge if spec else Merge.PER_MEMBER, entry.topic, entry.origin, entry.subject)
         replaced = self.entries.get(key)
         if replaced is not None:
             self._adjust_count(replaced.entry, -1)
@@ -405,8 +411,8 @@
         stored = StoredEntry(entry, expires_at, queued=True)
         self.entries[key] = self.by_topic.setdefault(entry.topic, {})[key] = stored
         self._adjust_count(entry, 1)
-        if not queue.keys and entry.topic not in self.rotation:
-            self.rotation.append(entry.topic)
+        if not queue.keys and entry.topic not in self.topic_rotation:
+            self.topic_rotation.append(entry.topic)
         queue.keys.appendleft(key)
 
     def _adjust_count(self, entry: Entry, by: int) -> None:
--- a/tests/peers/test_words.py
+++ b/tests/peers/test_words.py
@@ -15,7 +15,7 @@
     ENTRY_OVERHEAD_BYTES,
     HOP_TTL_FACTOR,
     MAX_CLOCK_DRIFT,
-    UNKNOWN_TOPIC_MAX_ENTRIES,
+    MAX_UNKNOWN_TOPICS,
     UNKNOWN_TOPIC_TTL_S,
 )
 
@@ -120,7 +120,7 @@
     assert len(core.entries) == LOAD.max_entries
     unknown = [entry(f"m{n}", topic=f"t{n % 600}") for n in range(5000)]
     core.receive(0.0, 0.0, unknown)
-    assert len([name for name in core.by_topic if name not in core.topics]) <= UNKNOWN_TOPIC_MAX_ENTRIES
+    assert len([name for name in core.by_topic if name not in core.topics]) <= MAX_UNKNOWN_TOPICS
     core.tick(100.0, 2)
     core.tick(200.0, 2)
     assert not core.entries and not core.entry_counts and not any(lane.keys for lane in core.queues.values())
