--- a/flintlatch/choice.py
+++ b/flintlatch/choice.py
@@ -416,10 +416,13 @@
         self.preferred: list[Server] = []  # servers it sends to: all active ones, or its subset
         self.preferred_per_zone, self.min_server_limit = 0, 0.0
         self.total_limit = 1.0  # requests in flight at all servers, if it uses a subset
-        # Time in flight, in ms, that the total limit still grants; requests that servers work on.
+        # Request-milliseconds that may still be executed under the total limit, which adds `total_limit` of
+        # them per ms; starts unbounded, as the first refill caps it. Then: requests that servers are
+        # executing.
         self.credit_ms, self.credit_at, self.in_flight = 1e9, 0.0, 0
-        self.mean_in_flight, self.limit_scale = 0.0, 1.0  # over about a second; factor on the servers' limits
-        self.transfers, self.transfer_bytes = 0, 0  # at all servers
+        # Mean of `in_flight` over about a second; factor on the limits of the servers.
+        self.mean_in_flight, self.limit_scale = 0.0, 1.0
+        self.transfers, self.transfer_bytes = 0, 0  # open at all servers (see `Settings.node_transfers`)
         self.class_base_latency = [0.0] * len(settings.classes)  # latency without congestion
         self.warm_base_latency: dict[int, float] = {}  # the same of a warm server, by kind
         self.warm_rate: dict[int, float] = {}  # responses per second of a warm server, by kind
@@ -428,10 +431,12 @@
         self.timers: list[tuple[float, int, Request]] = []  # when to look at a request again
         self.recent_outcomes = 1.0  # of all servers, decayed like those of each server
         self.cold_servers: list[Server] = []
-        self.cold_traffic: dict[Server, float] = {}  # fraction of admitted requests due to a cold server
-        self.admitted, self.admission_rate = 0, 0.0  # admitted in this second; smoothed, per second
+        # Fraction of the admitted requests to send to a cold server.
+        self.cold_traffic: dict[Server, float] = {}
+        # Requests admitted in this second; smoothed number of them per second.
+        self.admitted, self.admission_rate = 0, 0.0
         self.timer_sequence, self.retry_budget = 0, RETRY_BUDGET_MAX
-        self.buckets: dict[str, TokenBucket] = {}  # by limit, the allocations of the limits all fleets share
+        self.buckets: dict[str, TokenBucket] = {}  # by name, of the limits that all fleets share
         self.expected_retries = RETRY_BUDGET_MAX  # of clients that were rejected
         self.running, self.second_at, self.tick_at = False, 0.0, 0.0
         self.watch_at: float | None = None
@@ -487,8 +492,8 @@
         self.actions.append(SetTimer(HOUSEKEEPING_INTERVAL_MS, 0))
         if self.settings.ask_for_list:
             # Proxies that restart together must not call the list service at the same moment, so their calls
-            # are staggered. They have to end within `must_ask_ms`: after that a proxy is expected to know of
-            # drains whether or not it has received them.
+            # are staggered. They have to end within `must_ask_ms`: after that time a proxy must not
+            # send to draining servers, even if no list has reported them.
             self.watch_at = now + self.watch_stagger_ms()
 
     def unavailable(self, now: float) -> int:
@@ -509,14 +514,16 @@
         if event.tenant < len(self.tenant_arrivals) and not event.is_retry:
             self.tenant_arrivals[event.tenant] += 1
         self.retry_budget = min(RETRY_BUDGET_MAX, self.retry_budget + RETRIES_PER_ARRIVAL)
-        # A client's wait spans all its tries. A request with less of it left than others had is a retry, and
-        # its latency target counts from the first try. Not all clients mark their retries.
+        # Detects retries that the client does not mark. A client's wait spans all its tries, so a request
+        # with less time left than the longest wait seen in its class is taken for a retry, and its latency
+        # target counts from the first try.
         remaining = min(event.client_deadline - now, event.response_wait_ms)
         self.longest_wait[event.cls] = max(self.longest_wait[event.cls], remaining)
         waited = self.longest_wait[event.cls] - remaining
         if waited > FIRST_TRY_SHORTFALL_FRACTION * queue.target_ms and not event.is_retry:
-            # No more of them are retries than rejections explain. The others are first tries with a shorter
-            # wait: as retries past their latency target they would fail unsent beside idle servers.
+            # Each rejection explains one retry. Requests beyond these are first tries of clients with a
+            # shorter wait. Taken for retries past their latency target, they would fail unsent while servers
+            # are idle.
             if self.expected_retries < 1:
                 waited = 0.0
             self.expected_retries = max(self.expected_retries - 1, 0.0)
@@ -532,16 +539,18 @@
             return
         if level >= 3:
             ratio = queue.overload_ratio(now)
-            # With a subset the queue is mostly empty and shows few waits, so the expected wait counts.
+            # With a subset the queue is mostly empty and shows few waits. The wait is then estimated as the
+            # time in which the total limit refills a negative credit.
             if self.uses_subset:
                 wait = -self.refill_credit(now) * self.overall_latency / self.total_limit
                 ratio = max(ratio, wait / queue.wait_threshold_ms())
             queue.set_overloaded(now, ratio > 1)
-            # Level 3 is refused in proportion to the wait above the threshold. Level 4 is refused as soon as
-            # the queue is overloaded and readmitted gradually: admitted at once, it would cause the next
-            # overload.
+            # Level 3 is refused with a probability that grows linearly from 0 at 3 times the wait threshold
+            # to 1 at 6 times. Level 4 is refused as soon as the queue is overloaded and readmitted gradually:
+            # admitted at once, it would cause the next overload.
             readmitted = (now - queue.overloaded_at) / (queue.readmission_span * queue.target_ms)
-            # After a single overload level 4 is admitted if the queue is empty: refusing it idles servers.
+            # After a single overload, level 4 is shed only while requests wait: with an empty queue, refusing
+            # it would leave servers idle.
             shed = ratio > 0 or queue.readmission_span > STRICT_READMISSION_SPAN
             if self.rng.random() < (1 - readmitted if level == 4 and shed else ratio / 3 - 1):
                 self.refuse(request)
@@ -549,7 +558,8 @@
         if request.is_transfer() and not self.accepts_transfer(request):
             self.refuse(request)
         elif request.useful_until <= now + 2 * self.settings.tick_ms:
-            self.end_request(request)  # no later batch could answer it in time
+            # No later batch could answer it in time.
+            self.end_request(request)
         else:
             self.admitted += 1
             if not (self.large_tier and self.send_to_cold(now, request)):
@@ -570,7 +580,7 @@
     def failing_servers(self, now: float) -> dict[str, int]:
         """Returns the servers that failed this proxy and have not responded since.
 
-        The values are their consecutive failures, EJECTION_FAILURES at the most.
+        The values are their consecutive failures, at most EJECTION_FAILURES.
         """
         failing = (s for s in self.active if s.consecutive_failures and s.last_success_at < s.last_failure_at)
         recent = (
@@ -633,7 +643,7 @@
         """Returns the level for load shedding and uses up quota: 1 and 2 are never shed, 4 is shed first."""
         worth = spec.worth / self.best_worth
         if tenant < len(self.quota_tokens):
-            rate = self.settings.quotas[tenant] * self.traffic_fraction  # a quota is for all proxies together
+            rate = self.settings.quotas[tenant] * self.traffic_fraction  # of the quota of all proxies
             tokens = self.quota_tokens[tenant] + (now - self.quota_refilled_at[tenant]) * rate / 1000
             tokens = min(tokens, max(rate * QUOTA_BURST_S, QUOTA_BURST_MIN_REQUESTS))
             self.quota_refilled_at[tenant] = now
@@ -648,9 +658,9 @@
         """Queues a request and sets the time until which sending it is useful."""
         request.is_queued, pending = True, request.queue.pending
         (pending.appendleft if at_front else pending.append)(request)
-        # Sent any later, the response would come too late. The time reserved for it is at most half the
-        # target: if the usual latency were above the target, nothing would be sent and the latency never be
-        # corrected.
+        # A request sent later than this would be answered too late. The time reserved for the response is at
+        # most half the target: with an estimated latency above the target nothing would be sent, and the
+        # estimate could never be updated.
         reserved = self.ordinary_latency(request)
         request.send_by = min(
             request.useful_until - reserved,
@@ -662,7 +672,10 @@
         self.schedule(min(request.send_by, request.target_deadline - reserved), request)
 
     def ordinary_latency(self, request: Request) -> float:
-        """Returns the latency that an ordinary attempt of the class does not exceed."""
+        """Returns an upper bound on the latency of most attempts of the class: mean and some deviations.
+
+        It is at most half the latency target.
+        """
         mean, deviation = self.class_latency[request.cls]
         return min(mean + ORDINARY_LATENCY_DEVIATIONS * deviation, request.queue.target_ms / 2)
 
@@ -681,13 +694,14 @@
             if attempt.forwarded_at == attempt.sent_at
             else max(now - attempt.forwarded_at, 0.0)
         )
-        # An abandoned attempt ends here as well: the server stops its work when the connection closes.
+        # An abandoned attempt also counts as ended at its server, which stops its work when the connection
+        # closes.
         self.remove_attempt(request, attempt, latency)
         if attempt.response_started:
             self.observe_transfer_end(now, attempt.server, event.result, attempt.response_started)
         elif attempt.forwarded_at < inf:
             self.observe_outcome(now, request, attempt, event.result, latency)
-        else:
+        else:  # the server did not get the whole body
             self.observe_transfer_end(now, attempt.server, event.result, attempt.response_started)
             request.start_response_clock(now, now)  # the time so far was the upload's
         if event.finished or request.finished:
@@ -738,7 +752,7 @@
         elif result in (Result.RESET, Result.TIMEOUT, Result.CONNECT_FAILED, Result.FULL):
             server.recent_outcomes = min(server.recent_outcomes + 1, 1 / REWARD_SMOOTHING)
             self.recent_outcomes += 1
-            # A started response counts twice: its start was counted as a success.
+            # The failure of a started response counts twice, since its start was counted as a success.
             server.reward *= (1 - REWARD_SMOOTHING) ** (2 if response_started else 1)
             self.record_failure(now, server)
 
@@ -750,11 +764,12 @@
         # A latency of 0, below the resolution of the clock, must not become a divisor.
         latency = max(latency, 0.001)
         if result in ABANDONED:
-            # If only responses counted, each abandoned attempt would let the next request be sent even later.
+            # Abandoned attempts count too. With responses alone, which are the faster attempts, the estimate
+            # would fall, and each abandoned attempt would let the next request be sent even later.
             ordinary = self.ordinary_latency(request)
             self.observe_class_latency(request.cls, latency)
             if latency < ordinary:
-                return  # sent too late for an ordinary response: says nothing about the server
+                return  # abandoned before most responses would have come: says nothing about the server
         if result in (Result.CANCELLED, Result.NOT_SENT, Result.NO_ROOM, Result.INVALID):
             return  # caused by this proxy or by the client
         server.recent_outcomes = min(server.recent_outcomes + 1, 1 / REWARD_SMOOTHING)
@@ -764,7 +779,8 @@
         on_time = result is Result.OK and latency <= request.queue.target_ms
         if self.uses_subset:
             self.adjust_total_limit(request, server, result, latency)
-        # In a large tier each of the few outcomes counts for more; otherwise rewards would never differ.
+        # In a large tier a proxy sees few outcomes of a server, so each counts for more; otherwise the
+        # rewards of the servers would hardly differ. `large_tier` is 1 or 0 here.
         smoothing = max(REWARD_SMOOTHING, self.large_tier / (1 + server.recent_outcomes))
         server.reward += ((1.0 if on_time else 0.0) - server.reward) * smoothing
         if result is Result.OK:
