--- a/tests/test_second_copies.py
+++ b/tests/test_second_copies.py
@@ -25,9 +25,9 @@
 )
 from tests.support import Driver, actions_of, settings
 
-PURCHASE = RequestClass(400.0, 1500.0, Effect.KEYED, Scope.CELL, 750.0)
-ANSWER = RequestClass(400.0, 1500.0, Effect.UNSAFE)
-LOOKUP = RequestClass(400.0, 1500.0, Effect.SAFE)
+KEYED = RequestClass(400.0, 1500.0, Effect.KEYED, Scope.CELL, 750.0)
+UNSAFE = RequestClass(400.0, 1500.0, Effect.UNSAFE)
+SAFE = RequestClass(400.0, 1500.0, Effect.SAFE)
 
 
 def servers_in_cells(cells: int = 3, servers: int = 3) -> list[ServerInfo]:
@@ -39,8 +39,8 @@
 
 
 def hedging_driver(*classes: RequestClass, **changes: Any) -> Driver:
-    """Returns a driver in which the latency of the class is known."""
-    driver = Driver(settings(*(classes or (PURCHASE,)), **(LARGE_TIER | changes)), *servers_in_cells())
+    """Returns a driver in which the decision module has learned the latency of the class: 50 ms."""
+    driver = Driver(settings(*(classes or (KEYED,)), **(LARGE_TIER | changes)), *servers_in_cells())
     for _ in range(20):
         driver.end(driver.arrive(), after=50.0)
     return driver
@@ -68,7 +68,7 @@
     A hedged request in the scope of the first attempt would execute the request twice.
     """
     for seed in range(20):
-        driver = Driver(settings(PURCHASE, **LARGE_TIER), *servers_in_cells(4), seed=seed)
+        driver = Driver(settings(KEYED, **LARGE_TIER), *servers_in_cells(4), seed=seed)
         request = driver.arrive(key=seed)
         driver.end(request, Result.CONNECT_FAILED, after=1.0)
         driver.tick_for(325)
@@ -76,7 +76,7 @@
         assert len(sends) == 3 and cell(sends[2]) == cell(sends[1])
 
 
-@pytest.mark.parametrize("spec", [ANSWER, LOOKUP])
+@pytest.mark.parametrize("spec", [UNSAFE, SAFE])
 def test_requests_of_other_effects_are_not_hedged(spec: RequestClass) -> None:
     driver = hedging_driver(spec)
     request = driver.arrive()
@@ -85,9 +85,10 @@
 
 
 def test_no_request_is_hedged_without_permission_to_duplicate_and_cancel() -> None:
-    """Neither in a small tier: each proxy knows which servers are slow, and hedging would only add load."""
+    """Nor is one hedged in a small tier (4 proxies): each proxy knows which servers are slow, and hedging
+    would only add load."""
     for changes in ({"may_duplicate": False}, {"may_cancel": False}, {"proxies": 4}):
-        driver = hedging_driver(PURCHASE, **changes)
+        driver = hedging_driver(KEYED, **changes)
         request = driver.arrive()
         driver.tick_for(380)
         assert len(driver.sends[request]) == 1
@@ -99,6 +100,7 @@
         server.limit = 1.0
     request = driver.arrive()
     others = [driver.arrive() for _ in range(12)]
+    # 13 requests for 9 servers with a limit of 1 each: 4 are queued.
     assert sum(name not in driver.sends for name in others) == 4
     driver.tick_for(100)
     assert len(driver.sends[request]) == 1
@@ -110,7 +112,7 @@
 
 def test_hedged_requests_use_the_retry_budget() -> None:
     driver = hedging_driver()
-    driver.balancer.retry_budget = 2.0
+    driver.balancer.retry_budget = 2.0  # the 8 arrivals add RETRIES_PER_ARRIVAL = 0.1 each: 2.8
     for server in driver.balancer.active:
         server.limit = 10.0
     requests = [driver.arrive() for _ in range(8)]
@@ -147,14 +149,14 @@
     answered = False
     for number in order:
         result = results[number]
-        if answered:  # cancelled, whatever its result would have been
+        if answered:  # the attempt was cancelled, so it has no other result
             assert Cancel(request, number) in actions
             result = Result.CANCELLED
         answered = answered or result is Result.OK
         driver.now += 1.0
         actions += driver.step(Outcome(request, number, result, 200.0, answered))
     executed = [driver.sends[request][n] for n in (0, 1) if results[n] not in NEVER_RAN]
-    for _ in range(40):  # outcomes of further attempts, if there are any
+    for _ in range(40):  # outcomes of further attempts
         for number in range(2, len(driver.sends[request])):
             if number >= 2 and not answered:
                 assert not executed or cell(driver.sends[request][number]) == cell(executed[0])
