--- a/tests/limits/test_cores.py
+++ b/tests/limits/test_cores.py
@@ -40,6 +40,7 @@
 
 SETTINGS = LeaseSettings(("a", "b", "c"), 3, term_s=2.0)
 NAMES = SETTINGS.voters
+LONG_AGO_S = -10.0  # a start at this time is far enough in the past for a vote at time 0
 
 
 @dataclass(frozen=True)
@@ -61,7 +62,7 @@
 
 
 def start(faults: int) -> World:
-    voters = tuple(Leadership(name, SETTINGS, -10.0) for name in NAMES)
+    voters = tuple(Leadership(name, SETTINGS, LONG_AGO_S) for name in NAMES)
     none = (None, None, None)
     return World(0.0, voters, none, (none,) * 3, (frozenset(NAMES),) * 3, (0.0,) * 3, faults)
 
@@ -133,7 +134,7 @@
             )
 
 
-def key(world: World) -> Hashable:
+def state_key(world: World) -> Hashable:
     now = world.now
 
     def leadership(s: Leadership) -> Hashable:
@@ -161,20 +162,22 @@
     )
 
 
-def check(world: World) -> str:
-    holders = [name for name, until in zip(NAMES, world.leader_until, strict=True) if until > world.now]
-    return f"{' and '.join(holders)} are leaders at {world.now:g}" if len(holders) > 1 else ""
+def invariant_violation(world: World) -> str:
+    leaders = [name for name, until in zip(NAMES, world.leader_until, strict=True) if until > world.now]
+    return f"{' and '.join(leaders)} are leaders at {world.now:g}" if len(leaders) > 1 else ""
 
 
 def test_no_order_of_votes_elects_two_leaders_at_once() -> None:
-    found = explore(start(2), steps, key, check, 5)
+    found = explore(start(2), steps, state_key, invariant_violation, 5)
     print(found)
     assert found.states > 1000
     for seed in range(4):
-        random_walks(start(5), steps, check, seed, 150, 80)
+        random_walks(start(5), steps, invariant_violation, seed, 150, 80)
 
 
-@pytest.mark.parametrize("mutation", ["switches its vote at once", "votes after a restart", "no majority"])
+@pytest.mark.parametrize(
+    "mutation", ["switches its vote at once", "votes at once after a restart", "no majority"]
+)
 def test_a_mutation_of_the_election_is_found(mutation: str, monkeypatch: pytest.MonkeyPatch) -> None:
     if mutation == "switches its vote at once":
         original = Leadership.vote
@@ -184,20 +187,22 @@
             return original(self, now, is_alive)  # type: ignore[arg-type]
 
         monkeypatch.setattr(Leadership, "vote", vote)
-    elif mutation == "votes after a restart":
+    elif mutation == "votes at once after a restart":
         original_init = Leadership.__init__
         monkeypatch.setattr(
-            Leadership, "__init__", lambda self, me, settings, now: original_init(self, me, settings, -10.0)
+            Leadership,
+            "__init__",
+            lambda self, me, settings, now: original_init(self, me, settings, LONG_AGO_S),
         )
     else:
         monkeypatch.setattr(Leadership, "majority", lambda self: 1)
     with pytest.raises(InvariantViolation):
         for seed in range(20):
-            random_walks(start(5), steps, check, seed, 300, 80)
+            random_walks(start(5), steps, invariant_violation, seed, 300, 80)
 
 
 def test_a_gap_in_the_votes_during_a_pause_ends_the_leadership() -> None:
-    leadership = Leadership("a", SETTINGS, -10.0)
+    leadership = Leadership("a", SETTINGS, LONG_AGO_S)
     votes = {name: (Vote("a", 1), 2.0) for name in NAMES}
     assert (
         leadership.update(0.0, votes)
@@ -219,7 +224,7 @@
 
 @given(st.floats(0, 200), demand_maps, st.booleans())
 @settings(max_examples=300, deadline=None)
-def test_max_min_fair_stays_within_the_capacity_and_serves_the_smallest_first(
+def test_max_min_fair_stays_within_the_capacity_and_no_unmet_demand_gets_less_than_another(
     capacity: float, demands: dict[str, float], spread: bool
 ) -> None:
     allocated = max_min_fair(capacity, demands, spread)
@@ -234,7 +239,7 @@
 
 
 def test_a_huge_claimed_demand_gets_no_more_than_its_fair_share() -> None:
-    allocated = max_min_fair(100.0, {"liar": 1e9, "a": 40.0, "b": 40.0})
+    allocated = max_min_fair(100.0, {"c": 1e9, "a": 40.0, "b": 40.0})
     assert set(map(round, allocated.values())) == {33}
 
 
@@ -282,25 +287,26 @@
 
 def test_an_instance_applies_an_allocation_until_it_expires_and_then_its_fallback() -> None:
     now, log = [0.0], list[str]()
-    core = make_instance(now, log)
-    assert core.pending_events(0) == [LIMIT]
-    core.on_entry({"about": "proxies", "value": [9, 4], "until": 3.0})
-    core.on_entry({"about": "limit", "limit": "l", "value": [50.0, 7.0, 1, 4], "until": 2.0})
+    received = make_instance(now, log)
+    assert received.pending_events(0) == [LIMIT]
+    received.on_entry({"about": "proxies", "value": [9, 4], "until": 3.0})
+    received.on_entry({"about": "limit", "limit": "l", "value": [50.0, 7.0, 1, 4], "until": 2.0})
     allocated = LIMIT._replace(per_s=50.0, burst=7.0)
-    assert core.pending_events(0) == [allocated, TierMembership(9, 5)] and core.applied_leases == {
+    assert received.pending_events(0) == [allocated, TierMembership(9, 5)] and received.applied_leases == {
         "l": [1, 4]
     }
-    assert core.pending_events(0) == []
-    assert core.pending_events(1) == [allocated]  # a module that replaced one after a fault
+    assert received.pending_events(0) == []
+    # The first call for a second decision module, started after a fault of the first.
+    assert received.pending_events(1) == [allocated]
     now[0] = 2.0
-    assert core.pending_events(1) == [LIMIT] and core.applied_leases == {"l": []}
+    assert received.pending_events(1) == [LIMIT] and received.applied_leases == {"l": []}
     now[0] = 3.0
-    assert core.pending_events(1) == [TierMembership(2, 1)] and len(log) == 1
-    # Has expired in a buffer.
-    core.on_entry({"about": "limit", "limit": "l", "value": [50.0, 7.0, 1, 5], "until": 2.5})
-    core.on_entry({"about": "limit", "limit": "unknown", "value": [], "until": 9.0})
-    core.on_entry({"about": "weather", "value": "fine"})
-    assert core.pending_events(1) == [] and len(log) == 1
+    assert received.pending_events(1) == [TierMembership(2, 1)] and len(log) == 1
+    # This entry expired while it waited in a buffer.
+    received.on_entry({"about": "limit", "limit": "l", "value": [50.0, 7.0, 1, 5], "until": 2.5})
+    received.on_entry({"about": "limit", "limit": "unknown", "value": [], "until": 9.0})
+    received.on_entry({"about": "weather", "value": "fine"})
+    assert received.pending_events(1) == [] and len(log) == 1
 
 
 def test_the_module_admits_no_more_than_its_allocation_and_sends_retry_after() -> None:
@@ -314,8 +320,8 @@
             driver.end(request, after=1.0)
         waits += [a.retry_after_ms for a in actions_of(Refuse, driver.last)]
         driver.tick(after=10.0)
-    span = (driver.now - started_at) / 1000
-    assert 10 * span - 2 <= admitted <= 10 * span + 2
+    span_s = (driver.now - started_at) / 1000
+    assert 10 * span_s - 2 <= admitted <= 10 * span_s + 2
     # Each wait lasts until the next whole token.
     assert len(waits) + admitted == 500 and all(0 < wait <= 100.0 for wait in waits)
     assert driver.balancer.buckets["l"].demand == 500
