--- a/flintlatch/choice.py
+++ b/flintlatch/choice.py
@@ -14,7 +14,7 @@
 or from observation.
 
 A tier is "large" if it has more than INITIAL_LIMIT proxies. A proxy's share of INITIAL_LIMIT is then below
-one request: it sees too little of each server to judge the server alone.
+one request: it gets too few responses from each server to estimate the state of that server alone.
 """
 
 from __future__ import annotations
@@ -66,11 +66,13 @@
 
 # Overload detection and load shedding
 DETECTOR_WINDOW_FRACTION = 0.5  # of the latency target; short enough for shedding to help in time
-DETECTOR_WINDOW_MIN_SENDS = 8  # with fewer sends the window is extended, because they prove nothing
+DETECTOR_WINDOW_MIN_SENDS = 8  # with fewer the window is extended: the minimum of few waits is unreliable
 WAIT_THRESHOLD_FRACTION = 0.08  # of (latency target - usual latency): the minimum wait that means overload
 READMISSION_SPAN_RANGE = (0.5, 4.0)  # latency targets after an overload until level 4 is fully admitted again
 STRICT_READMISSION_SPAN = 1.0  # latency targets; above it level 4 is refused even if no request is queued
 RECURRENCE_FRACTION = 0.5  # of (span + 1) latency targets: an overload that returns sooner is a recurrence
+PROPORTIONAL_SHED_LEVEL, FIRST_SHED_LEVEL = 3, 4  # levels 1 and 2 are never shed
+PROPORTIONAL_SHED_RATIO = 3  # overload ratio from which level 3 is shed, in full at twice this ratio
 LEVEL_WORTH_BOUNDS = (0.75, 0.5, 0.25)  # least worth relative to the best class of levels 1, 2 and 3
 QUOTA_BURST_S = 1.0  # seconds of quota that a tenant may use at once before it counts as over its quota
 USAGE_SMOOTHING = 0.3  # EWMA weight of one second: a few seconds even out random variation
@@ -83,7 +85,8 @@
 
 # Recognition of retries that clients send
 FIRST_TRY_SHORTFALL_FRACTION = 0.1  # of the latency target; the network takes some of a client's wait
-EXPECTED_RETRIES_PER_REJECTION, EXPECTED_RETRIES_MAX = 2.0, 200.0  # whichever proxy rejected the first try
+# Retries that this proxy expects; they may come from clients that another proxy rejected.
+EXPECTED_RETRIES_PER_REJECTION, EXPECTED_RETRIES_MAX = 2.0, 200.0
 # Of a client's wait, after which an unsent request is ended: the client still has time for a retry.
 UNSENT_WAIT_FRACTION = 0.45
 
@@ -98,7 +101,7 @@
 MIN_LIMIT_LARGE_TIER = 5.0
 CONGESTION_LIMIT_FACTOR = 0.75  # applied to the limit when too many requests queue in a server
 OVERLOAD_FAILURE_LIMIT_FACTOR = 0.8  # applied to the limit after a failure that indicates load
-ORDINARY_LATENCY_DEVIATIONS = 3.0  # mean deviations above the mean latency that an ordinary attempt may take
+ORDINARY_LATENCY_DEVIATIONS = 3.0  # mean deviations above the mean latency: exceeded by few attempts
 HANG_LATENCIES = 2.0  # usual latencies without a response after which a busy server may be hanging
 
 # Outlier detection
@@ -186,7 +189,7 @@
         self.restart_suspected_until, self.quick_responses = 0.0, 0  # after an outage; responses since
         self.slow_start_fraction = 0.0  # large tier: fraction of its traffic that it is sent while cold
         self.load, self.key_share = 0.0, 1.0  # requests per core, of all proxies; fraction of its keys
-        self.silent_since = 0.0  # last response, or the first send after it had nothing of this proxy
+        self.silent_since = 0.0  # last response, or a later send while it had no request of this proxy
         self.started, self.cold_until = None, 0.0
 
     def has_capacity(self, now: float, min_limit: float = 0.0) -> bool:
@@ -332,7 +335,7 @@
         self.min_wait, self.previous_min_wait, self.sends = 0.0, 0.0, 0
 
     def record_send(self, now: float, wait: float) -> None:
-        """Adds the wait of a sent request to the minimum of the present half window."""
+        """Adds the wait of a sent request to the minimum of the current half window."""
         if (
             self.sends >= DETECTOR_WINDOW_MIN_SENDS / 2
             and now - self.half_window_at >= self.target_ms * DETECTOR_WINDOW_FRACTION / 2
@@ -537,7 +540,7 @@
         if self.buckets and (limit_wait_ms := self.take_limit_tokens(now, event)):
             self.refuse(request, limit_wait_ms)
             return
-        if level >= 3:
+        if level >= PROPORTIONAL_SHED_LEVEL:
             ratio = queue.overload_ratio(now)
             # With a subset the queue is mostly empty and shows few waits. The wait is then estimated as the
             # time in which the total limit refills a negative credit.
@@ -552,7 +555,9 @@
             # After a single overload, level 4 is shed only while requests wait: with an empty queue, refusing
             # it would leave servers idle.
             shed = ratio > 0 or queue.readmission_span > STRICT_READMISSION_SPAN
-            if self.rng.random() < (1 - readmitted if level == 4 and shed else ratio / 3 - 1):
+            if self.rng.random() < (
+                1 - readmitted if level == FIRST_SHED_LEVEL and shed else ratio / PROPORTIONAL_SHED_RATIO - 1
+            ):
                 self.refuse(request)
                 return
         if request.is_transfer() and not self.accepts_transfer(request):
@@ -1022,10 +1027,10 @@
             self.watch_failures += 1
             # Hundreds of proxies must not call at once. Still, the delay has a bound however often calls
             # fail: the next answer has to arrive before the proxy is expected to know the list.
-            first, longest = WATCH_RETRY_MS_RANGE
-            spread = WATCH_RETRY_MS_PER_PROXY * self.settings.proxies
-            delay = max(first * 2.0 ** min(self.watch_failures - 1, 10), spread)
-            delay = min(delay, self.settings.must_ask_ms / 2, longest)
+            first_delay, longest_delay = WATCH_RETRY_MS_RANGE
+            least_delay = WATCH_RETRY_MS_PER_PROXY * self.settings.proxies
+            delay = max(first_delay * 2.0 ** min(self.watch_failures - 1, 10), least_delay)
+            delay = min(delay, self.settings.must_ask_ms / 2, longest_delay)
             if now < self.discovery_changed_at + DISCOVERY_CHANGE_MS and not self.large_tier:
                 delay = DISCOVERY_CHANGE_RETRY_MAX_MS
             self.watch_at = now + delay * self.rng.uniform(0.5, 1.0)
@@ -1083,10 +1088,10 @@
     def update_limit_scale(self) -> None:
         """Scales this proxy's limits by its fraction of the traffic, which is split unevenly over the tier.
 
-        With a limit for an even share, a proxy with more traffic would queue requests beside idle servers
-        while other proxies leave their limits unused. Its fraction is what it has in flight of all that
-        servers report, so the limits of all proxies together only bind when servers have as much as all may
-        send.
+        With a limit for an even share, a proxy with more traffic would queue requests while servers are idle
+        and other proxies leave their limits unused. Its fraction is its number of requests in flight divided
+        by the number that the servers report, so the limits of all proxies together are reached only when the
+        servers have as many requests as all proxies may send.
         """
         mean_load = sum(s.load for s in self.active) / max(len(self.active), 1)
         even_share = sum(s.limit for s in self.active)
@@ -1426,9 +1431,9 @@
                 for s in self.preferred
             )
         while heads and ready and spare > 0:
-            # The head that has waited the largest fraction of its latency target goes first. So all queues
-            # feel a shortage of servers alike, and the overload detector of each sheds the load of its own
-            # classes.
+            # The head that has waited the largest fraction of its latency target goes first. A shortage of
+            # servers therefore delays all queues alike, and the overload detector of each queue sheds the
+            # load of its own classes.
             queue, request = max(heads, key=lambda qh: (now - qh[1].arrived_at) / qh[0].target_ms)
             queue.pending.popleft()
             request.is_queued = False
@@ -1441,7 +1446,7 @@
                 server = self.pick(request, fitting)
                 spare -= not request.uploading
                 self.send(now, request, server)
-            else:  # kept in the queue, it would block requests that fit
+            else:  # no server fits: in the queue it would block requests that do fit
                 self.end_request(request)
             if fitting and not server.has_capacity(now, self.min_server_limit):
                 ready.remove(server)
@@ -1513,7 +1518,7 @@
         return a if difference > 0 else b
 
     def draw_by_key(self, key: int, candidates: list[Server]) -> list[Server]:
-        """Draws two servers that are likely to know the key.
+        """Draws two servers that have probably received the key recently.
 
         Servers do less work for a key that they have received recently. So every proxy draws from the same
         first servers of the key's ranking, or from the next ones if those get more than they can handle.
@@ -1545,8 +1550,9 @@
     def ranking_width(self, key: int) -> int:
         """Returns from how many servers of its ranking the key is served.
 
-        That is two, or as many as its requests load like any other server. A proxy of a large tier sees a
-        sample of the tier's arrivals, in which a single arrival of a key says nothing about the key.
+        That is two, or as many as are needed for the key alone to load each of them no more than an average
+        server. A proxy of a large tier sees a sample of the tier's arrivals, in which a single arrival of a
+        key says nothing about the key.
         """
         fraction = max(self.key_counts.get(key, 0.0) - 1, 0.0) / max(self.key_count_total, 1.0)
         return max(2, min(1 + int(fraction * len(self.active)), RANKING_LENGTH))
