--- a/flintlatch/peers/census.py
+++ b/flintlatch/peers/census.py
@@ -1,10 +1,10 @@
 """Counts the instances of all fleets and the position of this fleet's instances among them. No I/O, no clock.
 
 Each instance takes the fraction 1 / count of a shared capacity. If the count is too small, the allocations
-add up to more than the capacity. The count therefore rises at once and falls late: while the
-membership is uncertain it is the largest count of the last `hold_s`, and after that it falls gradually. After
-a start the configured number counts until other members have been met and `hold_s` has passed, since this
-member may belong to a group whose members have not discovered each other yet.
+add up to more than the capacity. The count therefore rises at once and falls late: while the membership is
+uncertain it is the largest count of the last `hold_s`, and after that it falls gradually. After a start the
+configured number counts until other members have been met and `hold_s` has passed, since this member may
+belong to a group whose members have not discovered each other yet.
 """
 
 from __future__ import annotations
--- a/flintlatch/peers/words.py
+++ b/flintlatch/peers/words.py
@@ -43,8 +43,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Topic:
-    """`ttl_s`: the longest time that its entries may be valid. A reader that needs a merge
-    by value, for example the maximum or the union, computes it from the entries of a PER_MEMBER topic."""
+    """`ttl_s`: the longest time that its entries may be valid. A reader that needs a merge by value, for
+    example the maximum or the union, computes it from the entries of a PER_MEMBER topic."""
 
     name: str
     merge: Merge
--- a/flintlatch/verdicts/core.py
+++ b/flintlatch/verdicts/core.py
@@ -135,8 +135,8 @@
     """The fleets that keep sending requests to an ejected server.
 
     They are `count` fleets: first those that report failures of the server, then other candidates. Rendezvous
-    hashing gives the same result in every fleet with the same observations, and few
-    probers change when fleets join or leave."""
+    hashing gives the same result in every fleet with the same observations, and few probers change when
+    fleets join or leave."""
 
     def rank(fleet: str) -> tuple[int, str]:
         return crc32(f"{server} {fleet}".encode()), fleet
