--- a/flintlatch/adapter.py
+++ b/flintlatch/adapter.py
@@ -33,8 +33,8 @@
 )
 from flintlatch.choice import Balancer
 from flintlatch.settings import (
+    JsonObject,
     Malformed,
-    Message,
     read_settings,
     require_array,
     require_choice,
@@ -64,7 +64,7 @@
 RETRY_BIT = 2  # of `Bitmap`: the client marks the request as a retry
 
 
-def read_arrival(raw: Message, class_count: int) -> Event:
+def read_arrival(raw: JsonObject, class_count: int) -> Event:
     cls, key = raw["Lane"], raw.get("Subject")
     if type(cls) is not int or not 0 <= cls < class_count:
         raise Malformed(f"Lane is not the number of a class: {cls!r}, expected 0 to {class_count - 1}")
@@ -80,7 +80,7 @@
     )
 
 
-def read_outcome(raw: Message, _: int) -> Event:
+def read_outcome(raw: JsonObject, _: int) -> Event:
     return Outcome(
         require_string(raw["Call"], "Call"),
         require_integer(raw["Leg"], "Leg"),
@@ -90,16 +90,16 @@
     )
 
 
-def read_response_started(raw: Message, _: int) -> Event:
+def read_response_started(raw: JsonObject, _: int) -> Event:
     latency = require_number(raw["DelaySeenMs"], "DelaySeenMs")
     return ResponseStarted(require_string(raw["Call"], "Call"), require_integer(raw["Leg"], "Leg"), latency)
 
 
-def read_client_disconnected(raw: Message, _: int) -> Event:
+def read_client_disconnected(raw: JsonObject, _: int) -> Event:
     return ClientDisconnected(require_string(raw["Call"], "Call"))
 
 
-def read_entry(raw: Message) -> ServerInfo:
+def read_entry(raw: JsonObject) -> ServerInfo:
     started = raw.get("LastStartMs")  # 0, like no value: long ago
     return ServerInfo(
         require_string(raw["Backend"], "Backend"),
@@ -112,13 +112,13 @@
     )
 
 
-def read_list(raw: Message, _: int) -> Event:
+def read_list(raw: JsonObject, _: int) -> Event:
     kind = require_choice(LIST_KINDS, raw["Mode"], "Mode")
     entries = require_array(raw.get("Records") or [], "Records")
     return ServerList(kind, tuple(read_entry(require_object(e, "Records")) for e in entries))
 
 
-def read_probe_result(raw: Message, _: int) -> Event:
+def read_probe_result(raw: JsonObject, _: int) -> Event:
     # A probe may fail with a result that is not in the table; all of them count as ERROR.
     result = RESULTS.get(require_string(raw["How"], "How"), Result.ERROR)
     return ProbeResult(
@@ -126,12 +126,12 @@
     )
 
 
-def read_timer(raw: Message, _: int) -> Event:
+def read_timer(raw: JsonObject, _: int) -> Event:
     return TimerFired(require_integer(raw["Ref"], "Ref"))
 
 
 # All readers take the number of classes; only `read_arrival` uses it.
-READERS: dict[str, Callable[[Message, int], Event] | None] = {
+READERS: dict[str, Callable[[JsonObject, int], Event] | None] = {
     "Incoming": read_arrival,
     "Reply": read_outcome,
     "Started": read_response_started,
@@ -141,7 +141,7 @@
     "Ring": read_timer,
     "FromPeer": None,  # ignored: the instances of this adapter exchange no messages
 }
-WRITERS: dict[type[Any], Callable[[Any], Message]] = {
+WRITERS: dict[type[Any], Callable[[Any], JsonObject]] = {
     Send: lambda a: {
         "what": "Deliver",
         "Call": a.request,
@@ -176,7 +176,7 @@
                 raise Malformed(f"batch: {member} is missing")
         now = require_number(message["TsMs"], "TsMs")
         events: dict[int, list[Event]] = {}  # by instance (`ProxyId`)
-        replies: list[Message] = []
+        replies: list[JsonObject] = []
         for raw in require_array(message["news"], "news"):
             self.handle_event(now, require_object(raw, "news entry"), events, replies)
         for proxy in list(events):
@@ -184,7 +184,7 @@
         return orjson.dumps({"cmds": replies})
 
     def handle_event(
-        self, now: float, raw: Message, events: dict[int, list[Event]], replies: list[Message]
+        self, now: float, raw: JsonObject, events: dict[int, list[Event]], replies: list[JsonObject]
     ) -> None:
         """Adds an event to its instance's events, or starts or ends the instance."""
         what, proxy = raw.get("what"), raw.get("ProxyId")
@@ -217,7 +217,7 @@
             raise Malformed(f"{what} for instance {proxy}: {error}") from None
 
     def run_step(
-        self, now: float, proxy: int, events: dict[int, list[Event]], replies: list[Message]
+        self, now: float, proxy: int, events: dict[int, list[Event]], replies: list[JsonObject]
     ) -> None:
         """Passes the instance's events to its Balancer and appends its actions to the replies."""
         try:
--- a/flintlatch/settings.py
+++ b/flintlatch/settings.py
@@ -9,7 +9,7 @@
 from flintlatch.api import Effect, RequestClass, Scope, Settings
 
 EFFECTS = {"read_like": Effect.SAFE, "idempotency_key": Effect.KEYED, "non_idempotent": Effect.UNSAFE}
-Message = dict[str, Any]
+JsonObject = dict[str, Any]
 
 
 class Malformed(Exception):
@@ -41,7 +41,7 @@
     return value
 
 
-def require_object(value: object, member: str) -> Message:
+def require_object(value: object, member: str) -> JsonObject:
     if not isinstance(value, dict):
         raise Malformed(f"{member} is not an object but {type(value).__name__}")
     return value
@@ -53,7 +53,7 @@
     return value
 
 
-def read_class(raw: Message) -> RequestClass:
+def read_class(raw: JsonObject) -> RequestClass:
     return RequestClass(
         aim_ms=require_number(raw["AimMs"], "AimMs"),
         deadline_ms=require_number(raw["HardLimitMs"], "HardLimitMs"),
@@ -66,7 +66,7 @@
     )
 
 
-def read_settings(info: Message) -> Settings:
+def read_settings(info: JsonObject) -> Settings:
     """Raises Malformed for values of a wrong type and KeyError for a missing member."""
     limits = require_object(info.get("Limits") or {}, "Limits")
     obligations = require_object(info.get("Obligations") or {}, "Obligations")
@@ -119,7 +119,7 @@
     return {require_string(name, member): index for index, name in enumerate(names)}
 
 
-def read_socket_settings(info: Message) -> SocketSettings:
+def read_socket_settings(info: JsonObject) -> SocketSettings:
     """Raises Malformed for values of a wrong type or out of range and KeyError for a missing member."""
     limits = require_object(info.get("Limits") or {}, "Limits")
     classes = [require_object(c, "Lanes") for c in require_array(info["Lanes"], "Lanes")]
