--- a/flintlatch/verdicts/api.py
+++ b/flintlatch/verdicts/api.py
@@ -1,10 +1,10 @@
 """Public interface of the verdicts package: shared outlier detection."""
 
-from flintlatch.verdicts.core import Ejection, EjectionDecision, decide_ejections, observation_topic
+from flintlatch.verdicts.core import EjectedServer, EjectionDecision, decide_ejections, observation_topic
 from flintlatch.verdicts.rows import EjectionRules
 
 __all__ = [
-    "Ejection",
+    "EjectedServer",
     "EjectionDecision",
     "EjectionRules",
     "decide_ejections",
--- a/flintlatch/verdicts/core.py
+++ b/flintlatch/verdicts/core.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ejection:
+class EjectedServer:
     server: str
     reporters: tuple[str, ...]  # fleets whose reports count
     zone: str  # empty: for all fleets; otherwise only for this zone, whose path to the server fails
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EjectionDecision:
-    ejected: dict[str, Ejection] = field(default_factory=dict)
+    ejected: dict[str, EjectedServer] = field(default_factory=dict)
     unreliable: frozenset[str] = frozenset()  # fleets whose observations are ignored
     suppressed: int = 0  # servers whose ejection was dropped because there were too many
 
@@ -73,7 +73,7 @@
             reported[fleet] += 1
     unreliable = frozenset(_unreliable_fleets(reported, servers, rules))
     reliable = {fleet: zone for fleet, zone in fleets.items() if fleet not in unreliable}
-    ejected: dict[str, Ejection] = {}
+    ejected: dict[str, EjectedServer] = {}
     for server, reports in sorted(failures.items()):
         counted = {fleet: count for fleet, count in sorted(reports.items()) if fleet in reliable}
         ejection = _ejection(server, counted, successes.get(server, set()) & reliable.keys(), reliable, rules)
@@ -104,7 +104,7 @@
     successes: set[str],
     reliable: Mapping[str, str],
     rules: EjectionRules,
-) -> Ejection | None:
+) -> EjectedServer | None:
     """Ejects the server for all fleets if the quorum of them reports it, the reported failures reach the
     required weight, and more than twice as many fleets report failures as successes.
 
@@ -121,7 +121,7 @@
             and 2 * len(zone_successes) < len(zone_failures)
         ):
             candidates = [fleet for fleet, fleet_zone in reliable.items() if zone in ("", fleet_zone)]
-            return Ejection(
+            return EjectedServer(
                 server,
                 tuple(zone_failures),
                 zone,
