--- a/tests/peers/test_words.py
+++ b/tests/peers/test_words.py
@@ -35,25 +35,25 @@
 
 
 def test_the_expiry_is_counted_from_the_sending_not_from_the_receipt() -> None:
-    core = make_store()
-    core.receive(103.0, 100.0, [entry()])
+    store = make_store()
+    store.receive(103.0, 100.0, [entry()])
     expires_at = 100.0 + 5.0 * HOP_TTL_FACTOR
-    assert core.read(expires_at - 0.01, "load") and not core.read(expires_at, "load")
-    assert not core.receive(105.0, 100.0, [entry("y")]) and core.counts.expired == 1
+    assert store.read(expires_at - 0.01, "load") and not store.read(expires_at, "load")
+    assert not store.receive(105.0, 100.0, [entry("y")]) and store.counts.expired == 1
 
 
 def test_an_expired_entry_is_not_read_even_before_it_is_removed() -> None:
-    core = make_store()
-    core.receive(0.0, 0.0, [entry(remaining_s=1.0)])
-    assert core.read(0.9, "load") and not core.read(1.0, "load") and core.entries
+    store = make_store()
+    store.receive(0.0, 0.0, [entry(remaining_s=1.0)])
+    assert store.read(0.9, "load") and not store.read(1.0, "load") and store.entries
 
 
 def test_an_older_entry_with_a_later_expiry_does_not_return() -> None:
-    core = make_store()
-    core.receive(0.0, 0.0, [entry(epoch=2, remaining_s=1.0)])
-    assert not core.receive(2.0, 2.0, [entry(epoch=1, value=b"old", remaining_s=5.0)])
-    core.tick(2.0, 2)
-    assert not core.read(2.0, "load")
+    store = make_store()
+    store.receive(0.0, 0.0, [entry(epoch=2, remaining_s=1.0)])
+    assert not store.receive(2.0, 2.0, [entry(epoch=1, value=b"old", remaining_s=5.0)])
+    store.tick(2.0, 2)
+    assert not store.read(2.0, "load")
 
 
 def test_a_withdrawn_entry_stays_withdrawn_when_the_old_one_is_received_again() -> None:
@@ -68,12 +68,12 @@
 
 
 def test_a_member_paused_for_longer_than_the_ttl_does_not_renew_its_entry() -> None:
-    core = make_store()
-    core.publish(0.0, "load", "s", b"1")
-    core.tick(2.0, 2)
-    assert core.entries["load", "me", "s"].entry.epoch == 2  # renewed
-    core.tick(9.0, 2)
-    assert not core.published and not core.read(9.0, "load")
+    store = make_store()
+    store.publish(0.0, "load", "s", b"1")
+    store.tick(2.0, 2)
+    assert store.entries["load", "me", "s"].entry.epoch == 2  # renewed
+    store.tick(9.0, 2)
+    assert not store.published and not store.read(9.0, "load")
 
 
 def test_a_restarted_member_replaces_the_entries_of_its_previous_run() -> None:
@@ -108,42 +108,46 @@
     ],
 )
 def test_an_invalid_entry_is_rejected(invalid: Entry) -> None:
-    core = make_store()
-    assert not core.receive(0.0, 0.0, [invalid]) and core.counts.refused == 1 and not core.entries
+    store = make_store()
+    assert not store.receive(0.0, 0.0, [invalid]) and store.counts.refused == 1 and not store.entries
 
 
 def test_entries_are_bounded_per_member_per_topic_and_in_total() -> None:
-    core = make_store()
-    core.receive(0.0, 0.0, [entry("liar", subject=f"s{n}") for n in range(1000)])
-    assert len(core.entries) == LOAD.max_per_member
-    core.receive(0.0, 0.0, [entry(f"m{n}") for n in range(1000)])
-    assert len(core.entries) == LOAD.max_entries
+    store = make_store()
+    store.receive(0.0, 0.0, [entry("faulty", subject=f"s{n}") for n in range(1000)])
+    assert len(store.entries) == LOAD.max_per_member
+    store.receive(0.0, 0.0, [entry(f"m{n}") for n in range(1000)])
+    assert len(store.entries) == LOAD.max_entries
     unknown = [entry(f"m{n}", topic=f"t{n % 600}") for n in range(5000)]
-    core.receive(0.0, 0.0, unknown)
-    assert len([name for name in core.by_topic if name not in core.topics]) <= MAX_UNKNOWN_TOPICS
-    core.tick(100.0, 2)
-    core.tick(200.0, 2)
-    assert not core.entries and not core.entry_counts and not any(lane.keys for lane in core.queues.values())
+    store.receive(0.0, 0.0, unknown)
+    assert len([name for name in store.by_topic if name not in store.topics]) <= MAX_UNKNOWN_TOPICS
+    store.tick(100.0, 2)
+    store.tick(200.0, 2)
+    assert (
+        not store.entries
+        and not store.entry_counts
+        and not any(queue.keys for queue in store.queues.values())
+    )
 
 
 def test_entries_of_an_unknown_topic_are_passed_on() -> None:
-    core = make_store()
-    core.receive(0.0, 0.0, [entry(topic="newer", remaining_s=3.0)])
-    assert [w.topic for w in core.take_for_datagram(1.0, 500)] == ["newer"]
+    store = make_store()
+    store.receive(0.0, 0.0, [entry(topic="newer", remaining_s=3.0)])
+    assert [sent.topic for sent in store.take_for_datagram(1.0, 500)] == ["newer"]
 
 
 def test_a_flood_of_one_topic_does_not_starve_another_topic() -> None:
     flood = Topic("flood", Merge.PER_MEMBER, 60.0, max_per_member=2000, max_entries=2000)
-    core = make_store("me", flood, LOAD)
-    core.receive(
-        0.0, 0.0, [entry("liar", subject=f"s{n}", value=b"x" * 60, topic="flood") for n in range(2000)]
+    store = make_store("me", flood, LOAD)
+    store.receive(
+        0.0, 0.0, [entry("faulty", subject=f"s{n}", value=b"x" * 60, topic="flood") for n in range(2000)]
     )
-    core.receive(0.0, 0.0, [entry("x")])
-    filled = core.take_for_datagram(0.1, 600)
-    assert "load" in {w.topic for w in filled} and sum(w.encoded_bytes() for w in filled) <= 600
+    store.receive(0.0, 0.0, [entry("x")])
+    filled = store.take_for_datagram(0.1, 600)
+    assert "load" in {sent.topic for sent in filled} and sum(sent.encoded_bytes() for sent in filled) <= 600
     for n in range(200):  # each new entry of the small topic is in the next datagram
-        core.receive(1.0 + n, 1.0 + n, [entry("x", 2 + n)])
-        assert 2 + n in {w.epoch for w in core.take_for_datagram(1.0 + n, 600) if w.topic == "load"}
+        store.receive(1.0 + n, 1.0 + n, [entry("x", 2 + n)])
+        assert 2 + n in {sent.epoch for sent in store.take_for_datagram(1.0 + n, 600) if sent.topic == "load"}
     assert ENTRY_OVERHEAD_BYTES < 60
 
 
@@ -152,10 +156,10 @@
         entry(name, epoch, name.encode(), topic="plan") for name, epoch in (("a", 3), ("b", 4), ("c", 4))
     ]
     for seed in range(6):
-        core, order = make_store(), published[:]
+        store, order = make_store(), published[:]
         Random(seed).shuffle(order)
-        core.receive(0.0, 0.0, order)
-        assert [(read.origin, read.value) for read in core.read(1.0, "plan")] == [("c", b"c")]
+        store.receive(0.0, 0.0, order)
+        assert [(read.origin, read.value) for read in store.read(1.0, "plan")] == [("c", b"c")]
 
 
 actions = st.lists(
