--- a/tests/verdicts/test_core.py
+++ b/tests/verdicts/test_core.py
@@ -37,7 +37,7 @@
     # All three fleets of the zone are probers.
     assert sum("s" in decision.ejected_for(f, "b") for f in ("b1", "b2", "b3")) == 0
     without_successes = decide_ejections({"s": {"b1": 3, "b2": 3}}, {}, FLEETS, 10, RULES)
-    # Without any report from other zones they do not use the server, so it is ejected for all.
+    # The other zones report neither failures nor successes, so it is ejected for all.
     assert without_successes.ejected["s"].zone == ""
 
 
@@ -79,23 +79,23 @@
 @example({"s0": {"a1": 0, "a2": 1, "b1": -4}}, "a1", {})  # b1 is in another zone than the ejection
 @settings(max_examples=300, deadline=None)
 def test_no_single_fleet_can_eject_a_server_for_others(
-    failures: dict[str, dict[str, int]], liar: str, lies: dict[str, int]
+    failures: dict[str, dict[str, int]], faulty: str, false_counts: dict[str, int]
 ) -> None:
-    """A fleet with arbitrary false reports: each ejected server still has a quorum with other observers in
-    it."""
+    """One fleet sends arbitrary false reports: other fleets report each ejected server too, and with them the
+    quorum is reached."""
     reported = {server: dict(reports) for server, reports in failures.items()}
     for server in reported:
-        reported[server][liar] = lies.get(liar, 10**9)
+        reported[server][faulty] = false_counts.get(faulty, 10**9)
     decision = decide_ejections(reported, {}, FLEETS, 8, RULES)
     for server, ejection in decision.ejected.items():
-        others = {f: n for f, n in reported[server].items() if f != liar}
+        others = {f: n for f, n in reported[server].items() if f != faulty}
         assert others, server
         weight = sum(min(reported[server][fleet], MAX_COUNTED_FAILURES) for fleet in ejection.reporters)
         assert len(ejection.reporters) >= RULES.quorum and weight >= RULES.strikes
     assert len(decision.ejected) <= RULES.most_out * 8
 
 
-def test_the_module_avoids_an_ejected_server_unless_it_just_answered_and_resumes_with_one_probe() -> None:
+def test_an_ejected_server_is_avoided_unless_it_just_responded_and_resumes_with_one_probe() -> None:
     driver = Driver(module_settings(), *server_entries(2))
     first, second = "10.0.0.0:80", "10.0.0.1:80"
     driver.step(Ejection(first, 2000.0))
@@ -103,7 +103,7 @@
         request = driver.arrive()
         assert driver.sends[request] == [second]
         driver.end(request)
-    driver.step(Ejection(second, 60_000.0))  # ignored, since the server has just answered this instance
+    driver.step(Ejection(second, 60_000.0))  # ignored: the server has just responded to this instance
     assert driver.sends[driver.arrive()] == [second]
     driver.tick_for(3000)
     requests = [driver.arrive() for _ in range(6)]
@@ -123,19 +123,20 @@
     assert driver.balancer.failing_servers(driver.now) == {failed: 1}
     assert driver.balancer.healthy_servers(driver.now, [failed, "unknown"]) == []
     driver.tick_for(11_000)
-    assert not driver.balancer.failing_servers(driver.now)  # too old by now
+    assert not driver.balancer.failing_servers(driver.now)  # older than FAILURE_EVIDENCE_MS
 
 
 def test_an_ejection_expires_in_an_instance_that_receives_no_renewal() -> None:
     now = [0.0]
-    core = ReceivedEntries(0, TierMembership(1, 0), (), lambda: now[0], lambda text: None)
-    core.on_entry({"about": "shun", "value": ["s1", "s2"], "accused": [], "until": 2.0})
-    assert core.pending_events(0) == [Ejection("s1", 2000.0), Ejection("s2", 2000.0)]
-    core.on_entry({"about": "shun", "value": ["s2"], "accused": ["s2"], "until": 2.5})
-    assert core.pending_events(0) == [Ejection("s1", 0.0), Ejection("s2", 2500.0)]
+    received = ReceivedEntries(0, TierMembership(1, 0), (), lambda: now[0], lambda text: None)
+    received.on_entry({"about": "shun", "value": ["s1", "s2"], "accused": [], "until": 2.0})
+    assert received.pending_events(0) == [Ejection("s1", 2000.0), Ejection("s2", 2000.0)]
+    received.on_entry({"about": "shun", "value": ["s2"], "accused": ["s2"], "until": 2.5})
+    assert received.pending_events(0) == [Ejection("s1", 0.0), Ejection("s2", 2500.0)]
     # The first call for a second decision module, started after a fault of the first.
-    assert core.pending_events(1) == [Ejection("s2", 2500.0)]
+    assert received.pending_events(1) == [Ejection("s2", 2500.0)]
     now[0] = 3.0
-    assert core.pending_events(1) == [] and not core.ejected
-    core.on_entry({"about": "shun", "value": ["s1"], "accused": [], "until": 2.9})  # expired in a buffer
-    assert core.pending_events(1) == []
+    assert received.pending_events(1) == [] and not received.ejected
+    # This entry expired while it waited in a buffer.
+    received.on_entry({"about": "shun", "value": ["s1"], "accused": [], "until": 2.9})
+    assert received.pending_events(1) == []
