--- a/tests/limits/explored.py
+++ b/tests/limits/explored.py
@@ -109,7 +109,7 @@
     return of_holders + sum(amount for amount, until in world.orphans if until > world.now)
 
 
-def check(world: World) -> str:
+def invariant_violation(world: World) -> str:
     used = in_use(world)
     return f"{used:g} of {CAPACITY:g} in use at {world.now:g}" if used > CAPACITY + 1e-6 else ""
 
@@ -290,7 +290,7 @@
     )
 
 
-def key(world: World) -> Hashable:
+def state_key(world: World) -> Hashable:
     now = world.now
 
     def process(p: Process) -> Hashable:
--- a/tests/limits/test_explored.py
+++ b/tests/limits/test_explored.py
@@ -23,7 +23,7 @@
 
 
 def test_no_order_of_events_exceeds_a_strict_limit() -> None:
-    found = explore(explored.start(2), explored.steps, explored.key, explored.check, 5)
+    found = explore(explored.start(2), explored.steps, explored.state_key, explored.invariant_violation, 5)
     print(found)
     assert found.depth == 5 and found.states > 2000
 
@@ -31,7 +31,15 @@
 @pytest.mark.parametrize("seed", range(3))
 def test_no_random_walk_exceeds_a_strict_limit(seed: int) -> None:
     assert (
-        random_walks(explored.start(4), explored.steps, explored.check, seed, WALKS, LENGTH, explored.weight)
+        random_walks(
+            explored.start(4),
+            explored.steps,
+            explored.invariant_violation,
+            seed,
+            WALKS,
+            LENGTH,
+            explored.weight,
+        )
         > 50 * WALKS / 2
     )
 
@@ -155,8 +163,22 @@
     with pytest.raises(InvariantViolation):
         for seed in range(12):
             random_walks(
-                explored.start(4), explored.steps, explored.check, seed, WALKS, LENGTH, explored.weight
+                explored.start(4),
+                explored.steps,
+                explored.invariant_violation,
+                seed,
+                WALKS,
+                LENGTH,
+                explored.weight,
             )
             with suppress(KeyError):  # some mutations prevent the events that lead to this state
                 start = explored.reassigned()
-                random_walks(start, explored.steps, explored.check, seed, WALKS // 5, LENGTH, explored.weight)
+                random_walks(
+                    start,
+                    explored.steps,
+                    explored.invariant_violation,
+                    seed,
+                    WALKS // 5,
+                    LENGTH,
+                    explored.weight,
+                )
--- a/tests/peers/explored.py
+++ b/tests/peers/explored.py
@@ -79,10 +79,10 @@
     cores: tuple[Peers | None, ...]
     paused: tuple[bool, ...]
     flight: tuple[tuple[str, str, Any], ...]  # from, to, message
-    incarnations: tuple[int, ...]  # highest one that any process with the name has given itself
+    incarnations: tuple[int, ...]  # highest one that any process with this name has used for itself
     left: frozenset[tuple[str, str, int]]  # observer, member and run id that left
     run_ids: tuple[int, ...]
-    faults: int  # kills, pauses and leaves that are left
+    faults: int  # kills, pauses and leaves that may still occur
     violation: str = ""
 
 
@@ -196,7 +196,7 @@
         )
 
 
-def key(world: World) -> Hashable:
+def state_key(world: World) -> Hashable:
     return (
         tuple(core_key(core, world.now) if core is not None else None for core in world.cores),
         world.paused,
@@ -206,5 +206,5 @@
     )
 
 
-def check(world: World) -> str:
+def invariant_violation(world: World) -> str:
     return world.violation
--- a/tests/peers/test_explored.py
+++ b/tests/peers/test_explored.py
@@ -11,7 +11,7 @@
 
 
 def test_no_order_of_events_of_three_members_violates_an_invariant() -> None:
-    found = explore(explored.start(2), explored.steps, explored.key, explored.check, 6)
+    found = explore(explored.start(2), explored.steps, explored.state_key, explored.invariant_violation, 6)
     print(found)
     assert found.depth == 6 and found.states > 2000
 
@@ -34,4 +34,6 @@
     else:
         monkeypatch.setattr(Peers, "on_own_record", lambda self, now, record: self.set_record(now, record))
     with pytest.raises(InvariantViolation):
-        explore(explored.start(2), explored.steps, explored.key, explored.check, 12, 40_000)
+        explore(
+            explored.start(2), explored.steps, explored.state_key, explored.invariant_violation, 12, 40_000
+        )
