--- a/flintlatch/adapter.py
+++ b/flintlatch/adapter.py
@@ -179,58 +179,58 @@
         replies: list[JsonObject] = []
         for raw in require_array(message["news"], "news"):
             self.handle_event(now, require_object(raw, "news entry"), events, replies)
-        for proxy in list(events):
-            self.run_step(now, proxy, events, replies)
+        for instance in list(events):
+            self.run_step(now, instance, events, replies)
         return orjson.dumps({"cmds": replies})
 
     def handle_event(
         self, now: float, raw: JsonObject, events: dict[int, list[Event]], replies: list[JsonObject]
     ) -> None:
         """Adds an event to its instance's events, or starts or ends the instance."""
-        what, proxy = raw.get("what"), raw.get("ProxyId")
+        what, instance = raw.get("what"), raw.get("ProxyId")
         try:
             if "what" not in raw or "ProxyId" not in raw:
                 raise KeyError("what" if "what" not in raw else "ProxyId")
-            if type(proxy) is not int:
-                raise Malformed(f"ProxyId is not a whole number: {proxy!r}")
+            if type(instance) is not int:
+                raise Malformed(f"ProxyId is not a whole number: {instance!r}")
             if what == "Provision":
                 seed, info = require_integer(raw["Entropy"], "Entropy"), require_object(raw["Info"], "Info")
                 # A new start discards the instance's earlier state and its earlier events of this batch.
-                events[proxy] = []
+                events[instance] = []
                 settings = read_settings(info)
-                self.instances[proxy] = (Balancer(settings, seed), len(settings.classes))
+                self.instances[instance] = (Balancer(settings, seed), len(settings.classes))
                 return
-            if proxy not in self.instances:
+            if instance not in self.instances:
                 raise Malformed("the instance was never provisioned")
             if what == "Exit":
-                events.pop(proxy, None)
-                del self.instances[proxy]
+                events.pop(instance, None)
+                del self.instances[instance]
                 return
             if not isinstance(what, str) or what not in READERS:
                 raise Malformed("unknown event")
             reader = READERS[what]
             if reader is not None:
-                events.setdefault(proxy, []).append(reader(raw, self.instances[proxy][1]))
+                events.setdefault(instance, []).append(reader(raw, self.instances[instance][1]))
         except KeyError as error:
-            raise Malformed(f"{what} for instance {proxy}: {error.args[0]} is missing") from None
+            raise Malformed(f"{what} for instance {instance}: {error.args[0]} is missing") from None
         except (Malformed, ValueError) as error:
-            raise Malformed(f"{what} for instance {proxy}: {error}") from None
+            raise Malformed(f"{what} for instance {instance}: {error}") from None
 
     def run_step(
-        self, now: float, proxy: int, events: dict[int, list[Event]], replies: list[JsonObject]
+        self, now: float, instance: int, events: dict[int, list[Event]], replies: list[JsonObject]
     ) -> None:
         """Passes the instance's events to its Balancer and appends its actions to the replies."""
         try:
-            actions: list[Action] = self.instances[proxy][0].step(now, events.pop(proxy))
+            actions: list[Action] = self.instances[instance][0].step(now, events.pop(instance))
         except (
             Exception
         ) as error:  # any fault of the decision module is reported to the simulator, which then stops
             text = f"{type(error).__name__}: {error}"
-            replies.append({"what": "GiveIn", "ProxyId": proxy, "Msg": text})
+            replies.append({"what": "GiveIn", "ProxyId": instance, "Msg": text})
             return
         for action in actions:
             message = WRITERS[type(action)](action)
-            message["ProxyId"] = proxy
+            message["ProxyId"] = instance
             replies.append(message)
 
 
