--- a/flintlatch/adapter.py
+++ b/flintlatch/adapter.py
@@ -33,8 +33,8 @@
 )
 from flintlatch.choice import Balancer
 from flintlatch.settings import (
+    JsonObject,
     Malformed,
-    Message,
     read_settings,
     require_array,
     require_choice,
@@ -64,23 +64,23 @@
 RETRY_BIT = 2  # of `Bitmap`: the client marks the request as a retry
 
 
-def read_arrival(raw: Message, classes: int) -> Event:
+def read_arrival(raw: JsonObject, class_count: int) -> Event:
     cls, key = raw["Lane"], raw.get("Subject")
-    if type(cls) is not int or not 0 <= cls < classes:
-        raise Malformed(f"Lane is not the number of a class: {cls!r}, expected 0 to {classes - 1}")
+    if type(cls) is not int or not 0 <= cls < class_count:
+        raise Malformed(f"Lane is not the number of a class: {cls!r}, expected 0 to {class_count - 1}")
     if key is not None:
         key = require_integer(key, "Subject")
     tenant = require_integer(raw.get("Tenant") or 0, "Tenant")
-    client_deadline, bits = (
+    client_deadline, flags = (
         require_number(raw["GiveUpAtMs"], "GiveUpAtMs"),
         require_integer(raw.get("Bitmap") or 0, "Bitmap"),
     )
     return Arrival(
-        require_string(raw["Call"], "Call"), cls, tenant, key, client_deadline, bool(bits & RETRY_BIT)
+        require_string(raw["Call"], "Call"), cls, tenant, key, client_deadline, bool(flags & RETRY_BIT)
     )
 
 
-def read_outcome(raw: Message, _: int) -> Event:
+def read_outcome(raw: JsonObject, _: int) -> Event:
     return Outcome(
         require_string(raw["Call"], "Call"),
         require_integer(raw["Leg"], "Leg"),
@@ -90,17 +90,17 @@
     )
 
 
-def read_response_started(raw: Message, _: int) -> Event:
+def read_response_started(raw: JsonObject, _: int) -> Event:
     latency = require_number(raw["DelaySeenMs"], "DelaySeenMs")
     return ResponseStarted(require_string(raw["Call"], "Call"), require_integer(raw["Leg"], "Leg"), latency)
 
 
-def read_client_disconnected(raw: Message, _: int) -> Event:
+def read_client_disconnected(raw: JsonObject, _: int) -> Event:
     return ClientDisconnected(require_string(raw["Call"], "Call"))
 
 
-def read_entry(raw: Message) -> ServerInfo:
-    started = raw.get("LastStartMs")
+def read_entry(raw: JsonObject) -> ServerInfo:
+    started = raw.get("LastStartMs")  # 0, like no value: long ago
     return ServerInfo(
         require_string(raw["Backend"], "Backend"),
         require_choice(STATES, raw["State"], "State"),
@@ -108,17 +108,17 @@
         require_integer(raw.get("Shape") or 0, "Shape"),
         require_integer(raw.get("Cohort") or 0, "Cohort"),
         require_number(started, "LastStartMs") if started else None,
-        require_number(raw.get("Rating") or 1, "Rating"),
+        require_number(raw.get("Rating") or 1, "Rating"),  # 0, like no value: no weight given
     )
 
 
-def read_list(raw: Message, _: int) -> Event:
+def read_list(raw: JsonObject, _: int) -> Event:
     kind = require_choice(LIST_KINDS, raw["Mode"], "Mode")
     entries = require_array(raw.get("Records") or [], "Records")
     return ServerList(kind, tuple(read_entry(require_object(e, "Records")) for e in entries))
 
 
-def read_probe_result(raw: Message, _: int) -> Event:
+def read_probe_result(raw: JsonObject, _: int) -> Event:
     # A probe may fail with a result that is not in the table; all of them count as ERROR.
     result = RESULTS.get(require_string(raw["How"], "How"), Result.ERROR)
     return ProbeResult(
@@ -126,11 +126,12 @@
     )
 
 
-def read_timer(raw: Message, _: int) -> Event:
+def read_timer(raw: JsonObject, _: int) -> Event:
     return TimerFired(require_integer(raw["Ref"], "Ref"))
 
 
-READERS: dict[str, Callable[[Message, int], Event] | None] = {
+# All readers take the number of classes; only `read_arrival` uses it.
+READERS: dict[str, Callable[[JsonObject, int], Event] | None] = {
     "Incoming": read_arrival,
     "Reply": read_outcome,
     "Started": read_response_started,
@@ -138,9 +139,9 @@
     "PeersKnown": read_list,
     "ProbeDone": read_probe_result,
     "Ring": read_timer,
-    "FromPeer": None,  # ignored: instances of the simulator don't exchange messages
+    "FromPeer": None,  # ignored: the instances of this adapter exchange no messages
 }
-WRITERS: dict[type[Any], Callable[[Any], Message]] = {
+WRITERS: dict[type[Any], Callable[[Any], JsonObject]] = {
     Send: lambda a: {
         "what": "Deliver",
         "Call": a.request,
@@ -174,60 +175,62 @@
             if member not in message:
                 raise Malformed(f"batch: {member} is missing")
         now = require_number(message["TsMs"], "TsMs")
-        events: dict[int, list[Event]] = {}  # by instance
-        replies: list[Message] = []
+        events: dict[int, list[Event]] = {}  # by instance (`ProxyId`)
+        replies: list[JsonObject] = []
         for raw in require_array(message["news"], "news"):
-            self.read_event(now, require_object(raw, "news entry"), events, replies)
-        for proxy in list(events):
-            self.run_step(now, proxy, events, replies)
+            self.handle_event(now, require_object(raw, "news entry"), events, replies)
+        for instance in list(events):
+            self.run_step(now, instance, events, replies)
         return orjson.dumps({"cmds": replies})
 
-    def read_event(
-        self, now: float, raw: Message, events: dict[int, list[Event]], replies: list[Message]
+    def handle_event(
+        self, now: float, raw: JsonObject, events: dict[int, list[Event]], replies: list[JsonObject]
     ) -> None:
         """Adds an event to its instance's events, or starts or ends the instance."""
-        what, proxy = raw.get("what"), raw.get("ProxyId")
+        what, instance = raw.get("what"), raw.get("ProxyId")
         try:
             if "what" not in raw or "ProxyId" not in raw:
                 raise KeyError("what" if "what" not in raw else "ProxyId")
-            if type(proxy) is not int:
-                raise Malformed(f"ProxyId is not a whole number: {proxy!r}")
+            if type(instance) is not int:
+                raise Malformed(f"ProxyId is not a whole number: {instance!r}")
             if what == "Provision":
                 seed, info = require_integer(raw["Entropy"], "Entropy"), require_object(raw["Info"], "Info")
-                # A new start discards the instance's earlier state, including events not handled yet.
-                events[proxy] = []
+                # A new start discards the instance's earlier state and its earlier events of this batch.
+                events[instance] = []
                 settings = read_settings(info)
-                self.instances[proxy] = (Balancer(settings, seed), len(settings.classes))
+                self.instances[instance] = (Balancer(settings, seed), len(settings.classes))
                 return
-            if proxy not in self.instances:
+            if instance not in self.instances:
                 raise Malformed("the instance was never provisioned")
             if what == "Exit":
-                events.pop(proxy, None)
-                del self.instances[proxy]
+                events.pop(instance, None)
+                del self.instances[instance]
                 return
             if not isinstance(what, str) or what not in READERS:
                 raise Malformed("unknown event")
             reader = READERS[what]
             if reader is not None:
-                events.setdefault(proxy, []).append(reader(raw, self.instances[proxy][1]))
+                events.setdefault(instance, []).append(reader(raw, self.instances[instance][1]))
         except KeyError as error:
-            raise Malformed(f"{what} for instance {proxy}: {error.args[0]} is missing") from None
+            raise Malformed(f"{what} for instance {instance}: {error.args[0]} is missing") from None
         except (Malformed, ValueError) as error:
-            raise Malformed(f"{what} for instance {proxy}: {error}") from None
+            raise Malformed(f"{what} for instance {instance}: {error}") from None
 
     def run_step(
-        self, now: float, proxy: int, events: dict[int, list[Event]], replies: list[Message]
+        self, now: float, instance: int, events: dict[int, list[Event]], replies: list[JsonObject]
     ) -> None:
         """Passes the instance's events to its Balancer and appends its actions to the replies."""
         try:
-            actions: list[Action] = self.instances[proxy][0].step(now, events.pop(proxy))
-        except Exception as error:  # any fault of the module is reported to the simulator, which then stops
+            actions: list[Action] = self.instances[instance][0].step(now, events.pop(instance))
+        except (
+            Exception
+        ) as error:  # any fault of the decision module is reported to the simulator, which then stops
             text = f"{type(error).__name__}: {error}"
-            replies.append({"what": "GiveIn", "ProxyId": proxy, "Msg": text})
+            replies.append({"what": "GiveIn", "ProxyId": instance, "Msg": text})
             return
         for action in actions:
             message = WRITERS[type(action)](action)
-            message["ProxyId"] = proxy
+            message["ProxyId"] = instance
             replies.append(message)
 
 
--- a/flintlatch/choice.py
+++ b/flintlatch/choice.py
@@ -14,7 +14,7 @@
 or from observation.
 
 A tier is "large" if it has more than INITIAL_LIMIT proxies. A proxy's share of INITIAL_LIMIT is then below
-one request: it sees too little of each server to judge the server alone.
+one request: it gets too few responses from each server to estimate the state of that server alone.
 """
 
 from __future__ import annotations
@@ -66,11 +66,13 @@
 
 # Overload detection and load shedding
 DETECTOR_WINDOW_FRACTION = 0.5  # of the latency target; short enough for shedding to help in time
-DETECTOR_WINDOW_MIN_SENDS = 8  # with fewer sends the window is extended, because they prove nothing
+DETECTOR_WINDOW_MIN_SENDS = 8  # with fewer the window is extended: the minimum of few waits is unreliable
 WAIT_THRESHOLD_FRACTION = 0.08  # of (latency target - usual latency): the minimum wait that means overload
 READMISSION_SPAN_RANGE = (0.5, 4.0)  # latency targets after an overload until level 4 is fully admitted again
 STRICT_READMISSION_SPAN = 1.0  # latency targets; above it level 4 is refused even if no request is queued
 RECURRENCE_FRACTION = 0.5  # of (span + 1) latency targets: an overload that returns sooner is a recurrence
+PROPORTIONAL_SHED_LEVEL, FIRST_SHED_LEVEL = 3, 4  # levels 1 and 2 are never shed
+PROPORTIONAL_SHED_RATIO = 3  # overload ratio from which level 3 is shed, in full at twice this ratio
 LEVEL_WORTH_BOUNDS = (0.75, 0.5, 0.25)  # least worth relative to the best class of levels 1, 2 and 3
 QUOTA_BURST_S = 1.0  # seconds of quota that a tenant may use at once before it counts as over its quota
 USAGE_SMOOTHING = 0.3  # EWMA weight of one second: a few seconds even out random variation
@@ -83,7 +85,8 @@
 
 # Recognition of retries that clients send
 FIRST_TRY_SHORTFALL_FRACTION = 0.1  # of the latency target; the network takes some of a client's wait
-EXPECTED_RETRIES_PER_REJECTION, EXPECTED_RETRIES_MAX = 2.0, 200.0  # whichever proxy rejected the first try
+# Retries that this proxy expects; they may come from clients that another proxy rejected.
+EXPECTED_RETRIES_PER_REJECTION, EXPECTED_RETRIES_MAX = 2.0, 200.0
 # Of a client's wait, after which an unsent request is ended: the client still has time for a retry.
 UNSENT_WAIT_FRACTION = 0.45
 
@@ -98,7 +101,7 @@
 MIN_LIMIT_LARGE_TIER = 5.0
 CONGESTION_LIMIT_FACTOR = 0.75  # applied to the limit when too many requests queue in a server
 OVERLOAD_FAILURE_LIMIT_FACTOR = 0.8  # applied to the limit after a failure that indicates load
-ORDINARY_LATENCY_DEVIATIONS = 3.0  # mean deviations above the mean latency that an ordinary attempt may take
+ORDINARY_LATENCY_DEVIATIONS = 3.0  # mean deviations above the mean latency: exceeded by few attempts
 HANG_LATENCIES = 2.0  # usual latencies without a response after which a busy server may be hanging
 
 # Outlier detection
@@ -186,7 +189,7 @@
         self.restart_suspected_until, self.quick_responses = 0.0, 0  # after an outage; responses since
         self.slow_start_fraction = 0.0  # large tier: fraction of its traffic that it is sent while cold
         self.load, self.key_share = 0.0, 1.0  # requests per core, of all proxies; fraction of its keys
-        self.silent_since = 0.0  # last response, or the first send after it had nothing of this proxy
+        self.silent_since = 0.0  # last response, or a later send while it had no request of this proxy
         self.started, self.cold_until = None, 0.0
 
     def has_capacity(self, now: float, min_limit: float = 0.0) -> bool:
@@ -332,7 +335,7 @@
         self.min_wait, self.previous_min_wait, self.sends = 0.0, 0.0, 0
 
     def record_send(self, now: float, wait: float) -> None:
-        """Adds the wait of a sent request to the minimum of the present half window."""
+        """Adds the wait of a sent request to the minimum of the current half window."""
         if (
             self.sends >= DETECTOR_WINDOW_MIN_SENDS / 2
             and now - self.half_window_at >= self.target_ms * DETECTOR_WINDOW_FRACTION / 2
@@ -416,10 +419,13 @@
         self.preferred: list[Server] = []  # servers it sends to: all active ones, or its subset
         self.preferred_per_zone, self.min_server_limit = 0, 0.0
         self.total_limit = 1.0  # requests in flight at all servers, if it uses a subset
-        # Time in flight, in ms, that the total limit still grants; requests that servers work on.
+        # Request-milliseconds that may still be executed under the total limit, which adds `total_limit` of
+        # them per ms; starts unbounded, as the first refill caps it. Then: requests that servers are
+        # executing.
         self.credit_ms, self.credit_at, self.in_flight = 1e9, 0.0, 0
-        self.mean_in_flight, self.limit_scale = 0.0, 1.0  # over about a second; factor on the servers' limits
-        self.transfers, self.transfer_bytes = 0, 0  # at all servers
+        # Mean of `in_flight` over about a second; factor on the limits of the servers.
+        self.mean_in_flight, self.limit_scale = 0.0, 1.0
+        self.transfers, self.transfer_bytes = 0, 0  # open at all servers (see `Settings.node_transfers`)
         self.class_base_latency = [0.0] * len(settings.classes)  # latency without congestion
         self.warm_base_latency: dict[int, float] = {}  # the same of a warm server, by kind
         self.warm_rate: dict[int, float] = {}  # responses per second of a warm server, by kind
@@ -428,10 +434,12 @@
         self.timers: list[tuple[float, int, Request]] = []  # when to look at a request again
         self.recent_outcomes = 1.0  # of all servers, decayed like those of each server
         self.cold_servers: list[Server] = []
-        self.cold_traffic: dict[Server, float] = {}  # fraction of admitted requests due to a cold server
-        self.admitted, self.admission_rate = 0, 0.0  # admitted in this second; smoothed, per second
+        # Fraction of the admitted requests to send to a cold server.
+        self.cold_traffic: dict[Server, float] = {}
+        # Requests admitted in this second; smoothed number of them per second.
+        self.admitted, self.admission_rate = 0, 0.0
         self.timer_sequence, self.retry_budget = 0, RETRY_BUDGET_MAX
-        self.buckets: dict[str, TokenBucket] = {}  # by limit, the allocations of the limits all fleets share
+        self.buckets: dict[str, TokenBucket] = {}  # by name, of the limits that all fleets share
         self.expected_retries = RETRY_BUDGET_MAX  # of clients that were rejected
         self.running, self.second_at, self.tick_at = False, 0.0, 0.0
         self.watch_at: float | None = None
@@ -487,8 +495,8 @@
         self.actions.append(SetTimer(HOUSEKEEPING_INTERVAL_MS, 0))
         if self.settings.ask_for_list:
             # Proxies that restart together must not call the list service at the same moment, so their calls
-            # are staggered. They have to end within `must_ask_ms`: after that a proxy is expected to know of
-            # drains whether or not it has received them.
+            # are staggered. They have to end within `must_ask_ms`: after that time a proxy must not
+            # send to draining servers, even if no list has reported them.
             self.watch_at = now + self.watch_stagger_ms()
 
     def unavailable(self, now: float) -> int:
@@ -509,14 +517,16 @@
         if event.tenant < len(self.tenant_arrivals) and not event.is_retry:
             self.tenant_arrivals[event.tenant] += 1
         self.retry_budget = min(RETRY_BUDGET_MAX, self.retry_budget + RETRIES_PER_ARRIVAL)
-        # A client's wait spans all its tries. A request with less of it left than others had is a retry, and
-        # its latency target counts from the first try. Not all clients mark their retries.
+        # Detects retries that the client does not mark. A client's wait spans all its tries, so a request
+        # with less time left than the longest wait seen in its class is taken for a retry, and its latency
+        # target counts from the first try.
         remaining = min(event.client_deadline - now, event.response_wait_ms)
         self.longest_wait[event.cls] = max(self.longest_wait[event.cls], remaining)
         waited = self.longest_wait[event.cls] - remaining
         if waited > FIRST_TRY_SHORTFALL_FRACTION * queue.target_ms and not event.is_retry:
-            # No more of them are retries than rejections explain. The others are first tries with a shorter
-            # wait: as retries past their latency target they would fail unsent beside idle servers.
+            # Each rejection explains one retry. Requests beyond these are first tries of clients with a
+            # shorter wait. Taken for retries past their latency target, they would fail unsent while servers
+            # are idle.
             if self.expected_retries < 1:
                 waited = 0.0
             self.expected_retries = max(self.expected_retries - 1, 0.0)
@@ -530,26 +540,31 @@
         if self.buckets and (limit_wait_ms := self.take_limit_tokens(now, event)):
             self.refuse(request, limit_wait_ms)
             return
-        if level >= 3:
+        if level >= PROPORTIONAL_SHED_LEVEL:
             ratio = queue.overload_ratio(now)
-            # With a subset the queue is mostly empty and shows few waits, so the expected wait counts.
+            # With a subset the queue is mostly empty and shows few waits. The wait is then estimated as the
+            # time in which the total limit refills a negative credit.
             if self.uses_subset:
                 wait = -self.refill_credit(now) * self.overall_latency / self.total_limit
                 ratio = max(ratio, wait / queue.wait_threshold_ms())
             queue.set_overloaded(now, ratio > 1)
-            # Level 3 is refused in proportion to the wait above the threshold. Level 4 is refused as soon as
-            # the queue is overloaded and readmitted gradually: admitted at once, it would cause the next
-            # overload.
+            # Level 3 is refused with a probability that grows linearly from 0 at 3 times the wait threshold
+            # to 1 at 6 times. Level 4 is refused as soon as the queue is overloaded and readmitted gradually:
+            # admitted at once, it would cause the next overload.
             readmitted = (now - queue.overloaded_at) / (queue.readmission_span * queue.target_ms)
-            # After a single overload level 4 is admitted if the queue is empty: refusing it idles servers.
+            # After a single overload, level 4 is shed only while requests wait: with an empty queue, refusing
+            # it would leave servers idle.
             shed = ratio > 0 or queue.readmission_span > STRICT_READMISSION_SPAN
-            if self.rng.random() < (1 - readmitted if level == 4 and shed else ratio / 3 - 1):
+            if self.rng.random() < (
+                1 - readmitted if level == FIRST_SHED_LEVEL and shed else ratio / PROPORTIONAL_SHED_RATIO - 1
+            ):
                 self.refuse(request)
                 return
         if request.is_transfer() and not self.accepts_transfer(request):
             self.refuse(request)
         elif request.useful_until <= now + 2 * self.settings.tick_ms:
-            self.end_request(request)  # no later batch could answer it in time
+            # No later batch could answer it in time.
+            self.end_request(request)
         else:
             self.admitted += 1
             if not (self.large_tier and self.send_to_cold(now, request)):
@@ -570,7 +585,7 @@
     def failing_servers(self, now: float) -> dict[str, int]:
         """Returns the servers that failed this proxy and have not responded since.
 
-        The values are their consecutive failures, EJECTION_FAILURES at the most.
+        The values are their consecutive failures, at most EJECTION_FAILURES.
         """
         failing = (s for s in self.active if s.consecutive_failures and s.last_success_at < s.last_failure_at)
         recent = (
@@ -633,7 +648,7 @@
         """Returns the level for load shedding and uses up quota: 1 and 2 are never shed, 4 is shed first."""
         worth = spec.worth / self.best_worth
         if tenant < len(self.quota_tokens):
-            rate = self.settings.quotas[tenant] * self.traffic_fraction  # a quota is for all proxies together
+            rate = self.settings.quotas[tenant] * self.traffic_fraction  # of the quota of all proxies
             tokens = self.quota_tokens[tenant] + (now - self.quota_refilled_at[tenant]) * rate / 1000
             tokens = min(tokens, max(rate * QUOTA_BURST_S, QUOTA_BURST_MIN_REQUESTS))
             self.quota_refilled_at[tenant] = now
@@ -648,9 +663,9 @@
         """Queues a request and sets the time until which sending it is useful."""
         request.is_queued, pending = True, request.queue.pending
         (pending.appendleft if at_front else pending.append)(request)
-        # Sent any later, the response would come too late. The time reserved for it is at most half the
-        # target: if the usual latency were above the target, nothing would be sent and the latency never be
-        # corrected.
+        # A request sent later than this would be answered too late. The time reserved for the response is at
+        # most half the target: with an estimated latency above the target nothing would be sent, and the
+        # estimate could never be updated.
         reserved = self.ordinary_latency(request)
         request.send_by = min(
             request.useful_until - reserved,
@@ -662,7 +677,10 @@
         self.schedule(min(request.send_by, request.target_deadline - reserved), request)
 
     def ordinary_latency(self, request: Request) -> float:
-        """Returns the latency that an ordinary attempt of the class does not exceed."""
+        """Returns an upper bound on the latency of most attempts of the class: mean and some deviations.
+
+        It is at most half the latency target.
+        """
         mean, deviation = self.class_latency[request.cls]
         return min(mean + ORDINARY_LATENCY_DEVIATIONS * deviation, request.queue.target_ms / 2)
 
@@ -681,13 +699,14 @@
             if attempt.forwarded_at == attempt.sent_at
             else max(now - attempt.forwarded_at, 0.0)
         )
-        # An abandoned attempt ends here as well: the server stops its work when the connection closes.
+        # An abandoned attempt also counts as ended at its server, which stops its work when the connection
+        # closes.
         self.remove_attempt(request, attempt, latency)
         if attempt.response_started:
             self.observe_transfer_end(now, attempt.server, event.result, attempt.response_started)
         elif attempt.forwarded_at < inf:
             self.observe_outcome(now, request, attempt, event.result, latency)
-        else:
+        else:  # the server did not get the whole body
             self.observe_transfer_end(now, attempt.server, event.result, attempt.response_started)
             request.start_response_clock(now, now)  # the time so far was the upload's
         if event.finished or request.finished:
@@ -738,7 +757,7 @@
         elif result in (Result.RESET, Result.TIMEOUT, Result.CONNECT_FAILED, Result.FULL):
             server.recent_outcomes = min(server.recent_outcomes + 1, 1 / REWARD_SMOOTHING)
             self.recent_outcomes += 1
-            # A started response counts twice: its start was counted as a success.
+            # The failure of a started response counts twice, since its start was counted as a success.
             server.reward *= (1 - REWARD_SMOOTHING) ** (2 if response_started else 1)
             self.record_failure(now, server)
 
@@ -750,11 +769,12 @@
         # A latency of 0, below the resolution of the clock, must not become a divisor.
         latency = max(latency, 0.001)
         if result in ABANDONED:
-            # If only responses counted, each abandoned attempt would let the next request be sent even later.
+            # Abandoned attempts count too. With responses alone, which are the faster attempts, the estimate
+            # would fall, and each abandoned attempt would let the next request be sent even later.
             ordinary = self.ordinary_latency(request)
             self.observe_class_latency(request.cls, latency)
             if latency < ordinary:
-                return  # sent too late for an ordinary response: says nothing about the server
+                return  # abandoned before most responses would have come: says nothing about the server
         if result in (Result.CANCELLED, Result.NOT_SENT, Result.NO_ROOM, Result.INVALID):
             return  # caused by this proxy or by the client
         server.recent_outcomes = min(server.recent_outcomes + 1, 1 / REWARD_SMOOTHING)
@@ -764,7 +784,8 @@
         on_time = result is Result.OK and latency <= request.queue.target_ms
         if self.uses_subset:
             self.adjust_total_limit(request, server, result, latency)
-        # In a large tier each of the few outcomes counts for more; otherwise rewards would never differ.
+        # In a large tier a proxy sees few outcomes of a server, so each counts for more; otherwise the
+        # rewards of the servers would hardly differ. `large_tier` is 1 or 0 here.
         smoothing = max(REWARD_SMOOTHING, self.large_tier / (1 + server.recent_outcomes))
         server.reward += ((1.0 if on_time else 0.0) - server.reward) * smoothing
         if result is Result.OK:
@@ -1006,10 +1027,10 @@
             self.watch_failures += 1
             # Hundreds of proxies must not call at once. Still, the delay has a bound however often calls
             # fail: the next answer has to arrive before the proxy is expected to know the list.
-            first, longest = WATCH_RETRY_MS_RANGE
-            spread = WATCH_RETRY_MS_PER_PROXY * self.settings.proxies
-            delay = max(first * 2.0 ** min(self.watch_failures - 1, 10), spread)
-            delay = min(delay, self.settings.must_ask_ms / 2, longest)
+            first_delay, longest_delay = WATCH_RETRY_MS_RANGE
+            least_delay = WATCH_RETRY_MS_PER_PROXY * self.settings.proxies
+            delay = max(first_delay * 2.0 ** min(self.watch_failures - 1, 10), least_delay)
+            delay = min(delay, self.settings.must_ask_ms / 2, longest_delay)
             if now < self.discovery_changed_at + DISCOVERY_CHANGE_MS and not self.large_tier:
                 delay = DISCOVERY_CHANGE_RETRY_MAX_MS
             self.watch_at = now + delay * self.rng.uniform(0.5, 1.0)
@@ -1067,10 +1088,10 @@
     def update_limit_scale(self) -> None:
         """Scales this proxy's limits by its fraction of the traffic, which is split unevenly over the tier.
 
-        With a limit for an even share, a proxy with more traffic would queue requests beside idle servers
-        while other proxies leave their limits unused. Its fraction is what it has in flight of all that
-        servers report, so the limits of all proxies together only bind when servers have as much as all may
-        send.
+        With a limit for an even share, a proxy with more traffic would queue requests while servers are idle
+        and other proxies leave their limits unused. Its fraction is its number of requests in flight divided
+        by the number that the servers report, so the limits of all proxies together are reached only when the
+        servers have as many requests as all proxies may send.
         """
         mean_load = sum(s.load for s in self.active) / max(len(self.active), 1)
         even_share = sum(s.limit for s in self.active)
@@ -1410,9 +1431,9 @@
                 for s in self.preferred
             )
         while heads and ready and spare > 0:
-            # The head that has waited the largest fraction of its latency target goes first. So all queues
-            # feel a shortage of servers alike, and the overload detector of each sheds the load of its own
-            # classes.
+            # The head that has waited the largest fraction of its latency target goes first. A shortage of
+            # servers therefore delays all queues alike, and the overload detector of each queue sheds the
+            # load of its own classes.
             queue, request = max(heads, key=lambda qh: (now - qh[1].arrived_at) / qh[0].target_ms)
             queue.pending.popleft()
             request.is_queued = False
@@ -1425,7 +1446,7 @@
                 server = self.pick(request, fitting)
                 spare -= not request.uploading
                 self.send(now, request, server)
-            else:  # kept in the queue, it would block requests that fit
+            else:  # no server fits: in the queue it would block requests that do fit
                 self.end_request(request)
             if fitting and not server.has_capacity(now, self.min_server_limit):
                 ready.remove(server)
@@ -1497,7 +1518,7 @@
         return a if difference > 0 else b
 
     def draw_by_key(self, key: int, candidates: list[Server]) -> list[Server]:
-        """Draws two servers that are likely to know the key.
+        """Draws two servers that have probably received the key recently.
 
         Servers do less work for a key that they have received recently. So every proxy draws from the same
         first servers of the key's ranking, or from the next ones if those get more than they can handle.
@@ -1529,8 +1550,9 @@
     def ranking_width(self, key: int) -> int:
         """Returns from how many servers of its ranking the key is served.
 
-        That is two, or as many as its requests load like any other server. A proxy of a large tier sees a
-        sample of the tier's arrivals, in which a single arrival of a key says nothing about the key.
+        That is two, or as many as are needed for the key alone to load each of them no more than an average
+        server. A proxy of a large tier sees a sample of the tier's arrivals, in which a single arrival of a
+        key says nothing about the key.
         """
         fraction = max(self.key_counts.get(key, 0.0) - 1, 0.0) / max(self.key_count_total, 1.0)
         return max(2, min(1 + int(fraction * len(self.active)), RANKING_LENGTH))
