--- a/flintlatch/platform/front.py
+++ b/flintlatch/platform/front.py
@@ -17,7 +17,7 @@
 from flintlatch.platform.limits import (
     CLIENT_SEND_BUFFER_BYTES,
     CLIENT_WRITE_BUFFER_BYTES,
-    MAX_LONG_BODY,
+    MAX_LONG_BODY_BYTES,
     TERMS,
     UPLOAD_PARSE_BYTES,
 )
@@ -97,7 +97,7 @@
     def on_headers_complete(self) -> None:
         self._head_done = True
         try:
-            length = check_framing(self._headers, MAX_LONG_BODY)
+            length = check_framing(self._headers, MAX_LONG_BODY_BYTES)
         except RequestError as error:
             self._reject(error.status)
             return
--- a/flintlatch/platform/limits.py
+++ b/flintlatch/platform/limits.py
@@ -7,7 +7,7 @@
 from flintlatch.net.http1 import MAX_BODY
 
 # Bytes; valid bodies have up to 32 MB, and one of 60 MB is certainly invalid.
-MAX_LONG_BODY = 40 * 1024 * 1024
+MAX_LONG_BODY_BYTES = 40 * 1024 * 1024
 # Of an upload kept for a retry: a short body and one read.
 RETRY_BUFFER_BYTES = MAX_BODY + 2 * PARSE_CHUNK_BYTES
 SERVER_RECEIVE_BUFFER_BYTES = 128 * 1024  # SO_RCVBUF of a server connection; the kernel doubles it, socket(7)
@@ -24,6 +24,6 @@
     UPLOAD_TIMEOUT_MS,
     RETRY_BUFFER_BYTES,
     CLIENT_WRITE_BUFFER_BYTES + 2 * SERVER_RECEIVE_BUFFER_BYTES,
-    MAX_LONG_BODY,
+    MAX_LONG_BODY_BYTES,
     UPLOAD_PARSE_BYTES,
 )
--- a/flintlatch/platform/node.py
+++ b/flintlatch/platform/node.py
@@ -18,7 +18,7 @@
 from flintlatch.net.http1 import MAX_BODY, MAX_HEAD, Response
 from flintlatch.net.relay import RelayAttempt
 from flintlatch.platform.engine import ForwardedRequest
-from flintlatch.platform.limits import GATHER_TIMEOUT_S, MAX_LONG_BODY, SERVER_RECEIVE_BUFFER_BYTES
+from flintlatch.platform.limits import GATHER_TIMEOUT_S, MAX_LONG_BODY_BYTES, SERVER_RECEIVE_BUFFER_BYTES
 
 
 class PlatformConnection(Connection):
@@ -119,10 +119,10 @@
             return super().accepts_framing(lengths, codings)
         if len(lengths) + len(codings) > 1:
             return False
-        self.max_message_bytes = MAX_HEAD + 4 * MAX_LONG_BODY
+        self.max_message_bytes = MAX_HEAD + 4 * MAX_LONG_BODY_BYTES
         if lengths:
             length = lengths[0].strip()
-            if not length.isdigit() or len(length) > 18 or int(length) > MAX_LONG_BODY:
+            if not length.isdigit() or len(length) > 18 or int(length) > MAX_LONG_BODY_BYTES:
                 return False
             self.body_length = int(length)
             return True
@@ -149,7 +149,7 @@
         exchange = self.exchange
         if exchange is None:
             super().on_body(body)
-        elif self.received_bytes > MAX_LONG_BODY:
+        elif self.received_bytes > MAX_LONG_BODY_BYTES:
             self._malformed = True
         elif self.streaming:
             exchange.pieces(now_ms() / 1000, self, [body])
--- a/tests/platform/test_long.py
+++ b/tests/platform/test_long.py
@@ -313,7 +313,7 @@
 @pytest.mark.parametrize(
     ("status", "sent"),
     [
-        (413, b"content-length: %d\r\n\r\n" % (limits.MAX_LONG_BODY + 1)),
+        (413, b"content-length: %d\r\n\r\n" % (limits.MAX_LONG_BODY_BYTES + 1)),
         (400, b"content-length: 100000\r\ntransfer-encoding: chunked\r\n\r\n"),
         (400, b"transfer-encoding: chunked\r\n\r\n" + b"11170\r\n" + b"z" * 70_000 + b"\r\nnoise\r\n"),
     ],
