--- a/flintlatch/platform/front.py
+++ b/flintlatch/platform/front.py
@@ -17,8 +17,8 @@
 from flintlatch.platform.limits import (
     CLIENT_SEND_BUFFER_BYTES,
     CLIENT_WRITE_BUFFER_BYTES,
+    EXCHANGE_LIMITS,
     MAX_LONG_BODY_BYTES,
-    TERMS,
     UPLOAD_PARSE_BYTES,
 )
 
@@ -168,7 +168,7 @@
 
     def _open(self, request: ForwardedRequest, ask: RoutingInfo, uploading: bool) -> Exchange:
         """Raises RequestError if the id belongs to another request or there is no memory for the body."""
-        exchange = Exchange(request, ask, TERMS, self, self.engine, now_ms() / 1000)
+        exchange = Exchange(request, ask, EXCHANGE_LIMITS, self, self.engine, now_ms() / 1000)
         try:
             if not self.engine.open(exchange, uploading):
                 raise RequestError(503, f"no memory left for the body of {ask.id!r}")
--- a/flintlatch/platform/limits.py
+++ b/flintlatch/platform/limits.py
@@ -19,7 +19,7 @@
 UPLOAD_MEMORY_FRACTION = 0.3  # of the memory limit, for the bodies of uploads
 GATHER_TIMEOUT_S = 0.05  # for the end of a response without a length: most are short and arrive at once
 
-TERMS = ExchangeLimits(
+EXCHANGE_LIMITS = ExchangeLimits(
     ProgressLimits(TRANSFER_IDLE_TIMEOUT_S, 0.0),
     UPLOAD_TIMEOUT_MS,
     RETRY_BUFFER_BYTES,
