--- a/flintlatch/platform/front.py
+++ b/flintlatch/platform/front.py
@@ -39,7 +39,7 @@
 
     def __init__(self, frontend: PlatformFrontend) -> None:
         super().__init__(frontend)
-        self.engine = frontend.relay_engine
+        self.engine = frontend.platform_engine
         self.exchange: Exchange | None = None
         self.incoming: IncomingBody | None = None
         self.response_chunked = False  # whether the response being sent is chunked
@@ -287,7 +287,7 @@
         self, engine: PlatformEngine, reader: Reader, max_connections: int, *accepts_per_turn: int
     ) -> None:
         super().__init__(engine, reader, max_connections, *accepts_per_turn)
-        self.relay_engine = engine
+        self.platform_engine = engine
 
     def make_client(self) -> Client:
         return PlatformClient(self)
