--- a/flintlatch/handover.py
+++ b/flintlatch/handover.py
@@ -131,7 +131,7 @@
         return [socket.socket(fileno=fd) for fd in fds]
 
 
-def announce_serving(path: str) -> socket.socket | None:
+def connect_as_successor(path: str) -> socket.socket | None:
     """Announces that this process serves the received sockets. Returns a connection that ends with the other
     process, or None if that has not confirmed."""
     sock = socket.socket(socket.AF_UNIX)
@@ -149,7 +149,7 @@
 
 def notify_serving(path: str) -> bool:
     """Tells the process at a path that it may drain now. Returns whether it has confirmed."""
-    sock = announce_serving(path)
+    sock = connect_as_successor(path)
     if sock is not None:
         sock.close()
     return sock is not None
--- a/flintlatch/ops/succession.py
+++ b/flintlatch/ops/succession.py
@@ -55,7 +55,7 @@
 
     def join(self, predecessor: Predecessor) -> None:
         """Tells the predecessor that this process serves, and watches for its end."""
-        sock = handover.announce_serving(predecessor.path)
+        sock = handover.connect_as_successor(predecessor.path)
         if sock is None:
             return  # it has ended meanwhile, and its socket remains with this process
         sock.setblocking(False)
--- a/tests/ops/test_succession.py
+++ b/tests/ops/test_succession.py
@@ -104,7 +104,7 @@
             predecessor = await asyncio.to_thread(find_predecessor, str(tmp_path), first.frontend.address)
             assert predecessor is not None
             assert predecessor.listeners[0].getsockname() == first.frontend.listeners[0].getsockname()
-            sock = await asyncio.to_thread(handover.announce_serving, predecessor.path)
+            sock = await asyncio.to_thread(handover.connect_as_successor, predecessor.path)
             assert sock is not None
             assert predecessor_restart.successor_serves
             assert (first.engine.backends.max_connections, first.frontend.max_connections) == half_limits
