--- a/flintlatch/fleet/agreed.py
+++ b/flintlatch/fleet/agreed.py
@@ -13,7 +13,7 @@
 
 from flintlatch.config import Config, resolve_config_path
 from flintlatch.config.tables import PeersTable
-from flintlatch.fleet.channel import Message
+from flintlatch.fleet.channel import ChannelMessage
 from flintlatch.fleet.judging import OutlierEjector
 from flintlatch.fleet.limiting import Limiter
 from flintlatch.limits.api import limit_topics
@@ -38,8 +38,8 @@
         self,
         config: Config,
         table: PeersTable,
-        broadcast: Callable[[Message], None],
-        send_to_worker: Callable[[int, Message], None],
+        broadcast: Callable[[ChannelMessage], None],
+        send_to_worker: Callable[[int, ChannelMessage], None],
         servers: Callable[[], set[str]],
         log: Callable[[str, str], None],
     ) -> None:
@@ -218,7 +218,7 @@
             for entry in self.entries():
                 self.broadcast(entry)
 
-    def entries(self) -> list[Message]:
+    def entries(self) -> list[ChannelMessage]:
         """The currently valid entries; none while this fleet is not a member."""
         if self.shell is None:
             return []
@@ -227,7 +227,7 @@
 
     # Control requests
 
-    def publish_note(self, subject: str, text: str, ttl_s: float) -> Message:
+    def publish_note(self, subject: str, text: str, ttl_s: float) -> ChannelMessage:
         if self.shell is None:
             return {"ok": False, "reason": self.error or "not a member yet"}
         if not 1 <= len(text.encode()) <= MAX_VALUE_BYTES or not 1 <= len(subject) <= MAX_SUBJECT_CHARS:
@@ -254,11 +254,11 @@
             for entry in self.shell.member.entry_store.read(now, NOTES.name)
         ]
 
-    def report(self) -> Message:
+    def report(self) -> ChannelMessage:
         """Members with their states, last contact and round-trip times, the stated time bounds, and counts.
         Ages are in seconds."""
         position = self.census.read(clock())
-        response: Message = {
+        response: ChannelMessage = {
             "ok": True,
             "member": self.shell is not None,
             "complaint": self.error,
--- a/flintlatch/fleet/channel.py
+++ b/flintlatch/fleet/channel.py
@@ -10,14 +10,14 @@
 import orjson
 
 MAX_LINE_BYTES = 64 * 1024 * 1024  # enough for a list of 100,000 nodes
-Message = dict[str, Any]
+ChannelMessage = dict[str, Any]
 
 
 class Channel(asyncio.Protocol):
     """Calls `on_message` for each object, and `on_closed` once when the other side is gone or has sent a line
     that is too long or not JSON. Messages sent after that are dropped."""
 
-    def __init__(self, on_message: Callable[[Message], None], on_closed: Callable[[], None]) -> None:
+    def __init__(self, on_message: Callable[[ChannelMessage], None], on_closed: Callable[[], None]) -> None:
         self.on_message, self.on_closed = on_message, on_closed
         self.transport: asyncio.Transport | None = None
         self.buffer = bytearray()
@@ -44,7 +44,7 @@
     def connection_lost(self, exc: Exception | None) -> None:
         self._notify_closed()
 
-    def send(self, message: Message) -> None:
+    def send(self, message: ChannelMessage) -> None:
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(orjson.dumps(message) + b"\n")
 
@@ -64,7 +64,7 @@
 
 
 async def open_channel(
-    sock: socket.socket, on_message: Callable[[Message], None], on_closed: Callable[[], None]
+    sock: socket.socket, on_message: Callable[[ChannelMessage], None], on_closed: Callable[[], None]
 ) -> Channel:
     sock.setblocking(False)
     loop = asyncio.get_running_loop()
--- a/flintlatch/fleet/judging.py
+++ b/flintlatch/fleet/judging.py
@@ -11,7 +11,7 @@
 from contextlib import suppress
 from typing import Any
 
-from flintlatch.fleet.channel import Message
+from flintlatch.fleet.channel import ChannelMessage
 from flintlatch.peers.clock import clock
 from flintlatch.peers.shell import Shell
 from flintlatch.peers.words import EntryStore
@@ -29,7 +29,7 @@
         self,
         rules: EjectionRules,
         shell: Callable[[], Shell | None],
-        broadcast: Callable[[Message], None],
+        broadcast: Callable[[ChannelMessage], None],
         listed_servers: Callable[[], set[str]],
         log: Callable[[str, str], None],
     ) -> None:
@@ -59,7 +59,7 @@
         if self.timer is not None:
             self.timer.cancel()
 
-    def on_instance_report(self, worker: int, message: Message) -> None:
+    def on_instance_report(self, worker: int, message: ChannelMessage) -> None:
         previous = self.failures_by_instance.get(worker), self.recovered_by_instance.get(worker)
         self.failures_by_instance[worker] = {str(name): int(count) for name, count in message["bad"].items()}
         self.recovered_by_instance[worker] = set(map(str, message["good"]))
--- a/flintlatch/fleet/limiting.py
+++ b/flintlatch/fleet/limiting.py
@@ -12,7 +12,7 @@
 from typing import Any
 from zlib import crc32
 
-from flintlatch.fleet.channel import Message
+from flintlatch.fleet.channel import ChannelMessage
 from flintlatch.limits.api import (
     Leadership,
     LeaseHolder,
@@ -100,7 +100,7 @@
         limits: tuple[Limit, ...],
         terms: LeaseSettings,
         shell: Callable[[], Shell | None],
-        send_to_worker: Callable[[int, Message], None],
+        send_to_worker: Callable[[int, ChannelMessage], None],
         log: Callable[[str, str], None],
     ) -> None:
         self.terms, self.shell, self.send_to_worker, self.log = terms, shell, send_to_worker, log
@@ -147,7 +147,7 @@
 
     # Instances
 
-    def on_instance_report(self, worker: int, message: Message) -> None:
+    def on_instance_report(self, worker: int, message: ChannelMessage) -> None:
         """Take the number of requests that have arrived at an instance, and the leases that it applies."""
         now, instance = clock(), self.instances.setdefault(worker, InstanceReports())
         for name, count in message["asked"].items():
@@ -366,7 +366,7 @@
         return rows
 
 
-def lease_message(limit: str, value: list[float], expires_at: float) -> Message:
+def lease_message(limit: str, value: list[float], expires_at: float) -> ChannelMessage:
     return {"kind": "word", "about": "limit", "limit": limit, "value": value, "until": expires_at}
 
 
--- a/flintlatch/fleet/status.py
+++ b/flintlatch/fleet/status.py
@@ -7,7 +7,7 @@
 
 from flintlatch.config import Config
 from flintlatch.fleet import core
-from flintlatch.fleet.channel import Message
+from flintlatch.fleet.channel import ChannelMessage
 from flintlatch.fleet.nodes import NodeList
 from flintlatch.net.clock import now_ms
 
@@ -22,7 +22,7 @@
     @property
     def ready_after_s(self) -> float: ...
     @property
-    def last_reload(self) -> Message: ...
+    def last_reload(self) -> ChannelMessage: ...
     @property
     def recent_warnings(self) -> list[str]: ...
     @property
--- a/flintlatch/fleet/supervisor.py
+++ b/flintlatch/fleet/supervisor.py
@@ -21,7 +21,7 @@
 from flintlatch import handover
 from flintlatch.config import Config, InvalidConfig, load
 from flintlatch.fleet import core, log, spread
-from flintlatch.fleet.channel import Channel, Message, open_channel
+from flintlatch.fleet.channel import Channel, ChannelMessage, open_channel
 from flintlatch.fleet.control import Control, ControlError, check_path
 from flintlatch.fleet.listeners import ListenError, Listeners, bound_address
 from flintlatch.fleet.nodes import NodeList, encode_listing
@@ -57,11 +57,11 @@
         self.worker = worker
         self.process: asyncio.subprocess.Process | None = None
         self.channel: Channel | None = None
-        self.queued_messages: list[Message] = []  # sent once the channel is open
+        self.queued_messages: list[ChannelMessage] = []  # sent once the channel is open
         self.killed = False
-        self.last_heartbeat: Message = {}
+        self.last_heartbeat: ChannelMessage = {}
 
-    def send(self, message: Message) -> None:
+    def send(self, message: ChannelMessage) -> None:
         if self.channel is None:
             self.queued_messages.append(message)
         else:
@@ -91,8 +91,8 @@
         self.last_ticket = 0
         self.reload_lock = asyncio.Lock()  # held while a reload is read and prepared; the core queues it then
         self.opening_addresses: tuple[str, ...] = ()  # listen addresses of the reload being prepared
-        self.scheduled_reload: asyncio.Task[Message] | None = None  # requested, its file not read yet
-        self.last_reload: Message = {}
+        self.scheduled_reload: asyncio.Task[ChannelMessage] | None = None  # requested, its file not read yet
+        self.last_reload: ChannelMessage = {}
         self.recent_warnings: list[str] = []
         self.spread_fd = spread.create_page()
         self.spread = spread.ConnectionSpread(self.spread_fd, 0)
@@ -222,9 +222,9 @@
         descriptor_number = self.env.pop(TAKEOVER_VARIABLE, "")
         if not descriptor_number:
             return
-        received: asyncio.Future[Message] = self.loop.create_future()
+        received: asyncio.Future[ChannelMessage] = self.loop.create_future()
 
-        def on_message(message: Message) -> None:
+        def on_message(message: ChannelMessage) -> None:
             if not received.done():
                 received.set_result(message)
 
@@ -270,7 +270,7 @@
         )
         self.peer_service.start()
 
-    def _send_to_all(self, message: Message) -> None:
+    def _send_to_all(self, message: ChannelMessage) -> None:
         for process in self.processes.values():
             if process.channel is not None:  # a worker without one gets the current state when it starts
                 process.channel.send(message)
@@ -281,7 +281,7 @@
         node_list = self.nodes.get(current.number) if current is not None else None
         return set(node_list.targets) if node_list is not None else set()
 
-    def _send_to_worker(self, worker: int, message: Message) -> None:
+    def _send_to_worker(self, worker: int, message: ChannelMessage) -> None:
         if (process := self.processes.get(worker)) is not None and process.channel is not None:
             process.channel.send(message)
 
@@ -535,7 +535,7 @@
         )
         return {name: value for name, value in self.env.items() if name not in names}
 
-    def _on_worker_message(self, worker: int, message: Message) -> None:
+    def _on_worker_message(self, worker: int, message: ChannelMessage) -> None:
         kind = message.get("kind")
         if kind == "ready":
             self._step(core.WorkerReady(worker))
@@ -572,14 +572,14 @@
 
     # Reload and upgrade
 
-    async def reload(self) -> Message:
+    async def reload(self) -> ChannelMessage:
         """Read the configuration file again and start a generation with it; return the outcome. Calls that
         come before the file is read share one reload."""
         if self.scheduled_reload is None:
             self.scheduled_reload = self.create_task(self._reload())
         return await asyncio.shield(self.scheduled_reload)
 
-    async def _reload(self) -> Message:
+    async def _reload(self) -> ChannelMessage:
         started = self.loop.time()
         async with self.reload_lock:
             self.scheduled_reload = None
@@ -634,7 +634,7 @@
             self.opening_addresses = ()
         return self._request_generation(config, node_list)
 
-    async def upgrade(self) -> Message:
+    async def upgrade(self) -> ChannelMessage:
         """Start a successor, possibly of a new version, on the same listening sockets (hot restart). This
         fleet drains once the successor serves."""
         if self.successor is not None or self.core.phase is not core.Phase.SERVING:
@@ -642,7 +642,7 @@
         predecessor_end, successor_end = socket.socketpair()
         serving: asyncio.Future[int] = self.loop.create_future()
 
-        def on_message(message: Message) -> None:
+        def on_message(message: ChannelMessage) -> None:
             if message.get("kind") == "serving" and not serving.done():
                 serving.set_result(int(message["pid"]))
 
@@ -699,7 +699,7 @@
 
     # Control
 
-    async def on_control_request(self, request: Message) -> Message:
+    async def on_control_request(self, request: ChannelMessage) -> ChannelMessage:
         command = request.get("do")
         if command == "status":
             return report(self, os.getpid(), self.loop.time())
@@ -727,7 +727,7 @@
         expected = "status, reload, upgrade, stop, nodes, confirm, peers, note, limits, verdicts"
         return {"ok": False, "reason": f"expected 'do' to be one of {expected}"}
 
-    def _on_peers_request(self, request: Message) -> Message:
+    def _on_peers_request(self, request: ChannelMessage) -> ChannelMessage:
         """Report the members, or publish a note to all fleets."""
         if self.peer_service is None:
             return {"ok": False, "reason": "no [peers] here"}
@@ -739,7 +739,7 @@
         except (KeyError, ValueError, TypeError):
             return {"ok": False, "reason": "expected subject, text and for_s"}
 
-    def _on_nodes_request(self, request: Message) -> Message:
+    def _on_nodes_request(self, request: ChannelMessage) -> ChannelMessage:
         """Report the current list with its sources, or confirm a version that is on hold."""
         current = self.core.current
         node_list = self.nodes.get(current.number) if current is not None else None
--- a/flintlatch/fleet/worker.py
+++ b/flintlatch/fleet/worker.py
@@ -22,7 +22,7 @@
 
 from flintlatch.api import TierMembership
 from flintlatch.config import Config, InvalidConfig, parse
-from flintlatch.fleet.channel import Channel, Message, open_channel
+from flintlatch.fleet.channel import Channel, ChannelMessage, open_channel
 from flintlatch.fleet.spread import YIELD_S, ConnectionSpread
 from flintlatch.handover import Offer
 from flintlatch.net.backends import split_descriptors
@@ -75,7 +75,7 @@
 
     # From the supervisor
 
-    def on_message(self, message: Message) -> None:
+    def on_message(self, message: ChannelMessage) -> None:
         try:
             kind = message["kind"]
             if kind == "hello":
@@ -134,7 +134,7 @@
         else:
             self.drain(self.config.drain.limit_s, False)
 
-    def on_hello(self, message: Message) -> None:
+    def on_hello(self, message: ChannelMessage) -> None:
         self.config = parse(message["config"], message["path"])
         limits, number = self.config.limits, int(message["number"])
         self.exit_limit_s = self.config.drain.limit_s + self.config.drain.orphan_s + 1.0
@@ -335,7 +335,7 @@
     # A terminal sends Ctrl-C to the whole process group; only the supervisor reacts to it.
     for number in (signal.SIGINT, signal.SIGHUP, signal.SIGUSR2):
         signal.signal(number, signal.SIG_IGN)
-    early_messages: list[Message] = []
+    early_messages: list[ChannelMessage] = []
     worker.channel = await open_channel(
         socket.socket(fileno=fd), early_messages.append, worker.on_supervisor_lost
     )
