--- a/flintlatch/fleet/core.py
+++ b/flintlatch/fleet/core.py
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
+class GenerationSettings:
     """Settings of one generation, in seconds, counts and MB; config/tables.py describes each."""
 
     instances: int
@@ -70,7 +70,7 @@
 class ReloadRequested(NamedTuple):
     """Start a generation with a configuration that has been checked. `ticket` identifies the request."""
 
-    limits: Limits
+    limits: GenerationSettings
     ticket: int
 
 
@@ -213,7 +213,7 @@
 @dataclass(slots=True)
 class Generation:
     number: int
-    limits: Limits
+    limits: GenerationSettings
     ticket: int
     ready_deadline_s: float
     state: GenerationState = GenerationState.PREPARING
@@ -553,7 +553,7 @@
                 deadlines += [s.restart_at_s for s in generation.slots if s.state is SlotState.WAITING]
         return min(deadlines, default=None)
 
-    def _limits_of(self, worker: Worker) -> Limits:
+    def _limits_of(self, worker: Worker) -> GenerationSettings:
         return self.generations[worker.generation].limits
 
     def _describe(self, worker: Worker) -> str:
--- a/flintlatch/fleet/supervisor.py
+++ b/flintlatch/fleet/supervisor.py
@@ -759,9 +759,9 @@
         return [bound_address(sock) for sock in self.listeners.sockets.values()]
 
 
-def generation_limits(config: Config) -> core.Limits:
+def generation_limits(config: Config) -> core.GenerationSettings:
     start, drain = config.start, config.drain
-    return core.Limits(
+    return core.GenerationSettings(
         config.fleet.instances,
         start.ready_s,
         start.restart_first_s,
--- a/tests/fleet/test_core.py
+++ b/tests/fleet/test_core.py
@@ -16,8 +16,8 @@
     Fleet,
     GenerationEnded,
     GenerationServing,
+    GenerationSettings,
     Kill,
-    Limits,
     Phase,
     ReloadDone,
     ReloadRequested,
@@ -36,7 +36,7 @@
 )
 
 A = TypeVar("A")
-LIMITS = Limits(
+LIMITS = GenerationSettings(
     instances=3,
     ready_s=10.0,
     restart_first_s=0.2,
@@ -50,9 +50,9 @@
 )
 
 
-def limits(**changes: Any) -> Limits:
-    fields = {name: getattr(LIMITS, name) for name in Limits.__slots__}
-    return Limits(**(fields | changes))
+def limits(**changes: Any) -> GenerationSettings:
+    fields = {name: getattr(LIMITS, name) for name in GenerationSettings.__slots__}
+    return GenerationSettings(**(fields | changes))
 
 
 class Driver:
@@ -87,7 +87,7 @@
             actions += self.send(Tick())
         return actions
 
-    def reload(self, limits: Limits = LIMITS) -> int:
+    def reload(self, limits: GenerationSettings = LIMITS) -> int:
         self.ticket += 1
         self.send(ReloadRequested(limits, self.ticket))
         return self.ticket
