--- a/flintlatch/fleet/supervisor.py
+++ b/flintlatch/fleet/supervisor.py
@@ -407,7 +407,7 @@
         self.last_ticket += 1
         done: asyncio.Future[core.ReloadDone] = self.loop.create_future()
         self.pending_reloads[self.last_ticket] = (done, config, node_list)
-        self._step(core.ReloadRequested(generation_limits(config), self.last_ticket))
+        self._step(core.ReloadRequested(generation_settings(config), self.last_ticket))
         return done
 
     def _on_serving(self, action: core.GenerationServing) -> None:
@@ -759,7 +759,7 @@
         return [bound_address(sock) for sock in self.listeners.sockets.values()]
 
 
-def generation_limits(config: Config) -> core.GenerationSettings:
+def generation_settings(config: Config) -> core.GenerationSettings:
     start, drain = config.start, config.drain
     return core.GenerationSettings(
         config.fleet.instances,
