--- a/flintlatch/fleet/core.py
+++ b/flintlatch/fleet/core.py
@@ -70,7 +70,7 @@
 class ReloadRequested(NamedTuple):
     """Start a generation with a configuration that has been checked. `ticket` identifies the request."""
 
-    limits: GenerationSettings
+    settings: GenerationSettings
     ticket: int
 
 
@@ -213,7 +213,7 @@
 @dataclass(slots=True)
 class Generation:
     number: int
-    limits: GenerationSettings
+    settings: GenerationSettings
     ticket: int
     ready_deadline_s: float
     state: GenerationState = GenerationState.PREPARING
@@ -273,10 +273,10 @@
     def _start_generation(self, event: ReloadRequested) -> None:
         self.last_generation += 1
         generation = Generation(
-            self.last_generation, event.limits, event.ticket, self.now + event.limits.ready_s
+            self.last_generation, event.settings, event.ticket, self.now + event.settings.ready_s
         )
         self.generations[generation.number] = self.preparing = generation
-        for number in range(event.limits.instances):
+        for number in range(event.settings.instances):
             slot = Slot(number)
             generation.slots.append(slot)
             self._spawn(generation, slot)
@@ -287,7 +287,7 @@
                 self.drain_shortened = True
                 self._log("warning", "stop: requested again, shortening the drain")
                 for worker in list(self.workers.values()):
-                    self._drain(worker, self._limits_of(worker).hurry_s)
+                    self._drain(worker, self._settings_of(worker).hurry_s)
             return
         self.phase, self.handed_over = Phase.STOPPING, handed_over
         self.actions.append(Stopping(reason))
@@ -310,12 +310,12 @@
                 self._on_ready(self.generations[worker.generation], worker)
         else:
             worker.rss_mb = event.rss_mb
-            limits = self._limits_of(worker)
+            settings = self._settings_of(worker)
             # Only after stable_s: a limit that is too low for any worker would replace each at once.
-            stable = self.now - worker.serving_since_s >= limits.stable_s
-            if worker.state is WorkerState.SERVING and worker.rss_mb > limits.memory_mb and stable:
+            stable = self.now - worker.serving_since_s >= settings.stable_s
+            if worker.state is WorkerState.SERVING and worker.rss_mb > settings.memory_mb and stable:
                 self._replace_worker(
-                    worker, f"{worker.rss_mb:.0f} MB, over its limit of {limits.memory_mb:g}"
+                    worker, f"{worker.rss_mb:.0f} MB, over its limit of {settings.memory_mb:g}"
                 )
 
     def _on_ready(self, generation: Generation, worker: Worker) -> None:
@@ -343,13 +343,13 @@
         self._check_finished(generation)
 
     def _on_crash(self, generation: Generation, slot: Slot, worker: Worker, exit_status: str) -> None:
-        limits = generation.limits
+        settings = generation.settings
         serving_since_s = worker.serving_since_s if worker.state is not WorkerState.STARTING else 0.0
-        if serving_since_s and self.now - serving_since_s >= limits.stable_s:
+        if serving_since_s and self.now - serving_since_s >= settings.stable_s:
             slot.consecutive_crashes = 0
         slot.consecutive_crashes += 1
         slot.last_crash = exit_status
-        if slot.consecutive_crashes >= limits.give_up_after:
+        if slot.consecutive_crashes >= settings.give_up_after:
             slot.state = SlotState.GIVEN_UP
             self._log(
                 "error",
@@ -367,7 +367,7 @@
             if all(s.state is SlotState.GIVEN_UP for s in generation.slots):
                 self._on_all_slots_given_up(generation)
             return
-        delay_s = min(limits.restart_first_s * 2 ** (slot.consecutive_crashes - 1), limits.restart_most_s)
+        delay_s = min(settings.restart_first_s * 2 ** (slot.consecutive_crashes - 1), settings.restart_most_s)
         delay_s *= self.uniform(*RESTART_JITTER)
         slot.state, slot.restart_at_s = SlotState.WAITING, self.now + delay_s
         self._log("warning", f"{self._describe(worker)} exited, {exit_status}: restarting in {delay_s:.2f} s")
@@ -432,7 +432,7 @@
         for slot in generation.slots:
             worker_id, slot.worker = slot.worker, None
             if worker_id is not None:
-                self._drain(self.workers[worker_id], generation.limits.drain_s)
+                self._drain(self.workers[worker_id], generation.settings.drain_s)
         self._check_finished(generation)
 
     def _check_finished(self, generation: Generation | None = None) -> None:
@@ -486,24 +486,24 @@
         slot.restarts += 1
         slot.last_crash = reason
         self._spawn(generation, slot)
-        self._drain(worker, generation.limits.drain_s)
+        self._drain(worker, generation.settings.drain_s)
 
     # Time
 
     def _check_deadlines(self) -> None:
         for worker in list(self.workers.values()):
-            limits = self._limits_of(worker)
+            settings = self._settings_of(worker)
             if worker.state is WorkerState.KILLED:
                 continue
             if worker.state is WorkerState.DRAINING and self.now >= worker.kill_at_s:
                 self._log("error", f"{self._describe(worker)} is killed: it did not drain within its limit")
                 self._kill(worker)
             elif worker.state is WorkerState.STARTING:
-                if self.now >= worker.started_s + limits.ready_s:
-                    worker.reason = f"not ready within {limits.ready_s:g} s"
+                if self.now >= worker.started_s + settings.ready_s:
+                    worker.reason = f"not ready within {settings.ready_s:g} s"
                     self._kill(worker)
-            elif self.now >= worker.last_message_s + limits.watchdog_s:
-                worker.reason = f"no sign of life for {limits.watchdog_s:g} s"
+            elif self.now >= worker.last_message_s + settings.watchdog_s:
+                worker.reason = f"no sign of life for {settings.watchdog_s:g} s"
                 self._kill(worker)
         generation = self.preparing
         if generation is not None and self.now >= generation.ready_deadline_s:
@@ -514,7 +514,7 @@
             )
             text = (
                 f"{ready_count} of {len(generation.slots)} instances ready "
-                f"within {generation.limits.ready_s:g} s"
+                f"within {generation.settings.ready_s:g} s"
             )
             if self.current is not None:
                 self._abort_preparing(text)
@@ -539,13 +539,13 @@
     def _next_deadline(self) -> float | None:
         deadlines = []
         for worker in self.workers.values():
-            limits = self._limits_of(worker)
+            settings = self._settings_of(worker)
             if worker.state is WorkerState.DRAINING:
                 deadlines.append(worker.kill_at_s)
             if worker.state is WorkerState.STARTING:
-                deadlines.append(worker.started_s + limits.ready_s)
+                deadlines.append(worker.started_s + settings.ready_s)
             elif worker.state is not WorkerState.KILLED:
-                deadlines.append(worker.last_message_s + limits.watchdog_s)
+                deadlines.append(worker.last_message_s + settings.watchdog_s)
         if self.preparing is not None:
             deadlines.append(self.preparing.ready_deadline_s)
         for generation in self.generations.values():
@@ -553,8 +553,8 @@
                 deadlines += [s.restart_at_s for s in generation.slots if s.state is SlotState.WAITING]
         return min(deadlines, default=None)
 
-    def _limits_of(self, worker: Worker) -> GenerationSettings:
-        return self.generations[worker.generation].limits
+    def _settings_of(self, worker: Worker) -> GenerationSettings:
+        return self.generations[worker.generation].settings
 
     def _describe(self, worker: Worker) -> str:
         return f"instance {worker.number} of generation {worker.generation} (worker {worker.id})"
