--- a/flintlatch/fleet/members.py
+++ b/flintlatch/fleet/members.py
@@ -57,7 +57,7 @@
         log: Callable[[str, str], None],
         delivery_feeds: DeliveryFeeds | None = None,
     ) -> None:
-        self.wire, self.on_listing, self.log = config.socket_settings(), on_listing, log
+        self.socket_settings, self.on_listing, self.log = config.socket_settings(), on_listing, log
         self.loop = asyncio.get_running_loop()
         table = config.nodes
         catalogue_services = {f"{table.catalogue}#{service}": service for service in table.services}
@@ -95,7 +95,9 @@
                 log("error", f"{name}: httpx is not installed: pip install flintlatch[membership]")
 
         if registry_sources:
-            self.sources.append(RegistrySource(REGISTRY_SOURCE, table.registry, self.wire, self.on_event))
+            self.sources.append(
+                RegistrySource(REGISTRY_SOURCE, table.registry, self.socket_settings, self.on_event)
+            )
         self.subscription: NodeSubscription | None = None
         if delivery_sources and delivery_feeds is not None:
             self.subscription = delivery_feeds.subscribe(config, self.on_event)
@@ -178,12 +180,14 @@
 
     def _apply(self, action: Apply) -> None:
         if action.revision == 1:
-            targets = tuple(target_of(node, self.wire) for node in action.nodes)
+            targets = tuple(target_of(node, self.socket_settings) for node in action.nodes)
             self.on_listing(Listing(action.revision, True, targets))
             return
         change = action.change
-        removed = (target_of(node, self.wire, ServerState.GONE) for node in change.removed)
-        updated = (target_of(n, self.wire) for n in (*change.drained, *change.changed, *change.added))
+        removed = (target_of(node, self.socket_settings, ServerState.GONE) for node in change.removed)
+        updated = (
+            target_of(n, self.socket_settings) for n in (*change.drained, *change.changed, *change.added)
+        )
         self.on_listing(Listing(action.revision, False, (*removed, *updated)))
 
     def _save(self, version: Version) -> None:
@@ -239,9 +243,9 @@
             source.close()
 
 
-def target_of(node: Node, wire: SocketSettings, state: ServerState | None = None) -> Target:
-    zone = wire.zones.setdefault(node.zone, len(wire.zones))
-    kind = wire.kinds.setdefault(node.kind, len(wire.kinds))
+def target_of(node: Node, socket_settings: SocketSettings, state: ServerState | None = None) -> Target:
+    zone = socket_settings.zones.setdefault(node.zone, len(socket_settings.zones))
+    kind = socket_settings.kinds.setdefault(node.kind, len(socket_settings.kinds))
     if state is None:
         state = ServerState.DRAINING if node.state is NodeState.DRAINING else ServerState.ACTIVE
     info = ServerInfo(node.uid, state, zone, kind, node.cell, node.started_ms, node.weight)
