--- a/flintlatch/fleet/agreed.py
+++ b/flintlatch/fleet/agreed.py
@@ -108,7 +108,7 @@
             )
 
     def _read_keys(self) -> tuple[bytes, ...]:
-        """Read the key file. Raises BadKeys or OSError."""
+        """Reads the key file. Raises BadKeys or OSError."""
         path = resolve_config_path(self.config.path, self.table.key_file)
         with open(path, encoding="ascii", errors="replace") as file:
             return read_keys(file.read(65536), path)
@@ -135,8 +135,8 @@
         )
 
     def reconfigure(self, config: Config) -> None:
-        """Apply a reloaded configuration. The number of instances, keys and limits change at once; a changed
-        name or address needs a restart."""
+        """Applies a reloaded configuration. The number of instances, keys and limits change at once; a
+        changed name or address needs a restart."""
         table = config.peers
         if table is None:
             self.log("warning", "peers: the table was removed; this fleet stays a member until a restart")
@@ -174,7 +174,8 @@
             self.shell.close()
 
     def leave(self) -> None:
-        """Announce that this fleet leaves, so that the other members stop counting it at once, and close."""
+        """Announces that this fleet leaves, so that the other members stop counting it at once, and
+        closes."""
         if self.shell is not None:
             self.shell.leave()
         self.close()
--- a/flintlatch/fleet/control.py
+++ b/flintlatch/fleet/control.py
@@ -23,7 +23,7 @@
 
 
 def check_path(path: str) -> None:
-    """Raise ControlError unless the path is free or holds a socket that no process listens on."""
+    """Raises ControlError unless the path is free or holds a socket that no process listens on."""
     try:
         mode = os.lstat(path).st_mode
     except FileNotFoundError:
@@ -75,7 +75,7 @@
             raise ControlError(f"control socket {self.path}: {error.strerror}") from None
 
     def close(self) -> None:
-        """Stop listening, and remove the path unless another process has replaced it."""
+        """Stops listening, and removes the path unless another process has replaced it."""
         if self.server is not None:
             self.server.close()
             self.server = None
@@ -124,7 +124,7 @@
 
 
 def send_control_request(path: str, request: JsonObject, timeout_s: float = 30.0) -> JsonObject:
-    """Send one request to a running fleet and return its response.
+    """Sends one request to a running fleet and returns its response.
 
     Raises ControlError if no fleet listens there or the connection fails."""
     with socket.socket(socket.AF_UNIX) as sock:
--- a/flintlatch/fleet/core.py
+++ b/flintlatch/fleet/core.py
@@ -373,7 +373,7 @@
         self._log("warning", f"{self._describe(worker)} exited, {exit_status}: restarting in {delay_s:.2f} s")
 
     def _on_all_slots_given_up(self, generation: Generation) -> None:
-        """Stop the fleet as failed, so that the service manager or an operator notices."""
+        """Stops the fleet as failed, so that the service manager or an operator notices."""
         if generation is self.current or self.current is None:
             self.failed = True
             if self.phase is not Phase.STOPPING:
@@ -406,7 +406,7 @@
         self._start_queued_reload()
 
     def _abort_preparing(self, reason: str) -> None:
-        """End a reload that failed. Its workers are killed, since they have accepted nothing; those of the
+        """Ends a reload that failed. Its workers are killed, since they have accepted nothing; those of the
         first generation may serve already, so they drain."""
         generation, self.preparing = self.preparing, None
         assert generation is not None
--- a/flintlatch/fleet/delivered.py
+++ b/flintlatch/fleet/delivered.py
@@ -111,7 +111,7 @@
             feed.client.follow((service,))
 
     def _start(self) -> None:
-        """Emit the version that was accepted last, and the state that the client holds."""
+        """Emits the version that was accepted last, and the state that the client holds."""
         self.started = True
         if (version := self.feeds.accepted_versions.get(self.service)) is not None:
             self.on_event(VersionRestored(version))
--- a/flintlatch/fleet/heard.py
+++ b/flintlatch/fleet/heard.py
@@ -51,7 +51,7 @@
         self.ejections_changed = False
 
     def on_entry(self, entry: dict[str, Any]) -> None:
-        """Store an entry; one of an unknown kind is ignored.
+        """Stores an entry; one of an unknown kind is ignored.
 
         Raises KeyError, TypeError or ValueError if the entry is malformed."""
         if entry["about"] == "proxies":
--- a/flintlatch/fleet/judging.py
+++ b/flintlatch/fleet/judging.py
@@ -71,7 +71,7 @@
         self.recovered_by_instance.pop(worker, None)
 
     def step(self) -> None:
-        """Publish the own observations, evaluate those of all fleets, and send the result to the
+        """Publishes the own observations, evaluates those of all fleets, and sends the result to the
         instances."""
         shell = self.shell()
         if shell is None:
@@ -106,7 +106,7 @@
             )
 
     def _publish_observations(self, now: float, shell: Shell, listed: set[str]) -> None:
-        """Publish one observation per server for the whole fleet: the most consecutive failures that an
+        """Publishes one observation per server for the whole fleet: the most consecutive failures that an
         instance reports, or, if none does, that the server has recovered."""
         worst: dict[str, int] = {}
         for failures in self.failures_by_instance.values():
@@ -125,7 +125,7 @@
                 self.published[server] = value, now + self.rules.life_s / RENEWALS_PER_TTL
 
     def _log_changes(self, previous: EjectionDecision, own_name: str) -> None:
-        """Log one line for each change."""
+        """Logs one line for each change."""
         for server, verdict in self.detected.ejected.items():
             if server not in previous.ejected:
                 scope = f"for zone {verdict.zone}" if verdict.zone else "for all"
--- a/flintlatch/fleet/limiting.py
+++ b/flintlatch/fleet/limiting.py
@@ -116,7 +116,7 @@
     topics = staticmethod(limit_topics)
 
     def reconfigure(self, limits: tuple[Limit, ...], terms: LeaseSettings) -> None:
-        """Apply a reloaded configuration. Granted leases stay valid: a lower limit takes full effect once
+        """Applies a reloaded configuration. Granted leases stay valid: a lower limit takes full effect once
         they have been reduced or have expired."""
         if terms != self.terms:
             self.log("warning", "keepers: a change of voters or terms takes a restart of all fleets")
@@ -137,7 +137,7 @@
                 timer.cancel()
 
     def on_entries_changed(self) -> None:
-        """Take a step soon, unless one is scheduled already."""
+        """Takes a step soon, unless one is scheduled already."""
         if self.soon_timer is None:
             self.soon_timer = self.loop.call_later(COALESCE_S, self._step_soon)
 
@@ -148,7 +148,7 @@
     # Instances
 
     def on_instance_report(self, worker: int, message: ChannelMessage) -> None:
-        """Take the number of requests that have arrived at an instance, and the leases that it applies."""
+        """Takes the number of requests that have arrived at an instance, and the leases that it applies."""
         now, instance = clock(), self.instances.setdefault(worker, InstanceReports())
         for name, count in message["asked"].items():
             instance.arrival_rates.setdefault(name, ArrivalRate()).record(now, int(count))
@@ -187,7 +187,7 @@
         return is_alive
 
     def _run_election(self, now: float, shell: Shell, leadership: Leadership) -> bool:
-        """Read and publish votes; whether this fleet is the lessor of the strict limits."""
+        """Reads and publishes votes; whether this fleet is the lessor of the strict limits."""
         votes: dict[str, tuple[Vote, float]] = {}
         for entry in shell.member.entry_store.read(now, "vote"):
             try:
--- a/flintlatch/fleet/listeners.py
+++ b/flintlatch/fleet/listeners.py
@@ -32,7 +32,7 @@
         self.sockets: dict[ListenerKey, socket.socket] = {}
 
     def adopt(self, addresses: Sequence[str], given: list[socket.socket]) -> None:
-        """Use sockets that the service manager opened, each for the configured address that it is bound to.
+        """Uses sockets that the service manager opened, each for the configured address that it is bound to.
 
         Raises ListenError for a socket that is bound to another address."""
         for sock in given:
@@ -47,7 +47,7 @@
                 )
 
     def inherit(self, addresses: Sequence[str], given: list[socket.socket]) -> list[socket.socket]:
-        """Use the sockets that are bound to a configured address which has none yet, and close the others.
+        """Uses the sockets that are bound to a configured address which has none yet, and closes the others.
         Returns those used."""
         inherited = []
         for sock in given:
@@ -68,7 +68,7 @@
         return inherited
 
     async def open(self, addresses: Sequence[str], wait_s: float = 0.0) -> list[ListenerKey]:
-        """Open the addresses that have no socket yet, and return their keys.
+        """Opens the addresses that have no socket yet, and returns their keys.
 
         An address in use is retried for `wait_s`. Raises ListenError, after closing those it opened."""
         loop = asyncio.get_running_loop()
@@ -95,6 +95,6 @@
             self.sockets.pop(key).close()
 
     def keep_only(self, *address_lists: Sequence[str]) -> None:
-        """Close the sockets whose address is in none of the given lists."""
+        """Closes the sockets whose address is in none of the given lists."""
         wanted = {key for addresses in address_lists for key in listener_keys(addresses)}
         self.close([key for key in self.sockets if key not in wanted])
--- a/flintlatch/fleet/log.py
+++ b/flintlatch/fleet/log.py
@@ -11,7 +11,7 @@
 
 
 def render_line(_: Any, __: str, event: Any) -> str:
-    """Render an event as text: logger, level and message. The journal adds the time."""
+    """Renders an event as text: logger, level and message. The journal adds the time."""
     return f"{event['logger']}: {event['level']}: {event['event']}"
 
 
--- a/flintlatch/fleet/members.py
+++ b/flintlatch/fleet/members.py
@@ -191,7 +191,7 @@
         self.on_listing(Listing(action.revision, False, (*removed, *updated)))
 
     def _save(self, version: Version) -> None:
-        """Save an accepted version in a thread; a failure is logged and has no other effect."""
+        """Saves an accepted version in a thread; a failure is logged and has no other effect."""
         if not self.saved_path_prefix:
             return
 
--- a/flintlatch/fleet/nodes.py
+++ b/flintlatch/fleet/nodes.py
@@ -20,7 +20,7 @@
 
 
 def encode_listing(listing: Listing) -> dict[str, Any]:
-    """Encode a list in the registry's format, with numbers for zones and kinds, which `read_listing`
+    """Encodes a list in the registry's format, with numbers for zones and kinds, which `read_listing`
     decodes."""
     return {
         "rev": listing.revision,
--- a/flintlatch/fleet/spread.py
+++ b/flintlatch/fleet/spread.py
@@ -50,7 +50,7 @@
         COUNTER.pack_into(self.page, self.index * COUNTER.size, connections + 1)
 
     def clear(self, worker: int | None = None) -> None:
-        """Mark a worker, by default the own one, as not accepting any more."""
+        """Marks a worker, by default the own one, as not accepting any more."""
         index = self.index if worker is None else worker % MAX_WORKERS
         COUNTER.pack_into(self.page, index * COUNTER.size, 0)
 
--- a/flintlatch/fleet/supervisor.py
+++ b/flintlatch/fleet/supervisor.py
@@ -138,7 +138,7 @@
     # Start and end
 
     async def run(self) -> int:
-        """Serve until told to stop, and return the exit code. Raises StartupError if nothing can serve."""
+        """Serves until told to stop, and returns the exit code. Raises StartupError if nothing can serve."""
         for number, handler in (
             (signal.SIGTERM, self.stop),
             (signal.SIGINT, self.stop),
@@ -187,7 +187,7 @@
             self._notify_watchdog()
 
     def _open_nodes(self, config: Config) -> NodeList:
-        """Start to follow the node list of a new generation."""
+        """Starts to follow the node list of a new generation."""
         if config.delivery is not None and self.delivery_feeds is None:
             try:
                 from flintlatch.fleet.delivered import DeliveryFeeds  # imported only if configured
@@ -245,7 +245,7 @@
         self.core.last_generation, self.core.last_worker_id = message["generation"], message["worker"]
 
     def _open_metrics_page(self, config: Config) -> None:
-        """Open the metrics page. A failure is logged only, since the fleet can serve without it."""
+        """Opens the metrics page. A failure is logged only, since the fleet can serve without it."""
         if not config.fleet.metrics:
             return
         try:
@@ -311,7 +311,7 @@
         )
 
     def _inherit_listeners(self) -> None:
-        """Take over the listening sockets, with their accept queues, from the workers of a dead
+        """Takes over the listening sockets, with their accept queues, from the workers of a dead
         supervisor."""
         for path in handover.find_offers(self.config.control_path):
             sockets = handover.receive_listeners(path)
@@ -443,7 +443,7 @@
             done.set_result(action)
 
     def _close_unused_listeners(self) -> None:
-        """Close the listening sockets that neither the current configuration nor a pending reload names."""
+        """Closes the listening sockets that neither the current configuration nor a pending reload names."""
         if self.serving and self.core.phase is core.Phase.SERVING:
             pending = [config.fleet.listen for _, config, _ in self.pending_reloads.values()]
             self.listeners.keep_only(self.config.fleet.listen, self.opening_addresses, *pending)
@@ -459,7 +459,7 @@
         self.create_task(self._run_worker(action, process))
 
     async def _run_worker(self, action: core.Spawn, process: Process) -> None:
-        """Start a worker and wait for its end, which is reported to the core in any case."""
+        """Starts a worker and waits for its end, which is reported to the core in any case."""
         try:
             # If it was killed before its process was started, the listening sockets may be closed already.
             exit_status = "not started" if process.killed else await self._start_and_wait(action, process)
@@ -563,7 +563,7 @@
             self._step(core.WorkerFailed(worker, str(message.get("reason"))))
 
     def _on_listing(self, node_list: NodeList, listing: Listing) -> None:
-        """Send a changed list to the workers of the generations that use it."""
+        """Sends a changed list to the workers of the generations that use it."""
         message = {"kind": "list", "list": encode_listing(listing)}
         for generation in [number for number, other in self.nodes.items() if other is node_list]:
             for worker in self.core.workers.values():
@@ -573,7 +573,7 @@
     # Reload and upgrade
 
     async def reload(self) -> ChannelMessage:
-        """Read the configuration file again and start a generation with it; return the outcome. Calls that
+        """Reads the configuration file again and starts a generation with it; returns the outcome. Calls that
         come before the file is read share one reload."""
         if self.scheduled_reload is None:
             self.scheduled_reload = self.create_task(self._reload())
@@ -604,8 +604,8 @@
         return self.last_reload
 
     async def _prepare_reload(self) -> asyncio.Future[core.ReloadDone] | str:
-        """Check what can be checked before a worker is started. Returns a future of the core's result, or the
-        reason why the reload failed."""
+        """Checks what can be checked before a worker is started. Returns a future of the core's result, or
+        the reason why the reload failed."""
         if self.core.phase is not core.Phase.SERVING:
             return f"the fleet is {self.core.phase.value}"
         if self.successor is not None:
@@ -635,7 +635,7 @@
         return self._request_generation(config, node_list)
 
     async def upgrade(self) -> ChannelMessage:
-        """Start a successor, possibly of a new version, on the same listening sockets (hot restart). This
+        """Starts a successor, possibly of a new version, on the same listening sockets (hot restart). This
         fleet drains once the successor serves."""
         if self.successor is not None or self.core.phase is not core.Phase.SERVING:
             return {"ok": False, "reason": "the fleet is starting, stopping or already being upgraded"}
@@ -728,7 +728,7 @@
         return {"ok": False, "reason": f"expected 'do' to be one of {expected}"}
 
     def _on_peers_request(self, request: ChannelMessage) -> ChannelMessage:
-        """Report the members, or publish a note to all fleets."""
+        """Reports the members, or publishes a note to all fleets."""
         if self.peer_service is None:
             return {"ok": False, "reason": "no [peers] here"}
         if request["do"] == "peers":
@@ -740,7 +740,7 @@
             return {"ok": False, "reason": "expected subject, text and for_s"}
 
     def _on_nodes_request(self, request: ChannelMessage) -> ChannelMessage:
-        """Report the current list with its sources, or confirm a version that is on hold."""
+        """Reports the current list with its sources, or confirms a version that is on hold."""
         current = self.core.current
         node_list = self.nodes.get(current.number) if current is not None else None
         if node_list is None:
@@ -776,7 +776,7 @@
 
 
 def check_descriptors(config: Config) -> None:
-    """Raise the soft limit on file descriptors to what two generations need at once.
+    """Raises the soft limit on file descriptors to what two generations need at once.
 
     Raises StartupError if the hard limit is lower."""
     needed = (
@@ -795,7 +795,7 @@
 
 
 def run(path: str, env: Mapping[str, str]) -> int:
-    """Run a fleet with the configuration at `path` until it is told to stop, and return the exit code.
+    """Runs a fleet with the configuration at `path` until it is told to stop, and returns the exit code.
 
     2: the configuration is invalid. 1: the fleet can't start, or every instance is given up."""
     try:
--- a/flintlatch/fleet/worker.py
+++ b/flintlatch/fleet/worker.py
@@ -114,7 +114,7 @@
             self.drain(self.config.drain.limit_s, True)
 
     def _offer_listeners(self) -> bool:
-        """Offer the listening sockets to a successor; False if that fails."""
+        """Offers the listening sockets to a successor; False if that fails."""
         try:
             self.listener_offer = Offer(self.config.control_path, self.listeners, self._on_successor)
         except OSError as error:
@@ -211,7 +211,7 @@
             self.frontend.serve_on(self.listeners)
 
     def drain(self, limit_s: float, accept_backlog: bool) -> None:
-        """Start to drain; a repeated call changes the time limit."""
+        """Starts to drain; a repeated call changes the time limit."""
         if self.drain_timer is not None:
             self.drain_timer.cancel()
         self.drain_timer = self.loop.call_later(max(limit_s - FINAL_RESPONSES_S, 0.0), self.drain_expired.set)
@@ -277,7 +277,7 @@
         self.send_limit_report()
 
     def send_server_reports(self) -> None:
-        """Report the servers that failed requests of this instance and have not answered since, and those
+        """Reports the servers that failed requests of this instance and have not answered since, and those
         under suspicion that have answered."""
         self.loop.call_later(SERVER_REPORT_INTERVAL_S, self.send_server_reports)
         engine = self.engine
@@ -291,7 +291,8 @@
             self.server_report_sent = bool(bad or good)
 
     def send_limit_report(self) -> None:
-        """Report by limit how many requests have arrived, and the leases that the decision module applies."""
+        """Reports by limit how many requests have arrived, and the leases that the decision module
+        applies."""
         engine, entries = self.engine, self.entries
         if engine is None or entries is None or self.channel.unsent_bytes() > MAX_UNSENT_BYTES:
             return
@@ -305,14 +306,14 @@
         return {"written": log.written, "lost": log.lost, "failure": log.failure}
 
     def fail(self, reason: str) -> None:
-        """Report that this process can't serve, and exit; the supervisor decides what follows."""
+        """Reports that this process can't serve, and exits; the supervisor decides what follows."""
         self.channel.send({"kind": "failed", "reason": reason})
         self.exit_code = 1
         self.loop.call_soon(self.finished.set)
 
 
 def watch_parent(parent_pid: int, worker: Worker) -> None:
-    """Exit when the supervisor is gone, even if the event loop hangs and does not notice the closed channel.
+    """Exits when the supervisor is gone, even if the event loop hangs and does not notice the closed channel.
 
     A thread polls the parent process id and allows the worker `exit_limit_s` to exit by itself."""
 
--- a/tests/fleet/support.py
+++ b/tests/fleet/support.py
@@ -74,7 +74,7 @@
         return pids
 
     def assert_rules_kept(self) -> None:
-        """Assert that the ledger of clients and nodes shows no broken rule."""
+        """Asserts that the ledger of clients and nodes shows no broken rule."""
         assert not self.rig.ledger.broken(), [str(broken) for broken in self.rig.ledger.broken()[:5]]
 
 
--- a/tests/fleet/test_core.py
+++ b/tests/fleet/test_core.py
@@ -76,7 +76,7 @@
         return self.last
 
     def advance(self, seconds: float, alive: bool = True) -> list[Action]:
-        """Advance the clock with the requested ticks; workers send heartbeats if `alive`."""
+        """Advances the clock with the requested ticks; workers send heartbeats if `alive`."""
         end_s, actions = self.now + seconds, []
         while self.now < end_s:
             self.now = min(end_s, max(self.next_wake_s, self.now + 0.005), self.now + 2.0)
--- a/tests/fleet/test_delivered.py
+++ b/tests/fleet/test_delivered.py
@@ -72,7 +72,7 @@
         self.rows: dict[str, dict[str, Any]] = {}
 
     async def start(self, command: str, name: str, **keys: Any) -> str:
-        """Start an origin or a relay, and return its address."""
+        """Starts an origin or a relay, and returns its address."""
         path = self.folder / f"{name}.toml"
         keys |= {"name": name, "key_file": "key.theirs", "bind": "127.0.0.1:0"}
         lines = ["[delivery]", *(f"{key} = {toml(value)}" for key, value in keys.items())]
@@ -86,7 +86,7 @@
         self.rows[node.uid] = {"address": node.address, "cell": index} | fields
 
     async def commit(self) -> int:
-        """Write the rows as the origin's file, and return the revision once the origin has committed it."""
+        """Writes the rows as the origin's file, and returns the revision once the origin has committed it."""
         origin, temporary = self.children["origin"], self.folder / "objects.new"
         log_position = len(origin.log)
         temporary.write_text(json.dumps({SERVICE: self.rows}))
@@ -95,7 +95,7 @@
         return int(line.partition("revision ")[2].partition(":")[0])
 
     async def wait_until_taken(self, revision: int, timeout_s: float) -> None:
-        """Wait until the fleet and every instance use the revision, at most `timeout_s` from now."""
+        """Waits until the fleet and every instance use the revision, at most `timeout_s` from now."""
         async with asyncio.timeout(timeout_s):
             await self.fleet.said(f"{SERVICE}: version {revision} taken")
             await self.fleet.until(
@@ -119,7 +119,7 @@
             return source
 
     async def command(self, *arguments: str) -> str:
-        """Run `flintlatch` with the arguments, and return its output."""
+        """Runs `flintlatch` with the arguments, and returns its output."""
         output = io.StringIO()
         with redirect_stdout(output):
             assert await asyncio.to_thread(main, list(arguments)) == 0, self.fleet.log
@@ -356,7 +356,7 @@
     async def open_nodes(
         self, timeout_s: float = RULES.staleness_bound_s(0, 0.0) + LOAD_MARGIN_S, service: str = SERVICE
     ) -> NodeList:
-        """Open a node list as a reload does. Raises TimeoutError."""
+        """Opens a node list as a reload does. Raises TimeoutError."""
         path = str(self.folder / "fleet.toml")
         config = parse(configuration_text([self.server.address], QUICK, nodes={"service": service}), path)
         node_list = NodeList(
--- a/tests/fleet/test_heir.py
+++ b/tests/fleet/test_heir.py
@@ -44,7 +44,7 @@
 
 
 async def send_requests(address: str, statuses: Counter[str], stop: asyncio.Event) -> None:
-    """Send a request on a new connection every 5 ms until `stop` is set, and count the statuses."""
+    """Sends a request on a new connection every 5 ms until `stop` is set, and counts the statuses."""
     tasks: set[asyncio.Task[None]] = set()
 
     async def record_status() -> None:
--- a/tests/fleet/test_limits.py
+++ b/tests/fleet/test_limits.py
@@ -74,7 +74,7 @@
 
 
 async def wait_for_lessor(cluster: Fleets) -> str:
-    """Wait until all fleets have a lease from the same lessor, and return its name."""
+    """Waits until all fleets have a lease from the same lessor, and returns its name."""
     lessors: set[str] = set()
 
     async def all_agree() -> bool:
--- a/tests/fleet/test_members.py
+++ b/tests/fleet/test_members.py
@@ -53,7 +53,7 @@
 
 
 async def switch_to_file_source(harness: Daemon, path: Path) -> None:
-    """Reload the fleet, which started with the registry, with a file as its node source."""
+    """Reloads the fleet, which started with the registry, with a file as its node source."""
     path.write_bytes(document(harness, 1))
     text = harness.rig.config.read_text()
     keys = "\n".join(f"{k} = {json.dumps(v)}" for k, v in FILE_SOURCE["nodes"].items())
--- a/tests/fleet/test_start.py
+++ b/tests/fleet/test_start.py
@@ -200,7 +200,7 @@
 
 
 def start_activated(path: Path, sock: socket.socket) -> subprocess.Popen[str]:
-    """Start a fleet by socket activation: the socket at descriptor 3, LISTEN_PID the id of the new
+    """Starts a fleet by socket activation: the socket at descriptor 3, LISTEN_PID the id of the new
     process."""
     code = (
         "import os, sys; fd = int(sys.argv[1]); os.dup2(fd, 3); os.set_inheritable(3, True);"
