--- a/flintlatch/platform/front.py
+++ b/flintlatch/platform/front.py
@@ -76,7 +76,7 @@
         finally:
             self.processing = False
 
-    resume_upload = _process  # called when the upload buffer has room again
+    resume_upload = _process  # the node's connection calls it once it has taken bytes of the upload
 
     def parse_limit(self) -> int:
         incoming = self.incoming
@@ -88,7 +88,7 @@
 
     def _parse(self, chunk: bytes) -> None:
         if self.incoming is not None and self.incoming.exchange is not None:
-            self._message_bytes = 0  # the limits for the body and its pace apply instead
+            self._message_bytes = 0  # MAX_MESSAGE_BYTES does not apply; EXCHANGE_LIMITS does
         super()._parse(chunk)
         self._start_upload()
         if self.exchange is not None:
@@ -105,6 +105,8 @@
             self._reject(400)
             return
         self.incoming = IncomingBody(length)
+        # An interim response must not come before the responses to earlier requests. Without it, the client
+        # sends the body after a timeout of its own (RFC 9110, section 10.1.1).
         if (b"expect", b"100-continue") in self._headers and self.request_id is None and not self.queue:
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
@@ -147,7 +149,7 @@
             if method == b"GET":
                 raise RequestError(400, "GET with a body, expected none")
             accepted = self.frontend.reader.read(message, self.on_answer, with_length=False)
-            ask = RoutingInfo(
+            routing = RoutingInfo(
                 accepted.id,
                 accepted.cls,
                 accepted.tenant,
@@ -156,7 +158,7 @@
                 is_retry=accepted.repeat,
             )
             request = ForwardedRequest(method, message.target, b"", [], incoming.length, head=accepted.head)
-            incoming.exchange = self._open(request, ask, True)
+            incoming.exchange = self._open(request, routing, True)
         except RequestError as error:
             self._reject(error.status)
             return
@@ -166,15 +168,15 @@
             self._body = bytearray()
         incoming.exchange.offer(now_s)
 
-    def _open(self, request: ForwardedRequest, ask: RoutingInfo, uploading: bool) -> Exchange:
+    def _open(self, request: ForwardedRequest, routing: RoutingInfo, uploading: bool) -> Exchange:
         """Raises RequestError if the id belongs to another request or there is no memory for the body."""
-        exchange = Exchange(request, ask, EXCHANGE_LIMITS, self, self.engine, now_ms() / 1000)
+        exchange = Exchange(request, routing, EXCHANGE_LIMITS, self, self.engine, now_ms() / 1000)
         try:
             if not self.engine.open(exchange, uploading):
-                raise RequestError(503, f"no memory left for the body of {ask.id!r}")
+                raise RequestError(503, f"no memory left for the body of {routing.id!r}")
         except KeyError:
-            raise RequestError(400, f"id {ask.id!r} is in use or was recently") from None
-        self.exchange, self.request_id = exchange, ask.id
+            raise RequestError(400, f"id {routing.id!r} is in use or was recently") from None
+        self.exchange, self.request_id = exchange, routing.id
         return exchange
 
     def _accept_request(self, message: Message) -> None:
@@ -183,13 +185,13 @@
             return
         accepted = self.frontend.reader.read(message, self.on_answer, with_length=False)
         budget = min(accepted.budget_ms, self.engine.settings.classes[accepted.cls].deadline_ms)
-        ask = RoutingInfo(
+        routing = RoutingInfo(
             accepted.id, accepted.cls, accepted.tenant, accepted.key, budget, is_retry=accepted.repeat
         )
         request = ForwardedRequest(
             message.method, message.target, b"", [], len(message.body), head=accepted.head
         )
-        exchange = self._open(request, ask, False)
+        exchange = self._open(request, routing, False)
         now_s = now_ms() / 1000
         if message.body:
             exchange.receive_body(now_s, [message.body])
@@ -217,8 +219,8 @@
         self.response_chunked = head.length is None
         if head.length is None or head.length > MAX_BODY:
             # By default the kernel buffers up to 4 MB and reports room only after a third of that has been
-            # sent, so a slow client would look like one that does not read at all. A smaller size discards
-            # nothing.
+            # sent, so a slow client would look like one that does not read at all. Reducing the size does not
+            # discard bytes that are buffered already.
             client_socket = self.transport.get_extra_info("socket")
             client_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, CLIENT_SEND_BUFFER_BYTES)
         framing = (
@@ -281,7 +283,7 @@
 
 
 class PlatformFrontend(Frontend):
-    """Accepts clients of the platform's protocol."""
+    """Accepts clients of the platform's protocol. `accepts_per_turn`: at most one value, as in `Frontend`."""
 
     def __init__(
         self, engine: PlatformEngine, reader: Reader, max_connections: int, *accepts_per_turn: int
