--- a/flintlatch/handover.py
+++ b/flintlatch/handover.py
@@ -2,8 +2,8 @@
 
 The serving process offers them at its own Unix socket, `PREFIX+PID`, mode 0600. The successor receives them
 there instead of binding, so that no connection in the kernel's queue is dropped, and announces when it
-serves. It may keep that connection open, and then each process detects the end of the other one. One line in
-each direction:
+serves. If the successor keeps the connection of that announcement open, each process detects the end of the
+other one. One line in each direction:
 
     listeners    ->  {"count": N}, with N descriptors as ancillary data (SCM_RIGHTS, unix(7))
     serving      ->  {"ok": true}
@@ -21,7 +21,7 @@
 import orjson
 
 MAX_LISTENERS = 64  # descriptors in one message; a fleet listens at only a few addresses
-RESPONSE_TIMEOUT_S = 1.0  # for a process that is busy or hangs
+RESPONSE_TIMEOUT_S = 1.0  # a process that does not respond within this time counts as busy or hung
 MAX_LINE_BYTES = 64
 MAX_CONNECTIONS = 16  # at once; one successor, and other processes with access to the folder
 
@@ -48,7 +48,7 @@
         self.listeners = [sock.dup() for sock in listeners]
         self.loop = asyncio.get_running_loop()
         self.sock = socket.socket(socket.AF_UNIX)
-        self.connections: dict[socket.socket, bool] = {}  # whether the peer has announced that it serves
+        self.connections: dict[socket.socket, bool] = {}  # to whether the peer has sent "serving"
         previous_umask = os.umask(0o177)
         try:
             with contextlib.suppress(FileNotFoundError):
@@ -114,8 +114,8 @@
 
 
 def receive_listeners(path: str) -> list[socket.socket]:
-    """Receives the listening sockets offered at a path. Empty if the process does not respond; if it is gone,
-    the path is removed."""
+    """Returns the listening sockets offered at a path; the "count" in the response is not checked. Empty if
+    the process does not respond; if it is gone, the path is removed."""
     with socket.socket(socket.AF_UNIX) as sock:
         sock.settimeout(RESPONSE_TIMEOUT_S)
         try:
@@ -132,8 +132,8 @@
 
 
 def connect_as_successor(path: str) -> socket.socket | None:
-    """Announces that this process serves the received sockets. Returns a connection that ends with the other
-    process, or None if that has not confirmed."""
+    """Announces to the process at a path that this one serves the received sockets. Returns the connection,
+    which ends with the other process, or None if that process has not confirmed."""
     sock = socket.socket(socket.AF_UNIX)
     sock.settimeout(RESPONSE_TIMEOUT_S)
     try:
@@ -148,7 +148,8 @@
 
 
 def notify_serving(path: str) -> bool:
-    """Tells the process at a path that it may drain now. Returns whether it has confirmed."""
+    """Announces that this process serves, so that the process at a path may drain, and closes the connection.
+    Returns whether that process has confirmed."""
     sock = connect_as_successor(path)
     if sock is not None:
         sock.close()
