--- a/flintlatch/fleet/control.py
+++ b/flintlatch/fleet/control.py
@@ -14,6 +14,7 @@
 MAX_REQUEST_BYTES = 64 * 1024
 MAX_RESPONSE_BYTES = 64 * 1024 * 1024
 REQUEST_TIMEOUT_S = 30.0  # a connection that sends no complete request for this long is closed
+CONNECT_TIMEOUT_S = 1.0  # for the check whether a process listens on the path
 MAX_CONNECTIONS = 16  # a faulty script must not use up the supervisor's file descriptors
 JsonObject = dict[str, Any]
 
@@ -31,9 +32,9 @@
     except OSError as error:
         raise ControlError(f"control socket {path}: {error.strerror}") from None
     if not stat.S_ISSOCK(mode):
-        raise ControlError(f"control socket {path}: another file is there")
+        raise ControlError(f"control socket {path}: the path exists and is not a socket")
     with socket.socket(socket.AF_UNIX) as sock:
-        sock.settimeout(1.0)
+        sock.settimeout(CONNECT_TIMEOUT_S)
         try:
             sock.connect(path)
         except (ConnectionRefusedError, FileNotFoundError):
@@ -44,13 +45,15 @@
 
 
 class Control:
-    """Listens at a temporary path first; `publish` renames that to the final path, so that a successor
+    """The server end of the control socket.
+
+    `open` listens at a temporary path, and `publish` renames it to the final one, so that a successor
     replaces the socket of its predecessor atomically."""
 
     def __init__(self, path: str, handle_request: Callable[[JsonObject], Awaitable[JsonObject]]) -> None:
         self.path, self.handle_request = path, handle_request
         self.server: asyncio.Server | None = None
-        self.inode = 0
+        self.inode = 0  # of the socket file; 0: not bound yet
         self.connections: set[asyncio.Task[None]] = set()
 
     async def open(self) -> None:
@@ -136,7 +139,14 @@
             while not received.endswith(b"\n"):
                 chunk = sock.recv(65536)
                 if not chunk or len(received) > MAX_RESPONSE_BYTES:
-                    raise ControlError(f"control socket {path}: the fleet closed the connection")
+                    raise ControlError(
+                        f"control socket {path}: "
+                        + (
+                            f"the response exceeds {MAX_RESPONSE_BYTES} bytes"
+                            if chunk
+                            else "the fleet closed the connection"
+                        )
+                    )
                 received += chunk
         except (FileNotFoundError, ConnectionRefusedError):
             raise ControlError(f"control socket {path}: no fleet runs there") from None
--- a/tests/fleet/test_start.py
+++ b/tests/fleet/test_start.py
@@ -84,7 +84,9 @@
         run_fleet(write_config(tmp_path, control="none/c.sock")), 1, "c.sock: No such file or directory"
     )
     (tmp_path / "file").write_text("precious")
-    assert_single_error(run_fleet(write_config(tmp_path, control="file")), 1, "another file is there")
+    assert_single_error(
+        run_fleet(write_config(tmp_path, control="file")), 1, "file: the path exists and is not a socket"
+    )
     assert (tmp_path / "file").read_text() == "precious"
 
 
