--- a/flintlatch/fleet/members.py
+++ b/flintlatch/fleet/members.py
@@ -1,4 +1,4 @@
-"""Follows the configured node sources in the supervisor and makes one list of them for all workers.
+"""Follows the configured node sources in the supervisor and merges their nodes into one list for all workers.
 
 Sources are files, a catalogue, the registry or delivery. The membership core decides which versions of a
 source are accepted; this module carries its decisions out.
@@ -112,8 +112,8 @@
 
     @property
     def last_update_ms(self) -> float:
-        """Unix time of the last version from a source; with delivery, the time at which the list was known to
-        be the origin's."""
+        """Unix time in ms of the last version from a source; with delivery, the latest time at which the list
+        was known to equal the origin's."""
         return self.subscription.last_update_ms() if self.subscription is not None else self.last_offer_ms
 
     def _read_token(self, path: str) -> str:
@@ -144,13 +144,13 @@
         if isinstance(event, VersionOffered):
             self.last_offer_ms = now_ms()
             if failure := self.core.sources[event.version.source].failure:
-                self.log("info", f"{event.version.source}: answers again, after {failure}")
+                self.log("info", f"{event.version.source}: has recovered from: {failure}")
         for action in self.core.step(self.loop.time(), event):
             if isinstance(action, Apply):
                 self._apply(action)
             elif isinstance(action, Save):
                 self.accepted_count += 1
-                self.log("info", f"{action.version.source}: version {action.version.number} taken")
+                self.log("info", f"{action.version.source}: version {action.version.number} accepted")
                 self._save(action.version)
                 if self.subscription is not None:
                     self.subscription.on_accepted(action.version)
@@ -179,7 +179,7 @@
                 self.wake_timer = self.loop.call_at(at, self.on_event, TimerExpired())
 
     def _apply(self, action: Apply) -> None:
-        if action.revision == 1:
+        if action.revision == 1:  # the first list
             targets = tuple(target_of(node, self.socket_settings) for node in action.nodes)
             self.on_listing(Listing(action.revision, True, targets))
             return
@@ -231,6 +231,7 @@
                     {"version": rejection.number, "faults": list(map(str, rejection.faults))}
                     for rejection in source.rejections
                 ],
+                # There is one subscription at most; its report is the same in each row.
                 "delivery": self.subscription.report() if self.subscription is not None else None,
             }
             for source in self.core.sources.values()
@@ -244,6 +245,8 @@
 
 
 def target_of(node: Node, socket_settings: SocketSettings, state: ServerState | None = None) -> Target:
+    """A node as a target of the proxy. Also assigns the next index to a zone or kind that `socket_settings`
+    does not have yet."""
     zone = socket_settings.zones.setdefault(node.zone, len(socket_settings.zones))
     kind = socket_settings.kinds.setdefault(node.kind, len(socket_settings.kinds))
     if state is None:
--- a/tests/fleet/test_delivered.py
+++ b/tests/fleet/test_delivered.py
@@ -94,10 +94,10 @@
         line = origin.log[await origin.said("revision ", log_position) - 1]
         return int(line.partition("revision ")[2].partition(":")[0])
 
-    async def wait_until_taken(self, revision: int, timeout_s: float) -> None:
+    async def wait_until_in_use(self, revision: int, timeout_s: float) -> None:
         """Waits until the fleet and every instance use the revision, at most `timeout_s` from now."""
         async with asyncio.timeout(timeout_s):
-            await self.fleet.said(f"{SERVICE}: version {revision} taken")
+            await self.fleet.said(f"{SERVICE}: version {revision} accepted")
             await self.fleet.until(
                 lambda s: (
                     {instance["rev"] for instance in s["instances"]} == {s["generations"][-1]["nodes"]["rev"]}
@@ -196,7 +196,7 @@
             harness.set_row(0, state="draining")
             bound_s = POLL_INTERVAL_S + RULES.staleness_bound_s(0, 0.0)
             ledger.told_draining["s0"] = now_ms() + 1000 * bound_s
-            await harness.wait_until_taken(await harness.commit(), bound_s + LOAD_MARGIN_S)
+            await harness.wait_until_in_use(await harness.commit(), bound_s + LOAD_MARGIN_S)
             assert await harness.node_states() == {
                 "s0": "leaving",
                 "s1": "active",
@@ -211,7 +211,7 @@
             await harness.children[stopped_relay].end()
             harness.set_row(1, state="draining")
             started, revision = clock(), await harness.commit()
-            await harness.wait_until_taken(
+            await harness.wait_until_in_use(
                 revision, POLL_INTERVAL_S + RULES.staleness_bound_s(1, 0.0) + LOAD_MARGIN_S
             )
             print(f"a change with its relay killed came after {clock() - started:.2f} s")
@@ -241,7 +241,7 @@
             )
             (tmp_path / "key").write_text(KEY)
             assert (await harness.fleet.ask("reload"))["ok"]
-            await harness.wait_until_taken(
+            await harness.wait_until_in_use(
                 later_revision, RULES.connect_s + RULES.staleness_bound_s(0, 0.0) + LOAD_MARGIN_S
             )
             assert (await harness.node_states())["s4"] == "active" and not (await harness.source())["old"]
@@ -281,7 +281,7 @@
             assert set((await harness.node_states()).values()) == {"active"}
             harness.rows["s1"] = valid_row
             revision = await harness.commit()
-            await harness.wait_until_taken(
+            await harness.wait_until_in_use(
                 revision, POLL_INTERVAL_S + RULES.staleness_bound_s(0, 0.0) + LOAD_MARGIN_S
             )
             assert (await harness.node_states())["s0"] == "leaving"
@@ -300,7 +300,7 @@
             await harness.wait_for_source(lambda source: source["held"] == held_revision)
             assert (await harness.source())["version"] == revision
             await harness.command("nodes", str(harness.rig.config), "--confirm", SERVICE, str(held_revision))
-            await harness.fleet.said(f"version {held_revision} taken")
+            await harness.fleet.said(f"version {held_revision} accepted")
             async with asyncio.timeout(LOAD_MARGIN_S):
                 while f'"version":{held_revision},'.encode() not in (tmp_path / "kept.0").read_bytes():
                     await asyncio.sleep(0.01)  # saved in a thread
--- a/tests/fleet/test_members.py
+++ b/tests/fleet/test_members.py
@@ -63,7 +63,7 @@
     assert answer["ok"], answer
 
 
-def test_valid_versions_are_taken_and_malformed_ones_rejected_under_traffic(tmp_path: Path) -> None:
+def test_valid_versions_are_accepted_and_malformed_ones_rejected_under_traffic(tmp_path: Path) -> None:
     seed = 11
     print("seed", seed)
 
@@ -85,7 +85,7 @@
                 await harness.fleet.said("rejected", log_position)
                 rejected += 1
                 write_file(path, valid, random)
-                await harness.fleet.said(f"nodes.json: version {version} taken")
+                await harness.fleet.said(f"nodes.json: version {version} accepted")
             await traffic
             # Every worker reaches the fleet's current revision.
             await harness.fleet.until(
@@ -121,12 +121,12 @@
                 while not reload.done():  # one after the other for as long as the reload takes
                     version += 1
                     write_file(path, document(harness, version, draining=(version % 4,)), random)
-                    await harness.fleet.said(f"nodes.json: version {version} taken")
+                    await harness.fleet.said(f"nodes.json: version {version} accepted")
                 assert (await reload)["ok"]
             await traffic
             version += 1
             write_file(path, document(harness, version), random)
-            await harness.fleet.said(f"nodes.json: version {version} taken")
+            await harness.fleet.said(f"nodes.json: version {version} accepted")
             # Workers that started late have the fleet's current revision as well, with all nodes.
             await harness.fleet.until(
                 lambda s: (
@@ -211,7 +211,7 @@
             )
             assert (await command("--confirm", "nodes.json", "3"))[0] == 1
             assert (await command("--confirm", "nodes.json", "2"))[0] == 0
-            await harness.fleet.said("version 2 taken")
+            await harness.fleet.said("version 2 accepted")
             await harness.fleet.until(lambda s: s["generations"][-1]["nodes"]["count"] == 1)
 
     run(test())
@@ -223,7 +223,7 @@
         async with daemon(tmp_path, 3, fleet={"instances": 1}) as harness:
             await switch_to_file_source(harness, path)
             path.write_bytes(document(harness, 2, draining=(1,)))
-            await harness.fleet.said("version 2 taken")
+            await harness.fleet.said("version 2 accepted")
             while b'"version":2' not in (tmp_path / "kept.0").read_bytes():  # saved in a thread
                 await asyncio.sleep(0.01)
             await harness.pids_now()
@@ -237,7 +237,7 @@
             assert [t["state"] for t in listed["list"]["targets"]] == ["active", "leaving", "active"]
             assert listed["sources"][0]["old"] and "not there" in listed["sources"][0]["failure"]
             path.write_bytes(document(harness, 3))
-            await successor.said("version 3 taken")
+            await successor.said("version 3 accepted")
             assert not (await successor.ask("nodes"))["sources"][0]["old"]
             assert await successor.stop() == 0
 
