--- a/flintlatch/fleet/channel.py
+++ b/flintlatch/fleet/channel.py
@@ -14,8 +14,9 @@
 
 
 class Channel(asyncio.Protocol):
-    """Calls `on_message` for each object, and `on_closed` once when the other side is gone or has sent a line
-    that is too long or not JSON. Messages sent after that are dropped."""
+    """Calls `on_message` for each object, and `on_closed` once: when the other side is gone, when it has sent
+    a line that is too long or not JSON, or when this side calls `close`. Messages sent after that are
+    dropped."""
 
     def __init__(self, on_message: Callable[[ChannelMessage], None], on_closed: Callable[[], None]) -> None:
         self.on_message, self.on_closed = on_message, on_closed
@@ -28,6 +29,7 @@
 
     def data_received(self, data: bytes) -> None:
         self.buffer += data
+        # Without a newline in `data`, no line is complete: the buffer never holds one from before.
         *lines, incomplete = self.buffer.split(b"\n") if b"\n" in data else (self.buffer,)
         self.buffer = bytearray(incomplete)
         for line in lines:
