--- a/tests/fleet/test_core.py
+++ b/tests/fleet/test_core.py
@@ -36,7 +36,7 @@
 )
 
 A = TypeVar("A")
-LIMITS = GenerationSettings(
+GENERATION_SETTINGS = GenerationSettings(
     instances=3,
     ready_s=10.0,
     restart_first_s=0.2,
@@ -50,14 +50,14 @@
 )
 
 
-def limits(**changes: Any) -> GenerationSettings:
-    fields = {name: getattr(LIMITS, name) for name in GenerationSettings.__slots__}
+def settings_with(**changes: Any) -> GenerationSettings:
+    fields = {name: getattr(GENERATION_SETTINGS, name) for name in GenerationSettings.__slots__}
     return GenerationSettings(**(fields | changes))
 
 
-class Driver:
+class FleetDriver:
     """Drives a fleet with simulated workers. `jitter`: the position of every random number within its
-    range."""
+    range, 0 for the lowest and 1 for the highest."""
 
     def __init__(self, jitter: float = 1.0) -> None:
         self.fleet = Fleet(lambda low, high: low + (high - low) * jitter)
@@ -87,9 +87,9 @@
             actions += self.send(Tick())
         return actions
 
-    def reload(self, limits: GenerationSettings = LIMITS) -> int:
+    def reload(self, generation_settings: GenerationSettings = GENERATION_SETTINGS) -> int:
         self.ticket += 1
-        self.send(ReloadRequested(limits, self.ticket))
+        self.send(ReloadRequested(generation_settings, self.ticket))
         return self.ticket
 
     def make_all_ready(self) -> None:
@@ -100,7 +100,7 @@
     def serving_workers(self) -> list[int]:
         return [w.id for w in self.fleet.workers.values() if w.state is WorkerState.SERVING]
 
-    def started(self) -> Driver:
+    def start(self) -> FleetDriver:
         self.reload()
         self.make_all_ready()
         assert self.fleet.phase is Phase.SERVING
@@ -118,7 +118,7 @@
 
 
 def test_first_generation_accepts_worker_by_worker_and_is_announced_once() -> None:
-    driver = Driver()
+    driver = FleetDriver()
     driver.reload()
     assert [a.number for a in driver.actions_of(Spawn)] == [0, 1, 2]
     assert driver.actions_of(Accept, driver.send(WorkerReady(1))) == [Accept(1)]
@@ -129,11 +129,12 @@
 
 
 def test_reload_switches_generations_only_when_all_new_workers_are_ready() -> None:
-    driver = Driver().started()
+    driver = FleetDriver().start()
     ticket = driver.reload()
     assert [a.generation for a in driver.actions_of(Spawn)] == [2, 2, 2]
     driver.send(WorkerReady(4))
     driver.send(WorkerReady(5))
+    # The last 4 actions include those of both WorkerReady events; earlier ones accept the first generation.
     assert not driver.actions_of(Accept, driver.actions[-4:]) and not driver.actions_of(Drain, driver.actions)
     driver.send(WorkerReady(6))
     assert [a.worker for a in driver.actions_of(Accept)] == [4, 5, 6]
@@ -148,8 +149,8 @@
 
 
 def test_generation_that_never_gets_ready_is_killed_and_the_old_one_serves_on() -> None:
-    driver = Driver().started()
-    ticket = driver.reload(limits(ready_s=4.0))
+    driver = FleetDriver().start()
+    ticket = driver.reload(settings_with(ready_s=4.0))
     driver.send(WorkerReady(4))
     driver.advance(3.9)
     assert not [a for a in driver.actions_of(ReloadDone, driver.actions) if a.ticket == ticket]
@@ -164,8 +165,8 @@
 
 
 def test_crash_loop_in_a_new_generation_fails_the_reload_before_its_time_limit() -> None:
-    driver = Driver().started()
-    ticket = driver.reload(limits(give_up_after=2))
+    driver = FleetDriver().start()
+    ticket = driver.reload(settings_with(give_up_after=2))
     driver.send(WorkerFailed(4, "no descriptors"))
     driver.worker_exits(4, "exit code 1")
     (replacement,) = driver.actions_of(Spawn, driver.advance(0.5))
@@ -175,8 +176,8 @@
 
 
 def test_reload_requested_during_another_is_queued_and_superseded_by_a_later_one() -> None:
-    driver = Driver().started()
-    first, second, third = (driver.reload(limits(instances=n)) for n in (2, 4, 5))
+    driver = FleetDriver().start()
+    first, second, third = (driver.reload(settings_with(instances=n)) for n in (2, 4, 5))
     assert driver.reload_result(second).reason == "superseded by a later reload request while queued"
     driver.make_all_ready()
     assert driver.reload_result(first).generation == 2
@@ -187,7 +188,7 @@
 
 
 def test_stop_rejects_later_reloads_and_aborts_the_one_in_progress() -> None:
-    driver = Driver().started()
+    driver = FleetDriver().start()
     ticket, queued = driver.reload(), driver.reload()
     driver.send(StopRequested())
     assert (
@@ -200,7 +201,7 @@
 
 
 def test_stop_completes_when_the_last_worker_has_exited() -> None:
-    driver = Driver().started()
+    driver = FleetDriver().start()
     driver.send(StopRequested())
     assert driver.actions_of(Stopping)
     driver.worker_exits(1)
@@ -211,7 +212,7 @@
 
 
 def test_second_stop_shortens_the_drain_and_a_third_has_no_effect() -> None:
-    driver = Driver().started()
+    driver = FleetDriver().start()
     driver.send(StopRequested())
     driver.advance(2.0)
     driver.send(StopRequested())
@@ -222,7 +223,7 @@
 
 
 def test_worker_that_does_not_drain_within_its_limit_is_killed() -> None:
-    driver = Driver().started()
+    driver = FleetDriver().start()
     driver.reload()
     driver.make_all_ready()
     assert not driver.actions_of(Kill, driver.advance(20.0 + KILL_GRACE_S - 0.1))
@@ -230,7 +231,7 @@
 
 
 def test_crashed_worker_is_restarted_with_exponential_backoff() -> None:
-    driver = Driver().started()
+    driver = FleetDriver().start()
     delays, worker = [], 1
     for _ in range(3):
         driver.worker_exits(worker, "signal 11")
@@ -245,13 +246,13 @@
 
 
 def test_restart_delay_is_jittered_down_to_half() -> None:
-    driver = Driver(jitter=0.0).started()
+    driver = FleetDriver(jitter=0.0).start()
     driver.worker_exits(1, "signal 11")
     assert driver.fleet.generations[1].slots[0].restart_at_s == driver.now + 0.1
 
 
 def test_crash_loop_is_given_up_until_a_reload_and_other_slots_serve_on() -> None:
-    driver = Driver().started()
+    driver = FleetDriver().start()
     driver.worker_exits(1, "signal 11")
     for _ in range(3):
         (spawned,) = driver.actions_of(Spawn, driver.advance(5.0))
@@ -265,7 +266,7 @@
 
 
 def test_crash_count_is_reset_after_a_stable_period() -> None:
-    driver = Driver().started()
+    driver = FleetDriver().start()
     for _ in range(10):
         driver.advance(9.0)
         (worker,) = [w.id for w in driver.fleet.workers.values() if w.number == 0]
@@ -277,8 +278,8 @@
 
 
 def test_fleet_fails_when_all_slots_are_given_up() -> None:
-    driver = Driver()
-    driver.reload(limits(instances=1, give_up_after=2, ready_s=1000.0))
+    driver = FleetDriver()
+    driver.reload(settings_with(instances=1, give_up_after=2, ready_s=1000.0))
     driver.worker_exits(1, "exit code 1")
     driver.advance(1.0)
     driver.worker_exits(2, "exit code 1")
@@ -286,8 +287,8 @@
 
 
 def test_first_start_with_a_crash_loop_in_one_slot_serves_with_the_others() -> None:
-    driver = Driver()
-    driver.reload(limits(give_up_after=1))
+    driver = FleetDriver()
+    driver.reload(settings_with(give_up_after=1))
     driver.send(WorkerReady(2))
     driver.send(WorkerReady(3))
     driver.worker_exits(1, "exit code 1")
@@ -296,7 +297,7 @@
 
 
 def test_first_start_without_a_ready_worker_within_the_limit_fails() -> None:
-    driver = Driver()
+    driver = FleetDriver()
     driver.reload()
     driver.advance(10.1, alive=False)
     for worker in (1, 2, 3):
@@ -305,7 +306,7 @@
 
 
 def test_watchdog_kills_a_silent_worker_but_not_a_starting_one() -> None:
-    driver = Driver().started()
+    driver = FleetDriver().start()
     driver.worker_exits(3, "signal 11")
     driver.advance(0.3)  # worker 4 is starting
     for _ in range(4):
@@ -318,7 +319,7 @@
 
 
 def test_worker_over_its_memory_limit_is_replaced_after_the_stable_period() -> None:
-    driver = Driver().started()
+    driver = FleetDriver().start()
     assert not driver.actions_of(Spawn, driver.send(WorkerHeartbeat(1, 150.0)))
     driver.advance(8.0)
     driver.send(WorkerHeartbeat(1, 150.0))
@@ -330,14 +331,14 @@
 
 
 def test_handover_to_a_successor_drains_without_accepting_the_backlog() -> None:
-    driver = Driver().started()
+    driver = FleetDriver().start()
     driver.send(StopRequested("upgraded", True))
     assert {a.accept_backlog for a in driver.actions_of(Drain)} == {False}
 
 
 STEPS = st.lists(
     st.tuples(
-        st.sampled_from(["reload", "stop", "ready", "exit", "crash", "beat", "time", "failed"]),
+        st.sampled_from(["reload", "stop", "ready", "exit", "crash", "heartbeat", "time", "failed"]),
         st.integers(0, 30),
     ),
     max_size=40,
@@ -349,14 +350,14 @@
 def test_invariants_hold_for_any_sequence_of_events(steps: list[tuple[str, int]]) -> None:
     """A worker serves unless a serving one crashed; each reload request gets one result; a stop ends every
     worker and generation; worker ids are never reused."""
-    driver = Driver().started()
+    driver = FleetDriver().start()
     spawned: set[int] = set()
     serving_worker_crashed = stop_requested = False
     for step_name, argument in steps:
         workers = list(driver.fleet.workers.values())
         worker = workers[argument % len(workers)] if workers else None
         if step_name == "reload":
-            driver.reload(limits(instances=1 + argument % 3))
+            driver.reload(settings_with(instances=1 + argument % 3))
         elif step_name == "stop" and argument < 5:
             stop_requested = True
             driver.send(StopRequested())
@@ -379,7 +380,7 @@
             driver.worker_exits(worker.id, "signal 11")
         elif worker is not None and step_name == "failed":
             driver.send(WorkerFailed(worker.id, "why"))
-        elif worker is not None:
+        elif worker is not None:  # a heartbeat, also for a step that does not apply to this worker's state
             driver.send(WorkerHeartbeat(worker.id, float(argument)))
         assert serving_worker_crashed or stop_requested or driver.serving_workers()
         current = driver.fleet.current
