--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -22,7 +22,7 @@
 REQUEST_HEAD = b"POST /answer HTTP/1.1\r\nhost: b\r\n"
 
 
-class StartedAttempts:
+class PoolWithOutcomes:
     """A pool with one backend `s`, and the results of the attempts started in it."""
 
     def __init__(
@@ -30,24 +30,26 @@
     ) -> None:
         self.pool = Backends(connect_timeout_ms, idle_ms, max_connections)
         self.outcomes: asyncio.Queue[tuple[Result, Response | None]] = asyncio.Queue()
-        self.list(target("s", server.address))
+        self.set_targets(target("s", server.address))
 
-    def list(self, *targets: Target) -> None:
+    def set_targets(self, *targets: Target) -> None:
         self.pool.update(targets, True)
 
-    def start(self, uid: str = "s", timeout_ms: float = 30000.0, body: bytes = b"") -> Attempt:
+    def start(self, backend: str = "s", timeout_ms: float = 30000.0, body: bytes = b"") -> Attempt:
         head = REQUEST_HEAD + b"content-length: %d\r\n" % len(body)
-        attempt = Attempt(uid, head, body, timeout_ms, lambda _, *outcome: self.outcomes.put_nowait(outcome))
+        attempt = Attempt(
+            backend, head, body, timeout_ms, lambda _, *outcome: self.outcomes.put_nowait(outcome)
+        )
         self.pool.start(attempt)
         return attempt
 
     async def result(self) -> Result:
         return (await self.outcomes.get())[0]
 
-    async def serve_one(self, server: ScriptedServer, uid: str = "s") -> int:
+    async def serve_one(self, server: ScriptedServer, backend: str = "s") -> int:
         """Serves one attempt. Returns the number of the connection that carried it."""
         await asyncio.sleep(2 * backends_module.REUSE_DELAY_MS / 1000)  # idle connections may be reused then
-        self.start(uid)
+        self.start(backend)
         received = await server.requests.get()
         received.reply()
         assert await self.result() is Result.OK
@@ -64,9 +66,9 @@
 @asynccontextmanager
 async def pool_with_server(
     connect_timeout_ms: float = 20000.0, idle_ms: float = 60000.0, max_connections: int = 100
-) -> AsyncIterator[tuple[StartedAttempts, ScriptedServer]]:
+) -> AsyncIterator[tuple[PoolWithOutcomes, ScriptedServer]]:
     server = await ScriptedServer().open()
-    attempts = StartedAttempts(server, connect_timeout_ms, idle_ms, max_connections)
+    attempts = PoolWithOutcomes(server, connect_timeout_ms, idle_ms, max_connections)
     try:
         yield attempts, server
     finally:
@@ -124,7 +126,7 @@
                 for other in (one, two):
                     other.setblocking(False)
                     other.connect_ex(silent.getsockname())
-                attempts.list(target("s", "{}:{}".format(*silent.getsockname())))
+                attempts.set_targets(target("s", "{}:{}".format(*silent.getsockname())))
                 attempts.start(timeout_ms=timeout_ms)
                 assert await attempts.result() is Result.CONNECT_FAILED
             assert not attempts.pool.connections
@@ -133,7 +135,7 @@
 
 
 @asynccontextmanager
-async def half_written(attempts: StartedAttempts) -> AsyncIterator[socket.socket]:
+async def half_written(attempts: PoolWithOutcomes) -> AsyncIterator[socket.socket]:
     """A server that has read only 10 bytes of a request that is far larger than the kernel's buffers."""
     loop = asyncio.get_running_loop()
     with socket.socket() as listener:
@@ -141,7 +143,7 @@
         listener.bind(("127.0.0.1", 0))
         listener.listen(1)
         listener.setblocking(False)
-        attempts.list(target("s", "{}:{}".format(*listener.getsockname())))
+        attempts.set_targets(target("s", "{}:{}".format(*listener.getsockname())))
         attempts.start(body=b"x" * 32_000_000)
         accepted, _ = await loop.sock_accept(listener)
         with accepted:
@@ -395,8 +397,8 @@
         async with pool_with_server() as (attempts, server):
             attempts.start()
             received = await server.requests.get()
-            twice = b"HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\n"
-            received.writer.write(twice + b"a" + twice + b"b")
+            head = b"HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\n"
+            received.writer.write(head + b"a" + head + b"b")
             _, response = await attempts.outcomes.get()
             assert response is not None and response.body == b"a"
             assert await attempts.serve_one(server) == 2
@@ -416,15 +418,15 @@
     run(test())
 
 
-@pytest.mark.parametrize("change", ["drains", "leaves", "is gone", "restarts", "moves"])
+@pytest.mark.parametrize("change", ["drains", "is listed as gone", "is not listed", "restarts", "moves"])
 def test_idle_connections_are_closed_when_the_server_changes(change: str) -> None:
     async def test() -> None:
         async with pool_with_server() as (attempts, server):
             other = await ScriptedServer().open()
             updates = {
                 "drains": [target("s", server.address, ServerState.DRAINING)],
-                "leaves": [target("s", server.address, ServerState.GONE)],
-                "is gone": [],
+                "is listed as gone": [target("s", server.address, ServerState.GONE)],
+                "is not listed": [],
                 "restarts": [target("s", server.address, started=5.0)],
                 "moves": [target("s", other.address)],
             }
@@ -433,7 +435,7 @@
             busy, idle = await server.requests.get(), await server.requests.get()
             idle.reply()
             assert await attempts.result() is Result.OK
-            attempts.list(*updates[change])
+            attempts.set_targets(*updates[change])
             await idle.closed.wait()
             busy.reply()  # a request in progress may finish, but its connection is not kept
             assert await attempts.result() is Result.OK
@@ -455,7 +457,7 @@
     async def test() -> None:
         async with pool_with_server() as (attempts, server):
             attempts.start()
-            attempts.list(target("s", server.address, state))
+            attempts.set_targets(target("s", server.address, state))
             assert await attempts.result() is Result.CONNECT_FAILED
             assert not attempts.pool.connections  # no longer counted towards the connection limit
             assert server.requests.empty()
@@ -490,16 +492,16 @@
     async def test() -> None:
         async with pool_with_server(max_connections=2) as (attempts, server):
             other = await ScriptedServer().open()
-            attempts.list(target("s", server.address), target("t", other.address))
+            attempts.set_targets(target("s", server.address), target("t", other.address))
             await attempts.serve_one(server)
             attempts.start("t")
-            busy = await other.requests.get()
+            first = await other.requests.get()
             attempts.start("t")
             second = await other.requests.get()
             assert not attempts.pool.backends["s"].idle_connections
             attempts.start("s")
             assert await attempts.result() is Result.NO_ROOM  # no connection is idle now
-            for received in (busy, second):
+            for received in (first, second):
                 received.reply()
                 assert await attempts.result() is Result.OK
             other.close()
@@ -507,12 +509,13 @@
     run(test())
 
 
-def test_a_connection_established_too_late_carries_no_repeat_and_is_kept() -> None:
-    """Servers deduplicate keyed requests only for a limited time: a repeat written later would run again."""
+def test_a_connection_established_after_the_write_deadline_carries_no_request_and_is_kept() -> None:
+    """Servers deduplicate keyed requests only for a limited time: a retry that is written later would run
+    again."""
 
     async def test() -> None:
         async with pool_with_server() as (attempts, server):
-            late = Attempt(
+            late = Attempt(  # the last argument, `write_within_ms`, allows no time
                 "s", REQUEST_HEAD + b"content-length: 0\r\n", b"", 30000.0,
                 lambda _, *outcome: attempts.outcomes.put_nowait(outcome), 0.0,
             )  # fmt: skip
