--- a/flintlatch/fleet/limiting.py
+++ b/flintlatch/fleet/limiting.py
@@ -86,8 +86,8 @@
         )
         self.lessor_since: float | None = None  # of an open limit
         self.term_number = 0  # the highest leadership term seen; a new lessor takes a higher one
-        self.last_ask: LeaseRequest | None = None
-        self.next_ask_at = self.next_grant_at = self.next_share_at = 0.0
+        self.last_request: LeaseRequest | None = None
+        self.next_request_at = self.next_grant_at = self.next_share_at = 0.0
         self.mismatched_fleets: list[str] = []  # whose configured rate of this limit differs
         self.demand_exceeds_share = False
 
@@ -252,12 +252,18 @@
             )
         if shares_due:
             row.next_share_at = now + self.terms.term_s / RENEWALS_PER_TERM
-        ask = holder.request(now, self._lessor_of(shell, limit))._replace(run_id=me.run_id)
-        if now >= row.next_ask_at or row.last_ask is None or differs_significantly(row.last_ask, ask, limit):
-            shell.publish("ask", limit.name, write_lease_request(ask), self.terms.term_s, renew=False)
-            row.last_ask, row.next_ask_at = ask, now + self.terms.term_s / RENEWALS_PER_TERM
-            if ask.lessor and ask.lessor != me.name:
-                peers_to_push.add(ask.lessor)
+        lease_request = holder.request(now, self._lessor_of(shell, limit))._replace(run_id=me.run_id)
+        if (
+            now >= row.next_request_at
+            or row.last_request is None
+            or differs_significantly(row.last_request, lease_request, limit)
+        ):
+            shell.publish(
+                "ask", limit.name, write_lease_request(lease_request), self.terms.term_s, renew=False
+            )
+            row.last_request, row.next_request_at = lease_request, now + self.terms.term_s / RENEWALS_PER_TERM
+            if lease_request.lessor and lease_request.lessor != me.name:
+                peers_to_push.add(lease_request.lessor)
         exceeded = holder.demand > holder.leased(now) + limit.reserved_per_s(self.terms.fleets) + 1e-9
         if exceeded != row.demand_exceeds_share:
             row.demand_exceeds_share = exceeded
@@ -279,23 +285,25 @@
         """As the lessor, if this fleet is: grant leases to the holders that ask for one."""
         limit, me, leadership = row.limit, shell.member.me, self.leadership
         assert leadership is not None
-        asks: dict[str, tuple[str, LeaseRequest]] = {}
+        lease_requests: dict[str, tuple[str, LeaseRequest]] = {}
         for entry in shell.member.entry_store.read(now, "ask", limit.name):
             try:
-                ask = read_lease_request(entry.value)
+                lease_request = read_lease_request(entry.value)
             except Malformed:
                 continue
-            asks[holder_of(entry.origin, ask.run_id)] = entry.origin, ask
-            row.term_number = max(row.term_number, ask.version.term)
+            lease_requests[holder_of(entry.origin, lease_request.run_id)] = entry.origin, lease_request
+            row.term_number = max(row.term_number, lease_request.version.term)
         if limit.when_cut is PartitionPolicy.STRICT:
             if not is_lessor:
                 return
             term_number, settled = leadership.term, leadership.predecessors_expired(now)
             leadership.highest_term = max(leadership.highest_term, row.term_number)
-            received_asks = asks
+            received_requests = lease_requests
         else:
-            received_asks = {name: pair for name, pair in asks.items() if pair[1].lessor == me.name}
-            if not received_asks:
+            received_requests = {
+                name: pair for name, pair in lease_requests.items() if pair[1].lessor == me.name
+            }
+            if not received_requests:
                 row.lessor_since = None
                 return
             if row.lessor_since is None:
@@ -306,14 +314,20 @@
                 term_number = row.lessor.term
         view = shell.member.peers.view
         instances = sum(
-            view[origin].instances if origin in view else 1 for origin, _ in received_asks.values()
+            view[origin].instances if origin in view else 1 for origin, _ in received_requests.values()
         )
         configured_instances = max(self.terms.fleets * max(me.instances, 1), 1)
         capacity = row.lessor.capacity(
-            instances, configured_instances, (ask for _, ask in received_asks.values())
+            instances,
+            configured_instances,
+            (lease_request for _, lease_request in received_requests.values()),
         )
         mismatched = sorted(
-            {o for o, ask in received_asks.values() if ask.per_s and ask.per_s != limit.per_s}
+            {
+                o
+                for o, lease_request in received_requests.values()
+                if lease_request.per_s and lease_request.per_s != limit.per_s
+            }
         )
         if mismatched != row.mismatched_fleets:
             row.mismatched_fleets = mismatched
@@ -323,13 +337,13 @@
                 )
                 self.log("warning", f"limit {limit.name}: {text}")
         renewal_due = now >= row.next_grant_at
-        asks_by_holder = {name: ask for name, (_, ask) in received_asks.items()}
+        requests_by_holder = {name: lease_request for name, (_, lease_request) in received_requests.items()}
         for name, grant in row.lessor.step(
-            now, me.name, term_number, settled, capacity, asks_by_holder, renewal_due
+            now, me.name, term_number, settled, capacity, requests_by_holder, renewal_due
         ).items():
             shell.publish("grant", f"{name} {limit.name}", write_lease(grant), self.terms.term_s, renew=False)
-            if received_asks[name][0] != me.name:
-                peers_to_push.add(received_asks[name][0])
+            if received_requests[name][0] != me.name:
+                peers_to_push.add(received_requests[name][0])
             else:
                 self.on_entries_changed()
         if renewal_due:
@@ -370,12 +384,12 @@
     return {"kind": "word", "about": "limit", "limit": limit, "value": value, "until": expires_at}
 
 
-def differs_significantly(previous: LeaseRequest, ask: LeaseRequest, limit: Limit) -> bool:
+def differs_significantly(previous: LeaseRequest, lease_request: LeaseRequest, limit: Limit) -> bool:
     """Whether the new entry has to be published before the next renewal."""
     if (previous.version, previous.lessor, previous.lease_lessor) != (
-        ask.version,
-        ask.lessor,
-        ask.lease_lessor,
+        lease_request.version,
+        lease_request.lessor,
+        lease_request.lease_lessor,
     ):
         return True
-    return abs(previous.demand - ask.demand) > SIGNIFICANT_CHANGE_FRACTION * limit.per_s
+    return abs(previous.demand - lease_request.demand) > SIGNIFICANT_CHANGE_FRACTION * limit.per_s
