--- a/flintlatch/net/relay.py
+++ b/flintlatch/net/relay.py
@@ -137,19 +137,31 @@
     # `Owner` of the exchanges
 
     def request_server(self, exchange: Exchange, uploading: bool) -> None:
-        ask, terms = exchange.routing, exchange.limits
+        routing, limits = exchange.routing, exchange.limits
         total_budget_ms = (
-            ask.budget_ms if ask.budget_includes_upload or not uploading else terms.upload_ms + ask.budget_ms
+            routing.budget_ms
+            if routing.budget_includes_upload or not uploading
+            else limits.upload_ms + routing.budget_ms
         )
-        memory_bytes = self.reserved_bytes[ask.id]
+        memory_bytes = self.reserved_bytes[routing.id]
 
         def respond(answer: Answer) -> None:
             exchange.answer(now_ms() / 1000, ProxyResponse(answer.status, answer.retry_after_ms))
 
-        upload_fields = (ask.budget_ms, uploading, memory_bytes)
-        fields = (ask.id, ask.cls, ask.tenant, ask.key, total_budget_ms, ask.is_retry, b"", b"", respond)
+        upload_fields = (routing.budget_ms, uploading, memory_bytes)
+        fields = (
+            routing.id,
+            routing.cls,
+            routing.tenant,
+            routing.key,
+            total_budget_ms,
+            routing.is_retry,
+            b"",
+            b"",
+            respond,
+        )
         if not self.accept(AcceptedRequest(*fields, *upload_fields)):
-            raise AssertionError(f"id {ask.id} was free in open(), but is in use now")
+            raise AssertionError(f"id {routing.id} was free in open(), but is in use now")
 
     def on_body_received(self, exchange: Exchange) -> None:
         self._post_event(BodyReceived(exchange.routing.id))
