--- a/flintlatch/net/engine.py
+++ b/flintlatch/net/engine.py
@@ -94,7 +94,7 @@
     tenant: int
     key: int | None
     budget_ms: float
-    repeat: bool
+    is_retry: bool
     head: bytes  # request line and headers for the backend, without the final empty line
     body: bytes
     respond: Callable[[Answer], None]
@@ -208,11 +208,11 @@
             budget = min(budget, self.settings.classes[accepted.cls].deadline_ms)
         pending = self.requests[accepted.id] = PendingRequest(accepted)
         pending.timer = self.loop.call_later(max(budget, 0.0) / 1000, self._on_deadline, pending)
-        key, repeat = accepted.key, accepted.repeat
+        key, is_retry = accepted.key, accepted.is_retry
         deadline = now_ms() + budget
         upload_fields = (accepted.budget_after_upload_ms, accepted.uploading, accepted.memory_bytes)
         self._post_event(
-            Arrival(accepted.id, accepted.cls, accepted.tenant, key, deadline, repeat, *upload_fields)
+            Arrival(accepted.id, accepted.cls, accepted.tenant, key, deadline, is_retry, *upload_fields)
         )
         return True
 
--- a/flintlatch/platform/front.py
+++ b/flintlatch/platform/front.py
@@ -155,7 +155,7 @@
                 accepted.tenant,
                 accepted.key,
                 accepted.budget_ms,
-                is_retry=accepted.repeat,
+                is_retry=accepted.is_retry,
             )
             request = ForwardedRequest(method, message.target, b"", [], incoming.length, head=accepted.head)
             incoming.exchange = self._open(request, routing, True)
@@ -186,7 +186,7 @@
         accepted = self.frontend.reader.read(message, self.on_answer, with_length=False)
         budget = min(accepted.budget_ms, self.engine.settings.classes[accepted.cls].deadline_ms)
         routing = RoutingInfo(
-            accepted.id, accepted.cls, accepted.tenant, accepted.key, budget, is_retry=accepted.repeat
+            accepted.id, accepted.cls, accepted.tenant, accepted.key, budget, is_retry=accepted.is_retry
         )
         request = ForwardedRequest(
             message.method, message.target, b"", [], len(message.body), head=accepted.head
