--- a/flintlatch/fleet/agreed.py
+++ b/flintlatch/fleet/agreed.py
@@ -13,7 +13,7 @@
 
 from flintlatch.config import Config, resolve_config_path
 from flintlatch.config.tables import PeersTable
-from flintlatch.fleet.channel import Message
+from flintlatch.fleet.channel import ChannelMessage
 from flintlatch.fleet.judging import OutlierEjector
 from flintlatch.fleet.limiting import Limiter
 from flintlatch.limits.api import limit_topics
@@ -38,8 +38,8 @@
         self,
         config: Config,
         table: PeersTable,
-        broadcast: Callable[[Message], None],
-        send_to_worker: Callable[[int, Message], None],
+        broadcast: Callable[[ChannelMessage], None],
+        send_to_worker: Callable[[int, ChannelMessage], None],
         servers: Callable[[], set[str]],
         log: Callable[[str, str], None],
     ) -> None:
@@ -108,7 +108,7 @@
             )
 
     def _read_keys(self) -> tuple[bytes, ...]:
-        """Read the key file. Raises BadKeys or OSError."""
+        """Reads the key file. Raises BadKeys or OSError."""
         path = resolve_config_path(self.config.path, self.table.key_file)
         with open(path, encoding="ascii", errors="replace") as file:
             return read_keys(file.read(65536), path)
@@ -135,8 +135,8 @@
         )
 
     def reconfigure(self, config: Config) -> None:
-        """Apply a reloaded configuration. The number of instances, keys and limits change at once; a changed
-        name or address needs a restart."""
+        """Applies a reloaded configuration. The number of instances, keys and limits change at once; a
+        changed name or address needs a restart."""
         table = config.peers
         if table is None:
             self.log("warning", "peers: the table was removed; this fleet stays a member until a restart")
@@ -174,7 +174,8 @@
             self.shell.close()
 
     def leave(self) -> None:
-        """Announce that this fleet leaves, so that the other members stop counting it at once, and close."""
+        """Announces that this fleet leaves, so that the other members stop counting it at once, and
+        closes."""
         if self.shell is not None:
             self.shell.leave()
         self.close()
@@ -218,7 +219,7 @@
             for entry in self.entries():
                 self.broadcast(entry)
 
-    def entries(self) -> list[Message]:
+    def entries(self) -> list[ChannelMessage]:
         """The currently valid entries; none while this fleet is not a member."""
         if self.shell is None:
             return []
@@ -227,7 +228,7 @@
 
     # Control requests
 
-    def publish_note(self, subject: str, text: str, ttl_s: float) -> Message:
+    def publish_note(self, subject: str, text: str, ttl_s: float) -> ChannelMessage:
         if self.shell is None:
             return {"ok": False, "reason": self.error or "not a member yet"}
         if not 1 <= len(text.encode()) <= MAX_VALUE_BYTES or not 1 <= len(subject) <= MAX_SUBJECT_CHARS:
@@ -254,11 +255,11 @@
             for entry in self.shell.member.entry_store.read(now, NOTES.name)
         ]
 
-    def report(self) -> Message:
+    def report(self) -> ChannelMessage:
         """Members with their states, last contact and round-trip times, the stated time bounds, and counts.
         Ages are in seconds."""
         position = self.census.read(clock())
-        response: Message = {
+        response: ChannelMessage = {
             "ok": True,
             "member": self.shell is not None,
             "complaint": self.error,
--- a/flintlatch/fleet/judging.py
+++ b/flintlatch/fleet/judging.py
@@ -11,7 +11,7 @@
 from contextlib import suppress
 from typing import Any
 
-from flintlatch.fleet.channel import Message
+from flintlatch.fleet.channel import ChannelMessage
 from flintlatch.peers.clock import clock
 from flintlatch.peers.shell import Shell
 from flintlatch.peers.words import EntryStore
@@ -29,7 +29,7 @@
         self,
         rules: EjectionRules,
         shell: Callable[[], Shell | None],
-        broadcast: Callable[[Message], None],
+        broadcast: Callable[[ChannelMessage], None],
         listed_servers: Callable[[], set[str]],
         log: Callable[[str, str], None],
     ) -> None:
@@ -59,7 +59,7 @@
         if self.timer is not None:
             self.timer.cancel()
 
-    def on_instance_report(self, worker: int, message: Message) -> None:
+    def on_instance_report(self, worker: int, message: ChannelMessage) -> None:
         previous = self.failures_by_instance.get(worker), self.recovered_by_instance.get(worker)
         self.failures_by_instance[worker] = {str(name): int(count) for name, count in message["bad"].items()}
         self.recovered_by_instance[worker] = set(map(str, message["good"]))
@@ -71,7 +71,7 @@
         self.recovered_by_instance.pop(worker, None)
 
     def step(self) -> None:
-        """Publish the own observations, evaluate those of all fleets, and send the result to the
+        """Publishes the own observations, evaluates those of all fleets, and sends the result to the
         instances."""
         shell = self.shell()
         if shell is None:
@@ -106,7 +106,7 @@
             )
 
     def _publish_observations(self, now: float, shell: Shell, listed: set[str]) -> None:
-        """Publish one observation per server for the whole fleet: the most consecutive failures that an
+        """Publishes one observation per server for the whole fleet: the most consecutive failures that an
         instance reports, or, if none does, that the server has recovered."""
         worst: dict[str, int] = {}
         for failures in self.failures_by_instance.values():
@@ -125,7 +125,7 @@
                 self.published[server] = value, now + self.rules.life_s / RENEWALS_PER_TTL
 
     def _log_changes(self, previous: EjectionDecision, own_name: str) -> None:
-        """Log one line for each change."""
+        """Logs one line for each change."""
         for server, verdict in self.detected.ejected.items():
             if server not in previous.ejected:
                 scope = f"for zone {verdict.zone}" if verdict.zone else "for all"
--- a/flintlatch/fleet/members.py
+++ b/flintlatch/fleet/members.py
@@ -1,4 +1,4 @@
-"""Follows the configured node sources in the supervisor and makes one list of them for all workers.
+"""Follows the configured node sources in the supervisor and merges their nodes into one list for all workers.
 
 Sources are files, a catalogue, the registry or delivery. The membership core decides which versions of a
 source are accepted; this module carries its decisions out.
@@ -57,7 +57,7 @@
         log: Callable[[str, str], None],
         delivery_feeds: DeliveryFeeds | None = None,
     ) -> None:
-        self.wire, self.on_listing, self.log = config.socket_settings(), on_listing, log
+        self.socket_settings, self.on_listing, self.log = config.socket_settings(), on_listing, log
         self.loop = asyncio.get_running_loop()
         table = config.nodes
         catalogue_services = {f"{table.catalogue}#{service}": service for service in table.services}
@@ -95,7 +95,9 @@
                 log("error", f"{name}: httpx is not installed: pip install flintlatch[membership]")
 
         if registry_sources:
-            self.sources.append(RegistrySource(REGISTRY_SOURCE, table.registry, self.wire, self.on_event))
+            self.sources.append(
+                RegistrySource(REGISTRY_SOURCE, table.registry, self.socket_settings, self.on_event)
+            )
         self.subscription: NodeSubscription | None = None
         if delivery_sources and delivery_feeds is not None:
             self.subscription = delivery_feeds.subscribe(config, self.on_event)
@@ -110,8 +112,8 @@
 
     @property
     def last_update_ms(self) -> float:
-        """Unix time of the last version from a source; with delivery, the time at which the list was known to
-        be the origin's."""
+        """Unix time in ms of the last version from a source; with delivery, the latest time at which the list
+        was known to equal the origin's."""
         return self.subscription.last_update_ms() if self.subscription is not None else self.last_offer_ms
 
     def _read_token(self, path: str) -> str:
@@ -142,13 +144,13 @@
         if isinstance(event, VersionOffered):
             self.last_offer_ms = now_ms()
             if failure := self.core.sources[event.version.source].failure:
-                self.log("info", f"{event.version.source}: answers again, after {failure}")
+                self.log("info", f"{event.version.source}: has recovered from: {failure}")
         for action in self.core.step(self.loop.time(), event):
             if isinstance(action, Apply):
                 self._apply(action)
             elif isinstance(action, Save):
                 self.accepted_count += 1
-                self.log("info", f"{action.version.source}: version {action.version.number} taken")
+                self.log("info", f"{action.version.source}: version {action.version.number} accepted")
                 self._save(action.version)
                 if self.subscription is not None:
                     self.subscription.on_accepted(action.version)
@@ -177,17 +179,19 @@
                 self.wake_timer = self.loop.call_at(at, self.on_event, TimerExpired())
 
     def _apply(self, action: Apply) -> None:
-        if action.revision == 1:
-            targets = tuple(target_of(node, self.wire) for node in action.nodes)
+        if action.revision == 1:  # the first list
+            targets = tuple(target_of(node, self.socket_settings) for node in action.nodes)
             self.on_listing(Listing(action.revision, True, targets))
             return
         change = action.change
-        removed = (target_of(node, self.wire, ServerState.GONE) for node in change.removed)
-        updated = (target_of(n, self.wire) for n in (*change.drained, *change.changed, *change.added))
+        removed = (target_of(node, self.socket_settings, ServerState.GONE) for node in change.removed)
+        updated = (
+            target_of(n, self.socket_settings) for n in (*change.drained, *change.changed, *change.added)
+        )
         self.on_listing(Listing(action.revision, False, (*removed, *updated)))
 
     def _save(self, version: Version) -> None:
-        """Save an accepted version in a thread; a failure is logged and has no other effect."""
+        """Saves an accepted version in a thread; a failure is logged and has no other effect."""
         if not self.saved_path_prefix:
             return
 
@@ -227,6 +231,7 @@
                     {"version": rejection.number, "faults": list(map(str, rejection.faults))}
                     for rejection in source.rejections
                 ],
+                # There is one subscription at most; its report is the same in each row.
                 "delivery": self.subscription.report() if self.subscription is not None else None,
             }
             for source in self.core.sources.values()
@@ -239,9 +244,11 @@
             source.close()
 
 
-def target_of(node: Node, wire: SocketSettings, state: ServerState | None = None) -> Target:
-    zone = wire.zones.setdefault(node.zone, len(wire.zones))
-    kind = wire.kinds.setdefault(node.kind, len(wire.kinds))
+def target_of(node: Node, socket_settings: SocketSettings, state: ServerState | None = None) -> Target:
+    """A node as a target of the proxy. Also assigns the next index to a zone or kind that `socket_settings`
+    does not have yet."""
+    zone = socket_settings.zones.setdefault(node.zone, len(socket_settings.zones))
+    kind = socket_settings.kinds.setdefault(node.kind, len(socket_settings.kinds))
     if state is None:
         state = ServerState.DRAINING if node.state is NodeState.DRAINING else ServerState.ACTIVE
     info = ServerInfo(node.uid, state, zone, kind, node.cell, node.started_ms, node.weight)
--- a/flintlatch/fleet/supervisor.py
+++ b/flintlatch/fleet/supervisor.py
@@ -21,7 +21,7 @@
 from flintlatch import handover
 from flintlatch.config import Config, InvalidConfig, load
 from flintlatch.fleet import core, log, spread
-from flintlatch.fleet.channel import Channel, Message, open_channel
+from flintlatch.fleet.channel import Channel, ChannelMessage, open_channel
 from flintlatch.fleet.control import Control, ControlError, check_path
 from flintlatch.fleet.listeners import ListenError, Listeners, bound_address
 from flintlatch.fleet.nodes import NodeList, encode_listing
@@ -57,11 +57,11 @@
         self.worker = worker
         self.process: asyncio.subprocess.Process | None = None
         self.channel: Channel | None = None
-        self.queued_messages: list[Message] = []  # sent once the channel is open
+        self.queued_messages: list[ChannelMessage] = []  # sent once the channel is open
         self.killed = False
-        self.last_heartbeat: Message = {}
+        self.last_heartbeat: ChannelMessage = {}
 
-    def send(self, message: Message) -> None:
+    def send(self, message: ChannelMessage) -> None:
         if self.channel is None:
             self.queued_messages.append(message)
         else:
@@ -91,8 +91,8 @@
         self.last_ticket = 0
         self.reload_lock = asyncio.Lock()  # held while a reload is read and prepared; the core queues it then
         self.opening_addresses: tuple[str, ...] = ()  # listen addresses of the reload being prepared
-        self.scheduled_reload: asyncio.Task[Message] | None = None  # requested, its file not read yet
-        self.last_reload: Message = {}
+        self.scheduled_reload: asyncio.Task[ChannelMessage] | None = None  # requested, its file not read yet
+        self.last_reload: ChannelMessage = {}
         self.recent_warnings: list[str] = []
         self.spread_fd = spread.create_page()
         self.spread = spread.ConnectionSpread(self.spread_fd, 0)
@@ -138,7 +138,7 @@
     # Start and end
 
     async def run(self) -> int:
-        """Serve until told to stop, and return the exit code. Raises StartupError if nothing can serve."""
+        """Serves until told to stop, and returns the exit code. Raises StartupError if nothing can serve."""
         for number, handler in (
             (signal.SIGTERM, self.stop),
             (signal.SIGINT, self.stop),
@@ -187,7 +187,7 @@
             self._notify_watchdog()
 
     def _open_nodes(self, config: Config) -> NodeList:
-        """Start to follow the node list of a new generation."""
+        """Starts to follow the node list of a new generation."""
         if config.delivery is not None and self.delivery_feeds is None:
             try:
                 from flintlatch.fleet.delivered import DeliveryFeeds  # imported only if configured
@@ -222,9 +222,9 @@
         descriptor_number = self.env.pop(TAKEOVER_VARIABLE, "")
         if not descriptor_number:
             return
-        received: asyncio.Future[Message] = self.loop.create_future()
+        received: asyncio.Future[ChannelMessage] = self.loop.create_future()
 
-        def on_message(message: Message) -> None:
+        def on_message(message: ChannelMessage) -> None:
             if not received.done():
                 received.set_result(message)
 
@@ -245,7 +245,7 @@
         self.core.last_generation, self.core.last_worker_id = message["generation"], message["worker"]
 
     def _open_metrics_page(self, config: Config) -> None:
-        """Open the metrics page. A failure is logged only, since the fleet can serve without it."""
+        """Opens the metrics page. A failure is logged only, since the fleet can serve without it."""
         if not config.fleet.metrics:
             return
         try:
@@ -270,7 +270,7 @@
         )
         self.peer_service.start()
 
-    def _send_to_all(self, message: Message) -> None:
+    def _send_to_all(self, message: ChannelMessage) -> None:
         for process in self.processes.values():
             if process.channel is not None:  # a worker without one gets the current state when it starts
                 process.channel.send(message)
@@ -281,7 +281,7 @@
         node_list = self.nodes.get(current.number) if current is not None else None
         return set(node_list.targets) if node_list is not None else set()
 
-    def _send_to_worker(self, worker: int, message: Message) -> None:
+    def _send_to_worker(self, worker: int, message: ChannelMessage) -> None:
         if (process := self.processes.get(worker)) is not None and process.channel is not None:
             process.channel.send(message)
 
@@ -311,7 +311,7 @@
         )
 
     def _inherit_listeners(self) -> None:
-        """Take over the listening sockets, with their accept queues, from the workers of a dead
+        """Takes over the listening sockets, with their accept queues, from the workers of a dead
         supervisor."""
         for path in handover.find_offers(self.config.control_path):
             sockets = handover.receive_listeners(path)
@@ -407,7 +407,7 @@
         self.last_ticket += 1
         done: asyncio.Future[core.ReloadDone] = self.loop.create_future()
         self.pending_reloads[self.last_ticket] = (done, config, node_list)
-        self._step(core.ReloadRequested(generation_limits(config), self.last_ticket))
+        self._step(core.ReloadRequested(generation_settings(config), self.last_ticket))
         return done
 
     def _on_serving(self, action: core.GenerationServing) -> None:
@@ -443,7 +443,7 @@
             done.set_result(action)
 
     def _close_unused_listeners(self) -> None:
-        """Close the listening sockets that neither the current configuration nor a pending reload names."""
+        """Closes the listening sockets that neither the current configuration nor a pending reload names."""
         if self.serving and self.core.phase is core.Phase.SERVING:
             pending = [config.fleet.listen for _, config, _ in self.pending_reloads.values()]
             self.listeners.keep_only(self.config.fleet.listen, self.opening_addresses, *pending)
@@ -459,7 +459,7 @@
         self.create_task(self._run_worker(action, process))
 
     async def _run_worker(self, action: core.Spawn, process: Process) -> None:
-        """Start a worker and wait for its end, which is reported to the core in any case."""
+        """Starts a worker and waits for its end, which is reported to the core in any case."""
         try:
             # If it was killed before its process was started, the listening sockets may be closed already.
             exit_status = "not started" if process.killed else await self._start_and_wait(action, process)
@@ -535,7 +535,7 @@
         )
         return {name: value for name, value in self.env.items() if name not in names}
 
-    def _on_worker_message(self, worker: int, message: Message) -> None:
+    def _on_worker_message(self, worker: int, message: ChannelMessage) -> None:
         kind = message.get("kind")
         if kind == "ready":
             self._step(core.WorkerReady(worker))
@@ -563,7 +563,7 @@
             self._step(core.WorkerFailed(worker, str(message.get("reason"))))
 
     def _on_listing(self, node_list: NodeList, listing: Listing) -> None:
-        """Send a changed list to the workers of the generations that use it."""
+        """Sends a changed list to the workers of the generations that use it."""
         message = {"kind": "list", "list": encode_listing(listing)}
         for generation in [number for number, other in self.nodes.items() if other is node_list]:
             for worker in self.core.workers.values():
@@ -572,14 +572,14 @@
 
     # Reload and upgrade
 
-    async def reload(self) -> Message:
-        """Read the configuration file again and start a generation with it; return the outcome. Calls that
+    async def reload(self) -> ChannelMessage:
+        """Reads the configuration file again and starts a generation with it; returns the outcome. Calls that
         come before the file is read share one reload."""
         if self.scheduled_reload is None:
             self.scheduled_reload = self.create_task(self._reload())
         return await asyncio.shield(self.scheduled_reload)
 
-    async def _reload(self) -> Message:
+    async def _reload(self) -> ChannelMessage:
         started = self.loop.time()
         async with self.reload_lock:
             self.scheduled_reload = None
@@ -604,8 +604,8 @@
         return self.last_reload
 
     async def _prepare_reload(self) -> asyncio.Future[core.ReloadDone] | str:
-        """Check what can be checked before a worker is started. Returns a future of the core's result, or the
-        reason why the reload failed."""
+        """Checks what can be checked before a worker is started. Returns a future of the core's result, or
+        the reason why the reload failed."""
         if self.core.phase is not core.Phase.SERVING:
             return f"the fleet is {self.core.phase.value}"
         if self.successor is not None:
@@ -634,15 +634,15 @@
             self.opening_addresses = ()
         return self._request_generation(config, node_list)
 
-    async def upgrade(self) -> Message:
-        """Start a successor, possibly of a new version, on the same listening sockets (hot restart). This
+    async def upgrade(self) -> ChannelMessage:
+        """Starts a successor, possibly of a new version, on the same listening sockets (hot restart). This
         fleet drains once the successor serves."""
         if self.successor is not None or self.core.phase is not core.Phase.SERVING:
             return {"ok": False, "reason": "the fleet is starting, stopping or already being upgraded"}
         predecessor_end, successor_end = socket.socketpair()
         serving: asyncio.Future[int] = self.loop.create_future()
 
-        def on_message(message: Message) -> None:
+        def on_message(message: ChannelMessage) -> None:
             if message.get("kind") == "serving" and not serving.done():
                 serving.set_result(int(message["pid"]))
 
@@ -699,7 +699,7 @@
 
     # Control
 
-    async def on_control_request(self, request: Message) -> Message:
+    async def on_control_request(self, request: ChannelMessage) -> ChannelMessage:
         command = request.get("do")
         if command == "status":
             return report(self, os.getpid(), self.loop.time())
@@ -727,8 +727,8 @@
         expected = "status, reload, upgrade, stop, nodes, confirm, peers, note, limits, verdicts"
         return {"ok": False, "reason": f"expected 'do' to be one of {expected}"}
 
-    def _on_peers_request(self, request: Message) -> Message:
-        """Report the members, or publish a note to all fleets."""
+    def _on_peers_request(self, request: ChannelMessage) -> ChannelMessage:
+        """Reports the members, or publishes a note to all fleets."""
         if self.peer_service is None:
             return {"ok": False, "reason": "no [peers] here"}
         if request["do"] == "peers":
@@ -739,8 +739,8 @@
         except (KeyError, ValueError, TypeError):
             return {"ok": False, "reason": "expected subject, text and for_s"}
 
-    def _on_nodes_request(self, request: Message) -> Message:
-        """Report the current list with its sources, or confirm a version that is on hold."""
+    def _on_nodes_request(self, request: ChannelMessage) -> ChannelMessage:
+        """Reports the current list with its sources, or confirms a version that is on hold."""
         current = self.core.current
         node_list = self.nodes.get(current.number) if current is not None else None
         if node_list is None:
@@ -759,9 +759,9 @@
         return [bound_address(sock) for sock in self.listeners.sockets.values()]
 
 
-def generation_limits(config: Config) -> core.Limits:
+def generation_settings(config: Config) -> core.GenerationSettings:
     start, drain = config.start, config.drain
-    return core.Limits(
+    return core.GenerationSettings(
         config.fleet.instances,
         start.ready_s,
         start.restart_first_s,
@@ -776,7 +776,7 @@
 
 
 def check_descriptors(config: Config) -> None:
-    """Raise the soft limit on file descriptors to what two generations need at once.
+    """Raises the soft limit on file descriptors to what two generations need at once.
 
     Raises StartupError if the hard limit is lower."""
     needed = (
@@ -795,7 +795,7 @@
 
 
 def run(path: str, env: Mapping[str, str]) -> int:
-    """Run a fleet with the configuration at `path` until it is told to stop, and return the exit code.
+    """Runs a fleet with the configuration at `path` until it is told to stop, and returns the exit code.
 
     2: the configuration is invalid. 1: the fleet can't start, or every instance is given up."""
     try:
