--- a/flintlatch/cli.py
+++ b/flintlatch/cli.py
@@ -446,7 +446,7 @@
             origin_table = load_origin(args.config)
             common = origin_table.common
             return uvloop.run(
-                run.origin(
+                run.run_origin(
                     common.place,
                     origin_table.bind,
                     common.relay_rules,
@@ -459,7 +459,7 @@
             relay_table = load_relay(args.config)
             common, upstreams = relay_table.common, (relay_table.origin,)
             return uvloop.run(
-                run.relay(
+                run.run_relay(
                     common.place,
                     relay_table.bind,
                     common.rules,
@@ -475,7 +475,7 @@
         return 2
     common = follower_table.common
     return uvloop.run(
-        run.follow(
+        run.run_follower(
             common.place,
             follower_table.relays,
             follower_table.names,
--- a/flintlatch/delivery/run.py
+++ b/flintlatch/delivery/run.py
@@ -60,7 +60,7 @@
     return True
 
 
-async def origin(
+async def run_origin(
     identity: Participant,
     bind: str,
     rules: Rules,
@@ -85,7 +85,7 @@
     return 0
 
 
-async def relay(
+async def run_relay(
     identity: Participant,
     bind: str,
     rules: Rules,
@@ -193,7 +193,7 @@
                 self.line(f"  {item} = {value.decode()}")
 
 
-async def follow(
+async def run_follower(
     identity: Participant,
     relays: tuple[Participant, ...],
     names: tuple[str, ...],
