--- a/flintlatch/cli.py
+++ b/flintlatch/cli.py
@@ -449,7 +449,7 @@
                 run.run_origin(
                     common.place,
                     origin_table.bind,
-                    common.relay_rules,
+                    common.upstream_rules,
                     common.keys,
                     origin_table.source_path,
                     origin_table.state_path,
@@ -466,7 +466,7 @@
                     common.keys,
                     upstreams,
                     relay_table.source_host,
-                    common.relay_rules,
+                    common.upstream_rules,
                 )
             )
         follower_table = load_follower(args.config, tuple(args.names))
--- a/flintlatch/config/delivery.py
+++ b/flintlatch/config/delivery.py
@@ -40,7 +40,7 @@
     place: Participant  # of the process itself
     keys: tuple[bytes, ...]
     rules: Rules  # between relays and proxies
-    relay_rules: Rules  # between relays and the origin
+    upstream_rules: Rules  # between relays and the origin
 
 
 @dataclass(frozen=True, slots=True)
@@ -98,7 +98,7 @@
     return rules
 
 
-def to_relay_rules(rules: Rules) -> Rules:
+def to_upstream_rules(rules: Rules) -> Rules:
     """Returns the rules between relays and the origin: times of `rules`, amounts of data of RELAY_RULES."""
     defaults = RELAY_RULES
     return replace(rules, bytes_per_s=defaults.bytes_per_s, burst_bytes=defaults.burst_bytes,
@@ -125,7 +125,7 @@
 def _read_common(reader: Reader) -> CommonSettings:
     place = Participant(reader.name("name"), read_region(reader), reader.string("zone", ""))
     rules = read_delivery_rules(reader.subtable("rules"))
-    return CommonSettings(place, _read_keys(reader), rules, to_relay_rules(rules))
+    return CommonSettings(place, _read_keys(reader), rules, to_upstream_rules(rules))
 
 
 def _read_bind_address(reader: Reader) -> str:
--- a/tests/delivery/test_commands.py
+++ b/tests/delivery/test_commands.py
@@ -47,7 +47,7 @@
         relay.origin == Participant("origin", address="10.0.0.2:7950") and relay.common.place.region == "eu"
     )
     assert (relay.common.rules.ping_s, relay.common.rules.burst_bytes) == (0.5, 1e6)
-    assert (relay.common.relay_rules.ping_s, relay.common.relay_rules.burst_bytes) == (
+    assert (relay.common.upstream_rules.ping_s, relay.common.upstream_rules.burst_bytes) == (
         0.5,
         RELAY_RULES.burst_bytes,
     )
