--- a/flintlatch/cli.py
+++ b/flintlatch/cli.py
@@ -447,7 +447,7 @@
             common = origin_table.common
             return uvloop.run(
                 run.run_origin(
-                    common.place,
+                    common.identity,
                     origin_table.bind,
                     common.upstream_rules,
                     common.keys,
@@ -460,7 +460,7 @@
             common, upstreams = relay_table.common, (relay_table.origin,)
             return uvloop.run(
                 run.run_relay(
-                    common.place,
+                    common.identity,
                     relay_table.bind,
                     common.rules,
                     common.keys,
@@ -476,7 +476,7 @@
     common = follower_table.common
     return uvloop.run(
         run.run_follower(
-            common.place,
+            common.identity,
             follower_table.relays,
             follower_table.names,
             common.rules,
--- a/flintlatch/config/delivery.py
+++ b/flintlatch/config/delivery.py
@@ -37,7 +37,7 @@
 class CommonSettings:
     """Settings of all three processes."""
 
-    place: Participant  # of the process itself
+    identity: Participant  # of the process itself
     keys: tuple[bytes, ...]
     rules: Rules  # between relays and proxies
     upstream_rules: Rules  # between relays and the origin
@@ -123,9 +123,9 @@
 
 
 def _read_common(reader: Reader) -> CommonSettings:
-    place = Participant(reader.name("name"), read_region(reader), reader.string("zone", ""))
+    identity = Participant(reader.name("name"), read_region(reader), reader.string("zone", ""))
     rules = read_delivery_rules(reader.subtable("rules"))
-    return CommonSettings(place, _read_keys(reader), rules, to_upstream_rules(rules))
+    return CommonSettings(identity, _read_keys(reader), rules, to_upstream_rules(rules))
 
 
 def _read_bind_address(reader: Reader) -> str:
--- a/tests/delivery/test_commands.py
+++ b/tests/delivery/test_commands.py
@@ -37,14 +37,14 @@
 
 def test_valid_configurations_are_loaded(tmp_path: Path) -> None:
     origin = load_origin(write(tmp_path, ORIGIN + "keep = 'k'\n"))
-    assert origin.common.place == Participant("o") and origin.common.keys == (bytes.fromhex(KEY),)
+    assert origin.common.identity == Participant("o") and origin.common.keys == (bytes.fromhex(KEY),)
     assert (origin.source_path, origin.state_path) == (str(tmp_path / "objects.json"), str(tmp_path / "k"))
     assert load_origin(write(tmp_path, ORIGIN)).state_path == str(tmp_path / "objects.json.kept")
     relay = load_relay(
         write(tmp_path, RELAY + 'region = "eu"\n[delivery.rules]\nping_s = 0.5\nburst_bytes = 1e6')
     )
     assert (
-        relay.origin == Participant("origin", address="10.0.0.2:7950") and relay.common.place.region == "eu"
+        relay.origin == Participant("origin", address="10.0.0.2:7950") and relay.common.identity.region == "eu"
     )
     assert (relay.common.rules.ping_s, relay.common.rules.burst_bytes) == (0.5, 1e6)
     assert (relay.common.upstream_rules.ping_s, relay.common.upstream_rules.burst_bytes) == (
