--- a/flintlatch/config/__init__.py
+++ b/flintlatch/config/__init__.py
@@ -21,7 +21,7 @@
     DrainTable,
     FleetTable,
     HttpTable,
-    LimitsTable,
+    InstanceLimitsTable,
     NodesTable,
     PeersTable,
     StartTable,
@@ -71,7 +71,7 @@
     path: str
     text: str
     fleet: FleetTable
-    limits: LimitsTable
+    limits: InstanceLimitsTable
     start: StartTable
     drain: DrainTable
     nodes: NodesTable
--- a/flintlatch/config/tables.py
+++ b/flintlatch/config/tables.py
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LimitsTable:
+class InstanceLimitsTable:
     """[limits]: resource limits of one instance."""
 
     sockets: int  # file descriptors
@@ -271,8 +271,8 @@
     return table
 
 
-def read_instance_limits(reader: Reader) -> LimitsTable:
-    table = LimitsTable(
+def read_instance_limits(reader: Reader) -> InstanceLimitsTable:
+    table = InstanceLimitsTable(
         sockets=reader.integer("sockets", 64, 1_000_000, 1024),
         memory_mb=reader.number("memory_mb", 32, 1_000_000, 512),
     )
