--- a/flintlatch/delivery/staging.py
+++ b/flintlatch/delivery/staging.py
@@ -107,7 +107,7 @@
         if not part.has_more:
             self._build(name, staged)
 
-    def drop_unknown(self, followed: Container[str]) -> int:
+    def drop_unfollowed(self, followed: Container[str]) -> int:
         """Drops the objects that are not followed (any more) and returns their number."""
         unknown = [name for name in self.staged if name not in followed]
         for name in unknown:
--- a/flintlatch/delivery/subscriber.py
+++ b/flintlatch/delivery/subscriber.py
@@ -539,7 +539,7 @@
 
     def _end(self, session: Session, staging: Staging, end: End) -> None:
         if not self.all_objects:  # objects that were unfollowed meanwhile or never followed
-            self.counts["not followed"] += staging.drop_unknown(self.names)
+            self.counts["not followed"] += staging.drop_unfollowed(self.names)
             staging.drop_stale_deltas([n for n in session.unfollowed_at if not self.names.get(n, True)])
         batch = staging.finish(end)
         session.staging, session.last_applied_revision = None, end.target_revision
