--- a/flintlatch/delivery/run.py
+++ b/flintlatch/delivery/run.py
@@ -66,12 +66,12 @@
     rules: Rules,
     keys: tuple[bytes, ...],
     source_path: str,
-    record_path: str,
+    state_path: str,
 ) -> int:
     """Runs the origin until it is stopped and returns the exit code."""
     stopped, log = stop_event(), make_logger("origin", identity.name)
     server = Server(identity, bind, rules, keys, log)
-    source = Source(source_path, record_path, server.store, log)
+    source = Source(source_path, state_path, server.store, log)
     if not await _open(server, log):
         return 1
     while not stopped.is_set():
--- a/flintlatch/delivery/source.py
+++ b/flintlatch/delivery/source.py
@@ -134,12 +134,12 @@
     def __init__(
         self,
         path: str,
-        record_path: str,
+        state_path: str,
         store: Store,
         on_log: Callable[[str], None],
         now_us: Callable[[], int] = lambda: time.time_ns() // 1000,
     ) -> None:
-        self.path, self.record_path, self.store = path, record_path, store
+        self.path, self.state_path, self.store = path, state_path, store
         self.on_log, self.now_us = on_log, now_us
         self.last_identity: FileIdentity | None = None  # of the content read last, if its mtime was settled
         self.last_logged = ""
@@ -147,11 +147,11 @@
         self.committed = False  # this process has committed
         self.record = CommitRecord()
         try:
-            self.record = read_record(record_path)
+            self.record = read_record(state_path)
         except FileNotFoundError:
             pass
         except (OSError, InvalidFile) as error:
-            self._log(f"{record_path}: {error}; starting without this record")
+            self._log(f"{state_path}: {error}; starting without this record")
 
     def _log(self, text: str) -> None:
         if text != self.last_logged:
@@ -218,11 +218,11 @@
 
     def _save_record(self, record: CommitRecord) -> None:
         self.record = record
-        temporary_path = f"{self.record_path}.new"
+        temporary_path = f"{self.state_path}.new"
         row = {"revision": record.revision, "objects": record.objects, "items": record.items}
         try:
             with open(temporary_path, "wb") as file:
                 file.write(orjson.dumps(row) + b"\n")
-            os.replace(temporary_path, self.record_path)
+            os.replace(temporary_path, self.state_path)
         except OSError as error:
-            self._log(f"{self.record_path}: {error.strerror or error}; the record was not saved")
+            self._log(f"{self.state_path}: {error.strerror or error}; the record was not saved")
