--- a/flintlatch/config/delivery.py
+++ b/flintlatch/config/delivery.py
@@ -1,6 +1,6 @@
 """Reads the configuration of delivery's own processes: the [delivery] table of origin, relay and follower.
 
-[delivery]                            of all three; also name, key_file, region, zone
+[delivery]                            of all three processes; also name, key_file, region, zone
 bind = "10.0.0.3:7950"                of the origin and a relay
 source = "objects.json"               of the origin: the watched file of objects
 keep = "objects.json.kept"            of the origin: its state file, by default source with .kept
@@ -118,6 +118,7 @@
     except UnicodeDecodeError:
         reader.add_problem("key_file", f"{path}: not text", "64 hexadecimal digits a line")
     except InvalidKeyFile as error:
+        # The text of the error has the position and the expected content, never the line: that may be a key.
         reader.add_problem("key_file", "an invalid key file", str(error))
     return ()
 
@@ -181,7 +182,7 @@
 
 
 def load_origin(path: str) -> OriginTable:
-    """Raises InvalidConfig with all problems, as the other two functions do."""
+    """Raises InvalidConfig with all problems; so do load_relay and load_follower."""
     root, problems = _open(path)
     reader = root.subtable("delivery")
     source = reader.string("source", None, "the path of the file with the objects")
--- a/tests/delivery/test_commands.py
+++ b/tests/delivery/test_commands.py
@@ -44,7 +44,8 @@
         write(tmp_path, RELAY + 'region = "eu"\n[delivery.rules]\nping_s = 0.5\nburst_bytes = 1e6')
     )
     assert (
-        relay.origin == Participant("origin", address="10.0.0.2:7950") and relay.common.identity.region == "eu"
+        relay.origin == Participant("origin", address="10.0.0.2:7950")
+        and relay.common.identity.region == "eu"
     )
     assert (relay.common.rules.ping_s, relay.common.rules.burst_bytes) == (0.5, 1e6)
     assert (relay.common.upstream_rules.ping_s, relay.common.upstream_rules.burst_bytes) == (
