--- a/flintlatch/config/tables.py
+++ b/flintlatch/config/tables.py
@@ -20,7 +20,7 @@
     from flintlatch.delivery.model import Rules as DeliveryRules
 
 MAX_LOCAL_INSTANCES = 256  # far above the cores of a machine, far below its process limit
-MAX_CONTROL_PATH_BYTES = 100  # of the 108 of a Unix socket path; the rest is for the suffix of its first name
+MAX_CONTROL_PATH_BYTES = 100  # 108 of a Unix socket path, less `.PID` of its temporary path
 MAX_PROXIES = 100_000  # instances of all fleets in front of the same nodes
 DEFAULT_CONTROL_SOCKET = "flintlatch.sock"
 DAY_S = 86400.0
@@ -69,9 +69,9 @@
     """[drain]: how instances stop. Times are in seconds."""
 
     limit_s: float  # from the drain command to the exit of the process
-    idle_s: float  # keep-alive connections stay open for this time; each response closes its own
+    idle_s: float  # idle connections are closed after this time, others after their next response
     hurry_s: float  # replaces limit_s after a second TERM or INT
-    orphan_s: float  # instances without a supervisor serve for this time, or until a successor does
+    orphan_s: float  # instances without a supervisor serve for this time, or until a successor serves
 
 
 @dataclass(frozen=True, slots=True)
@@ -93,13 +93,13 @@
     source: str  # "registry", "static", "files", "catalogue" or "delivery"
     registry: str  # host:port
     static: tuple[StaticNode, ...]
-    files: tuple[str, ...]  # watched files, unresolved, by precedence; relative to the configuration's folder
+    files: tuple[str, ...]  # paths of watched files, by precedence; relative to the configuration's folder
     catalogue: str  # URL of a Consul-compatible catalogue
     services: tuple[str, ...]  # names in the catalogue, by precedence; after the files
     service: str  # name of the object that delivery subscribes to
     token_file: str  # file with the ACL token of the catalogue; empty: none
     wait_s: float  # duration of a blocking query
-    # The answer of a catalogue server that has had no contact with its leader for longer is a failure.
+    # Longest time without contact to its leader for which the answer of a catalogue server is accepted.
     most_stale_s: float
     keep: str  # file for the last accepted versions; empty: none
     # A version that removes a larger fraction of the active nodes is held for hold_s or until confirmed.
@@ -111,11 +111,11 @@
     source_host: str  # local address of connections to nodes and registry; empty: any
     connect_timeout_ms: float
     idle_ms: float  # nodes keep idle connections open for at least this time
-    cold_ms: float
-    start_capacity: float
-    fall_multiple: float
+    cold_ms: float  # slow start: a node is warm at the latest this long after its start
+    start_capacity: float  # least fraction of its capacity that a node starts with
+    fall_multiple: float  # a cold node fails if its load exceeds this multiple of its capacity for fall_ms
     fall_ms: float
-    attempts: int
+    attempts: int  # most attempts for one request
     may_cancel: bool
     max_retry_after_ms: float
 
@@ -151,7 +151,7 @@
     node_transfer_bytes: int  # buffered of those; 0: no limit but process_bytes
     idle_s: float  # timeout for the next byte from the side that is to send
     least_bytes_per_s: float  # lowest rate of a transfer
-    window_s: float  # of the rate's measurement
+    window_s: float  # time over which the rate is measured
     safe_class: str  # of GET, HEAD and OPTIONS that match no rule; empty: answered with 404
     other_class: str  # of other methods that match no rule
     id_header: str
@@ -182,11 +182,11 @@
     region: str
     period_s: float  # between two probes
     ack_s: float  # timeout of a direct probe, followed by indirect ones
-    suspicion: float  # shortest suspicion timeout, in periods times log10 of the members (at least 1)
+    suspicion: float  # shortest suspicion timeout, in units of period_s * max(1, log10(members))
     sync_s: float  # between two exchanges of full state
     forget_s: float  # how long the records of dead members are kept
-    hold_s: float  # delay before a lower number of instances takes effect
-    word_s: float  # validity of the number that is sent to the instances
+    hold_s: float  # delay before a lower count of all fleets' instances takes effect
+    word_s: float  # validity of the count that is sent to this fleet's instances
 
 
 @dataclass(frozen=True, slots=True)
@@ -213,7 +213,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TransferOverrides:
-    """Keys of a [[class]] for its bodies under [http]; None: the value of [http] applies."""
+    """Keys of a [[class]] that replace those of [http] for its bodies; None: the value of [http] applies."""
 
     upload_s: float  # timeout until a request is complete; only then deadline_ms starts
     idle_s: float | None
@@ -308,6 +308,7 @@
 
 
 def read_static_node(reader: Reader) -> StaticNode:
+    # A missing address is reported with an example.
     host_port = (
         check_address(reader, "address", reader.string("address"), "127.0.0.1:1")
         if "address" in reader.table
@@ -384,7 +385,9 @@
         check_unique(reader, "static.address", [node.address for node in static])
     if registry and static:
         reader.add_problem(
-            "static", f"{len(static)} nodes", f'not both "registry" and "static": source = "{source}"'
+            "static",
+            f"{len(static)} nodes",
+            f'either "registry" or "static", not both, with source = "{source}"',
         )
     zone_names = reader.array("zones", "a list of names")
     kinds = reader.array("kinds", "a list of names")
@@ -456,7 +459,8 @@
     optional_classes = ("", *classes)
 
     def default_class(key: str) -> str:
-        # A message about an invalid value lists only the classes, not the empty name.
+        # The empty name means no class. It is allowed, but a problem with an invalid value lists only the
+        # classes.
         is_valid = reader.table.get(key, "") in optional_classes
         return reader.choice(key, classes if not is_valid or reader.table.get(key) else optional_classes, "")
 
@@ -598,7 +602,9 @@
         cut_factor=reader.number("cut_factor", 1, 100, 2),
     )
     if len(settings.voters) > settings.fleets:
-        reader.add_problem("fleets", str(settings.fleets), f"at least the {len(settings.voters)} voters")
+        reader.add_problem(
+            "fleets", str(settings.fleets), f"at least the number of voters, {len(settings.voters)}"
+        )
     reader.reject_unknown_keys()
     return settings
 
--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -246,7 +246,7 @@
         (
             '["a", "b", "c"]',
             '["a", "b", "c"]\nfleets = 2',
-            "keepers.fleets: found 2, expected at least the 3",
+            "keepers.fleets: found 2, expected at least the number of voters, 3",
         ),
         ('voters = ["a", "b", "c"]', "", "keepers.voters: missing, expected the fleets that vote"),
         ("[verdicts]", "[verdicts]\nquorum = 1", "verdicts.quorum: found 1, expected a whole number from 2"),
