--- a/flintlatch/delivery/run.py
+++ b/flintlatch/delivery/run.py
@@ -21,7 +21,7 @@
 from flintlatch.peers.clock import clock
 from flintlatch.peers.shell import BindError
 
-PULSE_INTERVAL_S = 1.0  # between two rows that only tell the current state
+STATE_INTERVAL_S = 1.0  # between two rows of a follower that only report its current state
 ONCE_TIMEOUT_S = 10.0  # of `--once`: enough for a few dead relays and the transfer
 
 
@@ -81,7 +81,7 @@
             log(f"revision {server.store.revision}: {len(names)} of {len(loaded[0])} objects changed")
         await wait_for_event(stopped, POLL_INTERVAL_S)
     server.close()
-    log("ended")
+    log("stopped")
     return 0
 
 
@@ -101,22 +101,23 @@
         return 1
     await stopped.wait()
     server.close()
-    log("ended")
+    log("stopped")
     return 0
 
 
 def object_digest(items: dict[str, bytes]) -> str:
     """The first 16 hexadecimal digits of the SHA-256 of an object's canonical JSON."""
-    row = b",".join(orjson.dumps(name) + b":" + items[name] for name in sorted(items))
-    return hashlib.sha256(b"{" + row + b"}").hexdigest()[:16]
+    members = b",".join(orjson.dumps(name) + b":" + items[name] for name in sorted(items))
+    return hashlib.sha256(b"{" + members + b"}").hexdigest()[:16]
 
 
 def describe_bounds(rules: Rules, relays: int) -> str:
-    least, one_lost, most = (rules.staleness_bound_s(lost, 0.0) for lost in (0, 1, max(1, relays - 1)))
+    """The bounds on the delay of a change, with no, one and all but one relay lost, and on the traffic."""
+    least_s, one_lost_s, most_s = (rules.staleness_bound_s(lost, 0.0) for lost in (0, 1, max(1, relays - 1)))
     return (
-        f"bounds: a change is here within {least:.1f} s, "
-        f"{one_lost:.1f} s if the first relay is lost just then, "
-        f"{most:.1f} s with {max(1, relays - 1)} lost; "
+        f"bounds: a change is here within {least_s:.1f} s, "
+        f"{one_lost_s:.1f} s if the first relay is lost just then, "
+        f"{most_s:.1f} s with {max(1, relays - 1)} lost; "
         f"at most {rules.max_bytes_per_minute():,.0f} bytes in a minute"
     )
 
@@ -126,19 +127,19 @@
 
     def __init__(self, rules: Rules, relays: int, as_json: bool) -> None:
         self.rules, self.relays, self.as_json = rules, relays, as_json
-        self.client: Client
+        self.client: Client  # set by `run_follower`, before the first row
 
-    def row(self, what: str, **more: Any) -> None:
-        """Prints a JSON row. `at` is the machine's clock, which is the same for all of its processes."""
+    def print_row(self, what: str, **more: Any) -> None:
+        """Prints a JSON row. `at` is monotonic time, comparable between the processes of one machine."""
         subscriber = self.client.subscriber
         now, counts = clock(), self.client.counts
         row = {"at": now, "what": what, "revision": subscriber.store.revision,
                "age_s": round(subscriber.age(now), 3), "ready": subscriber.ready(),
                "relay": self.client.relay_name(), "bytes_in": counts.bytes_in,
                "bytes_out": counts.bytes_out, **more}  # fmt: skip
-        self.line(orjson.dumps(row).decode())
+        self.print_line(orjson.dumps(row).decode())
 
-    def line(self, text: str) -> None:
+    def print_line(self, text: str) -> None:
         print(text, flush=True)
 
     def print_bounds(self) -> None:
@@ -147,33 +148,33 @@
             more = {
                 f"within_s_{lost}_lost": self.rules.staleness_bound_s(lost, 0.0) for lost in (0, 1, most_lost)
             }
-            self.row("bounds", minute_bytes=self.rules.max_bytes_per_minute(), **more)
+            self.print_row("bounds", minute_bytes=self.rules.max_bytes_per_minute(), **more)
         else:
-            self.line(describe_bounds(self.rules, self.relays))
+            self.print_line(describe_bounds(self.rules, self.relays))
 
     def changed(self, batch: Changed) -> None:
         held = self.client.subscriber.store.objects
         digests = {c.name: None if c.deleted else object_digest(held[c.name].items) for c in batch.changes}
         if self.as_json:
-            self.row("changed", objects=digests)
+            self.print_row("changed", objects=digests)
             return
         for change in batch.changes:
             if change.deleted:
-                self.line(f"revision {batch.revision}: {change.name} deleted")
+                self.print_line(f"revision {batch.revision}: {change.name} deleted")
             else:
                 delta = f"{len(change.items)} items put, {len(change.removed)} removed"
                 state = f"{len(held[change.name].items)} held, {digests[change.name]}"
-                self.line(f"revision {batch.revision}: {change.name}: {delta}; {state}")
+                self.print_line(f"revision {batch.revision}: {change.name}: {delta}; {state}")
 
     def absent(self, names: tuple[str, ...]) -> None:
         if self.as_json:
-            self.row("absent", names=names)
+            self.print_row("absent", names=names)
         else:
-            self.line(f"not found: {', '.join(names)}")
+            self.print_line(f"not found: {', '.join(names)}")
 
-    def pulse(self) -> None:
+    def print_state(self) -> None:
         if self.as_json:
-            self.row("pulse")
+            self.print_row("pulse")
 
     def print_all(self) -> None:
         """Prints all objects in force."""
@@ -181,16 +182,16 @@
         if self.as_json:
             objects = {name: {item: orjson.loads(v) for item, v in o.items.items()}
                        for name, o in sorted(held.items())}  # fmt: skip
-            self.row("held", objects=objects)
+            self.print_row("held", objects=objects)
             return
-        self.line(
+        self.print_line(
             f"revision {subscriber.store.revision}, at most {subscriber.age(clock()):.1f} s old, "
             f"from {self.client.relay_name()}"
         )
         for name, stored in sorted(held.items()):
-            self.line(f"{name}: {len(stored.items)} items, {object_digest(stored.items)}")
+            self.print_line(f"{name}: {len(stored.items)} items, {object_digest(stored.items)}")
             for item, value in sorted(stored.items.items()):
-                self.line(f"  {item} = {value.decode()}")
+                self.print_line(f"  {item} = {value.decode()}")
 
 
 async def run_follower(
@@ -203,8 +204,9 @@
     as_json: bool,
     once: bool,
 ) -> int:
-    """Prints changes of `names` until it is stopped, or with `once` the complete state. Returns the exit
-    code, which is 1 if that state did not arrive in time."""
+    """Prints the changes of the objects `names` until it is stopped, or, with `once`, their complete state.
+
+    Returns the exit code: 1 if that state did not arrive within ONCE_TIMEOUT_S, else 0."""
     stopped, output, log = (
         stop_event(),
         FollowerOutput(rules, len(relays), as_json),
@@ -214,7 +216,7 @@
     def on_log(text: str) -> None:
         log(text)
         if as_json and not once:
-            output.row("told", text=text)
+            output.print_row("told", text=text)
 
     ignore: Callable[[Any], None] = lambda argument: None  # noqa: E731
     on_changed, on_absent = (ignore, ignore) if once else (output.changed, output.absent)
@@ -227,9 +229,9 @@
     client.open()
     started_at, done = clock(), False
     while not stopped.is_set() and not done:
-        await wait_for_event(stopped, 0.05 if once else PULSE_INTERVAL_S)
+        await wait_for_event(stopped, 0.05 if once else STATE_INTERVAL_S)
         if not once:
-            output.pulse()
+            output.print_state()
         else:
             done = client.subscriber.ready() or clock() - started_at > ONCE_TIMEOUT_S
     client.close()
