--- a/flintlatch/delivery/staging.py
+++ b/flintlatch/delivery/staging.py
@@ -77,7 +77,7 @@
             raise BatchError("an object's name out of bounds")
         if part.kind not in (Kind.SNAPSHOT, Kind.DELTA, Kind.DELETED):
             raise BatchError("a part of unknown kind", (name,))
-        # A full batch deletes what it does not name, so it consists of snapshots only.
+        # A full batch deletes the objects that it does not name, so it consists of snapshots only.
         if self.begin.full and part.kind != Kind.SNAPSHOT:
             raise BatchError("a whole batch with less than whole objects")
         if (
@@ -101,6 +101,8 @@
         staged.removed.extend(part.removed)
         staged.version, staged.item_count, staged.checksum = part.version, part.item_count, part.checksum
         staged.size += size
+        # Stops an oversized object early. The encoded parts also have removed names and framing; `_apply`
+        # checks the size of the resulting object itself.
         if staged.size > 2 * self.rules.object_bytes:
             raise BatchError("an object over the size bound", (name,))
         self.incomplete_name = name if part.has_more else ""
@@ -108,14 +110,15 @@
             self._build(name, staged)
 
     def drop_unfollowed(self, followed: Container[str]) -> int:
-        """Drops the objects that are not followed (any more) and returns their number."""
-        unknown = [name for name in self.staged if name not in followed]
-        for name in unknown:
+        """Drops the objects that were never followed or are no longer followed. Returns their number."""
+        unfollowed = [name for name in self.staged if name not in followed]
+        for name in unfollowed:
             del self.staged[name]
-        return len(unknown)
+        return len(unfollowed)
 
     def drop_stale_deltas(self, names: Iterable[str]) -> None:
-        """Drops deltas of objects that were unfollowed and followed again: their base is no longer held."""
+        """Drops deltas of objects that were unfollowed and followed again, because the stored object that
+        they apply to was dropped."""
         for name in names:
             if name in self.staged and self.staged[name].kind is Kind.DELTA:
                 del self.staged[name]
@@ -132,7 +135,8 @@
         changes: list[ObjectChange] = []
         errors: dict[str, str] = {}
         for name, staged in sorted(self.staged.items(), key=lambda pair: pair[1].version):
-            # The object was unfollowed and followed again since its result was built.
+            # If the object was unfollowed and followed again since its result was built, the result has
+            # another base than the stored object and is built again.
             if staged.base is not self.store.objects.get(name):
                 self._build(name, staged)
             if staged.error:
@@ -168,14 +172,15 @@
 
     def _apply(self, base: StoredObject | None, staged: StagedObject) -> StoredObject:
         """The object after the staged change, verified. Raises BatchError."""
+        # A version above the revision of the batch is lowered to it.
         version = min(staged.version, self.begin.target_revision)
         if staged.kind is Kind.SNAPSHOT:
             result = StoredObject(version, version).with_change(ObjectChange("", staged.items), version)
         elif base is None:
             raise BatchError("a delta of an unknown object")
         else:
-            # Items with an unchanged value are stamped too: in between, other subscribers may have received
-            # another value.
+            # Items with an unchanged value get the new version too: a subscriber of a revision between the
+            # two versions may hold another value.
             change = ObjectChange("", staged.items, tuple(staged.removed))
             result = base.with_change(change, max(version, base.version))
         if len(result.items) != staged.item_count or result.checksum != staged.checksum:
@@ -186,7 +191,7 @@
 
 
 def effective_change(base: StoredObject | None, staged: StagedObject, name: str) -> ObjectChange:
-    """The staged change without what a holder of `base` already has."""
+    """The part of the staged change that differs from `base`."""
     before = base.items if base is not None else {}
     items = {k: v for k, v in staged.items.items() if before.get(k) != v}
     if staged.kind is Kind.SNAPSHOT:
