--- a/flintlatch/exchange/core.py
+++ b/flintlatch/exchange/core.py
@@ -3,9 +3,9 @@
 1. The client gets one final response and nothing after it. Until a node's response begins, any attempt may
    provide it. After that, it comes from this attempt, and either ends complete or is visibly aborted.
 2. A request is offered to the decision module when it is complete, or earlier if the rest may take long: when
-   its buffer is full, when the client waits for 100 Continue, or when `offer` is called.
-3. The buffered bytes stay within the limits in both directions; a side that was paused is told when there is
-   room again.
+   the upload buffer is full, when the client waits for 100 Continue, or when `offer` is called.
+3. The buffered bytes stay within the limits in both directions; a side whose reading was paused is notified
+   when there is room again.
 4. A side that stalls the transfer is reported once. The time that the client takes to upload never counts
    against the node.
 """
@@ -26,7 +26,7 @@
 
 
 class Phase(Enum):
-    GATHERING = "gathering"  # the request arrives and was not offered to the decision module yet
+    GATHERING = "gathering"  # the request is arriving and was not offered to the decision module yet
     AWAITING_RESPONSE = "waiting"  # the decision module has it; no part of a final response was sent
     RESPONDING = "begun"  # a node's response has begun; it ends complete or is aborted
     ENDED = "over"
@@ -54,10 +54,10 @@
         """The client no longer waits: ends all attempts, without a failure of any node."""
 
     def time_out_attempt(self, exchange: Exchange, node: NodeSide) -> None:
-        """The node stalls: ends its attempt with a timeout, which the decision module is told."""
+        """The node stalls: ends its attempt with a timeout, which is reported to the decision module."""
 
     def on_exchange_ended(self, exchange: Exchange) -> None:
-        """The client got the last byte or has left; `exchange.ending` tells how the exchange ended."""
+        """The exchange has ended; `exchange.ending` is the way in which it ended."""
 
 
 class Exchange:
@@ -78,16 +78,17 @@
         self.status = 0  # of the final response; 0: none
         self.upload = Upload(limits.upload_bytes, limits.flow_bytes)
         self.trailers: Fields = []  # trailer fields of the request
-        self.node: NodeSide | None = None  # takes the request, or sends the response
-        self.arrived_s = now_s
-        # First byte of the response, last byte of the request, end of the exchange; 0: not yet.
+        self.node: NodeSide | None = None  # of the current attempt
+        self.arrived_s = now_s  # this and the next three are points in time, not durations
+        # First byte of the response (of a node or of the proxy), last byte of the request, end of the
+        # exchange; 0: not yet.
         self.first_byte_s = self.request_complete_s = self.ended_s = 0.0
         self.upload_pipe = Pipe(
             Side.CLIENT, self.upload.cap + self.upload.flow_bytes, limits.progress, limits.progress, now_s
         )
         self.upload_pipe.set_waiting_sides(now_s, True, False)
         self.response_pipe: Pipe | None = None
-        self._sent_reported = False  # `on_request_sent` was called for the current attempt
+        self._request_sent_reported = False  # `on_request_sent` was called for the current attempt
 
     @property
     def has_ended(self) -> bool:
@@ -150,12 +151,12 @@
         if self.phase is Phase.RESPONDING and self.node is not None:
             self.node.set_reading_paused(blocked)
 
-    # Called by a node's side
+    # Called by a node's side; `node` is the node's side of one attempt
 
     def attach(self, now_s: float, node: NodeSide) -> None:
         """Starts an attempt, which takes the request from its first byte."""
         self.upload.rewind()
-        self.node, self._sent_reported = node, False
+        self.node, self._request_sent_reported = node, False
         self._update_waiting_sides(now_s)
 
     def take(self, now_s: float) -> tuple[list[Piece], int]:
@@ -169,8 +170,8 @@
 
     def mark_request_sent(self, now_s: float, node: NodeSide) -> None:
         """The complete request was sent to this node."""
-        if node is self.node and not self._sent_reported and not self.has_ended:
-            self._sent_reported = True
+        if node is self.node and not self._request_sent_reported and not self.has_ended:
+            self._request_sent_reported = True
             self.owner.on_request_sent(self, node)
 
     def interim(self, head: Response) -> None:
@@ -193,6 +194,7 @@
             return
         self._record_client_reads(now_s)
         size = sum(map(len, pieces))
+        # The pipe counts no more bytes than it has room for; the client's side gets all of them.
         self.response_pipe.add_arrived(now_s, min(size, self.response_pipe.room))
         self.client.pieces(pieces, size)
 
@@ -218,7 +220,7 @@
     def answer(self, now_s: float, answer: ProxyResponse) -> None:
         """Answers with a response of the proxy: the decision module rejected the request, or its deadline has
         passed."""
-        self._respond_or_abort(now_s, answer.status, Ending.OWN, answer.retry_after_ms)
+        self._respond_or_abort(now_s, answer.status, Ending.PROXY_RESPONSE, answer.retry_after_ms)
 
     # Stalls
 
@@ -242,7 +244,8 @@
             self._record_client_reads(now_s)
             stall = self.response_pipe.find_stall(now_s)
             # A node that responds while it still reads the request may be waiting for the client's next
-            # bytes.
+            # bytes. If the client doesn't send them, the stall is the client's; otherwise the node has
+            # stalled only if the upload has stalled too.
             if stall is Stall.NODE_NOT_SENDING and not self.upload.complete:
                 upload_stall = self.upload_pipe.find_stall(now_s)
                 return (
@@ -282,6 +285,8 @@
             self._end(now_s, ending)
 
     def _end(self, now_s: float, ending: Ending, stalled_node: NodeSide | None = None) -> None:
+        """`stalled_node`: its attempt is ended with a timeout, which is reported to the decision module. If it
+        is None, the attempts are cancelled."""
         if self.has_ended:
             return
         responding, offered = self.phase is Phase.RESPONDING, self.phase is not Phase.GATHERING
--- a/flintlatch/exchange/messages.py
+++ b/flintlatch/exchange/messages.py
@@ -59,7 +59,7 @@
     """How an exchange ended; the values appear in the access log."""
 
     ANSWERED = "answered"  # the node's complete response was passed on
-    OWN = "own answer"  # the proxy answered itself
+    PROXY_RESPONSE = "own answer"  # the proxy answered itself
     CLIENT_LEFT = "client left"
     CLIENT_STALLED = "client stalled"
     CLIENT_FAULT = "client's request can't be read on"
