--- a/flintlatch/grpc/status.py
+++ b/flintlatch/grpc/status.py
@@ -7,7 +7,8 @@
 from typing import NamedTuple
 
 Fields = list[tuple[bytes, bytes]]
-MAX_MESSAGE_BYTES = 1024  # of a status message, which is a text for people; the rest is cut off
+# Of a status message as UTF-8. It is meant for people: a longer one is truncated, even within a character.
+MAX_MESSAGE_BYTES = 1024
 
 
 class Code(IntEnum):
@@ -35,20 +36,21 @@
     message: str = ""
 
 
-UNRESERVED = re.compile(rb"[\x20-\x24\x26-\x7e]")  # printable ASCII without the percent sign
+UNESCAPED = re.compile(rb"[\x20-\x24\x26-\x7e]")  # printable ASCII without the percent sign
 ESCAPED = re.compile(rb"%([0-9A-Fa-f]{2})")
-DIGITS = re.compile(rb"0|[1-9][0-9]{0,9}")
+STATUS_NUMBER = re.compile(rb"0|[1-9][0-9]{0,9}")  # no leading zeros, at most 10 digits
 
 
 def encode_message(text: str) -> bytes:
     """Encodes a message for `grpc-message`: percent-encoded UTF-8."""
     raw = text.encode("utf-8", "replace")[:MAX_MESSAGE_BYTES]
-    return b"".join(bytes([byte]) if UNRESERVED.match(bytes([byte])) else b"%%%02X" % byte for byte in raw)
+    return b"".join(bytes([byte]) if UNESCAPED.match(bytes([byte])) else b"%%%02X" % byte for byte in raw)
 
 
 def decode_message(value: bytes) -> str:
-    """Decodes a value of `grpc-message`. Invalid parts are kept unchanged, because the specification asks
-    never to discard a message."""
+    """Decodes a value of `grpc-message`. Invalid escapes are kept and invalid UTF-8 is replaced by U+FFFD,
+    because the specification asks never to discard a message. A value longer than 3 * MAX_MESSAGE_BYTES, the
+    size of a message of which every byte is escaped, is truncated."""
     raw = ESCAPED.sub(lambda match: bytes([int(match[1], 16)]), value[: 3 * MAX_MESSAGE_BYTES])
     return raw.decode("utf-8", "replace")
 
@@ -61,6 +63,6 @@
         return None
     messages = [value for name, value in trailers if name == b"grpc-message"]
     message = decode_message(messages[0]) if messages else ""
-    if not DIGITS.fullmatch(codes[0]) or int(codes[0]) > max(Code):
+    if not STATUS_NUMBER.fullmatch(codes[0]) or int(codes[0]) > max(Code):
         return Status(Code.UNKNOWN, message or f"undefined status {codes[0][:16].decode('ascii', 'replace')}")
     return Status(Code(int(codes[0])), message)
