--- a/flintlatch/http/build.py
+++ b/flintlatch/http/build.py
@@ -17,16 +17,19 @@
 from flintlatch.http.sockets import MAX_READ_BYTES, RESPONSE_BUFFER_BYTES
 from flintlatch.net.relay import RelayEngine
 
-# Of the connections to nodes and of the memory for bodies; requests known to be transfers get no more.
+# Fraction of the connections to nodes and of the memory for bodies that transfers may use. A transfer is a
+# request whose body is still arriving or whose response is long.
 TRANSFER_FRACTION = 0.9
+NO_LIMIT_BYTES = 1 << 60
 
 
 def routing_rules(config: Config, table: HttpTable, seed: int) -> RoutingRules:
-    """The rules that classify requests. `seed` is the prefix of generated request ids; it differs between
-    instances, so that ids are unique."""
+    """The rules that classify requests. `seed`, which is also the random seed of the engine, is the prefix
+    of generated request ids; it differs between instances, so that the ids are unique."""
     class_indexes = {row.name: index for index, row in enumerate(config.classes)}
-    numbers = count(1)
+    request_numbers = count(1)
     rules = [
+        # An empty path, host or header matches any request.
         Rule(
             class_indexes[rule.cls],
             b"" if rule.path == "*" else rule.path.encode(),
@@ -36,7 +39,7 @@
         )
         for rule in table.rules
     ]
-    names = RoutingHeaders(
+    headers = RoutingHeaders(
         *(
             name.encode()
             for name in (
@@ -52,8 +55,8 @@
         [row.request_class for row in config.classes],
         rules,
         {row.name.encode(): index for index, row in enumerate(config.tenants)},
-        names,
-        lambda: b"%x-%x" % (seed, next(numbers)),
+        headers,
+        lambda: b"%x-%x" % (seed, next(request_numbers)),
         class_indexes.get(table.safe_class),
         class_indexes.get(table.other_class),
     )
@@ -82,19 +85,19 @@
 def build(
     config: Config,
     table: HttpTable,
-    number: int,
+    instance: int,
     seed: int,
     max_node_connections: int,
     max_clients: int,
     accepts_per_turn: int,
 ) -> tuple[RelayEngine, HttpFrontend]:
-    """Builds the engine and the front end of one instance; `number`: its index in the fleet."""
+    """Builds the engine and the front end of one instance; `instance`: its index in the fleet."""
     limits = HeadLimits(table.head_bytes, table.target_bytes, table.fields)
     settings = replace(
-        config.settings(number),
+        config.settings(instance),
         refuse_unsent=True,
         node_transfers=table.node_transfers,
-        node_transfer_bytes=table.node_transfer_bytes or 1 << 60,
+        node_transfer_bytes=table.node_transfer_bytes or NO_LIMIT_BYTES,
         # The rest is reserved for requests that are not transfers, or not known to be transfers.
         all_transfers=max(1, int(max_node_connections * TRANSFER_FRACTION)),
         all_transfer_bytes=int(table.process_bytes * TRANSFER_FRACTION),
