--- a/flintlatch/lab/members.py
+++ b/flintlatch/lab/members.py
@@ -33,16 +33,18 @@
 from flintlatch.peers.wire import pack, pack_sync
 
 TICK_S = 0.1
-# Of a datagram: encryption, UDP and IP headers. Of a sync: the handshakes and encryption of its stream.
+# Overhead of a datagram: 37 bytes of encryption, 28 of IPv4 and UDP headers. Overhead of a sync: the
+# handshakes and the encryption of its stream.
 DATAGRAM_OVERHEAD_BYTES, SYNC_OVERHEAD_BYTES = 37 + 28, 400
-SYNC_MESSAGE_DELAY_S = 0.0025  # of each of the three messages of a sync
+SYNC_MESSAGE_DELAY_S = 0.0025  # delay of each of the three messages of a sync
 
 
 class MemberSimulation:
     """A fleet of members, each identified by its name and its address.
 
     `on_view_changed` is called with (name, now, change) for each new view of a member, and `on_entries` with
-    (name, now, entries) for the entries that a member receives.
+    (name, now, entries) for the entries that a member receives. `now` is the virtual time, not that of the
+    member's clock.
     """
 
     def __init__(
@@ -143,7 +145,7 @@
                 self.on_entries(name, self.engine.now, action.entries)
 
     def converged(self, names: list[str]) -> bool:
-        """Whether these members have the same view and it has exactly their names as alive."""
+        """Whether these members agree on a view in which exactly they are alive."""
         cores = [self.core(name) for name in names]
         same = len({core.digest() for core in cores}) == 1
         return same and {record.name for record in cores[0].active_records()} == set(names)
