--- a/flintlatch/cli.py
+++ b/flintlatch/cli.py
@@ -19,7 +19,9 @@
 """
 
 
-CONTROL_TIMEOUT_S = 1300.0  # of reload, upgrade and stop
+# Of reload, upgrade and stop. The longest is an upgrade: 2 * start.ready_s + start.bind_wait_s, at most
+# 1260 s.
+CONTROL_TIMEOUT_S = 1300.0
 
 
 def build_parser() -> argparse.ArgumentParser:
@@ -112,7 +114,7 @@
     ):
         delivery_parser = add_command(name, text)
         delivery_parser.add_argument("config", metavar="FILE", help="its [delivery] table, a TOML file")
-    # These are arguments of the last one only, `follow`.
+    # After the loop, `delivery_parser` is the parser of `follow`: the other two have no more arguments.
     delivery_parser.add_argument("names", nargs="*", metavar="NAME", help="of objects, if not those in FILE")
     delivery_parser.add_argument("--json", action="store_true", help="a row a line, with the machine's clock")
     delivery_parser.add_argument(
@@ -181,18 +183,17 @@
 
     If there is none, prints the reason and returns None. `timeout_s` bounds each wait on the socket."""
     from flintlatch.config import InvalidConfig, find_control_socket
-    from flintlatch.fleet.control import ControlError
-    from flintlatch.fleet.control import send_control_request as ask_fleet
+    from flintlatch.fleet.control import ControlError, send_control_request
 
     try:
-        return ask_fleet(args.control or find_control_socket(args.config), request, timeout_s)
+        return send_control_request(args.control or find_control_socket(args.config), request, timeout_s)
     except (InvalidConfig, ControlError) as error:
         print(error, file=sys.stderr)
         return None
 
 
-def send_accepted_request(args: argparse.Namespace, request: dict[str, Any]) -> dict[str, Any] | None:
-    """Does the same as `send_request`, but prints a refusal by the fleet too and returns None for it."""
+def send_and_require_ok(args: argparse.Namespace, request: dict[str, Any]) -> dict[str, Any] | None:
+    """Sends a request as `send_request` does. Also prints a refusal by the fleet and returns None for it."""
     answer = send_request(args, request)
     if answer is not None and not answer["ok"]:
         print(f"{request['do']}: {answer['reason']}", file=sys.stderr)
@@ -201,7 +202,7 @@
 
 
 def control_command(command: str, args: argparse.Namespace) -> int:
-    # A reload waits for the list of nodes and for the new generation, each with a timeout of its own.
+    # A reload waits up to start.ready_s for the list of nodes, then as long again for the new generation.
     answer = send_request(args, {"do": command}, CONTROL_TIMEOUT_S)
     if answer is None:
         return 1
@@ -290,12 +291,12 @@
 def peers_command(args: argparse.Namespace) -> int:
     if args.say:
         request = {"do": "note", "subject": args.subject, "text": args.say, "for_s": args.for_s}
-        answer = send_accepted_request(args, request)
+        answer = send_and_require_ok(args, request)
         if answer is None:
             return 1
         print(f"told; nobody shows it later than {answer['until_at_most_s']} s from now")
         return 0
-    answer = send_accepted_request(args, {"do": "peers"})
+    answer = send_and_require_ok(args, {"do": "peers"})
     if answer is None:
         return 1
     if args.json:
@@ -345,7 +346,7 @@
 
 
 def limits_command(args: argparse.Namespace) -> int:
-    answer = send_accepted_request(args, {"do": "limits"})
+    answer = send_and_require_ok(args, {"do": "limits"})
     if answer is None:
         return 1
     if args.json:
@@ -363,7 +364,7 @@
 
 
 def verdicts_command(args: argparse.Namespace) -> int:
-    answer = send_accepted_request(args, {"do": "verdicts"})
+    answer = send_and_require_ok(args, {"do": "verdicts"})
     if answer is None:
         return 1
     if args.json:
