--- a/flintlatch/exchange/core.py
+++ b/flintlatch/exchange/core.py
@@ -78,13 +78,17 @@
         self.status = 0  # of the final response; 0: none
         self.upload = Upload(limits.upload_bytes, limits.flow_bytes)
         self.trailers: Fields = []  # trailer fields of the request
-        self.node: NodeSide | None = None  # of the current attempt
+        self.node: NodeSide | None = None  # the node's side of the current attempt
         self.arrived_s = now_s  # this and the next three are points in time, not durations
         # First byte of the response (of a node or of the proxy), last byte of the request, end of the
         # exchange; 0: not yet.
         self.first_byte_s = self.request_complete_s = self.ended_s = 0.0
         self.upload_pipe = Pipe(
-            Side.CLIENT, self.upload.cap + self.upload.flow_bytes, limits.progress, limits.progress, now_s
+            Side.CLIENT,
+            self.upload.max_bytes + self.upload.flow_bytes,
+            limits.progress,
+            limits.progress,
+            now_s,
         )
         self.upload_pipe.set_waiting_sides(now_s, True, False)
         self.response_pipe: Pipe | None = None
@@ -285,8 +289,8 @@
             self._end(now_s, ending)
 
     def _end(self, now_s: float, ending: Ending, stalled_node: NodeSide | None = None) -> None:
-        """`stalled_node`: its attempt is ended with a timeout, which is reported to the decision module. If it
-        is None, the attempts are cancelled."""
+        """`stalled_node`: its attempt is ended with a timeout, which is reported to the decision module. If
+        it is None, the attempts are cancelled."""
         if self.has_ended:
             return
         responding, offered = self.phase is Phase.RESPONDING, self.phase is not Phase.GATHERING
--- a/flintlatch/exchange/transfer.py
+++ b/flintlatch/exchange/transfer.py
@@ -13,11 +13,11 @@
 
 from flintlatch.exchange.messages import Piece
 
-# Fraction of the cap at which reading resumes. Resuming at the first free byte would switch reading on and
-# off all the time.
+# Fraction of `max_bytes` at which reading resumes. Resuming at the first free byte would switch reading on
+# and off all the time.
 RESUME_FRACTION = 0.5
 MAX_PIECES = 64  # pieces of a body that are buffered separately; more are joined
-MIN_CAP_BYTES = 1
+MIN_BUFFER_BYTES = 1
 
 
 class Side(Enum):
@@ -84,15 +84,20 @@
 class Pipe:
     """One direction of a transfer, from a source to a sink.
 
-    `cap`: bytes that this process buffers at most for the transfer. The caller must not read more than `room`
-    bytes at once."""
+    `max_bytes`: the most bytes that this process buffers for the transfer. The caller must not read more than
+    `room` bytes at once."""
 
     def __init__(
-        self, source: Side, cap: int, source_limits: ProgressLimits, sink_limits: ProgressLimits, now_s: float
+        self,
+        source: Side,
+        max_bytes: int,
+        source_limits: ProgressLimits,
+        sink_limits: ProgressLimits,
+        now_s: float,
     ) -> None:
-        if cap < MIN_CAP_BYTES:
-            raise ValueError(f"cap must be at least {MIN_CAP_BYTES}")
-        self.source, self.cap = source, cap
+        if max_bytes < MIN_BUFFER_BYTES:
+            raise ValueError(f"max_bytes is {max_bytes}, expected at least {MIN_BUFFER_BYTES}")
+        self.source, self.max_bytes = source, max_bytes
         self.arrived_bytes = self.taken_bytes = 0
         self.peak_buffered_bytes = 0
         self.source_ended = False
@@ -112,19 +117,19 @@
 
     @property
     def room(self) -> int:
-        return 0 if self.source_ended else self.cap - self.buffered_bytes
+        return 0 if self.source_ended else self.max_bytes - self.buffered_bytes
 
     @property
     def may_read(self) -> bool:
-        """Whether to read from the source: pauses at the cap, resumes at RESUME_FRACTION of it."""
-        if self.source_ended or self.buffered_bytes >= self.cap:
+        """Whether to read from the source: pauses at `max_bytes`, resumes at RESUME_FRACTION of it."""
+        if self.source_ended or self.buffered_bytes >= self.max_bytes:
             self._reading = False
-        elif self.buffered_bytes <= self.cap * RESUME_FRACTION:
+        elif self.buffered_bytes <= self.max_bytes * RESUME_FRACTION:
             self._reading = True
         return self._reading
 
     def add_arrived(self, now_s: float, count: int) -> None:
-        """Records `count` bytes from the source. Raises ValueError beyond `room`, so that the cap always
+        """Records `count` bytes from the source. Raises ValueError beyond `room`, so that `max_bytes` always
         holds."""
         if count > self.room:
             raise ValueError(f"{count} bytes arrived, expected no more than the room for {self.room}")
@@ -165,7 +170,7 @@
         buffered_bytes = self.arrived_bytes - self.taken_bytes
         if buffered_bytes > 0 and self.sink_attached:
             wait = self._sink_wait
-        elif not self.source_ended and self.source_may_send and buffered_bytes < self.cap:
+        elif not self.source_ended and self.source_may_send and buffered_bytes < self.max_bytes:
             wait = self._source_wait
         else:
             return
@@ -213,14 +218,14 @@
 class Upload:
     """The buffer of a request's body on its way to a node.
 
-    A body of up to `cap` bytes is kept whole, so that another attempt can send it from the start. From a
+    A body of up to `max_bytes` is kept whole, so that another attempt can send it from the start. From a
     longer body, the bytes that an attempt has taken are discarded, and no further attempt is possible. At
-    most `cap` bytes wait to be taken; `room` is the number of bytes that may be read."""
+    most `max_bytes` wait to be taken; `room` is the number of bytes that may be read."""
 
-    def __init__(self, cap: int, flow_bytes: int = 0) -> None:
+    def __init__(self, max_bytes: int, flow_bytes: int = 0) -> None:
         """`flow_bytes`: bytes that may wait to be taken once a part was discarded, if that is more than
-        `cap`. It is the size of one read, so that a read need not be split."""
-        self.cap, self.flow_bytes = cap, max(cap, flow_bytes)
+        `max_bytes`. It is the size of one read, so that a read need not be split."""
+        self.max_bytes, self.flow_bytes = max_bytes, max(max_bytes, flow_bytes)
         self.discarded = False  # a part of the body was discarded: no further attempt may begin
         self.complete = False
         self.total_bytes = 0
@@ -246,7 +251,7 @@
             return 0
         if self.discarded:
             return self.flow_bytes - self._untaken_bytes
-        return self.cap - (self._untaken_bytes if self._next_index else self._buffered_bytes)
+        return self.max_bytes - (self._untaken_bytes if self._next_index else self._buffered_bytes)
 
     def add(self, pieces: list[Piece], size: int) -> bool:
         """Appends `pieces`, of `size` bytes in total. Returns true if this call discarded the first part of
@@ -263,7 +268,7 @@
         self._buffered_bytes += size
         self._untaken_bytes += size
         self.total_bytes += size
-        if not self.discarded and self._buffered_bytes > self.cap:
+        if not self.discarded and self._buffered_bytes > self.max_bytes:
             self.discarded = True
             self._discard_taken()
             return True
--- a/tests/exchange/test_core.py
+++ b/tests/exchange/test_core.py
@@ -212,7 +212,7 @@
     assert owner_calls.count("cancel attempts") <= 1 and (exchange.ending is not None) == exchange.has_ended
     assert (
         exchange.upload.buffered_bytes <= 2 * exchange.limits.upload_bytes
-        and exchange.upload_pipe.buffered_bytes <= exchange.upload_pipe.cap
+        and exchange.upload_pipe.buffered_bytes <= exchange.upload_pipe.max_bytes
     )
     if exchange.response_pipe is not None:
         assert exchange.response_pipe.buffered_bytes <= exchange.limits.answer_bytes
--- a/tests/exchange/test_transfer.py
+++ b/tests/exchange/test_transfer.py
@@ -14,9 +14,9 @@
 
 
 def download(
-    client: ProgressLimits = NO_MIN_RATE, node: ProgressLimits = NO_MIN_RATE, cap: int = 1000
+    client: ProgressLimits = NO_MIN_RATE, node: ProgressLimits = NO_MIN_RATE, max_bytes: int = 1000
 ) -> Pipe:
-    return Pipe(Side.NODE, cap, node, client, 0.0)
+    return Pipe(Side.NODE, max_bytes, node, client, 0.0)
 
 
 def test_fast_node_is_slowed_down_by_a_slow_client() -> None:
@@ -112,8 +112,8 @@
     st.integers(1, 5000),
     st.lists(st.tuples(st.sampled_from(["arrive", "take", "check"]), st.floats(0, 1), st.floats(0, 2))),
 )
-def test_cap_holds_and_no_byte_is_lost(cap: int, steps: list[tuple[str, float, float]]) -> None:
-    pipe, now = Pipe(Side.CLIENT, cap, NO_MIN_RATE, NO_MIN_RATE, 0.0), 0.0
+def test_cap_holds_and_no_byte_is_lost(max_bytes: int, steps: list[tuple[str, float, float]]) -> None:
+    pipe, now = Pipe(Side.CLIENT, max_bytes, NO_MIN_RATE, NO_MIN_RATE, 0.0), 0.0
     for action, fraction, seconds in steps:
         now += seconds
         if action == "arrive" and pipe.may_read:
@@ -124,7 +124,7 @@
             stall = pipe.find_stall(now)
             if stall is not None:
                 assert stall.side is (Side.NODE if pipe.buffered_bytes else Side.CLIENT)
-        assert 0 <= pipe.buffered_bytes <= cap and pipe.peak_buffered_bytes <= cap
+        assert 0 <= pipe.buffered_bytes <= max_bytes and pipe.peak_buffered_bytes <= max_bytes
         assert pipe.may_read or pipe.buffered_bytes > 0  # at least one side can always make progress
     pipe.end_source(now)
     pipe.add_taken(now, pipe.buffered_bytes)
@@ -153,8 +153,10 @@
 
 
 @given(st.integers(1, 50), st.lists(st.tuples(st.booleans(), st.floats(0, 1)), max_size=60))
-def test_longer_upload_is_discarded_and_the_cap_holds(cap: int, steps: list[tuple[bool, float]]) -> None:
-    upload, sent, taken, discard_reports = Upload(cap), b"", b"", 0
+def test_longer_upload_is_discarded_and_the_cap_holds(
+    max_bytes: int, steps: list[tuple[bool, float]]
+) -> None:
+    upload, sent, taken, discard_reports = Upload(max_bytes), b"", b"", 0
     upload.rewind()
     for takes, fraction in steps:
         if takes:
@@ -163,9 +165,9 @@
             piece = bytes(len(sent) + n & 255 for n in range(size))
             sent += piece
             discard_reports += upload.add([piece], len(piece))
-        assert upload.untaken_bytes <= cap and upload.buffered_bytes <= 2 * cap
+        assert upload.untaken_bytes <= max_bytes and upload.buffered_bytes <= 2 * max_bytes
         assert upload.discarded is (discard_reports == 1) and discard_reports <= 1
-        assert upload.discarded or upload.buffered_bytes == len(sent) <= cap
+        assert upload.discarded or upload.buffered_bytes == len(sent) <= max_bytes
     upload.end()
     taken += b"".join(upload.take()[0])
     assert taken == sent and upload.fully_taken
