--- a/flintlatch/http/body.py
+++ b/flintlatch/http/body.py
@@ -12,8 +12,8 @@
 from flintlatch.exchange import Piece
 from flintlatch.http.framing import TOKEN, BodyKind, Fields, Framing, HttpError, read_field_line
 
-MAX_LINE_BYTES = 256  # of a chunk's size line with a small extension; legitimate peers send no longer one
-MAX_EXTENSION_BYTES = 16 * 1024  # of all chunk extensions of a body; RFC 9112 section 7.1.1 asks for a limit
+MAX_LINE_BYTES = 256  # a chunk's size line with a small extension; legitimate peers send no longer line
+MAX_EXTENSION_BYTES = 16 * 1024  # all chunk extensions of a body; RFC 9112 section 7.1.1 asks for a limit
 MAX_TRAILER_BYTES = 8 * 1024
 SIZE_LINE = re.compile(
     rb"([0-9A-Fa-f]{1,15})((?:[\t ]*;[\t ]*" + TOKEN + rb"(?:[\t ]*=[\t ]*(?:" + TOKEN
--- a/flintlatch/http/fields.py
+++ b/flintlatch/http/fields.py
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwardingPolicy:
-    """How nodes are told of the origin of a request."""
+    """How the origin of a request is reported to nodes."""
 
     style: str = "forwarded"  # "forwarded" (RFC 7239), "x-forwarded", or "none"
     trusted: tuple[Network, ...] = ()  # peers whose forwarding fields are passed on
--- a/flintlatch/http/front.py
+++ b/flintlatch/http/front.py
@@ -26,7 +26,7 @@
 if TYPE_CHECKING:
     from flintlatch.net.request import Reader
 
-# Of pipelined requests that are read before the current one is answered.
+# Size of the pipelined requests that are read before the response to the current one is complete.
 MAX_PIPELINED_BYTES = MAX_READ_BYTES // 8
 
 
--- a/flintlatch/http/sockets.py
+++ b/flintlatch/http/sockets.py
@@ -11,8 +11,8 @@
 MAX_READ_BYTES = 2 * RECEIVE_BUFFER_BYTES  # upper bound of the bytes that one read returns
 # SO_SNDBUF, doubled too. Without it, the kernel buffers up to 4 MB for a slow client.
 SEND_BUFFER_BYTES = 128 * 1024
-WRITE_HIGH_WATER_BYTES = 64 * 1024  # of a write buffer; above it, reading from the other side pauses
-# Of a response at most: a write buffer at its high-water mark and two reads.
+WRITE_HIGH_WATER_BYTES = 64 * 1024  # size of a write buffer above which reading from the other side pauses
+# Largest buffered part of a response: a write buffer at its high-water mark and two reads.
 RESPONSE_BUFFER_BYTES = WRITE_HIGH_WATER_BYTES + 2 * MAX_READ_BYTES
 
 
