--- a/flintlatch/lab/delivery.py
+++ b/flintlatch/lab/delivery.py
@@ -306,7 +306,7 @@
         self.engine.after(self._delay(), on_connect)
 
     def close(self, stream: Stream, by: str) -> None:
-        """Closes the stream at the side `by` and, unless a cut is in between, notifies the other side."""
+        """Closes the stream at the side `by` and notifies the other side, unless the link is cut."""
         if not stream.open:
             return
         stream.open = False
