--- a/tests/membership/test_consul.py
+++ b/tests/membership/test_consul.py
@@ -128,14 +128,14 @@
 
 
 def test_health_checks_drain_nodes_until_they_pass() -> None:
-    source, core = service_watch(), Membership(MembershipRules(("c",)))
+    source, membership = service_watch(), Membership(MembershipRules(("c",)))
 
     def states_after(index: int, *critical: str, uids: str = "abc") -> dict[str, NodeState]:
         for event in source.on_response(
             float(index), 200, headers(index), response_body(*uids, critical=critical)
         ):
-            core.step(index, event)
-        return {uid: node.state for uid, node in core.nodes.items()}
+            membership.step(index, event)
+        return {uid: node.state for uid, node in membership.nodes.items()}
 
     active, draining = NodeState.ACTIVE, NodeState.DRAINING
     assert states_after(1) == {"m1/a": active, "m1/b": active, "m1/c": active}
@@ -147,17 +147,17 @@
     # A report about a removed node must not apply to a later node of the same name.
     states_after(6, "c")
     assert "m1/c" not in states_after(7, uids="ab")
-    assert not core.sources["c"].unhealthy
+    assert not membership.sources["c"].unhealthy
 
 
 def test_empty_list_after_an_outage_is_rejected_and_the_next_accepted() -> None:
-    source, core = service_watch(), Membership(MembershipRules(("c",)))
+    source, membership = service_watch(), Membership(MembershipRules(("c",)))
     for number, uids in enumerate(("ab", "", "", "ab", "abc"), 1):
         for event in source.on_response(float(number), 200, headers(number), response_body(*uids)):
-            core.step(number, event)
-        assert set(core.nodes) >= {"m1/a", "m1/b"}
-    assert set(core.nodes) == {"m1/a", "m1/b", "m1/c"}
-    assert core.sources["c"].rejection_count == 2
+            membership.step(number, event)
+        assert set(membership.nodes) >= {"m1/a", "m1/b"}
+    assert set(membership.nodes) == {"m1/a", "m1/b", "m1/c"}
+    assert membership.sources["c"].rejection_count == 2
 
 
 # Over loopback
@@ -168,15 +168,15 @@
     consul = await Consul().open()
     consul.put("a", "127.0.0.1:9001")
     consul.put("b", "127.0.0.1:9002", weight=3, zone="z2")
-    core = Membership(MembershipRules(("c",)))
+    membership = Membership(MembershipRules(("c",)))
     source = CatalogueSource(
         f"http://{consul.address}",
         "secret",
         ServiceWatch("c", "review", wait_s, 10.0),
-        lambda event: None if core.step(0.0, event) else None,
+        lambda event: None if membership.step(0.0, event) else None,
     )
     try:
-        yield consul, source, core
+        yield consul, source, membership
     finally:
         source.close()
         consul.close()
@@ -189,23 +189,23 @@
 
 def test_source_follows_a_catalogue_with_blocking_queries(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        async with watched() as (consul, source, core):
-            await until(lambda: len(core.nodes) == 2)
-            node = core.nodes["m1/b"]
+        async with watched() as (consul, source, membership):
+            await until(lambda: len(membership.nodes) == 2)
+            node = membership.nodes["m1/b"]
             assert (node.address, node.weight, node.zone, node.pool) == (
                 "127.0.0.1:9002",
                 3.0,
                 "z2",
                 "review",
             )
-            assert core.nodes["m1/a"].zone == "dc1"
+            assert membership.nodes["m1/a"].zone == "dc1"
             await until(lambda: len(consul.asked) == 2)
             assert consul.asked[1].endswith(f"?index={consul.index}&wait=30s")
             assert set(consul.tokens) == {"secret"}
             consul.put("c", "127.0.0.1:9003")
-            await until(lambda: len(core.nodes) == 3)
+            await until(lambda: len(membership.nodes) == 3)
             consul.drop("a")
-            await until(lambda: "m1/a" not in core.nodes)
+            await until(lambda: "m1/a" not in membership.nodes)
             assert source.query_count <= 6  # queries block until there is a change
 
     run(test())
@@ -220,9 +220,9 @@
     monkeypatch.setattr(catalogue_module, "MIN_QUERY_INTERVAL_S", 0.001)
 
     async def test() -> None:
-        async with watched(wait_s=0.2) as (consul, _, core):
-            await until(lambda: len(core.nodes) == 2)
-            before = dict(core.nodes)
+        async with watched(wait_s=0.2) as (consul, _, membership):
+            await until(lambda: len(membership.nodes) == 2)
+            before = dict(membership.nodes)
             query_count = len(consul.asked)
             if fault == "hang":
                 consul.hang = True
@@ -243,14 +243,14 @@
             consul.put("x", "127.0.0.1:9099")  # a valid instance, which must not appear while the fault lasts
             await until(lambda: len(consul.asked) >= query_count + 3)
             if fault == "back":  # the index is reset, so the next response is used
-                await until(lambda: "m1/x" in core.nodes)
+                await until(lambda: "m1/x" in membership.nodes)
             else:
-                assert core.nodes == before
+                assert membership.nodes == before
             del consul.instances["x"]
             consul.hang, consul.status, consul.body = False, 200, None
             consul.leader, consul.tell_index = True, None
             consul.put("d", "127.0.0.1:9004")
-            await until(lambda: "m1/d" in core.nodes)
+            await until(lambda: "m1/d" in membership.nodes)
 
     run(test())
 
@@ -283,10 +283,10 @@
 
 
 def test_first_response_adds_its_nodes_and_reports_no_health() -> None:
-    source, core = service_watch(), Membership(MembershipRules(("c",)))
+    source, membership = service_watch(), Membership(MembershipRules(("c",)))
     actions = []
     for event in source.on_response(5.0, 200, headers(3), response_body("a")):
-        actions += core.step(5.0, event)
+        actions += membership.step(5.0, event)
     (applied,) = [action for action in actions if isinstance(action, Apply)]
     assert [node.uid for node in applied.change.added] == ["m1/a"]
     assert not [
--- a/tests/membership/test_core.py
+++ b/tests/membership/test_core.py
@@ -41,12 +41,12 @@
 
 class Driver:
     def __init__(self, rules: MembershipRules | None = None) -> None:
-        self.core, self.now_s = Membership(rules or MembershipRules(("file",))), 1000.0
+        self.membership, self.now_s = Membership(rules or MembershipRules(("file",))), 1000.0
         self.nodes_by_uid: dict[str, Node] = {}
 
     def step(self, event: Event, after_s: float = 0.0) -> list[Action]:
         self.now_s += after_s
-        actions = self.core.step(self.now_s, event)
+        actions = self.membership.step(self.now_s, event)
         for action in actions:
             if isinstance(action, Apply):
                 self.nodes_by_uid = {n.uid: n for n in action.nodes}
@@ -112,13 +112,15 @@
     # The drains of a registry must not be held back, and a restarted registry that knows only one of the
     # nodes must not remove the others.
     nodes = tuple(Node(f"n{n}", "127.0.0.1", 9000 + n) for n in range(6))
-    core = Membership(MembershipRules(("registry",), drains_at_once=frozenset(("registry",))))
-    core.step(0.0, VersionOffered(Version("registry", 1, nodes)))
+    membership = Membership(MembershipRules(("registry",), drains_at_once=frozenset(("registry",))))
+    membership.step(0.0, VersionOffered(Version("registry", 1, nodes)))
     others = tuple(node._replace(state=NodeState.DRAINING) for node in nodes[1:]) if drained else ()
-    core.step(1.0, VersionOffered(Version("registry", 2, (nodes[0], *others))))
-    assert len(core.nodes) == 6
-    assert (core.sources["registry"].held is None) is accepted
-    assert sum(node.state is NodeState.DRAINING for node in core.nodes.values()) == (5 if drained else 0)
+    membership.step(1.0, VersionOffered(Version("registry", 2, (nodes[0], *others))))
+    assert len(membership.nodes) == 6
+    assert (membership.sources["registry"].held is None) is accepted
+    assert sum(node.state is NodeState.DRAINING for node in membership.nodes.values()) == (
+        5 if drained else 0
+    )
 
 
 def test_draining_most_nodes_at_once_counts_as_removing_them() -> None:
@@ -135,13 +137,13 @@
     for number, nodes in ((4, TEN[1:]), (5, TEN[1:])):
         (rejected,) = driver.offer(number, *nodes)
         assert isinstance(rejected, Rejected) and rejected.faults[0].expected == "a number above 5"
-    assert driver.offer(5, *TEN) == [] and driver.core.sources["file"].rejection_count == 2
+    assert driver.offer(5, *TEN) == [] and driver.membership.sources["file"].rejection_count == 2
 
 
 def test_restored_version_is_in_effect_and_unconfirmed_until_offered_again() -> None:
     driver = Driver()
     assert type_names(driver.step(VersionRestored(version(7, *TEN)))) == ["Apply"]
-    source = driver.core.sources["file"]
+    source = driver.membership.sources["file"]
     assert source.unconfirmed and type_names(driver.offer(6, *TEN)) == ["Rejected"] and source.unconfirmed
     assert driver.offer(7, *TEN) == [] and not source.unconfirmed
     # Removals are counted against the restored version.
@@ -156,7 +158,7 @@
     assert isinstance(rejected, Rejected) and rejected.faults == faults and rejected.number is None
     for _ in range(100):
         driver.step(InvalidVersionOffered("file", faults))
-    source = driver.core.sources["file"]
+    source = driver.membership.sources["file"]
     assert (len(source.rejections), source.rejection_count) == (20, 101)
     assert type_names(driver.step(SourceFailed("file", "gone"))) == ["LogWarning"]
     assert driver.step(SourceFailed("file", "gone")) == [] and len(driver.nodes_by_uid) == 10
@@ -184,7 +186,7 @@
     assert [w.text for w in warnings] == ["n0 comes and goes: held down"]
     assert driver.nodes_by_uid["n0"].state.value == "draining"
     driver.step(TimerExpired(), after_s=61.0)
-    assert driver.nodes_by_uid["n0"].state.value == "active" and not driver.core.flap_times
+    assert driver.nodes_by_uid["n0"].state.value == "active" and not driver.membership.flap_times
 
 
 def test_unhealthy_nodes_are_drained_unless_the_pool_is_in_panic_mode() -> None:
@@ -248,7 +250,7 @@
         if isinstance(event, VersionOffered):
             offered[event.version.source].append(event.version)
         actions = driver.step(event, after_s)
-        current_versions = {name: source.current for name, source in driver.core.sources.items()}
+        current_versions = {name: source.current for name, source in driver.membership.sources.items()}
         for name, current in current_versions.items():
             if current is not None:
                 assert current in offered[name] and current.nodes
@@ -260,7 +262,7 @@
         assert set(driver.nodes_by_uid) == expected  # each address has one uid here, so no node is left out
         if expected:
             active = [n for n in driver.nodes_by_uid.values() if n.state is NodeState.ACTIVE]
-            assert len(active) >= len(expected) * (1 - driver.core.rules.panic_fraction)
+            assert len(active) >= len(expected) * (1 - driver.membership.rules.panic_fraction)
         for action in actions:
             if isinstance(action, Apply):
                 assert action.revision == revision + 1 and action.change
@@ -268,11 +270,11 @@
             elif isinstance(action, WakeAt):
                 assert (
                     action.at_s > driver.now_s - 1e-6
-                    or driver.core.next_weight_step_at >= driver.now_s - 1e-6
+                    or driver.membership.next_weight_step_at >= driver.now_s - 1e-6
                 )
             elif isinstance(action, Save):
                 assert action.version in offered[action.version.source]
-        assert len(driver.core.flap_times) <= 10
+        assert len(driver.membership.flap_times) <= 10
 
 
 @pytest.mark.parametrize(
--- a/tests/membership/test_delivered.py
+++ b/tests/membership/test_delivered.py
@@ -156,7 +156,7 @@
 
 def test_reported_faults_are_limited_and_the_rest_counted() -> None:
     texts = fault_texts(DeliveredNodeList(SERVICE).on_snapshot(0.0, 1, {f"i{n:03}": b"{" for n in range(80)}))
-    # MAX_REPORTED_FAULTS, 50, and the count of the other 30
+    # MAX_REPORTED_FAULTS (50) and the count of the other 30
     assert len(texts) == 51 and texts[-1] == "item: found 30 more faults, expected none"
 
 
--- a/tests/membership/test_folder.py
+++ b/tests/membership/test_folder.py
@@ -25,19 +25,20 @@
 
 @asynccontextmanager
 async def watched(folder: Path, max_removed_fraction: float = 0.5) -> AsyncIterator[Watched]:
-    """Yields the core, the events it received, and the pool and uid of all nodes of each accepted version."""
-    core, events = Membership(MembershipRules(("d/",), max_removed_fraction)), []
+    """Yields the Membership, the events it received, and the pool and uid of all nodes of each accepted
+    version."""
+    membership, events = Membership(MembershipRules(("d/",), max_removed_fraction)), []
     accepted: list[set[str]] = []
 
     def on_event(event: Event) -> None:
         events.append(event)
-        for action in core.step(asyncio.get_running_loop().time(), event):
+        for action in membership.step(asyncio.get_running_loop().time(), event):
             if isinstance(action, Save):
                 accepted.append({f"{node.pool}/{node.uid}" for node in action.version.nodes})
 
     source = make_file_source("d/", str(folder), on_event)
     try:
-        yield core, events, accepted
+        yield membership, events, accepted
     finally:
         source.close()
 
@@ -53,7 +54,7 @@
         (tmp_path / "plans.json").write_text(file_text("c", port=9100, pool="own"))
         (tmp_path / ".hidden.json").write_text("{")
         (tmp_path / "cards.json~").write_text("{")
-        async with watched(tmp_path) as (core, _, accepted):
+        async with watched(tmp_path) as (membership, _, accepted):
             await until(lambda: accepted)
             assert accepted[-1] == {"cards/a", "cards/b", "own/c"}
             (tmp_path / "more.toml").write_text(
@@ -62,7 +63,7 @@
             await until(lambda: "more/d" in accepted[-1])
             (tmp_path / "plans.json").unlink()
             await until(lambda: "own/c" not in accepted[-1])
-            assert set(core.nodes) == {"a", "b", "d"}
+            assert set(membership.nodes) == {"a", "b", "d"}
 
     run(test())
 
@@ -81,18 +82,18 @@
 ) -> None:
     async def test() -> None:
         (tmp_path / "cards.json").write_text(file_text("a", "b"))
-        async with watched(tmp_path) as (core, _, accepted):
+        async with watched(tmp_path) as (membership, _, accepted):
             await until(lambda: accepted)
             (tmp_path / name).write_text(content)
-            await until(lambda: core.sources["d/"].rejections)
-            faults = core.sources["d/"].rejections[-1].faults
+            await until(lambda: membership.sources["d/"].rejections)
+            faults = membership.sources["d/"].rejections[-1].faults
             assert any(words in str(fault) for fault in faults), faults
             # A drain in another file is not applied either, until the invalid file is removed.
             (tmp_path / "cards.json").write_text(file_text("a", "b", state="draining"))
-            await until(lambda: core.sources["d/"].rejection_count >= 2)
+            await until(lambda: membership.sources["d/"].rejection_count >= 2)
             assert len(accepted) == 1
             (tmp_path / name).unlink()
-            await until(lambda: core.sources["d/"].held is not None)  # it drains all nodes at once
+            await until(lambda: membership.sources["d/"].held is not None)  # it drains all nodes at once
 
     run(test())
 
@@ -102,16 +103,16 @@
         folder = tmp_path / "d"
         folder.mkdir()
         (folder / "cards.json").write_text(file_text("a"))
-        async with watched(folder) as (core, _, accepted):
+        async with watched(folder) as (membership, _, accepted):
             await until(lambda: accepted)
             (folder / "cards.json").unlink()
-            await until(lambda: core.sources["d/"].rejection_count)
+            await until(lambda: membership.sources["d/"].rejection_count)
             folder.rmdir()
-            await until(lambda: core.sources["d/"].failure)
-            assert set(core.nodes) == {"a"} and len(accepted) == 1
+            await until(lambda: membership.sources["d/"].failure)
+            assert set(membership.nodes) == {"a"} and len(accepted) == 1
             folder.mkdir()
             (folder / "cards.json").write_text(file_text("a", "b"))
-            await until(lambda: set(core.nodes) == {"a", "b"})
+            await until(lambda: set(membership.nodes) == {"a", "b"})
 
     run(test())
 
