--- a/flintlatch/config/delivery.py
+++ b/flintlatch/config/delivery.py
@@ -1,6 +1,6 @@
 """Reads the configuration of delivery's own processes: the [delivery] table of origin, relay and follower.
 
-[delivery]                            of all three; also name, key_file, region, zone
+[delivery]                            of all three processes; also name, key_file, region, zone
 bind = "10.0.0.3:7950"                of the origin and a relay
 source = "objects.json"               of the origin: the watched file of objects
 keep = "objects.json.kept"            of the origin: its state file, by default source with .kept
@@ -37,10 +37,10 @@
 class CommonSettings:
     """Settings of all three processes."""
 
-    place: Participant  # of the process itself
+    identity: Participant  # of the process itself
     keys: tuple[bytes, ...]
     rules: Rules  # between relays and proxies
-    relay_rules: Rules  # between relays and the origin
+    upstream_rules: Rules  # between relays and the origin
 
 
 @dataclass(frozen=True, slots=True)
@@ -98,7 +98,7 @@
     return rules
 
 
-def to_relay_rules(rules: Rules) -> Rules:
+def to_upstream_rules(rules: Rules) -> Rules:
     """Returns the rules between relays and the origin: times of `rules`, amounts of data of RELAY_RULES."""
     defaults = RELAY_RULES
     return replace(rules, bytes_per_s=defaults.bytes_per_s, burst_bytes=defaults.burst_bytes,
@@ -118,14 +118,15 @@
     except UnicodeDecodeError:
         reader.add_problem("key_file", f"{path}: not text", "64 hexadecimal digits a line")
     except InvalidKeyFile as error:
+        # The text of the error has the position and the expected content, never the line: that may be a key.
         reader.add_problem("key_file", "an invalid key file", str(error))
     return ()
 
 
 def _read_common(reader: Reader) -> CommonSettings:
-    place = Participant(reader.name("name"), read_region(reader), reader.string("zone", ""))
+    identity = Participant(reader.name("name"), read_region(reader), reader.string("zone", ""))
     rules = read_delivery_rules(reader.subtable("rules"))
-    return CommonSettings(place, _read_keys(reader), rules, to_relay_rules(rules))
+    return CommonSettings(identity, _read_keys(reader), rules, to_upstream_rules(rules))
 
 
 def _read_bind_address(reader: Reader) -> str:
@@ -181,7 +182,7 @@
 
 
 def load_origin(path: str) -> OriginTable:
-    """Raises InvalidConfig with all problems, as the other two functions do."""
+    """Raises InvalidConfig with all problems; so do load_relay and load_follower."""
     root, problems = _open(path)
     reader = root.subtable("delivery")
     source = reader.string("source", None, "the path of the file with the objects")
