--- a/bench/scale/rows.py
+++ b/bench/scale/rows.py
@@ -191,7 +191,7 @@
         "entries no list is taken at all",
     ),
     MissingMechanism(
-        "2. the module's walks over servers (`every_second`, `choose_near`, `size_up`)",
+        "2. the module's walks over servers (`every_second`, `choose_preferred`, `update_sizes`)",
         "module.rest_step_ms", "module.rest_step_ms", "pools; the platform's proxy",
     ),
     MissingMechanism(
